--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/allocator.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Incarnation, Moment, Span, key};
+use base::{CustomerKey, Incarnation, Moment, Span, derive_copy};
 
-use crate::{GrantId, LimitAsk, LimitGrant};
+use crate::{GrantId, GrantRequest, LimitGrant};
 
-key! {
+derive_copy! {
     /// The zone's part of one customer's limit.
-    pub struct ZonePart {
+    pub struct ZoneLimit {
         /// Tokens per second for the whole zone, by its number of entry VMs in the document.
         pub rate: u32,
         /// Tokens per second that each node of the zone may always use. The delegate grants the
@@ -17,7 +17,7 @@
     }
 
     /// Settings of the desk.
-    pub struct DeskSettings {
+    pub struct AllocatorSettings {
         /// How long a grant lasts. A new delegate waits as long before it grants.
         pub grant_period: Span,
         /// Entry VMs of the zone in the document.
@@ -47,19 +47,19 @@
 /// A delegate grants only the part of the zone's rate that belongs to the VMs it sees alive, so
 /// that two delegates on two sides of a partition inside the zone stay below the limit together.
 #[derive(Debug, Clone)]
-pub struct LimitDesk {
+pub struct LimitAllocator {
     me: Incarnation,
-    settings: DeskSettings,
-    parts: BTreeMap<CustomerKey, ZonePart>,
+    settings: AllocatorSettings,
+    parts: BTreeMap<CustomerKey, ZoneLimit>,
     accounts: BTreeMap<(CustomerKey, Incarnation), NodeAccount>,
     live_vms: u32,
-    /// Number of VMs that counts until [`LimitDesk::raise_at`], when `live_vms` replaces it.
+    /// Number of VMs that counts until [`LimitAllocator::raise_at`], when `live_vms` replaces it.
     counted_vms: u32,
     raise_at: Moment,
     next_number: u64,
 }
 
-impl ZonePart {
+impl ZoneLimit {
     /// Part of the zone's rate that its nodes own without a grant.
     const RESERVE_PERCENT: u64 = 20;
 
@@ -73,7 +73,7 @@
     }
 }
 
-impl DeskSettings {
+impl AllocatorSettings {
     /// Settings with the usual grant period of 10 s.
     #[must_use]
     pub const fn new(zone_vms: u32) -> Self {
@@ -81,12 +81,17 @@
     }
 }
 
-impl LimitDesk {
+impl LimitAllocator {
     /// Creates the desk of the node `me` that becomes delegate at `now` and sees `live_vms` VMs.
     ///
     /// It grants nothing for one grant period, in which the grants of the delegate before it end.
     #[must_use]
-    pub const fn new(me: Incarnation, settings: DeskSettings, now: Moment, live_vms: u32) -> Self {
+    pub const fn new(
+        me: Incarnation,
+        settings: AllocatorSettings,
+        now: Moment,
+        live_vms: u32,
+    ) -> Self {
         Self {
             me,
             settings,
@@ -100,7 +105,7 @@
     }
 
     /// Sets the zone's part of a customer's limit. Grants above a lowered part run out.
-    pub fn set_part(&mut self, customer: CustomerKey, part: ZonePart) {
+    pub fn set_part(&mut self, customer: CustomerKey, part: ZoneLimit) {
         self.parts.insert(customer, part);
     }
 
@@ -119,7 +124,7 @@
 
     /// Answers the ask of a node, or returns none for a customer without a limit and for an ask
     /// that is older than one answered before.
-    pub fn ask(&mut self, now: Moment, ask: LimitAsk) -> Option<LimitGrant> {
+    pub fn ask(&mut self, now: Moment, ask: GrantRequest) -> Option<LimitGrant> {
         self.settle(now);
         let part = *self.parts.get(&ask.customer)?;
         let period = self.settings.grant_period;
@@ -142,7 +147,7 @@
         self.next_number += 1;
         let account = self.accounts.entry((ask.customer, ask.node)).or_default();
         account.open.push(OpenGrant { number, rate, expires_at: now + period });
-        let LimitAsk { node, customer, sequence, .. } = ask;
+        let GrantRequest { node, customer, sequence, .. } = ask;
         let id = GrantId { desk: self.me, number };
         Some(LimitGrant { node, customer, sequence, id, rate, period })
     }
@@ -163,7 +168,7 @@
         });
     }
 
-    fn usable(&self, part: ZonePart) -> u32 {
+    fn usable(&self, part: ZoneLimit) -> u32 {
         let zone_vms = self.settings.zone_vms.max(1);
         let counted = self.counted_vms.min(zone_vms);
         let reserves = u64::from(part.reserve) * u64::from(zone_vms);
@@ -185,7 +190,7 @@
 
     /// Max-min fair share of the demands, plus an equal part of what is left over, so that a node
     /// with little demand can admit a sudden request.
-    fn target(&self, now: Moment, ask: LimitAsk, usable: u32) -> u32 {
+    fn target(&self, now: Moment, ask: GrantRequest, usable: u32) -> u32 {
         let period = self.settings.grant_period;
         let recent = |account: &&NodeAccount| {
             account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,24 +2,24 @@
 //!
 //! - [`FairQueue`] orders waiting requests by weighted deficit round robin on tokens, and refuses
 //!   at once what cannot be served before its deadline.
-//! - [`LimitShare`] is a node's side of the customers' limits, [`LimitDesk`] the zone delegate's.
+//! - [`RateLimiter`] is a node's side of the customers' limits, [`LimitAllocator`] the zone delegate's.
 //! - [`RetryBudget`] bounds retries by successes.
 //!
 //! Nothing here reads a clock. Times and seeded generators are passed in.
 
-mod desk;
+mod allocator;
+mod limiter;
 mod queue;
 mod retry;
 mod ring;
-mod share;
 
 pub use crate::{
-    desk::{DeskSettings, LimitDesk, ZonePart},
+    allocator::{AllocatorSettings, LimitAllocator, ZoneLimit},
+    limiter::{GrantId, GrantRequest, LimitDecision, LimitGrant, LimiterSettings, RateLimiter},
     queue::{
-        FairQueue, QueueAction, QueueActions, QueueEvent, QueueItem, QueueSettings, ServiceRate,
-        TicketNumber,
+        FairQueue, QueueAction, QueueActions, QueueEvent, QueueSettings, QueuedRequest,
+        ServiceCapacity, TicketNumber,
     },
     retry::RetryBudget,
-    ring::{TrainerKey, WorkClass},
-    share::{GrantId, LimitAnswer, LimitAsk, LimitGrant, LimitShare, ShareSettings},
+    ring::{RequestClass, TrainerKey},
 };
--- a/crates/admission/src/share.rs
+++ b/crates/admission/src/limiter.rs
@@ -2,9 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Incarnation, Moment, Refusal, RefusalCode, Span, key, plain};
+use base::{
+    CustomerKey, Incarnation, Moment, Refusal, RefusalCode, Span, derive_copy, derive_value,
+};
 
-key! {
+derive_copy! {
     /// Identifier of a grant.
     pub struct GrantId {
         /// The delegate that granted.
@@ -14,7 +16,7 @@
     }
 
     /// Asks the zone's delegate for a share of a customer's limit.
-    pub struct LimitAsk {
+    pub struct GrantRequest {
         /// The node that asks.
         pub node: Incarnation,
         /// The customer.
@@ -44,7 +46,7 @@
     }
 
     /// Settings of a node's shares.
-    pub struct ShareSettings {
+    pub struct LimiterSettings {
         /// Time between two asks for a customer with demand.
         pub ask_period: Span,
         /// A full bucket holds this much time's worth of the rate.
@@ -56,9 +58,9 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Answer to a request of a customer that has a limit.
-    pub enum LimitAnswer {
+    pub enum LimitDecision {
         /// The tokens are taken from the bucket.
         Admitted,
         /// The node has not heard its first grant. Ask again when it arrives.
@@ -69,7 +71,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct CustomerShare {
+struct CustomerBucket {
     /// Rate that needs no grant.
     reserve: u32,
     rate: u32,
@@ -89,16 +91,16 @@
 
 /// Shares of the customers' limits on one node, each with a token bucket.
 #[derive(Debug, Clone)]
-pub struct LimitShare {
+pub struct RateLimiter {
     me: Incarnation,
-    settings: ShareSettings,
+    settings: LimiterSettings,
     reserves: BTreeMap<CustomerKey, u32>,
-    shares: BTreeMap<CustomerKey, CustomerShare>,
+    shares: BTreeMap<CustomerKey, CustomerBucket>,
 }
 
 const MICRO: i64 = 1_000_000;
 
-impl Default for ShareSettings {
+impl Default for LimiterSettings {
     fn default() -> Self {
         Self {
             ask_period: Span::from_secs(3),
@@ -111,10 +113,10 @@
     }
 }
 
-impl LimitShare {
+impl RateLimiter {
     /// Creates the shares of the node `me`.
     #[must_use]
-    pub const fn new(me: Incarnation, settings: ShareSettings) -> Self {
+    pub const fn new(me: Incarnation, settings: LimiterSettings) -> Self {
         Self { me, settings, reserves: BTreeMap::new(), shares: BTreeMap::new() }
     }
 
@@ -130,19 +132,19 @@
     ///
     /// A request may overdraw a bucket that holds anything, so that one larger than the bucket can
     /// run at all. The debt is paid before the next request.
-    pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitAnswer {
+    pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitDecision {
         let reserve = self.reserves.get(&customer).copied().unwrap_or(0);
-        let new_share = || CustomerShare::new(now, reserve);
+        let new_share = || CustomerBucket::new(now, reserve);
         let share = self.shares.entry(customer).or_insert_with(new_share);
         share.wanted = share.wanted.saturating_add(u64::from(tokens));
         share.wanted_at = now;
         share.fill(now, self.settings.burst);
         if share.level > 0 {
             share.level -= i64::from(tokens) * MICRO;
-            return LimitAnswer::Admitted;
+            return LimitDecision::Admitted;
         }
         if share.answered == 0 && now < share.first_wanted_at + self.settings.first_wait {
-            return LimitAnswer::AwaitGrant;
+            return LimitDecision::AwaitGrant;
         }
         let retry_after = match u64::from(share.rate_at(now)) {
             0 => self.settings.ask_period,
@@ -150,7 +152,7 @@
         };
         let message = "the customer's limit is reached";
         let refusal = Refusal::not_run(RefusalCode::LimitReached, message);
-        LimitAnswer::Refused(refusal.with_retry_after(retry_after))
+        LimitDecision::Refused(refusal.with_retry_after(retry_after))
     }
 
     /// Charges the difference between the true and the estimated cost of an admitted request.
@@ -163,7 +165,7 @@
     }
 
     /// Returns the asks that are due at `now`, to be sent to the zone's delegate.
-    pub fn asks(&mut self, now: Moment) -> Vec<LimitAsk> {
+    pub fn asks(&mut self, now: Moment) -> Vec<GrantRequest> {
         let settings = self.settings;
         self.shares.retain(|_, share| now.since(share.wanted_at) < settings.idle_after);
         let mut asks = Vec::new();
@@ -176,7 +178,7 @@
             share.wanted = 0;
             share.asked_at = Some(now);
             share.sequence += 1;
-            asks.push(LimitAsk {
+            asks.push(GrantRequest {
                 node: self.me,
                 customer: *customer,
                 demand: u32::try_from(demand).unwrap_or(u32::MAX),
@@ -212,17 +214,17 @@
         }
     }
 
-    /// Returns when [`LimitShare::asks`] is due, or `None` when no customer has demand.
+    /// Returns when [`RateLimiter::asks`] is due, or `None` when no customer has demand.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let due = |share: &CustomerShare| {
+        let due = |share: &CustomerBucket| {
             share.asked_at.map_or(Moment(0), |at| at + self.settings.ask_period)
         };
         self.shares.values().map(due).min()
     }
 }
 
-impl CustomerShare {
+impl CustomerBucket {
     const fn new(now: Moment, reserve: u32) -> Self {
         Self {
             reserve,
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -2,28 +2,28 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Moment, Refusal, RefusalCode, Span, key, plain};
+use base::{CustomerKey, Moment, Refusal, RefusalCode, Span, derive_copy, derive_value};
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
 use crate::{
-    WorkClass,
+    RequestClass,
     ring::{FlowKey, FlowRing},
 };
 
-key! {
+derive_copy! {
     /// Number that the driver gives a waiting request.
     pub struct TicketNumber(pub u64);
 
     /// A request that asks for service.
-    pub struct QueueItem {
+    pub struct QueuedRequest {
         /// The driver's number.
         pub ticket: TicketNumber,
         /// Who pays.
         pub customer: CustomerKey,
         /// Who waits.
-        pub class: WorkClass,
+        pub class: RequestClass,
         /// Estimated cost in tokens.
         pub tokens: u32,
         /// When it must be answered.
@@ -31,7 +31,7 @@
     }
 
     /// What this node may use of the upstreams.
-    pub struct ServiceRate {
+    pub struct ServiceCapacity {
         /// Tokens per second that this node can expect to be served.
         pub tokens_per_second: u32,
         /// Estimated tokens that may be in service at once.
@@ -52,7 +52,7 @@
     /// Something that concerns the queue.
     pub enum QueueEvent {
         /// A request asks for service.
-        Offered(QueueItem),
+        Offered(QueuedRequest),
         /// A dispatched request has ended.
         Done {
             /// The request.
@@ -63,7 +63,7 @@
         /// The caller of a waiting request has disconnected.
         CallerGone(TicketNumber),
         /// The service rate has changed.
-        RateChanged(ServiceRate),
+        RateChanged(ServiceCapacity),
         /// A customer's weight has changed. Customers have weight 1 until stated otherwise.
         WeightChanged {
             /// The customer.
@@ -76,7 +76,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// What the driver must do.
     pub enum QueueAction {
         /// Send the request now.
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     settings: QueueSettings,
-    rate: ServiceRate,
+    rate: ServiceCapacity,
     weights: BTreeMap<CustomerKey, u32>,
     live: FlowRing,
     samples: FlowRing,
@@ -128,7 +128,7 @@
 /// What the estimate of a wait depends on.
 #[derive(Debug, Clone, Copy)]
 struct WaitEstimate {
-    rate: ServiceRate,
+    rate: ServiceCapacity,
     sample_share: f64,
     in_service_tokens: u64,
     times: ServiceTimes,
@@ -150,7 +150,7 @@
 impl FairQueue {
     /// Creates an empty queue. `rng` spreads the retry times of refusals.
     #[must_use]
-    pub fn new(settings: QueueSettings, rate: ServiceRate, rng: ChaCha8Rng) -> Self {
+    pub fn new(settings: QueueSettings, rate: ServiceCapacity, rng: ChaCha8Rng) -> Self {
         Self {
             settings,
             rate,
@@ -210,7 +210,7 @@
 
     /// Returns how long a new request would wait before it is dispatched.
     #[must_use]
-    pub fn expected_wait(&self, customer: CustomerKey, class: WorkClass) -> Span {
+    pub fn expected_wait(&self, customer: CustomerKey, class: RequestClass) -> Span {
         let flow_key = FlowKey { customer, class };
         let before = self.ring_of(class).flow_tokens(flow_key);
         self.estimate().wait(class, before, self.weight(customer))
@@ -232,17 +232,17 @@
         self.weights.get(&customer).copied().unwrap_or(1)
     }
 
-    const fn ring(&mut self, class: WorkClass) -> &mut FlowRing {
+    const fn ring(&mut self, class: RequestClass) -> &mut FlowRing {
         match class {
-            WorkClass::Live => &mut self.live,
-            WorkClass::Sample(_) => &mut self.samples,
+            RequestClass::Live => &mut self.live,
+            RequestClass::Sample(_) => &mut self.samples,
         }
     }
 
-    const fn ring_of(&self, class: WorkClass) -> &FlowRing {
+    const fn ring_of(&self, class: RequestClass) -> &FlowRing {
         match class {
-            WorkClass::Live => &self.live,
-            WorkClass::Sample(_) => &self.samples,
+            RequestClass::Live => &self.live,
+            RequestClass::Sample(_) => &self.samples,
         }
     }
 
@@ -287,7 +287,7 @@
         }
     }
 
-    fn next_item(&mut self) -> Option<QueueItem> {
+    fn next_item(&mut self) -> Option<QueuedRequest> {
         let Some(sample_tokens) = self.samples.head_tokens() else {
             self.sample_credit = 0.0;
             return self.live.pop();
@@ -334,18 +334,18 @@
 impl WaitEstimate {
     /// Wait behind `before` tokens of the same flow. The flow gets its share of the rate, and
     /// never waits for more than everything that is queued.
-    fn wait(&self, class: WorkClass, before: u64, weight: u32) -> Span {
+    fn wait(&self, class: RequestClass, before: u64, weight: u32) -> Span {
         let (queued, active_weight) = match class {
-            WorkClass::Live => self.live,
-            WorkClass::Sample(_) => self.samples,
+            RequestClass::Live => self.live,
+            RequestClass::Sample(_) => self.samples,
         };
         let own_weight = f64::from(weight.max(1));
         let total_weight = (active_weight as f64).max(own_weight);
         let tokens = (before as f64 * total_weight / own_weight).min(queued as f64);
         let tokens = match class {
-            WorkClass::Live if self.samples.0 == 0 => tokens,
-            WorkClass::Live => tokens / (1.0 - self.sample_share.min(0.99)),
-            WorkClass::Sample(_) => {
+            RequestClass::Live if self.samples.0 == 0 => tokens,
+            RequestClass::Live => tokens / (1.0 - self.sample_share.min(0.99)),
+            RequestClass::Sample(_) => {
                 (tokens + self.live.0 as f64).min(tokens / self.sample_share.max(0.01))
             }
         };
--- a/crates/admission/src/ring.rs
+++ b/crates/admission/src/ring.rs
@@ -3,16 +3,16 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use base::{CustomerKey, key};
+use base::{CustomerKey, derive_copy};
 
-use crate::QueueItem;
+use crate::QueuedRequest;
 
-key! {
+derive_copy! {
     /// Key of a trainer within one process.
     pub struct TrainerKey(pub u32);
 
     /// Who waits for a request.
-    pub enum WorkClass {
+    pub enum RequestClass {
         /// A caller.
         Live,
         /// A trainer, for a sample.
@@ -23,7 +23,7 @@
     /// one trainer.
     pub(crate) struct FlowKey {
         pub(crate) customer: CustomerKey,
-        pub(crate) class: WorkClass,
+        pub(crate) class: RequestClass,
     }
 }
 
@@ -38,7 +38,7 @@
     weight: u32,
     /// Tokens that the flow may still send in this round. A negative value is a debt.
     deficit: i64,
-    waiting: VecDeque<QueueItem>,
+    waiting: VecDeque<QueuedRequest>,
     waiting_tokens: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl FlowRing {
-    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, item: QueueItem) {
+    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, item: QueuedRequest) {
         let weight = weight.max(1);
         let flow = self.flows.entry(flow_key).or_insert_with(|| Flow {
             weight,
@@ -76,7 +76,7 @@
         self.flows.get(&flow_key)?.waiting.front().map(|item| item.tokens)
     }
 
-    pub(crate) fn pop(&mut self) -> Option<QueueItem> {
+    pub(crate) fn pop(&mut self) -> Option<QueuedRequest> {
         let flow_key = self.turn()?;
         let flow = self.flows.get_mut(&flow_key)?;
         let item = flow.waiting.pop_front()?;
@@ -91,8 +91,8 @@
     /// their flow.
     pub(crate) fn retain(
         &mut self,
-        mut keeps: impl FnMut(&QueueItem, u64, u32) -> bool,
-    ) -> Vec<QueueItem> {
+        mut keeps: impl FnMut(&QueuedRequest, u64, u32) -> bool,
+    ) -> Vec<QueuedRequest> {
         let mut removed = Vec::new();
         for flow_key in self.round.iter().copied().collect::<Vec<_>>() {
             let Some(flow) = self.flows.get_mut(&flow_key) else { continue };
--- a/crates/admission/tests/limit.rs
+++ b/crates/admission/tests/limit.rs
@@ -1,7 +1,8 @@
 //! Guards the limits: the sum of the nodes' shares never exceeds the zone's part.
 
 use admission::{
-    DeskSettings, LimitAnswer, LimitAsk, LimitDesk, LimitGrant, LimitShare, ShareSettings, ZonePart,
+    AllocatorSettings, GrantRequest, LimitAllocator, LimitDecision, LimitGrant, LimiterSettings,
+    RateLimiter, ZoneLimit,
 };
 use base::{CustomerKey, Incarnation, Moment, Span};
 use proptest::{
@@ -16,35 +17,35 @@
 const VMS: usize = 4;
 
 enum Message {
-    Ask(LimitAsk, usize),
+    Ask(GrantRequest, usize),
     Grant(LimitGrant),
 }
 
 /// The nodes of one zone. Messages wait until a step delivers or loses them.
 struct Zone {
     now: Moment,
-    shares: Vec<LimitShare>,
-    desks: Vec<Option<LimitDesk>>,
+    shares: Vec<RateLimiter>,
+    desks: Vec<Option<LimitAllocator>>,
     messages: Vec<Message>,
     /// Side of the partition of each node, all 0 when there is none.
     sides: [usize; VMS],
-    part: ZonePart,
+    part: ZoneLimit,
     restarts: u64,
 }
 
 impl Zone {
     fn new() -> Self {
-        Self::with_part(ZonePart { rate: PART, reserve: 0 })
+        Self::with_part(ZoneLimit { rate: PART, reserve: 0 })
     }
 
-    fn share(now: Moment, incarnation: u64, part: ZonePart) -> LimitShare {
-        let settings = ShareSettings { burst: Span::from_secs(1), ..ShareSettings::default() };
-        let mut share = LimitShare::new(Incarnation(incarnation), settings);
+    fn share(now: Moment, incarnation: u64, part: ZoneLimit) -> RateLimiter {
+        let settings = LimiterSettings { burst: Span::from_secs(1), ..LimiterSettings::default() };
+        let mut share = RateLimiter::new(Incarnation(incarnation), settings);
         share.set_reserve(now, CUSTOMER, part.reserve);
         share
     }
 
-    fn with_part(part: ZonePart) -> Self {
+    fn with_part(part: ZoneLimit) -> Self {
         let nodes = 0..VMS as u64;
         let share = |node| Self::share(Moment(0), node, part);
         let mut zone = Self {
@@ -73,8 +74,8 @@
                 desk.set_live_vms(self.now, live);
                 continue;
             }
-            let settings = DeskSettings::new(VMS as u32);
-            let mut desk = LimitDesk::new(self.incarnation(node), settings, self.now, live);
+            let settings = AllocatorSettings::new(VMS as u32);
+            let mut desk = LimitAllocator::new(self.incarnation(node), settings, self.now, live);
             desk.set_part(CUSTOMER, self.part);
             self.desks[node] = Some(desk);
         }
@@ -181,9 +182,9 @@
     for step in 0..500 {
         let now = zone.now + Span::from_millis(step * 10);
         match zone.shares[0].admit(now, CUSTOMER, 50) {
-            LimitAnswer::Admitted => admitted += 50,
-            LimitAnswer::AwaitGrant => panic!("the node has a grant"),
-            LimitAnswer::Refused(refusal) => assert!(refusal.retry_after.is_some()),
+            LimitDecision::Admitted => admitted += 50,
+            LimitDecision::AwaitGrant => panic!("the node has a grant"),
+            LimitDecision::Refused(refusal) => assert!(refusal.retry_after.is_some()),
         }
     }
     // Five seconds at the rate, one burst, and one request that overdraws.
@@ -192,7 +193,7 @@
 }
 
 /// Returns the share of requests refused in the 30 s after the delegate has left for good.
-fn refused_after_delegate_change(part: ZonePart, seed: u64) -> f64 {
+fn refused_after_delegate_change(part: ZoneLimit, seed: u64) -> f64 {
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
     let mut zone = Zone::with_part(part);
     zone.run(40 + generator.random_range(0..3), [200; VMS]);
@@ -209,7 +210,7 @@
             if generator.random_ratio(1, 2) {
                 wanted += 1;
                 let answer = zone.shares[node].admit(zone.now, CUSTOMER, 20);
-                refused += u32::from(!matches!(answer, LimitAnswer::Admitted));
+                refused += u32::from(!matches!(answer, LimitDecision::Admitted));
             }
             if zone.now.since(left_at) >= Span::from_secs(3) {
                 zone.send_asks(node);
@@ -228,8 +229,8 @@
 fn reserve_serves_customers_during_a_delegate_change() {
     let mean =
         |part| (1..=20).map(|seed| refused_after_delegate_change(part, seed)).sum::<f64>() / 20.0;
-    let before = mean(ZonePart { rate: PART, reserve: 0 });
-    let after = mean(ZonePart::with_reserve(PART, VMS as u32));
+    let before = mean(ZoneLimit { rate: PART, reserve: 0 });
+    let after = mean(ZoneLimit::with_reserve(PART, VMS as u32));
     println!(
         "refused in 30 s after a delegate change: {before:.3} before, {after:.3} with a reserve"
     );
@@ -245,7 +246,7 @@
         steps in prop::collection::vec((0..13_u8, 0..VMS, 1..3_000_u32), 1..300),
         reserve in prop::sample::select(vec![0, 1, 50, PART / VMS as u32]),
     ) {
-        let mut zone = Zone::with_part(ZonePart { rate: PART, reserve });
+        let mut zone = Zone::with_part(ZoneLimit { rate: PART, reserve });
         for (step, node, amount) in steps {
             match step {
                 0..4 => zone.want(node, amount),
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -3,28 +3,28 @@
 use std::collections::BTreeMap;
 
 use admission::{
-    FairQueue, QueueAction, QueueEvent, QueueItem, QueueSettings, RetryBudget, ServiceRate,
-    TicketNumber, TrainerKey, WorkClass,
+    FairQueue, QueueAction, QueueEvent, QueueSettings, QueuedRequest, RequestClass, RetryBudget,
+    ServiceCapacity, TicketNumber, TrainerKey,
 };
 use base::{CustomerKey, Execution, Moment, Refusal, Span};
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-const RATE: ServiceRate = ServiceRate { tokens_per_second: 1_000, max_in_service: 100 };
+const RATE: ServiceCapacity = ServiceCapacity { tokens_per_second: 1_000, max_in_service: 100 };
 const FAR: Moment = Moment(1_000_000_000_000);
 
 fn queue() -> FairQueue {
     FairQueue::new(QueueSettings::default(), RATE, ChaCha8Rng::seed_from_u64(1))
 }
 
-fn item(ticket: u64, customer: u32, class: WorkClass, tokens: u32) -> QueueItem {
+fn item(ticket: u64, customer: u32, class: RequestClass, tokens: u32) -> QueuedRequest {
     let customer = CustomerKey(customer);
-    QueueItem { ticket: TicketNumber(ticket), customer, class, tokens, deadline: FAR }
+    QueuedRequest { ticket: TicketNumber(ticket), customer, class, tokens, deadline: FAR }
 }
 
 /// A backlog of equal requests of several flows, served one after another.
 struct Backlog {
-    flows: Vec<(u32, WorkClass, u32)>,
+    flows: Vec<(u32, RequestClass, u32)>,
     true_tokens: BTreeMap<u32, u32>,
     weights: Vec<(u32, u32)>,
 }
@@ -74,7 +74,7 @@
 
 #[test]
 fn customers_share_by_tokens_and_weight() {
-    let flows = vec![(0, WorkClass::Live, 50), (1, WorkClass::Live, 200)];
+    let flows = vec![(0, RequestClass::Live, 50), (1, RequestClass::Live, 200)];
     let mut backlog = Backlog { flows, true_tokens: BTreeMap::new(), weights: Vec::new() };
     backlog.check(&[50, 50], 3);
     backlog.weights = vec![(0, 3)];
@@ -83,7 +83,7 @@
 
 #[test]
 fn understated_cost_is_paid_back() {
-    let flows = vec![(0, WorkClass::Live, 50), (1, WorkClass::Live, 50)];
+    let flows = vec![(0, RequestClass::Live, 50), (1, RequestClass::Live, 50)];
     let true_tokens = BTreeMap::from_iter([(0, 200)]);
     Backlog { flows, true_tokens, weights: Vec::new() }.check(&[50, 50], 5);
 }
@@ -91,9 +91,9 @@
 #[test]
 fn samples_keep_their_minimum_and_trainers_share_it() {
     let flows = vec![
-        (0, WorkClass::Live, 50),
-        (1, WorkClass::Sample(TrainerKey(0)), 50),
-        (1, WorkClass::Sample(TrainerKey(1)), 50),
+        (0, RequestClass::Live, 50),
+        (1, RequestClass::Sample(TrainerKey(0)), 50),
+        (1, RequestClass::Sample(TrainerKey(1)), 50),
     ];
     let backlog = Backlog { flows, true_tokens: BTreeMap::new(), weights: Vec::new() };
     backlog.check(&[90, 5, 5], 1);
@@ -110,17 +110,17 @@
 fn request_is_refused_at_once_when_the_wait_exceeds_its_deadline() {
     let mut queue = queue();
     for ticket in 0..40 {
-        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, WorkClass::Live, 100)));
+        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100)));
     }
     let deadline = Moment(2_000_000);
-    let late = QueueItem { deadline, ..item(40, 0, WorkClass::Live, 100) };
+    let late = QueuedRequest { deadline, ..item(40, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(late));
     let refusal = refusal(&actions).expect("3.9 s of work are ahead of the request");
     assert_eq!(refusal.execution, Execution::NotRun);
     let retry_after = refusal.retry_after.expect("an overload refusal states a retry time");
     assert!((Span::from_millis(3_900)..=Span::from_millis(7_800)).contains(&retry_after));
     // Another customer's share of the service is not used up.
-    let other = QueueItem { deadline, ..item(41, 1, WorkClass::Live, 100) };
+    let other = QueuedRequest { deadline, ..item(41, 1, RequestClass::Live, 100) };
     assert_eq!(queue.handle(Moment(0), QueueEvent::Offered(other)).as_slice(), []);
 }
 
@@ -129,10 +129,10 @@
     let mut queue = queue();
     for ticket in 0..10 {
         let deadline = Moment(2_000_000);
-        let item = QueueItem { deadline, ..item(ticket, 0, WorkClass::Live, 100) };
+        let item = QueuedRequest { deadline, ..item(ticket, 0, RequestClass::Live, 100) };
         assert_eq!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(item))), None);
     }
-    let rate = ServiceRate { tokens_per_second: 300, ..RATE };
+    let rate = ServiceCapacity { tokens_per_second: 300, ..RATE };
     let actions = queue.handle(Moment(0), QueueEvent::RateChanged(rate));
     // The service does 600 tokens until the deadline. Ticket 0 runs and 1 to 5 follow in time.
     let refused = actions.iter().map(|action| match action {
@@ -146,17 +146,17 @@
 fn measured_time_in_service_is_kept_in_reserve_under_load() {
     let mut queue = queue();
     for ticket in 0..20 {
-        let event = QueueEvent::Offered(item(ticket, 0, WorkClass::Live, 100));
+        let event = QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100));
         queue.handle(Moment(0), event);
         let done = QueueEvent::Done { ticket: TicketNumber(ticket), tokens: 100 };
         queue.handle(Moment(1_000_000), done);
     }
     // A request takes 1 s where the rate alone says 0.1 s.
     let deadline = Moment(800_000);
-    let first = QueueItem { deadline, ..item(20, 0, WorkClass::Live, 100) };
+    let first = QueuedRequest { deadline, ..item(20, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(first));
     assert_eq!(actions.as_slice(), [QueueAction::Dispatch(TicketNumber(20))]);
-    let second = QueueItem { deadline, ..item(21, 0, WorkClass::Live, 100) };
+    let second = QueuedRequest { deadline, ..item(21, 0, RequestClass::Live, 100) };
     assert!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(second))).is_some());
 }
 
@@ -164,7 +164,7 @@
 fn withdrawn_request_is_never_dispatched() {
     let mut queue = queue();
     for ticket in 0..3 {
-        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, WorkClass::Live, 100)));
+        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100)));
     }
     queue.handle(Moment(0), QueueEvent::CallerGone(TicketNumber(1)));
     let done = QueueEvent::Done { ticket: TicketNumber(0), tokens: 100 };
--- a/crates/authority/src/chain.rs
+++ b/crates/authority/src/chain.rs
@@ -4,15 +4,15 @@
 //! the beginning of the stream lacks a part of the prefix. It treats records that it cannot judge
 //! as valid where that makes it wait, and as void where that would give it the lease.
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span, key};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span, derive_copy};
 
 use crate::{LeaseClaim, LeaseRelease, LeaseRenewal};
 
-key! {
+derive_copy! {
     /// The last valid lease record.
     pub(crate) struct ChainLink {
         pub(crate) offset: LogOffset,
-        pub(crate) claim: FencingNumber,
+        pub(crate) claim: FencingToken,
         pub(crate) holder: Incarnation,
         pub(crate) attempt: u32,
         pub(crate) term: Span,
@@ -58,7 +58,7 @@
     }
 
     /// Returns the claim in force, or `None` when there is none or the reader cannot know it.
-    pub(crate) fn claim_in_force(&self) -> Option<FencingNumber> {
+    pub(crate) fn claim_in_force(&self) -> Option<FencingToken> {
         if self.is_partial() {
             return None;
         }
@@ -91,7 +91,7 @@
         }
         let link = ChainLink {
             offset,
-            claim: FencingNumber(offset.0),
+            claim: FencingToken(offset.0),
             holder: claim.holder,
             attempt: claim.attempt,
             term: claim.term,
@@ -172,7 +172,7 @@
 }
 
 impl ChainLink {
-    fn is_leased_to(&self, holder: Incarnation, claim: FencingNumber) -> bool {
+    fn is_leased_to(&self, holder: Incarnation, claim: FencingToken) -> bool {
         self.state == LinkState::Leased && self.holder == holder && self.claim == claim
     }
 }
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span, key, plain};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span, derive_copy, derive_value};
 use smallvec::{SmallVec, smallvec};
 
 use crate::{
-    AuthorityRecord, LeaseClaim, LeaseRelease, LeaseRenewal, Scope,
+    AuthorityRecord, LeaseClaim, LeaseRelease, LeaseRenewal, LeaseScope,
     chain::{ClaimChain, Verdict},
 };
 
-key! {
+derive_copy! {
     /// Times of a lease. They must be equal on all nodes or change only upwards.
     pub struct LeaseSettings {
         /// Length of the lease.
@@ -26,7 +26,7 @@
     }
 
     /// Whether a process claims a lease that is free.
-    pub enum Candidacy {
+    pub enum LeaseRole {
         /// Claims when it may.
         Standing,
         /// Only follows the stream, for example while it drains.
@@ -71,7 +71,7 @@
     }
 
     struct Tenure {
-        fencing: FencingNumber,
+        fencing: FencingToken,
         acquired_at: Moment,
         /// Before the record that the tenure rests on was handed to the driver.
         sent_at: Moment,
@@ -79,17 +79,17 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A request of the keeper to its driver.
     pub enum LeaseAction {
         /// Append the record to the stream of the scope.
         Append(AuthorityRecord),
         /// This process holds the lease.
-        Acquired(FencingNumber),
+        Acquired(FencingToken),
         /// This process no longer holds the lease.
         Lost {
             /// Number of the lease that ended.
-            fencing: FencingNumber,
+            fencing: FencingToken,
             /// Why it ended.
             cause: LossCause,
         },
@@ -98,11 +98,11 @@
 
 /// Follows the lease records of one scope, and claims, renews and gives up the lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct LeaseKeeper {
+pub struct LeaseManager {
     settings: LeaseSettings,
-    scope: Scope,
+    scope: LeaseScope,
     incarnation: Incarnation,
-    candidacy: Candidacy,
+    candidacy: LeaseRole,
     claim_delay: Span,
     last_attempt: u32,
     chain: Option<ClaimChain>,
@@ -110,14 +110,14 @@
     tenure: Option<Tenure>,
 }
 
-impl LeaseKeeper {
-    /// Creates a keeper that does nothing until [`LeaseKeeper::reading_from`].
+impl LeaseManager {
+    /// Creates a keeper that does nothing until [`LeaseManager::reading_from`].
     #[must_use]
     pub const fn new(
         settings: LeaseSettings,
-        scope: Scope,
+        scope: LeaseScope,
         incarnation: Incarnation,
-        candidacy: Candidacy,
+        candidacy: LeaseRole,
     ) -> Self {
         Self {
             settings,
@@ -133,7 +133,7 @@
     }
 
     /// Sets whether this process claims a free lease. A lease that it holds is kept.
-    pub const fn set_candidacy(&mut self, candidacy: Candidacy) {
+    pub const fn set_candidacy(&mut self, candidacy: LeaseRole) {
         self.candidacy = candidacy;
     }
 
@@ -165,7 +165,7 @@
         match record {
             AuthorityRecord::Claim(claim) => {
                 let verdict = chain.claim(now, offset, claim);
-                self.on_claim(now, FencingNumber(offset.0), claim, verdict)
+                self.on_claim(now, FencingToken(offset.0), claim, verdict)
             }
             AuthorityRecord::Renewal(renewal) => {
                 let verdict = chain.renew(now, offset, renewal);
@@ -184,7 +184,7 @@
     pub fn tick(&mut self, now: Moment) -> SmallVec<[LeaseAction; 4]> {
         let Some(chain) = &self.chain else { return SmallVec::new() };
         let Some(tenure) = self.tenure else {
-            if self.candidacy == Candidacy::Abstaining
+            if self.candidacy == LeaseRole::Abstaining
                 || self.pending.is_some()
                 || now < self.claim_at(chain)
             {
@@ -219,7 +219,7 @@
     /// Gives up the lease and claims no more, as in a planned stop. The driver calls this when its
     /// orders have been answered.
     pub fn resign(&mut self) -> SmallVec<[LeaseAction; 4]> {
-        self.candidacy = Candidacy::Abstaining;
+        self.candidacy = LeaseRole::Abstaining;
         let Some(tenure) = self.tenure else { return SmallVec::new() };
         let mut actions = smallvec![self.release_record(tenure.fencing)];
         actions.extend(self.lose(LossCause::Released));
@@ -227,7 +227,7 @@
     }
 
     /// Records that the last record asked for by [`LeaseAction::Append`] was not taken by the
-    /// writer. A later [`LeaseKeeper::tick`] asks again.
+    /// writer. A later [`LeaseManager::tick`] asks again.
     pub const fn append_refused(&mut self) {
         self.pending = None;
     }
@@ -242,7 +242,7 @@
         &self,
         now: Moment,
         receiver: FencingSupport,
-    ) -> Result<FencingNumber, PermitDenial> {
+    ) -> Result<FencingToken, PermitDenial> {
         let Some(tenure) = self.tenure else { return Err(PermitDenial::NotHeld) };
         if now >= tenure.until {
             return Err(PermitDenial::NotHeld);
@@ -256,34 +256,34 @@
 
     /// Returns the number of the lease while this process holds it by its own clock.
     #[must_use]
-    pub fn held(&self, now: Moment) -> Option<FencingNumber> {
+    pub fn held(&self, now: Moment) -> Option<FencingToken> {
         self.permit(now, FencingSupport::Checked).ok()
     }
 
     /// Returns the claim in force by log order, whoever made it, or `None` when there is none or it
     /// cannot be known because the beginning of the stream is no longer retained.
     #[must_use]
-    pub fn claim_in_force(&self) -> Option<FencingNumber> {
+    pub fn claim_in_force(&self) -> Option<FencingToken> {
         self.chain.as_ref().and_then(ClaimChain::claim_in_force)
     }
 
     /// Tells whether a record written under `fencing` is void at the present position in the log.
     #[must_use]
-    pub fn is_superseded(&self, fencing: FencingNumber) -> bool {
+    pub fn is_superseded(&self, fencing: FencingToken) -> bool {
         match &self.chain {
             Some(chain) if !chain.is_partial() => chain.claim_in_force() != Some(fencing),
             _ => false,
         }
     }
 
-    /// Returns when [`LeaseKeeper::tick`] next has something to do.
+    /// Returns when [`LeaseManager::tick`] next has something to do.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let chain = self.chain.as_ref()?;
         match self.tenure {
             Some(tenure) if self.pending.is_some() => Some(tenure.until),
             Some(tenure) => Some(tenure.until.min(tenure.sent_at + self.settings.renewal)),
-            None if self.candidacy == Candidacy::Abstaining || self.pending.is_some() => None,
+            None if self.candidacy == LeaseRole::Abstaining || self.pending.is_some() => None,
             None => Some(self.claim_at(chain)),
         }
     }
@@ -309,7 +309,7 @@
     fn on_claim(
         &mut self,
         now: Moment,
-        fencing: FencingNumber,
+        fencing: FencingToken,
         claim: &LeaseClaim,
         verdict: Verdict,
     ) -> SmallVec<[LeaseAction; 4]> {
@@ -319,7 +319,7 @@
         }
         let mut actions: SmallVec<_> = self.lose(LossCause::Succeeded).into_iter().collect();
         let Some(own) = own else { return actions };
-        if self.candidacy == Candidacy::Abstaining {
+        if self.candidacy == LeaseRole::Abstaining {
             actions.push(self.release_record(fencing));
             return actions;
         }
@@ -345,7 +345,7 @@
         sent_at + term.saturating_sub(self.settings.margin)
     }
 
-    fn release_record(&self, claim: FencingNumber) -> LeaseAction {
+    fn release_record(&self, claim: FencingToken) -> LeaseAction {
         let holder = self.incarnation;
         LeaseAction::Append(AuthorityRecord::Release(LeaseRelease {
             scope: self.scope.clone(),
--- a/crates/authority/src/desk.rs
+++ b/crates/authority/src/order.rs
@@ -2,17 +2,17 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::{FencingNumber, Incarnation, Moment, Span, key, plain};
+use base::{FencingToken, Incarnation, Moment, Span, derive_copy, derive_value};
 use smallvec::{SmallVec, smallvec};
 
 use crate::{
-    AuthorityRecord, FencingSupport, LeaseKeeper, OrderId, OrderIntent, OrderKind, OrderOutcome,
-    OrderState, PermitDenial, Scope,
+    AuthorityRecord, FencingSupport, LeaseManager, LeaseScope, OrderId, OrderIntent, OrderKind,
+    OrderOutcome, OrderState, PermitDenial,
 };
 
-key! {
-    /// Times of an [`OrderDesk`] and the nature of the platform as a receiver of orders.
-    pub struct DeskSettings {
+derive_copy! {
+    /// Times of an [`OrderManager`] and the nature of the platform as a receiver of orders.
+    pub struct OrderSettings {
         /// Time without an answer after which the outcome of a request is unknown.
         pub order_timeout: Span,
         /// Wait before the platform is asked again after it could not tell the state of an order.
@@ -52,7 +52,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A new order.
     pub struct OrderRequest {
         /// Service of the upstreams.
@@ -62,10 +62,10 @@
     }
 
     /// A request of the desk to its driver.
-    pub enum DeskAction {
+    pub enum OrderAction {
         /// Append the record to the stream of the scope.
         Append(AuthorityRecord),
-        /// Call [`OrderDesk::permit`] with the present time and, when it permits, write the order
+        /// Call [`OrderManager::permit`] with the present time and, when it permits, write the order
         /// at once with the number that it returned.
         Send(OrderIntent),
         /// Ask the platform for the state of the order.
@@ -78,7 +78,7 @@
     }
 
     /// What a request to the platform brought.
-    pub enum OrderAnswer {
+    pub enum OrderResponse {
         /// The platform stated the outcome.
         State {
             /// State of the order.
@@ -86,7 +86,7 @@
             /// Names of the upstreams concerned.
             upstreams: Vec<String>,
         },
-        /// The platform has no order of this id. Only an answer to [`DeskAction::Ask`].
+        /// The platform has no order of this id. Only an answer to [`OrderAction::Ask`].
         NotFound,
         /// The platform has seen a higher fencing number.
         FencingTooLow,
@@ -111,20 +111,20 @@
 /// order that the platform does not know again under the same id. An order that was only delayed
 /// on its way then has no second effect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct OrderDesk {
-    settings: DeskSettings,
-    scope: Scope,
+pub struct OrderManager {
+    settings: OrderSettings,
+    scope: LeaseScope,
     incarnation: Incarnation,
     last_number: u64,
     /// Lease under which the open orders were last examined.
-    tenure: Option<FencingNumber>,
+    tenure: Option<FencingToken>,
     open: BTreeMap<OrderId, OpenOrder>,
 }
 
-impl OrderDesk {
+impl OrderManager {
     /// Creates a desk without open orders.
     #[must_use]
-    pub const fn new(settings: DeskSettings, scope: Scope, incarnation: Incarnation) -> Self {
+    pub const fn new(settings: OrderSettings, scope: LeaseScope, incarnation: Incarnation) -> Self {
         Self { settings, scope, incarnation, last_number: 0, tenure: None, open: BTreeMap::new() }
     }
 
@@ -136,9 +136,9 @@
     pub fn order(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        keeper: &LeaseManager,
         request: OrderRequest,
-    ) -> Result<(OrderId, DeskAction), OrderRefusal> {
+    ) -> Result<(OrderId, OrderAction), OrderRefusal> {
         let Some(fencing) = keeper.held(now) else { return Err(OrderRefusal::NotHeld) };
         self.examine(now, fencing);
         if let Some(id) = self.unknown_outcome() {
@@ -155,16 +155,16 @@
             outcome: None,
         };
         self.open.insert(id, open);
-        Ok((id, DeskAction::Append(AuthorityRecord::Intent(intent))))
+        Ok((id, OrderAction::Append(AuthorityRecord::Intent(intent))))
     }
 
     /// Takes the next record of the stream, after the keeper has read it.
     pub fn read(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        keeper: &LeaseManager,
         record: &AuthorityRecord,
-    ) -> SmallVec<[DeskAction; 4]> {
+    ) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
         if *record.scope() != self.scope {
             return actions;
@@ -176,7 +176,7 @@
             AuthorityRecord::Outcome(outcome) if keeper.is_superseded(outcome.fencing) => {}
             AuthorityRecord::Outcome(outcome) => {
                 if self.open.remove(&outcome.id).is_some() {
-                    actions.push(DeskAction::Settled(outcome.clone()));
+                    actions.push(OrderAction::Settled(outcome.clone()));
                 }
             }
             AuthorityRecord::Claim(_)
@@ -188,7 +188,7 @@
     }
 
     /// Sends and asks what is due, while this process holds the lease.
-    pub fn tick(&mut self, now: Moment, keeper: &LeaseKeeper) -> SmallVec<[DeskAction; 4]> {
+    pub fn tick(&mut self, now: Moment, keeper: &LeaseManager) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
         let Some(fencing) = keeper.held(now) else { return actions };
         self.examine(now, fencing);
@@ -206,11 +206,11 @@
             match open.stage {
                 OrderStage::SendDue if may_send => {
                     open.stage = OrderStage::Sent { deadline: now + settings.order_timeout };
-                    actions.push(DeskAction::Send(open.intent.clone()));
+                    actions.push(OrderAction::Send(open.intent.clone()));
                 }
                 OrderStage::AskDue { at } if at <= now => {
                     open.stage = OrderStage::Asked { deadline: now + settings.order_timeout };
-                    actions.push(DeskAction::Ask(*id));
+                    actions.push(OrderAction::Ask(*id));
                 }
                 OrderStage::OutcomePending => actions.extend(open.unappended_outcome()),
                 _ => {}
@@ -228,9 +228,9 @@
     pub fn permit(
         &self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        keeper: &LeaseManager,
         id: OrderId,
-    ) -> Result<FencingNumber, PermitDenial> {
+    ) -> Result<FencingToken, PermitDenial> {
         let fencing = keeper.permit(now, self.settings.receiver)?;
         match self.open.get(&id) {
             Some(OpenOrder { stage: OrderStage::Sent { deadline }, .. })
@@ -242,14 +242,14 @@
         }
     }
 
-    /// Takes the answer to [`DeskAction::Send`] or [`DeskAction::Ask`].
+    /// Takes the answer to [`OrderAction::Send`] or [`OrderAction::Ask`].
     pub fn answer(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        keeper: &LeaseManager,
         id: OrderId,
-        answer: OrderAnswer,
-    ) -> SmallVec<[DeskAction; 4]> {
+        answer: OrderResponse,
+    ) -> SmallVec<[OrderAction; 4]> {
         let Some(fencing) = keeper.held(now) else { return SmallVec::new() };
         self.examine(now, fencing);
         let Some(open) = self.open.get_mut(&id) else { return SmallVec::new() };
@@ -257,26 +257,26 @@
             return SmallVec::new();
         }
         match answer {
-            OrderAnswer::State { state, upstreams } => {
+            OrderResponse::State { state, upstreams } => {
                 let scope = self.scope.clone();
                 let outcome = OrderOutcome { id, scope, fencing, state, upstreams };
                 open.stage = OrderStage::OutcomePending;
                 open.effect = Effect::Traced;
                 open.outcome = None;
-                return smallvec![DeskAction::Append(AuthorityRecord::Outcome(outcome))];
+                return smallvec![OrderAction::Append(AuthorityRecord::Outcome(outcome))];
             }
-            OrderAnswer::NotFound if matches!(open.stage, OrderStage::Asked { .. }) => {
+            OrderResponse::NotFound if matches!(open.stage, OrderStage::Asked { .. }) => {
                 open.stage = OrderStage::SendDue;
             }
-            OrderAnswer::NotFound => {}
-            OrderAnswer::FencingTooLow | OrderAnswer::Lost => {
+            OrderResponse::NotFound => {}
+            OrderResponse::FencingTooLow | OrderResponse::Lost => {
                 open.lose_track(now + self.settings.ask_retry);
             }
         }
         self.tick(now, keeper)
     }
 
-    /// Records that the writer did not take a record that [`DeskAction::Append`] asked for. An
+    /// Records that the writer did not take a record that [`OrderAction::Append`] asked for. An
     /// intent is forgotten, since it was never sent; an outcome is appended by a later tick.
     pub fn append_refused(&mut self, record: &AuthorityRecord) {
         match record {
@@ -306,10 +306,10 @@
         self.open.len()
     }
 
-    /// Returns when [`OrderDesk::tick`] next has something to do, or `None` while this process does
+    /// Returns when [`OrderManager::tick`] next has something to do, or `None` while this process does
     /// not hold the lease or waits only for the log.
     #[must_use]
-    pub fn next_deadline(&self, now: Moment, keeper: &LeaseKeeper) -> Option<Moment> {
+    pub fn next_deadline(&self, now: Moment, keeper: &LeaseManager) -> Option<Moment> {
         let fencing = keeper.held(now)?;
         if self.tenure != Some(fencing) && !self.open.is_empty() {
             return Some(now);
@@ -332,7 +332,7 @@
     }
 
     /// Under a new lease, nothing that was asked or sent before counts.
-    fn examine(&mut self, now: Moment, fencing: FencingNumber) {
+    fn examine(&mut self, now: Moment, fencing: FencingToken) {
         if self.tenure == Some(fencing) {
             return;
         }
@@ -348,15 +348,15 @@
     fn on_intent(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        keeper: &LeaseManager,
         intent: &OrderIntent,
-    ) -> Option<DeskAction> {
+    ) -> Option<OrderAction> {
         if keeper.is_superseded(intent.fencing) {
             if self.open.get(&intent.id)?.stage != OrderStage::IntentPending {
                 return None;
             }
             self.open.remove(&intent.id);
-            return Some(DeskAction::Voided(intent.id));
+            return Some(OrderAction::Voided(intent.id));
         }
         let held = keeper.held(now);
         let open = self.open.entry(intent.id).or_insert_with(|| OpenOrder {
@@ -383,13 +383,13 @@
         self.effect = Effect::Untraced;
     }
 
-    fn unappended_outcome(&mut self) -> Option<DeskAction> {
+    fn unappended_outcome(&mut self) -> Option<OrderAction> {
         let outcome = self.outcome.take()?;
-        Some(DeskAction::Append(AuthorityRecord::Outcome(outcome)))
+        Some(OrderAction::Append(AuthorityRecord::Outcome(outcome)))
     }
 }
 
-impl Default for DeskSettings {
+impl Default for OrderSettings {
     fn default() -> Self {
         Self {
             order_timeout: Span::from_secs(3),
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -2,9 +2,9 @@
 
 use std::fmt;
 
-use base::{FencingNumber, Incarnation, LogOffset, Span, key};
+use base::{FencingToken, Incarnation, LogOffset, Span, derive_copy};
 
-key! {
+derive_copy! {
     /// Identifies an order for good. The platform carries out at most one order of an id.
     pub struct OrderId {
         /// Process that decided on the order.
@@ -40,7 +40,7 @@
 
 records! {
     /// What a lease covers.
-    pub enum Scope {
+    pub enum LeaseScope {
         /// Upstream orders of an availability zone.
         Zone(String),
         /// Close and report of usage windows.
@@ -53,7 +53,7 @@
     /// between it and the claim, so an append that takes effect late is void.
     pub struct LeaseClaim {
         /// Scope of the lease.
-        pub scope: Scope,
+        pub scope: LeaseScope,
         /// Process that claims.
         pub holder: Incarnation,
         /// Number of the record among the lease records of its holder.
@@ -68,13 +68,13 @@
     /// Extends the lease.
     pub struct LeaseRenewal {
         /// Scope of the lease.
-        pub scope: Scope,
+        pub scope: LeaseScope,
         /// Process that holds the lease.
         pub holder: Incarnation,
         /// Number of the record among the lease records of its holder. A repeat is void.
         pub attempt: u32,
         /// Claim that won the lease.
-        pub claim: FencingNumber,
+        pub claim: FencingToken,
         /// Length of the lease, from before the renewal was sent.
         pub term: Span,
     }
@@ -82,11 +82,11 @@
     /// Ends the lease early, so that a successor may claim at once.
     pub struct LeaseRelease {
         /// Scope of the lease.
-        pub scope: Scope,
+        pub scope: LeaseScope,
         /// Process that held the lease.
         pub holder: Incarnation,
         /// Claim that won the lease.
-        pub claim: FencingNumber,
+        pub claim: FencingToken,
     }
 
     /// What an order asks for.
@@ -110,13 +110,13 @@
         /// Id under which the order is sent.
         pub id: OrderId,
         /// Scope whose holder decided on the order.
-        pub scope: Scope,
+        pub scope: LeaseScope,
         /// Service of the upstreams.
         pub service: String,
         /// What the order asks for.
         pub kind: OrderKind,
         /// Lease under which the intent was written. Void under any other.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
     }
 
     /// States what became of an order.
@@ -124,9 +124,9 @@
         /// Id of the order.
         pub id: OrderId,
         /// Scope of the order.
-        pub scope: Scope,
+        pub scope: LeaseScope,
         /// Lease under which the outcome was written. Void under any other.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
         /// What the platform answered.
         pub state: OrderState,
         /// Names of the upstreams concerned.
@@ -148,7 +148,7 @@
     }
 }
 
-impl Scope {
+impl LeaseScope {
     /// Returns the name of the stream that carries the records of the scope.
     #[must_use]
     pub fn stream(&self) -> String {
@@ -159,7 +159,7 @@
 impl AuthorityRecord {
     /// Returns the scope that the record names.
     #[must_use]
-    pub const fn scope(&self) -> &Scope {
+    pub const fn scope(&self) -> &LeaseScope {
         match self {
             Self::Claim(claim) => &claim.scope,
             Self::Renewal(renewal) => &renewal.scope,
@@ -170,7 +170,7 @@
     }
 }
 
-impl fmt::Display for Scope {
+impl fmt::Display for LeaseScope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Zone(name) => f.write_str(name),
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -1,11 +1,11 @@
-//! Checks of [`OrderDesk`].
+//! Checks of [`OrderManager`].
 
 use authority::{
-    AuthorityRecord, Candidacy, DeskAction, DeskSettings, FencingSupport, LeaseAction, LeaseClaim,
-    LeaseKeeper, LeaseSettings, OrderAnswer, OrderDesk, OrderId, OrderIntent, OrderKind,
-    OrderOutcome, OrderRefusal, OrderRequest, OrderState, PermitDenial, PriceClass, Scope,
+    AuthorityRecord, FencingSupport, LeaseAction, LeaseClaim, LeaseManager, LeaseRole, LeaseScope,
+    LeaseSettings, OrderAction, OrderId, OrderIntent, OrderKind, OrderManager, OrderOutcome,
+    OrderRefusal, OrderRequest, OrderResponse, OrderSettings, OrderState, PermitDenial, PriceClass,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span};
 use rstest::rstest;
 
 const OWN: Incarnation = Incarnation(1);
@@ -16,33 +16,33 @@
     Moment(0) + Span::from_secs(secs)
 }
 
-fn scope() -> Scope {
-    Scope::Zone("hobart-a".to_owned())
+fn scope() -> LeaseScope {
+    LeaseScope::Zone("hobart-a".to_owned())
 }
 
 /// One process with the records that it has read.
 struct Process {
-    keeper: LeaseKeeper,
-    desk: OrderDesk,
+    keeper: LeaseManager,
+    desk: OrderManager,
     next: LogOffset,
 }
 
 impl Process {
     fn new(receiver: FencingSupport) -> Self {
         let settings = LeaseSettings::default();
-        let mut keeper = LeaseKeeper::new(settings, scope(), OWN, Candidacy::Standing);
+        let mut keeper = LeaseManager::new(settings, scope(), OWN, LeaseRole::Standing);
         keeper.reading_from(at(0), LogOffset(0));
-        let settings = DeskSettings { receiver, ..DeskSettings::default() };
-        Self { keeper, desk: OrderDesk::new(settings, scope(), OWN), next: LogOffset(0) }
+        let settings = OrderSettings { receiver, ..OrderSettings::default() };
+        Self { keeper, desk: OrderManager::new(settings, scope(), OWN), next: LogOffset(0) }
     }
 
-    fn read(&mut self, now: Moment, record: &AuthorityRecord) -> Vec<DeskAction> {
+    fn read(&mut self, now: Moment, record: &AuthorityRecord) -> Vec<OrderAction> {
         self.keeper.read(now, self.next, record);
         self.next = self.next.next();
         self.desk.read(now, &self.keeper, record).to_vec()
     }
 
-    fn acquire(&mut self, now: Moment) -> FencingNumber {
+    fn acquire(&mut self, now: Moment) -> FencingToken {
         let actions = self.keeper.tick(now);
         let [LeaseAction::Append(claim)] = actions.as_slice() else { panic!("{actions:?}") };
         self.read(now, claim);
@@ -53,22 +53,22 @@
         let kind = OrderKind::Start { count: 1, price: PriceClass::Regular };
         let request = OrderRequest { service: "draft-models".to_owned(), kind };
         match self.desk.order(now, &self.keeper, request)? {
-            (id, DeskAction::Append(record)) => Ok((id, record)),
+            (id, OrderAction::Append(record)) => Ok((id, record)),
             (_, action) => panic!("unexpected {action:?}"),
         }
     }
 
-    fn tick(&mut self, now: Moment) -> Vec<DeskAction> {
+    fn tick(&mut self, now: Moment) -> Vec<OrderAction> {
         self.desk.tick(now, &self.keeper).to_vec()
     }
 
-    fn answer(&mut self, now: Moment, id: OrderId, answer: OrderAnswer) -> Vec<DeskAction> {
+    fn answer(&mut self, now: Moment, id: OrderId, answer: OrderResponse) -> Vec<OrderAction> {
         self.desk.answer(now, &self.keeper, id, answer).to_vec()
     }
 }
 
-fn state(state: OrderState) -> OrderAnswer {
-    OrderAnswer::State { state, upstreams: vec!["draft-models-3".to_owned()] }
+fn state(state: OrderState) -> OrderResponse {
+    OrderResponse::State { state, upstreams: vec!["draft-models-3".to_owned()] }
 }
 
 /// A process that holds the lease after another process left an intent without outcome.
@@ -87,7 +87,7 @@
         scope: scope(),
         service: "draft-models".to_owned(),
         kind: OrderKind::Start { count: 1, price: PriceClass::Regular },
-        fencing: FencingNumber(0),
+        fencing: FencingToken(0),
     };
     assert!(process.read(at(1), &AuthorityRecord::Intent(intent.clone())).is_empty());
     let now = at(15);
@@ -107,13 +107,13 @@
     let early = process.desk.permit(at(1), &process.keeper, id);
     assert_eq!(early, Err(PermitDenial::NotWaiting), "the intent is not read back");
     let actions = process.read(at(2), &intent);
-    assert!(matches!(actions.as_slice(), [DeskAction::Send(intent)] if intent.id == id));
+    assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
     assert_eq!(process.desk.permit(at(2), &process.keeper, id), Ok(fencing));
     let actions = process.answer(at(3), id, state(OrderState::Accepted));
-    let [DeskAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
+    let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
     assert_eq!(process.desk.open_orders(), 1);
     let actions = process.read(at(3), outcome);
-    assert!(matches!(actions.as_slice(), [DeskAction::Settled(_)]));
+    assert!(matches!(actions.as_slice(), [OrderAction::Settled(_)]));
     assert_eq!(process.desk.open_orders(), 0);
 }
 
@@ -125,12 +125,12 @@
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
     assert_eq!(process.desk.next_deadline(at(0), &process.keeper), Some(at(3)));
-    assert_eq!(process.tick(at(3)), [DeskAction::Ask(id)]);
+    assert_eq!(process.tick(at(3)), [OrderAction::Ask(id)]);
     assert_eq!(process.order(at(3)), Err(OrderRefusal::OutcomeUnknown(id)));
-    assert!(process.answer(at(4), id, OrderAnswer::Lost).is_empty());
-    assert_eq!(process.tick(at(5)), [DeskAction::Ask(id)], "asked again after 1 s");
-    let actions = process.answer(at(5), id, OrderAnswer::NotFound);
-    assert!(matches!(actions.as_slice(), [DeskAction::Send(intent)] if intent.id == id));
+    assert!(process.answer(at(4), id, OrderResponse::Lost).is_empty());
+    assert_eq!(process.tick(at(5)), [OrderAction::Ask(id)], "asked again after 1 s");
+    let actions = process.answer(at(5), id, OrderResponse::NotFound);
+    assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
     assert_eq!(process.order(at(5)), Err(OrderRefusal::OutcomeUnknown(id)));
     process.answer(at(6), id, state(OrderState::Done));
     assert!(process.order(at(6)).is_ok());
@@ -149,7 +149,7 @@
     let actions = match known {
         Some(known) => process.answer(now, INHERITED, state(known)),
         None => {
-            let mut sent = process.answer(now, INHERITED, OrderAnswer::NotFound);
+            let mut sent = process.answer(now, INHERITED, OrderResponse::NotFound);
             if receiver == FencingSupport::Ignored {
                 assert!(sent.is_empty(), "sent within the extra wait");
                 let from = process.desk.next_deadline(now, &process.keeper).expect("a wait");
@@ -158,20 +158,20 @@
                 process.keeper = keeper;
                 sent = process.tick(from);
             }
-            assert_eq!(sent, [DeskAction::Send(intent)], "the same order under the same id");
+            assert_eq!(sent, [OrderAction::Send(intent)], "the same order under the same id");
             let now = if receiver == FencingSupport::Ignored { at(45) } else { now };
             process.answer(now, INHERITED, state(OrderState::Accepted))
         }
     };
-    let [DeskAction::Append(AuthorityRecord::Outcome(outcome))] = actions.as_slice() else {
+    let [OrderAction::Append(AuthorityRecord::Outcome(outcome))] = actions.as_slice() else {
         panic!("{actions:?}")
     };
-    assert_eq!((outcome.id, outcome.fencing), (INHERITED, FencingNumber(2)));
+    assert_eq!((outcome.id, outcome.fencing), (INHERITED, FencingToken(2)));
     assert_eq!(process.desk.unknown_outcome(), None);
 }
 
 /// Renews until the lease covers `until`.
-fn renewed(keeper: &LeaseKeeper, next: LogOffset, until: Moment) -> (LeaseKeeper, LogOffset) {
+fn renewed(keeper: &LeaseManager, next: LogOffset, until: Moment) -> (LeaseManager, LogOffset) {
     let (mut keeper, mut next) = (keeper.clone(), next);
     while keeper.held(until).is_none() {
         let now = keeper.next_deadline().expect("a renewal is due");
@@ -194,7 +194,7 @@
     let outcome = OrderOutcome {
         id: INHERITED,
         scope: scope(),
-        fencing: FencingNumber(0),
+        fencing: FencingToken(0),
         state: OrderState::Refused,
         upstreams: Vec::new(),
     };
@@ -216,7 +216,7 @@
         clear_from: LogOffset(1),
     };
     process.read(at(2), &AuthorityRecord::Claim(claim));
-    assert_eq!(process.read(at(2), &intent), [DeskAction::Voided(id)]);
+    assert_eq!(process.read(at(2), &intent), [OrderAction::Voided(id)]);
     assert_eq!(process.desk.open_orders(), 0);
 }
 
@@ -231,7 +231,7 @@
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
     let actions = process.answer(at(1), id, state(OrderState::Done));
-    let [DeskAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
+    let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
     process.desk.append_refused(outcome);
     assert_eq!(process.tick(at(1)), actions, "the outcome is appended again");
     assert!(process.tick(at(1)).is_empty());
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -1,10 +1,10 @@
-//! Checks of [`LeaseKeeper`].
+//! Checks of [`LeaseManager`].
 
 use authority::{
-    AuthorityRecord, Candidacy, FencingSupport, LeaseAction, LeaseClaim, LeaseKeeper, LeaseRelease,
-    LeaseRenewal, LeaseSettings, LossCause, PermitDenial, Scope,
+    AuthorityRecord, FencingSupport, LeaseAction, LeaseClaim, LeaseManager, LeaseRelease,
+    LeaseRenewal, LeaseRole, LeaseScope, LeaseSettings, LossCause, PermitDenial,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span};
 use rstest::rstest;
 
 const OWN: Incarnation = Incarnation(1);
@@ -15,16 +15,16 @@
     Moment(0) + Span::from_secs(secs)
 }
 
-fn keeper(first: u64) -> LeaseKeeper {
+fn keeper(first: u64) -> LeaseManager {
     let settings = LeaseSettings::default();
-    let mut keeper = LeaseKeeper::new(settings, Scope::Usage, OWN, Candidacy::Standing);
+    let mut keeper = LeaseManager::new(settings, LeaseScope::Usage, OWN, LeaseRole::Standing);
     keeper.reading_from(at(0), LogOffset(first));
     keeper
 }
 
 fn claim(holder: Incarnation, attempt: u32, clear_from: u64) -> AuthorityRecord {
     AuthorityRecord::Claim(LeaseClaim {
-        scope: Scope::Usage,
+        scope: LeaseScope::Usage,
         holder,
         attempt,
         term: Span::from_secs(10),
@@ -34,17 +34,17 @@
 
 fn renewal(holder: Incarnation, attempt: u32, claim: u64) -> AuthorityRecord {
     AuthorityRecord::Renewal(LeaseRenewal {
-        scope: Scope::Usage,
+        scope: LeaseScope::Usage,
         holder,
         attempt,
-        claim: FencingNumber(claim),
+        claim: FencingToken(claim),
         term: Span::from_secs(10),
     })
 }
 
 fn release(holder: Incarnation, claim: u64) -> AuthorityRecord {
-    let claim = FencingNumber(claim);
-    AuthorityRecord::Release(LeaseRelease { scope: Scope::Usage, holder, claim })
+    let claim = FencingToken(claim);
+    AuthorityRecord::Release(LeaseRelease { scope: LeaseScope::Usage, holder, claim })
 }
 
 fn appended(actions: &[LeaseAction]) -> Option<AuthorityRecord> {
@@ -75,7 +75,7 @@
     for (offset, record) in (0..).map(LogOffset).zip(records) {
         keeper.read(at(0), offset, record);
     }
-    assert_eq!(keeper.claim_in_force(), in_force.map(FencingNumber));
+    assert_eq!(keeper.claim_in_force(), in_force.map(FencingToken));
 }
 
 /// Guards against a successor that claims before term (10 s), margin (2 s) and order timeout (3 s)
@@ -116,19 +116,19 @@
     let own = appended(&keeper.tick(at(1))).expect("the stream is empty");
     assert!(keeper.tick(at(2)).is_empty(), "a second claim while the first is pending");
     let actions = keeper.read(at(6), LogOffset(0), &own);
-    assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingNumber(0))]);
-    assert_eq!(keeper.held(at(9) - Span(1)), Some(FencingNumber(0)));
+    assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(0))]);
+    assert_eq!(keeper.held(at(9) - Span(1)), Some(FencingToken(0)));
     assert_eq!(keeper.held(at(9)), None, "8 s after sending the margin begins");
 
     let renewal = appended(&keeper.tick(at(6))).expect("a renewal is due 3 s after sending");
     keeper.read(at(8), LogOffset(1), &renewal);
-    assert_eq!(keeper.held(at(14) - Span(1)), Some(FencingNumber(0)));
+    assert_eq!(keeper.held(at(14) - Span(1)), Some(FencingToken(0)));
     assert_eq!(
         keeper.permit(at(13), FencingSupport::Ignored),
         Err(PermitDenial::ExtraWait(at(36))),
         "30 s after the claim was read back"
     );
-    let lost = LeaseAction::Lost { fencing: FencingNumber(0), cause: LossCause::Expired };
+    let lost = LeaseAction::Lost { fencing: FencingToken(0), cause: LossCause::Expired };
     assert_eq!(keeper.tick(at(14)).as_slice(), [lost]);
     assert_eq!(keeper.permit(at(14), FencingSupport::Checked), Err(PermitDenial::NotHeld));
 }
@@ -145,16 +145,16 @@
 
 /// Guards against a former holder that goes on after another claim or an unseen part of the log.
 #[rstest]
-#[case::succeeded(|keeper: &mut LeaseKeeper| keeper.read(at(2), LogOffset(1), &claim(OTHER, 1, 1)), LossCause::Succeeded)]
-#[case::gap(|keeper: &mut LeaseKeeper| keeper.reading_from(at(2), LogOffset(9)), LossCause::GapInLog)]
+#[case::succeeded(|keeper: &mut LeaseManager| keeper.read(at(2), LogOffset(1), &claim(OTHER, 1, 1)), LossCause::Succeeded)]
+#[case::gap(|keeper: &mut LeaseManager| keeper.reading_from(at(2), LogOffset(9)), LossCause::GapInLog)]
 fn a_holder_gives_way(
-    #[case] event: fn(&mut LeaseKeeper) -> smallvec::SmallVec<[LeaseAction; 4]>,
+    #[case] event: fn(&mut LeaseManager) -> smallvec::SmallVec<[LeaseAction; 4]>,
     #[case] cause: LossCause,
 ) {
     let mut keeper = keeper(0);
     let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
     keeper.read(at(1), LogOffset(0), &own);
-    let lost = LeaseAction::Lost { fencing: FencingNumber(0), cause };
+    let lost = LeaseAction::Lost { fencing: FencingToken(0), cause };
     assert_eq!(event(&mut keeper).as_slice(), [lost]);
     assert_eq!(keeper.held(at(2)), None);
 }
@@ -171,7 +171,7 @@
 
     let own = appended(&keeper.tick(at(31))).expect("the wait is over");
     let actions = keeper.read(at(32), LogOffset(9), &own);
-    assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingNumber(9))]);
+    assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(9))]);
 }
 
 /// Guards against a planned stop that keeps successors waiting or lets its own claim win later.
@@ -181,7 +181,7 @@
     let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
     let mut pending = keeper.clone();
     keeper.read(at(1), LogOffset(0), &own);
-    let lost = LeaseAction::Lost { fencing: FencingNumber(0), cause: LossCause::Released };
+    let lost = LeaseAction::Lost { fencing: FencingToken(0), cause: LossCause::Released };
     assert_eq!(keeper.resign().as_slice(), [LeaseAction::Append(release(OWN, 0)), lost]);
     assert_eq!((keeper.held(at(1)), keeper.next_deadline()), (None, None));
 
--- a/crates/base/src/derives.rs
+++ b/crates/base/src/derives.rs
@@ -2,7 +2,7 @@
 
 /// Derives the set for ordinary values: `Debug`, `Clone`, `PartialEq` and `Eq`.
 #[macro_export]
-macro_rules! plain {
+macro_rules! derive_value {
     ($($item:item)*) => {
         $(#[derive(Debug, Clone, PartialEq, Eq)] $item)*
     };
@@ -10,7 +10,7 @@
 
 /// Derives the set for small copyable values that serve as map keys.
 #[macro_export]
-macro_rules! key {
+macro_rules! derive_copy {
     ($($item:item)*) => {
         $(#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)] $item)*
     };
--- a/crates/base/src/event.rs
+++ b/crates/base/src/event.rs
@@ -2,7 +2,7 @@
 
 macro_rules! events {
     ($($number:literal $name:ident $meaning:literal)*) => {
-        crate::key! {
+        crate::derive_copy! {
             /// Number of a structured log line. Numbers are never reused.
             pub enum EventCode {
                 $(#[doc = $meaning] $name = $number,)*
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -1,11 +1,11 @@
 //! Identifiers.
 
-use crate::{ArenaKey, key};
+use crate::{ArenaKey, derive_copy};
 
 macro_rules! arena_keys {
     ($($(#[$doc:meta])* $name:ident)*) => {
         $(
-            key! {
+            derive_copy! {
                 $(#[$doc])*
                 pub struct $name(pub u32);
             }
@@ -36,7 +36,7 @@
     RouteKey
 }
 
-key! {
+derive_copy! {
     /// Random identifier of one run of one daemon. A restarted daemon has another one.
     pub struct Incarnation(pub u64);
 
@@ -52,7 +52,7 @@
     pub struct LogOffset(pub u64);
 
     /// Offset of the claim that won a lease. A receiver refuses a number below the highest it has seen.
-    pub struct FencingNumber(pub u64);
+    pub struct FencingToken(pub u64);
 
     /// Version of a model's weights. A trainer numbers them upwards.
     pub struct WeightVersion(pub u64);
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -15,7 +15,7 @@
     digest::{KeyDigest, KeyDigestError, rendezvous_weight, stable_hash},
     event::EventCode,
     ids::{
-        CustomerKey, FencingNumber, Incarnation, LogOffset, RecordId, RouteKey, UpstreamKey, VmKey,
+        CustomerKey, FencingToken, Incarnation, LogOffset, RecordId, RouteKey, UpstreamKey, VmKey,
         WeightVersion, ZoneKey,
     },
     refusal::{Execution, Refusal, RefusalCode},
--- a/crates/base/src/refusal.rs
+++ b/crates/base/src/refusal.rs
@@ -2,9 +2,9 @@
 
 use std::fmt;
 
-use crate::{Span, key, plain};
+use crate::{Span, derive_copy, derive_value};
 
-key! {
+derive_copy! {
     /// Whether a refused request may have run.
     pub enum Execution {
         /// No byte of the request can have reached an upstream.
@@ -48,7 +48,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A final answer that the request was not completed.
     pub struct Refusal {
         /// Stable reason.
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -2,9 +2,9 @@
 
 use std::ops::{Add, AddAssign, Sub};
 
-use crate::key;
+use crate::derive_copy;
 
-key! {
+derive_copy! {
     /// A point on one process's monotonic clock, in microseconds since an arbitrary start.
     pub struct Moment(pub u64);
 
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use crate::{
-    Answer, CallError, EngineControl, EngineReport, GenerateRequest, HttpClient, KvCache, Outgoing,
-    SendPermit, TokenStream, WeightOrder,
+    CallError, EngineControl, EngineReport, GenerateRequest, HttpClient, HttpRequest, HttpResponse,
+    KvCache, SendPermit, TokenStream, WeightLoadOrder,
     http_client::{MAX_ANSWER, bounded, status_error},
     platform::{decode, encode},
     wire,
@@ -41,8 +41,8 @@
         engine: SocketAddr,
         path: &str,
         body: &T,
-    ) -> Result<Answer, CallError> {
-        let outgoing = Outgoing::post(engine, path, encode(body)?);
+    ) -> Result<HttpResponse, CallError> {
+        let outgoing = HttpRequest::post(engine, path, encode(body)?);
         self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?.success()
     }
 }
@@ -56,7 +56,7 @@
         request: &GenerateRequest,
     ) -> Result<TokenStream, CallError> {
         let body = encode(&wire::Generate::from(request))?;
-        let outgoing = Outgoing::post(engine, "/generate", body);
+        let outgoing = HttpRequest::post(engine, "/generate", body);
         let response = bounded(self.idle_timeout, self.http.open(outgoing)).await?;
         // The engine has received the request, so no status proves that it did not run.
         if !response.status().is_success() {
@@ -71,12 +71,16 @@
     }
 
     async fn report(&self, engine: SocketAddr) -> Result<EngineReport, CallError> {
-        let outgoing = Outgoing::get(engine, "/load");
+        let outgoing = HttpRequest::get(engine, "/load");
         let answer = self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?;
-        decode::<wire::Load>(&answer.success()?.body).map(EngineReport::from)
+        decode::<wire::EngineLoadReport>(&answer.success()?.body).map(EngineReport::from)
     }
 
-    async fn load_version(&self, engine: SocketAddr, order: &WeightOrder) -> Result<(), CallError> {
+    async fn load_version(
+        &self,
+        engine: SocketAddr,
+        order: &WeightLoadOrder,
+    ) -> Result<(), CallError> {
         self.control(engine, "/load-version", &wire::LoadVersion::from(order)).await.map(drop)
     }
 
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 use awc::error::{ConnectError, SendRequestError};
-use base::{Execution, Span, key, plain};
+use base::{Execution, Span, derive_copy, derive_value};
 
-key! {
+derive_copy! {
     /// Why a call failed.
     pub enum CallFailure {
         /// No connection was made.
@@ -25,7 +25,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A call that did not yield its answer.
     pub struct CallError {
         /// Why the call failed.
--- a/crates/clients/src/guard.rs
+++ b/crates/clients/src/guard.rs
@@ -8,14 +8,14 @@
 };
 
 use actix_http::body::{BodySize, MessageBody};
-use base::key;
+use base::derive_copy;
 use bytes::Bytes;
 
 /// Bytes handed out after one check. Orders fit into one piece; a long usage report is checked again
 /// before each of its pieces.
 const PIECE: usize = 4 << 10;
 
-key! {
+derive_copy! {
     /// Whether a request may be written now.
     pub enum SendPermit {
         /// The request may be written.
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -40,7 +40,7 @@
 
 /// A request to be sent. It carries the headers given here and no others of the caller.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Address of the receiver.
@@ -55,7 +55,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -136,10 +136,10 @@
     /// `max_body` or has no `content-length` that confirms it.
     pub async fn exchange(
         &self,
-        outgoing: Outgoing,
+        outgoing: HttpRequest,
         timeout: Span,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         bounded(timeout, async {
             let response = self.open(outgoing).await?;
             let status = response.status();
@@ -150,7 +150,7 @@
                 let head = head_bytes("HTTP/1.1 200 ".len() + reason, &headers);
                 counter.add(0, head + body.len());
             }
-            Ok(Answer { status, headers, body })
+            Ok(HttpResponse { status, headers, body })
         })
         .await
     }
@@ -162,7 +162,7 @@
     /// Returns an error when the exchange fails or exceeds `timeout`, or the stream breaks off.
     pub async fn stream_all(
         &self,
-        outgoing: Outgoing,
+        outgoing: HttpRequest,
         timeout: Span,
     ) -> Result<(u16, Bytes), CallError> {
         bounded(timeout, async {
@@ -180,7 +180,7 @@
     }
 
     /// Sends a request and returns the answer as soon as its head has arrived.
-    pub(crate) async fn open(&self, outgoing: Outgoing) -> Result<ClientResponse, CallError> {
+    pub(crate) async fn open(&self, outgoing: HttpRequest) -> Result<ClientResponse, CallError> {
         let host = outgoing.address.to_string();
         let url = format!("http://{host}{}", outgoing.path);
         let mut request = self.client.request(outgoing.method, url);
@@ -206,7 +206,7 @@
     }
 }
 
-impl Outgoing {
+impl HttpRequest {
     /// Builds a request without body.
     #[must_use]
     pub fn get(address: SocketAddr, path: impl Into<String>) -> Self {
@@ -228,7 +228,7 @@
     }
 }
 
-impl Answer {
+impl HttpResponse {
     /// Turns a status other than success into an error.
     ///
     /// A 4xx status is a definite refusal. After any other status the request may have taken effect.
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -21,17 +21,17 @@
     engine::EngineClient,
     error::{CallError, CallFailure},
     guard::SendPermit,
-    http_client::{Answer, HttpClient, Outgoing},
+    http_client::{HttpClient, HttpRequest, HttpResponse},
     platform::{PlatformClient, PlatformTimeouts},
     token_stream::TokenStream,
     traits::{
         EngineControl, PlatformLog, TokenSource, UpstreamOrders, UsageSink, VmList, WeightStore,
     },
-    transfer::{DATE_BYTES, TransferCounter, TransferFigures, head_bytes, header_bytes},
+    transfer::{DATE_BYTES, TransferCounter, TransferTotals, head_bytes, header_bytes},
     types::{
-        CustomerFigures, EnginePriority, EngineReport, GenerateRequest, KvCache, LogPage,
-        NewRecord, OrderAnswer, OrderKind, OrderState, ReclaimNotice, ReportOutcome, StoredRecord,
-        TokenEvent, UpstreamInfo, UpstreamOrder, UpstreamState, UsageReport, VmInfo, VmState,
-        WeightFetch, WeightOrder,
+        CustomerUsage, EnginePriority, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord,
+        OrderInfo, OrderKind, OrderState, ReclaimNotice, ReportOutcome, StoredRecord, TokenEvent,
+        UpstreamInfo, UpstreamOrder, UpstreamState, UsageReport, VmInfo, VmState, WeightFetch,
+        WeightLoadOrder,
     },
 };
--- a/crates/clients/src/platform.rs
+++ b/crates/clients/src/platform.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use base::{LogOffset, Span, WeightVersion, key};
+use base::{LogOffset, Span, WeightVersion, derive_copy};
 use bytes::Bytes;
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    Answer, CallError, CallFailure, HttpClient, LogPage, NewRecord, OrderAnswer, Outgoing,
+    CallError, CallFailure, HttpClient, HttpRequest, HttpResponse, LogPage, NewRecord, OrderInfo,
     PlatformLog, ReclaimNotice, ReportOutcome, SendPermit, UpstreamInfo, UpstreamOrder,
     UpstreamOrders, UsageReport, UsageSink, VmInfo, VmList, WeightFetch, WeightStore,
     http_client::MAX_ANSWER, wire,
@@ -16,7 +16,7 @@
 /// Pause before the next attempt when the weight store states none.
 const WEIGHT_PAUSE: Span = Span::from_secs(1);
 
-key! {
+derive_copy! {
     /// Timeouts of calls to the platform.
     pub struct PlatformTimeouts {
         /// One append or read.
@@ -63,8 +63,8 @@
         Self { http: self.http.guarded(check), ..self.clone() }
     }
 
-    async fn get(&self, path: impl Into<String>, timeout: Span) -> Result<Answer, CallError> {
-        self.http.exchange(Outgoing::get(self.address, path), timeout, MAX_ANSWER).await
+    async fn get(&self, path: impl Into<String>, timeout: Span) -> Result<HttpResponse, CallError> {
+        self.http.exchange(HttpRequest::get(self.address, path), timeout, MAX_ANSWER).await
     }
 
     async fn post<T: Serialize>(
@@ -72,8 +72,8 @@
         path: &str,
         body: &T,
         timeout: Span,
-    ) -> Result<Answer, CallError> {
-        let outgoing = Outgoing::post(self.address, path, encode(body)?);
+    ) -> Result<HttpResponse, CallError> {
+        let outgoing = HttpRequest::post(self.address, path, encode(body)?);
         self.http.exchange(outgoing, timeout, MAX_ANSWER).await
     }
 
@@ -98,12 +98,12 @@
 }
 
 impl UpstreamOrders for PlatformClient {
-    async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderAnswer, CallError> {
+    async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderInfo, CallError> {
         let answer = self.post("/orders", &wire::Order::from(order), self.timeouts.order).await?;
-        decode::<wire::OrderReply>(&answer.success()?.body).map(OrderAnswer::from)
+        decode::<wire::OrderReply>(&answer.success()?.body).map(OrderInfo::from)
     }
 
-    async fn find_order(&self, id: &str) -> Result<Option<OrderAnswer>, CallError> {
+    async fn find_order(&self, id: &str) -> Result<Option<OrderInfo>, CallError> {
         let answer = self.get(format!("/orders/{id}"), self.timeouts.other).await?;
         if answer.status.as_u16() == 404 {
             return Ok(None);
--- a/crates/clients/src/token_stream.rs
+++ b/crates/clients/src/token_stream.rs
@@ -68,7 +68,7 @@
     }
 
     fn accept(&mut self, line: &[u8]) -> Result<TokenEvent, CallError> {
-        let line = serde_json::from_slice::<wire::Line>(line)
+        let line = serde_json::from_slice::<wire::TokenLine>(line)
             .map_err(|error| malformed(error.to_string()))?;
         if line.id() != self.id {
             return Err(malformed(format!("a line of request {:?} arrived", line.id())));
--- a/crates/clients/src/traits.rs
+++ b/crates/clients/src/traits.rs
@@ -5,9 +5,9 @@
 use base::{LogOffset, WeightVersion};
 
 use crate::{
-    CallError, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord, OrderAnswer,
+    CallError, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord, OrderInfo,
     ReclaimNotice, ReportOutcome, TokenEvent, UpstreamInfo, UpstreamOrder, UsageReport, VmInfo,
-    WeightFetch, WeightOrder,
+    WeightFetch, WeightLoadOrder,
 };
 
 /// The platform's append-only log.
@@ -34,14 +34,14 @@
     /// # Errors
     ///
     /// After an error that may have run, [`UpstreamOrders::find_order`] tells the outcome.
-    async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderAnswer, CallError>;
+    async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderInfo, CallError>;
 
     /// Returns the state of an order, or `None` when the platform has not received it.
     ///
     /// # Errors
     ///
     /// Returns an error when the platform does not answer in time.
-    async fn find_order(&self, id: &str) -> Result<Option<OrderAnswer>, CallError>;
+    async fn find_order(&self, id: &str) -> Result<Option<OrderInfo>, CallError>;
 
     /// Lists the upstreams.
     ///
@@ -138,7 +138,11 @@
     /// # Errors
     ///
     /// Returns status 409 when the engine has seen a higher fencing number.
-    async fn load_version(&self, engine: SocketAddr, order: &WeightOrder) -> Result<(), CallError>;
+    async fn load_version(
+        &self,
+        engine: SocketAddr,
+        order: &WeightLoadOrder,
+    ) -> Result<(), CallError>;
 
     /// Reads the KV cache of a running stream.
     ///
--- a/crates/clients/src/transfer.rs
+++ b/crates/clients/src/transfer.rs
@@ -3,16 +3,16 @@
 use std::{cell::Cell, rc::Rc};
 
 use actix_http::header::HeaderMap;
-use base::key;
+use base::derive_copy;
 
 /// Bytes of an HTTP date, which has a fixed form.
 pub const DATE_BYTES: usize = "Fri, 04 Dec 2026 03:39:09 GMT".len();
 
-key! {
+derive_copy! {
     /// Exchanges and their bytes. Heads of requests and answers are included, TCP and IP headers
     /// are not.
     #[derive(Default)]
-    pub struct TransferFigures {
+    pub struct TransferTotals {
         /// Exchanges begun.
         pub exchanges: u64,
         /// Bytes sent.
@@ -24,20 +24,20 @@
 
 /// A count that belongs to one thread. Clones share the count.
 #[derive(Debug, Clone, Default)]
-pub struct TransferCounter(Rc<Cell<TransferFigures>>);
+pub struct TransferCounter(Rc<Cell<TransferTotals>>);
 
 impl TransferCounter {
     /// Counts an exchange with the bytes that begin it.
     pub fn begin(&self, sent: usize, received: usize) {
         let figures = self.0.get();
-        self.0.set(TransferFigures { exchanges: figures.exchanges + 1, ..figures });
+        self.0.set(TransferTotals { exchanges: figures.exchanges + 1, ..figures });
         self.add(sent, received);
     }
 
     /// Counts further bytes of an exchange.
     pub fn add(&self, sent: usize, received: usize) {
         let figures = self.0.get();
-        self.0.set(TransferFigures {
+        self.0.set(TransferTotals {
             sent: figures.sent + sent as u64,
             received: figures.received + received as u64,
             ..figures
@@ -46,7 +46,7 @@
 
     /// Returns the figures since the start.
     #[must_use]
-    pub fn figures(&self) -> TransferFigures {
+    pub fn figures(&self) -> TransferTotals {
         self.0.get()
     }
 }
--- a/crates/clients/src/types.rs
+++ b/crates/clients/src/types.rs
@@ -2,10 +2,12 @@
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-use base::{FencingNumber, LogOffset, RecordId, Span, WallTime, WeightVersion, key, plain};
+use base::{
+    FencingToken, LogOffset, RecordId, Span, WallTime, WeightVersion, derive_copy, derive_value,
+};
 use bytes::Bytes;
 
-plain! {
+derive_value! {
     /// A record to append to the log.
     pub struct NewRecord {
         /// Id chosen by the writer.
@@ -43,7 +45,7 @@
         /// What is ordered.
         pub kind: OrderKind,
         /// Offset of the claim that gives the right to order.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
     }
 
     /// What an order asks for.
@@ -63,7 +65,7 @@
     }
 
     /// The platform's answer to an order.
-    pub struct OrderAnswer {
+    pub struct OrderInfo {
         /// State of the order.
         pub state: OrderState,
         /// Names of the upstreams started or stopped.
@@ -99,9 +101,9 @@
         /// Number of the window.
         pub window: u64,
         /// Offset of the claim that gives the right to report.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
         /// Figures by customer name.
-        pub figures: BTreeMap<String, CustomerFigures>,
+        pub figures: BTreeMap<String, CustomerUsage>,
     }
 
     /// A VM in the platform's list.
@@ -171,13 +173,13 @@
     }
 
     /// An order to an engine to load a weight version.
-    pub struct WeightOrder {
+    pub struct WeightLoadOrder {
         /// Name of the model.
         pub model: String,
         /// Version to load.
         pub version: WeightVersion,
         /// Offset of the claim that gives the right to order.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
     }
 
     /// KV cache of one stream.
@@ -189,9 +191,9 @@
     }
 }
 
-key! {
+derive_copy! {
     /// Usage of one customer in one window.
-    pub struct CustomerFigures {
+    pub struct CustomerUsage {
         /// Number of requests.
         pub requests: u64,
         /// Number of prompt tokens.
--- a/crates/clients/src/wire/convert.rs
+++ b/crates/clients/src/wire/convert.rs
@@ -1,15 +1,16 @@
 //! Conversions between the JSON shapes and the values of the interfaces.
 
-use base::{FencingNumber, Incarnation, LogOffset, RecordId, WallTime, WeightVersion};
+use base::{FencingToken, Incarnation, LogOffset, RecordId, WallTime, WeightVersion};
 
 use super::{
-    AppendRecord, Figures, Generate, Kv, Line, Load, LoadVersion, Order, OrderReply, OrderStatus,
-    OrderVerb, Page, Priority, Reclaim, Report, Upstream, UpstreamStatus, Vm, VmStatus, WireError,
+    AppendRecord, EngineLoadReport, Generate, Kv, LoadVersion, Order, OrderReply, OrderStatus,
+    OrderVerb, Page, Priority, Reclaim, Report, TokenLine, Upstream, UpstreamStatus, UsageAmount,
+    Vm, VmStatus, WireError,
 };
 use crate::{
-    CustomerFigures, EnginePriority, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord,
-    OrderAnswer, OrderKind, OrderState, ReclaimNotice, StoredRecord, TokenEvent, UpstreamInfo,
-    UpstreamOrder, UpstreamState, UsageReport, VmInfo, VmState, WeightOrder, base16,
+    CustomerUsage, EnginePriority, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord,
+    OrderInfo, OrderKind, OrderState, ReclaimNotice, StoredRecord, TokenEvent, UpstreamInfo,
+    UpstreamOrder, UpstreamState, UsageReport, VmInfo, VmState, WeightLoadOrder, base16,
 };
 
 impl From<&NewRecord> for AppendRecord {
@@ -80,11 +81,11 @@
             }
         };
         let Order { id, zone, service, fencing, .. } = order;
-        Ok(Self { id, zone, service, kind, fencing: FencingNumber(fencing) })
+        Ok(Self { id, zone, service, kind, fencing: FencingToken(fencing) })
     }
 }
 
-impl From<OrderReply> for OrderAnswer {
+impl From<OrderReply> for OrderInfo {
     fn from(reply: OrderReply) -> Self {
         let state = match reply.state {
             OrderStatus::Accepted => OrderState::Accepted,
@@ -121,9 +122,9 @@
     }
 }
 
-impl From<CustomerFigures> for Figures {
-    fn from(figures: CustomerFigures) -> Self {
-        let CustomerFigures { requests, prompt_tokens, generated_tokens } = figures;
+impl From<CustomerUsage> for UsageAmount {
+    fn from(figures: CustomerUsage) -> Self {
+        let CustomerUsage { requests, prompt_tokens, generated_tokens } = figures;
         Self { requests, prompt_tokens, generated_tokens }
     }
 }
@@ -154,26 +155,26 @@
     }
 }
 
-impl TryFrom<Line> for TokenEvent {
+impl TryFrom<TokenLine> for TokenEvent {
     type Error = WireError;
 
-    fn try_from(line: Line) -> Result<Self, WireError> {
+    fn try_from(line: TokenLine) -> Result<Self, WireError> {
         match line {
-            Line::Token { index, token, version, .. } => {
+            TokenLine::Token { index, token, version, .. } => {
                 Ok(Self::Token { index, text: token, version: WeightVersion(version) })
             }
-            Line::End { end: true, tokens, prompt_tokens, .. } => {
+            TokenLine::End { end: true, tokens, prompt_tokens, .. } => {
                 Ok(Self::End { tokens, prompt_tokens })
             }
-            Line::End { end: false, .. } => {
+            TokenLine::End { end: false, .. } => {
                 Err(WireError(String::from("an end line says that it is none")))
             }
         }
     }
 }
 
-impl From<Load> for EngineReport {
-    fn from(load: Load) -> Self {
+impl From<EngineLoadReport> for EngineReport {
+    fn from(load: EngineLoadReport) -> Self {
         Self {
             running: load.running,
             queued: load.queued,
@@ -186,9 +187,9 @@
     }
 }
 
-impl From<&WeightOrder> for LoadVersion {
-    fn from(order: &WeightOrder) -> Self {
-        let WeightOrder { model, version, fencing } = order;
+impl From<&WeightLoadOrder> for LoadVersion {
+    fn from(order: &WeightLoadOrder) -> Self {
+        let WeightLoadOrder { model, version, fencing } = order;
         Self { model: model.clone(), version: version.0, fencing: fencing.0 }
     }
 }
--- a/crates/clients/src/wire/mod.rs
+++ b/crates/clients/src/wire/mod.rs
@@ -155,12 +155,12 @@
         /// Fencing number of the usage lease.
         pub fencing: u64,
         /// Figures by customer name.
-        pub figures: BTreeMap<String, Figures>,
+        pub figures: BTreeMap<String, UsageAmount>,
     }
 
     /// Usage of one customer in one window.
     #[derive(Copy)]
-    pub struct Figures {
+    pub struct UsageAmount {
         /// Number of requests.
         pub requests: u64,
         /// Number of prompt tokens.
@@ -221,7 +221,7 @@
 
     /// One line of the answer to `POST /generate`.
     #[serde(untagged)]
-    pub enum Line {
+    pub enum TokenLine {
         /// A token.
         Token {
             /// Id of the request.
@@ -247,7 +247,7 @@
     }
 
     /// Answer to `GET /load`.
-    pub struct Load {
+    pub struct EngineLoadReport {
         /// Generations running.
         pub running: u32,
         /// Generations waiting.
@@ -289,7 +289,7 @@
     }
 }
 
-impl Line {
+impl TokenLine {
     /// Returns the id of the request that the line answers.
     #[must_use]
     pub fn id(&self) -> &str {
--- a/crates/clients/tests/guard.rs
+++ b/crates/clients/tests/guard.rs
@@ -6,12 +6,12 @@
     rc::Rc,
 };
 
-use base::{Execution, FencingNumber, Span, WeightVersion};
+use base::{Execution, FencingToken, Span, WeightVersion};
 use bytes::Bytes;
 use clients::{
-    CallError, CallFailure, EngineClient, EngineControl as _, HttpClient, OrderKind, Outgoing,
+    CallError, CallFailure, EngineClient, EngineControl as _, HttpClient, HttpRequest, OrderKind,
     PlatformClient, PlatformTimeouts, SendPermit, UpstreamOrder, UpstreamOrders as _, UsageReport,
-    UsageSink as _, WeightOrder,
+    UsageSink as _, WeightLoadOrder,
 };
 use rstest::rstest;
 use tokio::{
@@ -58,19 +58,19 @@
         zone: String::from("hobart-a"),
         service: String::from("draft-models"),
         kind: OrderKind::Start { count: 2, cheap: true },
-        fencing: FencingNumber(7),
+        fencing: FencingToken(7),
     };
     platform(address).guarded(|| SendPermit::Denied).place_order(&order).await.map(drop)
 }
 
 async fn report(address: SocketAddr) -> Result<(), CallError> {
-    let report = UsageReport { window: 3, fencing: FencingNumber(7), figures: [].into() };
+    let report = UsageReport { window: 3, fencing: FencingToken(7), figures: [].into() };
     platform(address).guarded(|| SendPermit::Denied).report_usage(&report).await.map(drop)
 }
 
 async fn load(address: SocketAddr) -> Result<(), CallError> {
     let model = String::from("draft-models");
-    let order = WeightOrder { model, version: WeightVersion(4), fencing: FencingNumber(7) };
+    let order = WeightLoadOrder { model, version: WeightVersion(4), fencing: FencingToken(7) };
     let engines = EngineClient::new(HttpClient::new(LIMIT), LIMIT, LIMIT);
     engines.guarded(|| SendPermit::Denied).load_version(address, &order).await
 }
@@ -103,7 +103,7 @@
         counter.set(counter.get() + 1);
         SendPermit::Granted
     });
-    let outgoing = Outgoing::post(socket.local_addr().unwrap(), "/orders", "order".into());
+    let outgoing = HttpRequest::post(socket.local_addr().unwrap(), "/orders", "order".into());
     let error = client.exchange(outgoing, LIMIT, 1_024).await.unwrap_err();
     assert_eq!((error.failure, checks.get()), (CallFailure::Connect, 0));
 }
@@ -124,7 +124,7 @@
     let (address, received) = receive(LENGTH).await;
     let permits = RefCell::new(permits);
     let check = move || permits.borrow_mut().pop().expect("the body has five pieces");
-    let outgoing = Outgoing::post(address, "/usage-reports", Bytes::from(vec![b'x'; LENGTH]));
+    let outgoing = HttpRequest::post(address, "/usage-reports", Bytes::from(vec![b'x'; LENGTH]));
     let result = HttpClient::new(LIMIT).guarded(check).exchange(outgoing, LIMIT, 1_024).await;
     assert_eq!(result.err().map(|error| error.failure), failure);
     let arrived = body_of(&received.await.unwrap()).len();
--- a/crates/clients/tests/reset.rs
+++ b/crates/clients/tests/reset.rs
@@ -4,7 +4,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use tokio::{io::AsyncReadExt as _, net::TcpListener};
 
 /// Guards against a call that was given up and arrives later from where the network held it: a close
@@ -12,7 +12,7 @@
 #[actix_rt::test]
 async fn call_that_is_given_up_ends_with_a_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let outgoing = Outgoing::post(listener.local_addr().unwrap(), "/usage", Bytes::from("{}"));
+    let outgoing = HttpRequest::post(listener.local_addr().unwrap(), "/usage", Bytes::from("{}"));
     let client = HttpClient::resetting(Span::from_secs(5), Span::from_secs(4));
     let call = actix_rt::spawn(async move {
         client.exchange(outgoing, Span::from_millis(300), 100).await.map(|_| ())
--- a/crates/clients/tests/transfer.rs
+++ b/crates/clients/tests/transfer.rs
@@ -8,7 +8,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing, TransferCounter};
+use clients::{HttpClient, HttpRequest, TransferCounter};
 use rstest::rstest;
 
 const ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nx-mark: 1\r\n\r\n{}";
@@ -35,8 +35,8 @@
     let counter = TransferCounter::default();
     let http = HttpClient::new(Span::from_secs(5)).counted(counter.clone());
     let outgoing = match body {
-        "" => Outgoing::get(address, "/log/usage?from=0&max=500"),
-        body => Outgoing::post(address, "/peer/1", Bytes::from_static(body.as_bytes())),
+        "" => HttpRequest::get(address, "/log/usage?from=0&max=500"),
+        body => HttpRequest::post(address, "/peer/1", Bytes::from_static(body.as_bytes())),
     };
     http.exchange(outgoing, Span::from_secs(20), 100).await.expect("the answer is whole");
     let received = server.join().expect("the server ends");
--- a/crates/configuration/src/isolation.rs
+++ b/crates/configuration/src/isolation.rs
@@ -1,8 +1,8 @@
 //! Service on a node that may not hear of withdrawn keys.
 
-use base::{Moment, Span, key};
+use base::{Moment, Span, derive_copy};
 
-key! {
+derive_copy! {
     /// The setting `keys_when_isolated`.
     pub enum IsolationPolicy {
         /// Keys are accepted for this long after the last contact, then refused.
@@ -12,7 +12,7 @@
     }
 
     /// What the node does with keys now.
-    pub enum IsolatedService {
+    pub enum IsolationStatus {
         /// The node is in contact.
         Connected,
         /// The node is isolated and accepts keys until the given time.
@@ -28,7 +28,7 @@
 /// whole cannot hear of withdrawn keys, although its nodes hear each other. Where the document
 /// names a single zone, every peer counts.
 #[derive(Debug, Clone)]
-pub struct IsolationState {
+pub struct IsolationTracker {
     policy: IsolationPolicy,
     contact: Moment,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-impl IsolationState {
+impl IsolationTracker {
     /// Silence after which the node counts as isolated. It equals the time after which a silent
     /// peer counts as gone, so that one lost heartbeat does not refuse keys.
     pub const SILENCE: Span = Span::from_secs(10);
@@ -77,25 +77,25 @@
 
     /// Returns what the node does with keys at `now`.
     #[must_use]
-    pub fn service(&self, now: Moment) -> IsolatedService {
+    pub fn service(&self, now: Moment) -> IsolationStatus {
         if self.contact_age(now) < Self::SILENCE {
-            return IsolatedService::Connected;
+            return IsolationStatus::Connected;
         }
         match self.policy {
             IsolationPolicy::ServeFor(limit) if now < self.contact + limit => {
-                IsolatedService::ServingUntil(self.contact + limit)
+                IsolationStatus::ServingUntil(self.contact + limit)
             }
-            IsolationPolicy::ServeFor(_) | IsolationPolicy::Refuse => IsolatedService::Refusing,
+            IsolationPolicy::ServeFor(_) | IsolationPolicy::Refuse => IsolationStatus::Refusing,
         }
     }
 
-    /// Returns when [`IsolationState::service`] changes next without a contact.
+    /// Returns when [`IsolationTracker::service`] changes next without a contact.
     #[must_use]
     pub fn next_deadline(&self, now: Moment) -> Option<Moment> {
         match self.service(now) {
-            IsolatedService::Connected => Some(self.contact + Self::SILENCE),
-            IsolatedService::ServingUntil(until) => Some(until),
-            IsolatedService::Refusing => None,
+            IsolationStatus::Connected => Some(self.contact + Self::SILENCE),
+            IsolationStatus::ServingUntil(until) => Some(until),
+            IsolationStatus::Refusing => None,
         }
     }
 }
--- a/crates/configuration/src/keys.rs
+++ b/crates/configuration/src/keys.rs
@@ -2,12 +2,12 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::{KeyDigest, key, plain};
+use base::{KeyDigest, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::ConfigVersion;
 
-key! {
+derive_copy! {
     /// Answer to a running stream that asks for its key.
     pub enum KeyCheck {
         /// The key still belongs to the customer.
@@ -17,7 +17,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Two customers claim the same key.
     pub struct KeyConflict {
         /// The customer listed first.
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,21 +1,21 @@
 //! Accepted configuration as a function of the log, the key set, and service while cut off.
 
-mod carry;
-mod history;
 mod isolation;
 mod keys;
 mod record;
+mod registry;
+mod snapshot_schedule;
 
 pub use crate::{
-    carry::CarrySchedule,
-    history::{
-        ConfigHistory, ConfigOutcome, ConfigSnapshot, ConfigState, ConflictReport, Currency,
-        PeerOutcome, RefusedReason,
-    },
-    isolation::{IsolatedService, IsolationPolicy, IsolationState},
+    isolation::{IsolationPolicy, IsolationStatus, IsolationTracker},
     keys::{KeyCheck, KeyConflict, KeySet},
     record::{
-        ConfigCarry, ConfigEdit, ConfigPromote, ConfigRecord, ConfigVersion, DocumentCheck,
-        EnvironmentName, VersionedDocument,
+        ConfigEdit, ConfigPromote, ConfigRecord, ConfigSnapshotRecord, ConfigVersion,
+        DocumentCheck, EnvironmentName, VersionedDocument,
+    },
+    registry::{
+        ConfigOutcome, ConfigRegistry, ConfigSnapshot, ConfigState, ConflictReport, Freshness,
+        PeerOutcome, RefusedReason,
     },
+    snapshot_schedule::SnapshotSchedule,
 };
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,16 +1,16 @@
 //! Records of the log stream `config`.
 
-use base::{LogOffset, RecordId, key, plain};
+use base::{LogOffset, RecordId, derive_copy, derive_value};
 
 use crate::ConfigSnapshot;
 
-key! {
+derive_copy! {
     /// Version of an environment's document. Zero stands for no document.
     #[derive(Default)]
     pub struct ConfigVersion(pub u64);
 }
 
-plain! {
+derive_value! {
     /// Name of an environment; trial and production are usual.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct EnvironmentName(pub String);
@@ -54,7 +54,7 @@
     }
 
     /// Whole current state, re-appended before retention drops the records that built it.
-    pub struct ConfigCarry {
+    pub struct ConfigSnapshotRecord {
         /// State of the log prefix that ends before `snapshot.next`.
         pub snapshot: ConfigSnapshot,
     }
@@ -66,7 +66,7 @@
         /// A promotion.
         Promote(ConfigPromote),
         /// A snapshot.
-        Carry(ConfigCarry),
+        Carry(ConfigSnapshotRecord),
     }
 }
 
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/registry.rs
@@ -1,13 +1,13 @@
 //! Accepted documents as a function of the log, and peers' copies ahead of it.
 
-use base::{LogOffset, RecordId, plain};
+use base::{LogOffset, RecordId, derive_value};
 
 use crate::{
     ConfigEdit, ConfigPromote, ConfigRecord, ConfigVersion, DocumentCheck, EnvironmentName,
     VersionedDocument,
 };
 
-plain! {
+derive_value! {
     /// Accepted documents of the log prefix that ends before `next`.
     pub struct ConfigSnapshot {
         /// Offset of the first record that the state does not contain.
@@ -61,7 +61,7 @@
 
     /// Whether the log has confirmed the version in force.
     #[derive(Copy)]
-    pub enum Currency {
+    pub enum Freshness {
         /// The version was read from the log.
         Confirmed,
         /// The version came from a peer, and the log has not shown it to this node.
@@ -85,7 +85,7 @@
     /// The document.
     pub document: &'history VersionedDocument,
     /// Whether the log has confirmed it.
-    pub currency: Currency,
+    pub currency: Freshness,
 }
 
 /// Accepted configuration of every environment.
@@ -93,7 +93,7 @@
 /// The part read from the log is a pure function of the log prefix. Copies of peers may run ahead
 /// of it. The version in force is the higher of the two, so it never goes back.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ConfigHistory<C> {
+pub struct ConfigRegistry<C> {
     check: C,
     log: ConfigSnapshot,
     // Oldest retained offset after a gap, until a snapshot that reaches it is found.
@@ -102,7 +102,7 @@
     ahead: ConfigSnapshot,
 }
 
-impl<C: DocumentCheck> ConfigHistory<C> {
+impl<C: DocumentCheck> ConfigRegistry<C> {
     /// Creates the history of the empty log prefix.
     #[must_use]
     pub fn new(check: C) -> Self {
@@ -183,10 +183,10 @@
     pub fn in_force(&self, environment: &EnvironmentName) -> Option<ConfigState<'_>> {
         if self.ahead.version(environment) > self.log.version(environment) {
             let document = self.ahead.document(environment)?;
-            return Some(ConfigState { document, currency: Currency::PossiblyStale });
+            return Some(ConfigState { document, currency: Freshness::PossiblyStale });
         }
         let document = self.log.document(environment)?;
-        Some(ConfigState { document, currency: Currency::Confirmed })
+        Some(ConfigState { document, currency: Freshness::Confirmed })
     }
 
     /// Returns the version in force, which is zero when the environment has no document.
--- a/crates/configuration/src/carry.rs
+++ b/crates/configuration/src/snapshot_schedule.rs
@@ -4,7 +4,7 @@
 
 /// Age of the newest snapshot in a log stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CarryAge {
+enum SnapshotAge {
     /// The stream holds nothing to keep.
     Nothing,
     /// Read while following the end of the log at this time.
@@ -19,32 +19,32 @@
 /// schedule therefore goes by time too. It uses the monotonic clock only: a record that was read
 /// while catching up has an unknown age, and the snapshot is due at once.
 #[derive(Debug, Clone)]
-pub struct CarrySchedule {
+pub struct SnapshotSchedule {
     period: Span,
     retry: Span,
-    age: CarryAge,
+    age: SnapshotAge,
     carried_at: Option<LogOffset>,
     tried_at: Option<Moment>,
 }
 
-impl CarrySchedule {
+impl SnapshotSchedule {
     /// Creates a schedule. `period` must be well below the log's retention, a quarter for example;
     /// `retry` is the wait before an append that has not shown up in the log is repeated.
     #[must_use]
     pub fn new(period: Span, retry: Span) -> Self {
-        Self { period, retry, age: CarryAge::Nothing, carried_at: None, tried_at: None }
+        Self { period, retry, age: SnapshotAge::Nothing, carried_at: None, tried_at: None }
     }
 
     /// Notes a record that changed the state. `read_at` is `None` while catching up.
     pub fn note_change(&mut self, read_at: Option<Moment>) {
-        if self.age == CarryAge::Nothing {
-            self.age = CarryAge::from(read_at);
+        if self.age == SnapshotAge::Nothing {
+            self.age = SnapshotAge::from(read_at);
         }
     }
 
     /// Notes a snapshot record at `offset`. `read_at` is `None` while catching up.
     pub fn note_carry(&mut self, offset: LogOffset, read_at: Option<Moment>) {
-        self.age = CarryAge::from(read_at);
+        self.age = SnapshotAge::from(read_at);
         self.carried_at = Some(offset);
         self.tried_at = None;
     }
@@ -52,7 +52,7 @@
     /// Notes the oldest retained offset. A snapshot below it is lost and due again at once.
     pub fn note_retention(&mut self, oldest: LogOffset) {
         if self.carried_at.is_some_and(|offset| offset < oldest) {
-            self.age = CarryAge::Unknown;
+            self.age = SnapshotAge::Unknown;
             self.carried_at = None;
         }
     }
@@ -61,15 +61,15 @@
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let due = match self.age {
-            CarryAge::Nothing => return None,
-            CarryAge::Since(read_at) => read_at + self.period,
-            CarryAge::Unknown => Moment(0),
+            SnapshotAge::Nothing => return None,
+            SnapshotAge::Since(read_at) => read_at + self.period,
+            SnapshotAge::Unknown => Moment(0),
         };
         Some(self.tried_at.map_or(due, |tried_at| due.max(tried_at + self.retry)))
     }
 
     /// Tells the lease holder to append a snapshot now. It answers `true` again after the retry
-    /// time unless [`CarrySchedule::note_carry`] was called.
+    /// time unless [`SnapshotSchedule::note_carry`] was called.
     pub fn poll(&mut self, now: Moment) -> bool {
         if self.next_deadline().is_none_or(|due| due > now) {
             return false;
@@ -79,7 +79,7 @@
     }
 }
 
-impl From<Option<Moment>> for CarryAge {
+impl From<Option<Moment>> for SnapshotAge {
     fn from(read_at: Option<Moment>) -> Self {
         read_at.map_or(Self::Unknown, Self::Since)
     }
--- a/crates/configuration/tests/history.rs
+++ b/crates/configuration/tests/history.rs
@@ -4,8 +4,8 @@
 
 use base::{Incarnation, LogOffset, RecordId};
 use configuration::{
-    ConfigCarry, ConfigEdit, ConfigHistory, ConfigOutcome, ConfigPromote, ConfigRecord,
-    ConfigSnapshot, ConfigVersion, ConflictReport, Currency, EnvironmentName, PeerOutcome,
+    ConfigEdit, ConfigOutcome, ConfigPromote, ConfigRecord, ConfigRegistry, ConfigSnapshot,
+    ConfigSnapshotRecord, ConfigVersion, ConflictReport, EnvironmentName, Freshness, PeerOutcome,
     RefusedReason,
 };
 use rand::{RngExt, SeedableRng};
@@ -15,10 +15,10 @@
 type Check = fn(&EnvironmentName, &str) -> Result<(), String>;
 const RESTART: u32 = 0;
 
-type History = ConfigHistory<Check>;
+type History = ConfigRegistry<Check>;
 
 fn history() -> History {
-    ConfigHistory::new(|_, text| match text.contains("invalid") {
+    ConfigRegistry::new(|_, text| match text.contains("invalid") {
         true => Err("it says so".to_owned()),
         false => Ok(()),
     })
@@ -67,7 +67,7 @@
             _ => {
                 let newest = snapshots.len() - 1;
                 let snapshot = newest.saturating_sub(rng.random_range(0..4));
-                ConfigRecord::Carry(ConfigCarry { snapshot: snapshots[snapshot].clone() })
+                ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshots[snapshot].clone() })
             }
         };
         reader.apply(LogOffset(log.len() as u64), &record);
@@ -189,9 +189,9 @@
     assert_eq!(node.adopt_peer(copy), PeerOutcome::NotNewer);
     node.apply(LogOffset(0), &log[0]);
     let state = node.in_force(&trial).unwrap();
-    assert_eq!((state.document, state.currency), (copy, Currency::PossiblyStale));
+    assert_eq!((state.document, state.currency), (copy, Freshness::PossiblyStale));
     node.apply(LogOffset(1), &log[1]);
-    assert_eq!(node.in_force(&trial).unwrap().currency, Currency::Confirmed);
+    assert_eq!(node.in_force(&trial).unwrap().currency, Freshness::Confirmed);
 }
 
 /// Guards against a state that lacks a record: a snapshot may be older than an accepted edit that
@@ -206,8 +206,9 @@
         whole.apply(LogOffset(offset), &log[offset as usize]);
         whole.snapshot().unwrap().clone()
     });
-    let carry =
-        |index: usize| ConfigRecord::Carry(ConfigCarry { snapshot: snapshots[index].clone() });
+    let carry = |index: usize| {
+        ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshots[index].clone() })
+    };
     let mut node = history();
     node.note_retention(LogOffset(2));
     let refused = ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
@@ -235,9 +236,9 @@
     }
     let rebuilt = holder.rebuilt_snapshot().unwrap();
     assert_eq!((rebuilt.next, rebuilt.version(&trial)), (LogOffset(8), ConfigVersion(1)));
-    let carry = ConfigRecord::Carry(ConfigCarry { snapshot: rebuilt });
+    let carry = ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: rebuilt });
     assert_eq!(informed.apply(LogOffset(9), &carry), ConfigOutcome::Restored(LogOffset(8)));
     let state = informed.in_force(&trial).unwrap();
-    assert_eq!((state.document.text.as_str(), state.currency), ("two", Currency::PossiblyStale));
+    assert_eq!((state.document.text.as_str(), state.currency), ("two", Freshness::PossiblyStale));
     assert_eq!(informed.rebuilt_snapshot(), None);
 }
--- a/crates/configuration/tests/keys.rs
+++ b/crates/configuration/tests/keys.rs
@@ -2,8 +2,8 @@
 
 use base::{KeyDigest, LogOffset, Moment, Span};
 use configuration::{
-    CarrySchedule, ConfigVersion, IsolatedService, IsolationPolicy, IsolationState, KeyCheck,
-    KeySet,
+    ConfigVersion, IsolationPolicy, IsolationStatus, IsolationTracker, KeyCheck, KeySet,
+    SnapshotSchedule,
 };
 use rstest::rstest;
 
@@ -28,37 +28,37 @@
 
 /// Guards against an isolated node that refuses too early or accepts a withdrawn key too long.
 #[rstest]
-#[case(IsolationPolicy::default(), 9, IsolatedService::Connected)]
-#[case(IsolationPolicy::default(), 10, IsolatedService::ServingUntil(secs(300)))]
-#[case(IsolationPolicy::default(), 300, IsolatedService::Refusing)]
-#[case(IsolationPolicy::Refuse, 9, IsolatedService::Connected)]
-#[case(IsolationPolicy::Refuse, 10, IsolatedService::Refusing)]
+#[case(IsolationPolicy::default(), 9, IsolationStatus::Connected)]
+#[case(IsolationPolicy::default(), 10, IsolationStatus::ServingUntil(secs(300)))]
+#[case(IsolationPolicy::default(), 300, IsolationStatus::Refusing)]
+#[case(IsolationPolicy::Refuse, 9, IsolationStatus::Connected)]
+#[case(IsolationPolicy::Refuse, 10, IsolationStatus::Refusing)]
 fn isolated_node_serves_for_the_set_time(
     #[case] policy: IsolationPolicy,
     #[case] silence: u64,
-    #[case] expected: IsolatedService,
+    #[case] expected: IsolationStatus,
 ) {
-    let state = IsolationState::new(policy, Moment(0));
+    let state = IsolationTracker::new(policy, Moment(0));
     assert_eq!(state.service(secs(silence)), expected);
 }
 
 /// Guards against two peers in a cut-off zone that keep each other's contact young.
 #[test]
 fn relayed_contact_only_ages() {
-    let mut nodes = [0, 1].map(|_| IsolationState::new(IsolationPolicy::default(), Moment(0)));
+    let mut nodes = [0, 1].map(|_| IsolationTracker::new(IsolationPolicy::default(), Moment(0)));
     for second in 1..=300 {
         let ages = nodes.clone().map(|node| node.contact_age(secs(second)));
         let received = secs(second) + Span::from_millis(400);
         nodes[0].note_relayed(received, ages[1]);
         nodes[1].note_relayed(received, ages[0]);
     }
-    assert_eq!(nodes[0].service(secs(300)), IsolatedService::Refusing);
+    assert_eq!(nodes[0].service(secs(300)), IsolationStatus::Refusing);
 }
 
 /// Guards against an idle stream that loses its last snapshot, and against needless appends.
 #[test]
 fn snapshot_is_due_before_retention() {
-    let mut schedule = CarrySchedule::new(Span::from_secs(100), Span::from_secs(5));
+    let mut schedule = SnapshotSchedule::new(Span::from_secs(100), Span::from_secs(5));
     assert!(!schedule.poll(secs(1_000)));
     schedule.note_change(Some(secs(1)));
     schedule.note_change(Some(secs(90)));
--- a/crates/delivery/src/attempt.rs
+++ b/crates/delivery/src/attempt.rs
@@ -1,11 +1,11 @@
 //! Follows one request from acceptance to its final answer.
 
-use base::{Execution, Moment, Refusal, RefusalCode, Span, UpstreamKey, key, plain};
+use base::{Execution, Moment, Refusal, RefusalCode, Span, UpstreamKey, derive_copy, derive_value};
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// Whether a request may be sent again after an upstream may have run it.
-    pub enum RequestKind {
+    pub enum RequestIdempotency {
         /// Running it twice has the effect of running it once.
         Idempotent,
         /// It runs at most once.
@@ -39,7 +39,7 @@
     }
 
     /// Limits of one request.
-    pub struct AttemptPolicy {
+    pub struct RetryPolicy {
         /// Attempts in total, the first one included.
         pub max_attempts: u8,
         /// A retry needs at least this much time before the deadline.
@@ -49,7 +49,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Something that happened to the request.
     pub enum AttemptEvent {
         /// An upstream was chosen.
@@ -94,15 +94,15 @@
 /// State of one request.
 #[derive(Debug, Clone)]
 pub struct AttemptTracker {
-    kind: RequestKind,
-    policy: AttemptPolicy,
+    kind: RequestIdempotency,
+    policy: RetryPolicy,
     deadline: Moment,
     state: AttemptState,
     execution: Execution,
     tried: SmallVec<[UpstreamKey; 4]>,
 }
 
-impl Default for AttemptPolicy {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
             max_attempts: 3,
@@ -115,7 +115,7 @@
 impl AttemptTracker {
     /// Starts to follow a request that must be answered before `deadline`.
     #[must_use]
-    pub fn new(kind: RequestKind, deadline: Moment, policy: AttemptPolicy) -> Self {
+    pub fn new(kind: RequestIdempotency, deadline: Moment, policy: RetryPolicy) -> Self {
         Self {
             kind,
             policy,
@@ -178,7 +178,8 @@
     /// Tells whether the first byte may be sent now.
     #[must_use]
     pub fn may_send(&self, now: Moment) -> bool {
-        let blocked = self.kind == RequestKind::OnceOnly && self.execution == Execution::MayHaveRun;
+        let blocked =
+            self.kind == RequestIdempotency::OnceOnly && self.execution == Execution::MayHaveRun;
         matches!(self.state, AttemptState::Connecting(_)) && !blocked && now < self.deadline
     }
 
@@ -214,7 +215,7 @@
             FailureCause::UpstreamBusy => (RefusalCode::Overloaded, "the upstream is busy"),
         };
         let repeatable =
-            self.kind == RequestKind::Idempotent || self.execution == Execution::NotRun;
+            self.kind == RequestIdempotency::Idempotent || self.execution == Execution::NotRun;
         let attempts_left = self.tried.len() < usize::from(self.policy.max_attempts);
         let time_left = now + self.policy.min_attempt_time < self.deadline;
         if repeatable && attempts_left && time_left {
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -6,14 +6,14 @@
 
 use std::collections::{BTreeMap, btree_map::Entry};
 
-use base::{Execution, Moment, Refusal, RefusalCode, Span, WallTime, key, plain};
+use base::{Execution, Moment, Refusal, RefusalCode, Span, WallTime, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{ClaimKey, Fingerprint, RequestId};
 
-key! {
+derive_copy! {
     /// Whether the platform's log accepts appends.
-    pub enum LogReach {
+    pub enum LogAvailability {
         /// Appends are answered.
         Up,
         /// Appends fail or are not answered.
@@ -45,7 +45,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// How a claimed request ended.
     pub enum ClaimOutcome {
         /// It was answered, and a resend gets this answer.
@@ -100,7 +100,7 @@
         /// The caller of a waiting request has disconnected.
         CallerGone(RequestId),
         /// The log became reachable or unreachable.
-        LogChanged(LogReach),
+        LogChanged(LogAvailability),
         /// Time has passed.
         Tick,
     }
@@ -142,7 +142,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AskState {
+enum RequestState {
     /// The claim is not in the log yet and the caller waits.
     Waiting,
     /// The caller has its refusal. The claim is released if it still wins.
@@ -152,19 +152,19 @@
 }
 
 #[derive(Debug, Clone)]
-struct OwnAsk {
+struct LocalRequest {
     taken: ClaimTaken,
     deadline: Moment,
-    state: AskState,
+    state: RequestState,
 }
 
 /// Claims as the log states them, and the requests of this node that wait for theirs.
 #[derive(Debug, Clone)]
 pub struct ClaimTable {
     policy: ClaimPolicy,
-    log: LogReach,
+    log: LogAvailability,
     held: BTreeMap<ClaimKey, HeldClaim>,
-    own: BTreeMap<RequestId, OwnAsk>,
+    own: BTreeMap<RequestId, LocalRequest>,
 }
 
 /// A claim is forgotten this long after its expiry. No request waits that long for its claim, so
@@ -185,7 +185,7 @@
     /// Creates an empty table. The log counts as reachable until stated otherwise.
     #[must_use]
     pub const fn new(policy: ClaimPolicy) -> Self {
-        Self { policy, log: LogReach::Up, held: BTreeMap::new(), own: BTreeMap::new() }
+        Self { policy, log: LogAvailability::Up, held: BTreeMap::new(), own: BTreeMap::new() }
     }
 
     /// Applies one event. `wall` is the civil time of this node.
@@ -219,7 +219,7 @@
     /// Returns when [`ClaimEvent::Tick`] is due, or `None` when no request waits.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let waiting = self.own.values().filter(|ask| ask.state == AskState::Waiting);
+        let waiting = self.own.values().filter(|ask| ask.state == RequestState::Waiting);
         waiting.map(|ask| ask.deadline).min()
     }
 
@@ -247,10 +247,11 @@
         {
             return ClaimActions::from_iter([self.answer_loser(held, &taken)]);
         }
-        if self.log == LogReach::Down {
+        if self.log == LogAvailability::Down {
             return ClaimActions::from_iter([self.refuse_log_down(taken.holder)]);
         }
-        self.own.insert(taken.holder, OwnAsk { taken, deadline, state: AskState::Waiting });
+        self.own
+            .insert(taken.holder, LocalRequest { taken, deadline, state: RequestState::Waiting });
         ClaimActions::from_iter([ClaimAction::AppendTaken(taken)])
     }
 
@@ -275,7 +276,7 @@
         let Some(ask) = self.own.get_mut(&taken.holder) else { return ClaimActions::new() };
         let request = taken.holder;
         if !wins {
-            let was_waiting = ask.state == AskState::Waiting;
+            let was_waiting = ask.state == RequestState::Waiting;
             self.own.remove(&request);
             let Some(held) = self.held.get(&taken.claim).filter(|_| was_waiting) else {
                 return ClaimActions::new();
@@ -283,21 +284,21 @@
             return ClaimActions::from_iter([self.answer_loser(held, &taken)]);
         }
         match ask.state {
-            AskState::Waiting if wall < taken.expires_at => {
-                ask.state = AskState::Running;
+            RequestState::Waiting if wall < taken.expires_at => {
+                ask.state = RequestState::Running;
                 ClaimActions::from_iter([ClaimAction::Run(request)])
             }
-            AskState::Waiting => {
+            RequestState::Waiting => {
                 self.own.remove(&request);
                 let mut actions = ClaimActions::from_iter([self.refuse_log_down(request)]);
                 actions.push(release(&taken));
                 actions
             }
-            AskState::Withdrawn => {
+            RequestState::Withdrawn => {
                 self.own.remove(&request);
                 ClaimActions::from_iter([release(&taken)])
             }
-            AskState::Running => ClaimActions::new(),
+            RequestState::Running => ClaimActions::new(),
         }
     }
 
@@ -336,15 +337,15 @@
 
     fn withdraw(&mut self, request: RequestId) {
         if let Some(ask) = self.own.get_mut(&request)
-            && ask.state == AskState::Waiting
+            && ask.state == RequestState::Waiting
         {
-            ask.state = AskState::Withdrawn;
+            ask.state = RequestState::Withdrawn;
         }
     }
 
-    fn log_changed(&mut self, reach: LogReach) -> ClaimActions {
+    fn log_changed(&mut self, reach: LogAvailability) -> ClaimActions {
         self.log = reach;
-        if reach == LogReach::Up {
+        if reach == LogAvailability::Up {
             return ClaimActions::new();
         }
         self.withdraw_where(|_| true)
@@ -356,13 +357,13 @@
         let held = &self.held;
         self.own.retain(|_, ask| {
             let is_over = wall >= later(ask.taken.expires_at, KEEP_AFTER_EXPIRY);
-            ask.state != AskState::Withdrawn || !is_over || held.contains_key(&ask.taken.claim)
+            ask.state != RequestState::Withdrawn || !is_over || held.contains_key(&ask.taken.claim)
         });
         expired
     }
 
-    fn withdraw_where(&mut self, applies: impl Fn(&OwnAsk) -> bool) -> ClaimActions {
-        let waiting = self.own.iter().filter(|(_, ask)| ask.state == AskState::Waiting);
+    fn withdraw_where(&mut self, applies: impl Fn(&LocalRequest) -> bool) -> ClaimActions {
+        let waiting = self.own.iter().filter(|(_, ask)| ask.state == RequestState::Waiting);
         let requests = waiting.filter(|(_, ask)| applies(ask)).map(|(request, _)| *request);
         let requests = requests.collect::<SmallVec<[RequestId; 8]>>();
         let mut actions = ClaimActions::new();
--- a/crates/delivery/src/id.rs
+++ b/crates/delivery/src/id.rs
@@ -1,9 +1,9 @@
 //! Identifiers that mean the same on every node.
 
-use base::{Incarnation, key};
+use base::{Incarnation, derive_copy};
 use sha2::{Digest, Sha256};
 
-key! {
+derive_copy! {
     /// Identifier that the system gives a request. Answers are matched by it.
     pub struct RequestId {
         /// The daemon that accepted the request.
--- a/crates/delivery/src/lib.rs
+++ b/crates/delivery/src/lib.rs
@@ -17,20 +17,20 @@
 
 pub use crate::{
     attempt::{
-        AttemptAction, AttemptActions, AttemptEvent, AttemptPolicy, AttemptState, AttemptTracker,
-        FailureCause, RequestKind,
+        AttemptAction, AttemptActions, AttemptEvent, AttemptState, AttemptTracker, FailureCause,
+        RequestIdempotency, RetryPolicy,
     },
     claim::{
         ClaimAction, ClaimActions, ClaimDone, ClaimEvent, ClaimOutcome, ClaimPolicy, ClaimTable,
-        ClaimTaken, LogReach,
+        ClaimTaken, LogAvailability,
     },
     id::{ClaimKey, ExchangeNumber, Fingerprint, RequestId},
     stream::{
-        AnswerPiece, BodyLength, EndMarker, StreamAction, StreamActions, StreamAssembler,
+        AnswerToken, BodyLength, EndMarker, StreamAction, StreamActions, StreamAssembler,
         StreamEvent, StreamFault, check_body,
     },
     suspect::{
-        IsolationAsk, IsolationNotice, Judgement, SuspectAction, SuspectActions, SuspectEvent,
-        SuspectNote, SuspectPolicy, SuspectTable, Verdict,
+        Conviction, FingerprintStatus, IsolationNotice, IsolationRequest, SuspectAction,
+        SuspectActions, SuspectEvent, SuspectPolicy, SuspectTable, Suspicion,
     },
 };
--- a/crates/delivery/src/stream.rs
+++ b/crates/delivery/src/stream.rs
@@ -1,13 +1,13 @@
 //! Builds one whole answer from the streams of one or more upstreams.
 
-use base::{Moment, Span, UpstreamKey, WeightVersion, key, plain};
+use base::{Moment, Span, UpstreamKey, WeightVersion, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{ExchangeNumber, RequestId};
 
-plain! {
+derive_value! {
     /// One token of an answer.
-    pub struct AnswerPiece {
+    pub struct AnswerToken {
         /// The request that the upstream names.
         pub request: RequestId,
         /// Position in the whole answer, starting at 0. A resumed stream starts at its offset.
@@ -30,7 +30,7 @@
             /// The exchange that carried it.
             exchange: ExchangeNumber,
             /// The piece.
-            piece: AnswerPiece,
+            piece: AnswerToken,
         },
         /// An end marker arrived.
         End {
@@ -85,7 +85,7 @@
     }
 }
 
-key! {
+derive_copy! {
     /// End of an engine's stream.
     pub struct EndMarker {
         /// The request that the upstream names.
@@ -213,7 +213,7 @@
         self.current.is_some_and(|(current, _)| current == exchange)
     }
 
-    fn piece(&mut self, exchange: ExchangeNumber, piece: AnswerPiece) -> StreamActions {
+    fn piece(&mut self, exchange: ExchangeNumber, piece: AnswerToken) -> StreamActions {
         let is_repeat = piece.index < self.next_index;
         if !self.is_current(exchange) || piece.request != self.request || is_repeat {
             self.dropped += 1;
@@ -228,7 +228,7 @@
         if !self.versions.contains(&piece.version) {
             self.versions.push(piece.version);
         }
-        let AnswerPiece { index, token, version, .. } = piece;
+        let AnswerToken { index, token, version, .. } = piece;
         StreamActions::from_iter([StreamAction::Deliver { index, token, version }])
     }
 
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use base::{Execution, Incarnation, Moment, Refusal, RouteKey, Span, UpstreamKey, WallTime};
-use base::{RefusalCode, key, plain};
+use base::{RefusalCode, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{Fingerprint, RequestId};
@@ -16,9 +16,9 @@
 
 use isolation::IsolationQueue;
 
-key! {
-    /// Content of the log record `Verdict`, also spread in digests.
-    pub struct Verdict {
+derive_copy! {
+    /// Content of the log record `Conviction`, also spread in digests.
+    pub struct Conviction {
         /// The blocked fingerprint.
         pub fingerprint: Fingerprint,
         /// When the block ends.
@@ -26,7 +26,7 @@
     }
 
     /// What is known about a fingerprint.
-    pub enum Judgement {
+    pub enum FingerprintStatus {
         /// It may run anywhere.
         Clear,
         /// It may run only in isolation.
@@ -61,9 +61,9 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Suspicion of one fingerprint, spread to the other nodes.
-    pub struct SuspectNote {
+    pub struct Suspicion {
         /// The suspected fingerprint.
         pub fingerprint: Fingerprint,
         /// Upstreams that crashed while it was in flight there.
@@ -73,7 +73,7 @@
     }
 
     /// A suspect that wants to run.
-    pub struct IsolationAsk {
+    pub struct IsolationRequest {
         /// The request.
         pub request: RequestId,
         /// Its fingerprint.
@@ -107,7 +107,7 @@
         /// An upstream crashed.
         Crashed(UpstreamKey),
         /// A suspect wants to run.
-        Asked(IsolationAsk),
+        Asked(IsolationRequest),
         /// The caller of a suspect has disconnected.
         CallerGone(RequestId),
         /// A load report was measured.
@@ -120,9 +120,9 @@
             measured_at: Moment,
         },
         /// Another node spread a suspicion.
-        NoteHeard(SuspectNote),
+        NoteHeard(Suspicion),
         /// A conviction was read from the log or heard from another node.
-        VerdictHeard(Verdict),
+        VerdictHeard(Conviction),
         /// Another node keeps an upstream free.
         IsolationHeard(IsolationNotice),
         /// Another node no longer keeps an upstream free.
@@ -134,9 +134,9 @@
     /// What the driver must do.
     pub enum SuspectAction {
         /// Spread a suspicion to the other nodes at once.
-        SpreadNote(SuspectNote),
+        SpreadNote(Suspicion),
         /// Append a conviction to the stream `verdicts` and spread it.
-        Convict(Verdict),
+        Convict(Conviction),
         /// Choose this upstream for no request and announce that to the other nodes.
         Reserve(IsolationNotice),
         /// The upstream may be chosen again.
@@ -162,7 +162,7 @@
 pub type SuspectActions = SmallVec<[SuspectAction; 4]>;
 
 #[derive(Debug, Clone)]
-struct Suspicion {
+struct SuspicionState {
     crashed: SmallVec<[UpstreamKey; 2]>,
     expires_at: WallTime,
 }
@@ -172,7 +172,7 @@
 pub struct SuspectTable {
     policy: SuspectPolicy,
     in_flight: BTreeMap<UpstreamKey, Vec<Fingerprint>>,
-    suspicions: BTreeMap<Fingerprint, Suspicion>,
+    suspicions: BTreeMap<Fingerprint, SuspicionState>,
     convictions: BTreeMap<Fingerprint, WallTime>,
     isolation: IsolationQueue,
 }
@@ -213,7 +213,7 @@
             }
             SuspectEvent::Crashed(upstream) => self.crashed(now, wall, upstream),
             SuspectEvent::Asked(ask) => match self.judge(wall, ask.fingerprint) {
-                Judgement::Convicted { retry_after } => {
+                FingerprintStatus::Convicted { retry_after } => {
                     SuspectActions::from_iter([refuse_convicted(&ask, retry_after)])
                 }
                 _ => {
@@ -240,15 +240,15 @@
 
     /// Tells how a request with this fingerprint must be treated.
     #[must_use]
-    pub fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> Judgement {
+    pub fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> FingerprintStatus {
         if let Some(expires_at) = self.convictions.get(&fingerprint)
             && wall < *expires_at
         {
-            return Judgement::Convicted { retry_after: between(wall, *expires_at) };
+            return FingerprintStatus::Convicted { retry_after: between(wall, *expires_at) };
         }
         match self.suspicions.get(&fingerprint) {
-            Some(suspicion) if wall < suspicion.expires_at => Judgement::Suspect,
-            _ => Judgement::Clear,
+            Some(suspicion) if wall < suspicion.expires_at => FingerprintStatus::Suspect,
+            _ => FingerprintStatus::Clear,
         }
     }
 
@@ -259,8 +259,8 @@
     }
 
     /// Returns the suspicions that are in force, for a peer that joins.
-    pub fn notes(&self) -> impl Iterator<Item = SuspectNote> {
-        self.suspicions.iter().map(|(fingerprint, suspicion)| SuspectNote {
+    pub fn notes(&self) -> impl Iterator<Item = Suspicion> {
+        self.suspicions.iter().map(|(fingerprint, suspicion)| Suspicion {
             fingerprint: *fingerprint,
             crashed: suspicion.crashed.clone(),
             expires_at: suspicion.expires_at,
@@ -268,9 +268,9 @@
     }
 
     /// Returns the convictions that are in force, for digests.
-    pub fn verdicts(&self) -> impl Iterator<Item = Verdict> {
+    pub fn verdicts(&self) -> impl Iterator<Item = Conviction> {
         let convictions = self.convictions.iter();
-        convictions.map(|(fingerprint, expires_at)| Verdict {
+        convictions.map(|(fingerprint, expires_at)| Conviction {
             fingerprint: *fingerprint,
             expires_at: *expires_at,
         })
@@ -312,7 +312,7 @@
         let mut actions = SuspectActions::new();
         for fingerprint in victims {
             let crashed = SmallVec::from_iter([upstream]);
-            let note = SuspectNote { fingerprint, crashed, expires_at };
+            let note = Suspicion { fingerprint, crashed, expires_at };
             actions.extend(self.suspect(now, wall, note));
         }
         actions.extend(self.isolation.crashed(now, upstream));
@@ -320,15 +320,15 @@
     }
 
     /// Merges a suspicion, spreads it when it is new, and convicts on the second upstream.
-    fn suspect(&mut self, now: Moment, wall: WallTime, note: SuspectNote) -> SuspectActions {
+    fn suspect(&mut self, now: Moment, wall: WallTime, note: Suspicion) -> SuspectActions {
         let fingerprint = note.fingerprint;
         if wall >= note.expires_at || self.convictions.contains_key(&fingerprint) {
             return SuspectActions::new();
         }
-        let known = self
-            .suspicions
-            .entry(fingerprint)
-            .or_insert_with(|| Suspicion { crashed: SmallVec::new(), expires_at: note.expires_at });
+        let known = self.suspicions.entry(fingerprint).or_insert_with(|| SuspicionState {
+            crashed: SmallVec::new(),
+            expires_at: note.expires_at,
+        });
         known.expires_at = known.expires_at.max(note.expires_at);
         let before = known.crashed.len();
         for upstream in note.crashed {
@@ -339,7 +339,7 @@
         let is_new = known.crashed.len() > before;
         if known.crashed.len() >= 2 {
             let expires_at = later(wall, self.policy.lifetime);
-            let verdict = Verdict { fingerprint, expires_at };
+            let verdict = Conviction { fingerprint, expires_at };
             let mut actions = SuspectActions::from_iter([SuspectAction::Convict(verdict)]);
             actions.extend(self.verdict_heard(now, wall, verdict));
             return actions;
@@ -349,18 +349,23 @@
         }
         let crashed = known.crashed.clone();
         let expires_at = known.expires_at;
-        let note = SuspectNote { fingerprint, crashed, expires_at };
+        let note = Suspicion { fingerprint, crashed, expires_at };
         SuspectActions::from_iter([SuspectAction::SpreadNote(note)])
     }
 
-    fn note_heard(&mut self, now: Moment, wall: WallTime, note: SuspectNote) -> SuspectActions {
+    fn note_heard(&mut self, now: Moment, wall: WallTime, note: Suspicion) -> SuspectActions {
         let mut actions = self.suspect(now, wall, note);
         // The node that saw the crash spreads the note, so a hearer does not repeat it.
         actions.retain(|action| !matches!(action, SuspectAction::SpreadNote(_)));
         actions
     }
 
-    fn verdict_heard(&mut self, now: Moment, wall: WallTime, verdict: Verdict) -> SuspectActions {
+    fn verdict_heard(
+        &mut self,
+        now: Moment,
+        wall: WallTime,
+        verdict: Conviction,
+    ) -> SuspectActions {
         if wall >= verdict.expires_at {
             return SuspectActions::new();
         }
@@ -377,7 +382,7 @@
     }
 }
 
-fn refuse_convicted(ask: &IsolationAsk, retry_after: Span) -> SuspectAction {
+fn refuse_convicted(ask: &IsolationRequest, retry_after: Span) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::Convicted,
         execution: ask.execution,
--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -8,7 +8,7 @@
 use base::{Incarnation, Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use smallvec::SmallVec;
 
-use super::{IsolationAsk, IsolationNotice, SuspectAction, SuspectActions, SuspectPolicy};
+use super::{IsolationNotice, IsolationRequest, SuspectAction, SuspectActions, SuspectPolicy};
 use crate::{Fingerprint, RequestId};
 
 /// At most one upstream in this many is kept free for suspects, so that other requests keep
@@ -16,8 +16,8 @@
 const UPSTREAMS_PER_SLOT: usize = 4;
 
 #[derive(Debug, Clone)]
-struct WaitingAsk {
-    ask: IsolationAsk,
+struct WaitingRequest {
+    ask: IsolationRequest,
     crashed: SmallVec<[UpstreamKey; 2]>,
     announced_at: Moment,
 }
@@ -35,7 +35,7 @@
     reserved_at: Moment,
     seen_empty: bool,
     running: Option<IsolatedRun>,
-    waiting: VecDeque<WaitingAsk>,
+    waiting: VecDeque<WaitingRequest>,
 }
 
 #[derive(Debug, Clone)]
@@ -45,7 +45,7 @@
     run_time: Span,
     slots: BTreeMap<UpstreamKey, IsolationSlot>,
     /// Asks that wait until another node gives up one of the places that it holds.
-    parked: Vec<(IsolationAsk, SmallVec<[UpstreamKey; 2]>)>,
+    parked: Vec<(IsolationRequest, SmallVec<[UpstreamKey; 2]>)>,
     peers: BTreeMap<IsolationNotice, Moment>,
 }
 
@@ -65,7 +65,7 @@
     pub(super) fn ask(
         &mut self,
         now: Moment,
-        ask: IsolationAsk,
+        ask: IsolationRequest,
         crashed: &[UpstreamKey],
     ) -> SuspectActions {
         if self.peers.keys().any(|notice| notice.fingerprint == ask.fingerprint) {
@@ -101,7 +101,7 @@
             waiting: VecDeque::new(),
         });
         let crashed = SmallVec::from_slice(crashed);
-        slot.waiting.push_back(WaitingAsk { ask, crashed, announced_at: now });
+        slot.waiting.push_back(WaitingRequest { ask, crashed, announced_at: now });
         SuspectActions::from_iter([SuspectAction::Reserve(notice)])
     }
 
@@ -207,8 +207,8 @@
         &mut self,
         fingerprint: Fingerprint,
         actions: &mut SuspectActions,
-    ) -> Vec<IsolationAsk> {
-        let is_meant = |(ask, _): &mut (IsolationAsk, _)| ask.fingerprint == fingerprint;
+    ) -> Vec<IsolationRequest> {
+        let is_meant = |(ask, _): &mut (IsolationRequest, _)| ask.fingerprint == fingerprint;
         let parked = self.parked.extract_if(.., is_meant);
         let mut taken = parked.map(|(ask, _)| ask).collect::<Vec<_>>();
         for (upstream, slot) in &mut self.slots {
@@ -307,7 +307,7 @@
     }
 
     /// Picks the slot of the same fingerprint, else a new one, else the shortest queue.
-    fn choose(&self, ask: &IsolationAsk, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
+    fn choose(&self, ask: &IsolationRequest, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
         let usable = |upstream: &UpstreamKey| {
             ask.upstreams.contains(upstream) && !crashed.contains(upstream)
         };
@@ -337,10 +337,10 @@
         &mut self,
         now: Moment,
         upstream: UpstreamKey,
-        waiting: VecDeque<WaitingAsk>,
+        waiting: VecDeque<WaitingRequest>,
     ) -> SuspectActions {
         let mut actions = SuspectActions::new();
-        for WaitingAsk { mut ask, crashed, .. } in waiting {
+        for WaitingRequest { mut ask, crashed, .. } in waiting {
             let notice = self.notice(upstream, ask.fingerprint);
             actions.push(SuspectAction::Release(notice));
             ask.upstreams.retain(|found| *found != upstream);
@@ -358,7 +358,7 @@
     }
 }
 
-fn refuse(ask: &IsolationAsk, retry_after: Span, message: &str) -> SuspectAction {
+fn refuse(ask: &IsolationRequest, retry_after: Span, message: &str) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::NoUpstream,
         execution: ask.execution,
--- a/crates/delivery/tests/attempt.rs
+++ b/crates/delivery/tests/attempt.rs
@@ -2,19 +2,19 @@
 
 use base::{Execution, Moment, RefusalCode, Span, UpstreamKey};
 use delivery::{
-    AttemptAction, AttemptEvent, AttemptPolicy, AttemptTracker, FailureCause, RequestKind,
+    AttemptAction, AttemptEvent, AttemptTracker, FailureCause, RequestIdempotency, RetryPolicy,
 };
 use rstest::rstest;
 
 const U: UpstreamKey = UpstreamKey(0);
 const DEADLINE: Moment = Moment(10_000_000);
 
-fn tracker(kind: RequestKind) -> AttemptTracker {
-    AttemptTracker::new(kind, DEADLINE, AttemptPolicy::default())
+fn tracker(kind: RequestIdempotency) -> AttemptTracker {
+    AttemptTracker::new(kind, DEADLINE, RetryPolicy::default())
 }
 
 /// Applies the events and returns the actions of the last one in short form.
-fn check(kind: RequestKind, events: &[AttemptEvent], expected: &[&str]) {
+fn check(kind: RequestIdempotency, events: &[AttemptEvent], expected: &[&str]) {
     let mut tracker = tracker(kind);
     let mut last = Vec::new();
     for event in events {
@@ -37,11 +37,11 @@
 }
 
 #[rstest]
-#[case::no_byte_sent(RequestKind::OnceOnly, false, &["retry"])]
-#[case::once_only_sent(RequestKind::OnceOnly, true, &["close", "upstream-failed may-have-run"])]
-#[case::idempotent_sent(RequestKind::Idempotent, true, &["close", "retry"])]
+#[case::no_byte_sent(RequestIdempotency::OnceOnly, false, &["retry"])]
+#[case::once_only_sent(RequestIdempotency::OnceOnly, true, &["close", "upstream-failed may-have-run"])]
+#[case::idempotent_sent(RequestIdempotency::Idempotent, true, &["close", "retry"])]
 fn failure_is_retried_only_when_truthful(
-    #[case] kind: RequestKind,
+    #[case] kind: RequestIdempotency,
     #[case] sent: bool,
     #[case] expected: &[&str],
 ) {
@@ -58,20 +58,20 @@
         retry_after: Span::from_secs(1),
         message: String::from("no upstream"),
     };
-    check(RequestKind::OnceOnly, std::slice::from_ref(&given_up), &["no-upstream not-run"]);
+    check(RequestIdempotency::OnceOnly, std::slice::from_ref(&given_up), &["no-upstream not-run"]);
     let sent = [AttemptEvent::Chosen(U), AttemptEvent::Sending, given_up];
-    check(RequestKind::OnceOnly, &sent, &["cancel", "no-upstream may-have-run"]);
+    check(RequestIdempotency::OnceOnly, &sent, &["cancel", "no-upstream may-have-run"]);
 }
 
 #[test]
 fn disconnected_caller_cancels_the_upstream_request() {
     let events = [AttemptEvent::Chosen(U), AttemptEvent::Sending, AttemptEvent::CallerGone];
-    check(RequestKind::Idempotent, &events, &["cancel"]);
+    check(RequestIdempotency::Idempotent, &events, &["cancel"]);
 }
 
 #[test]
 fn retries_stop_when_no_time_is_left_for_another_attempt() {
-    let mut tracker = tracker(RequestKind::Idempotent);
+    let mut tracker = tracker(RequestIdempotency::Idempotent);
     tracker.handle(Moment(0), AttemptEvent::Chosen(U));
     let failed = AttemptEvent::Failed(FailureCause::ConnectFailed);
     let actions = tracker.handle(DEADLINE - Span(1), failed);
@@ -81,7 +81,7 @@
 
 #[test]
 fn no_byte_is_sent_after_the_deadline() {
-    let mut tracker = tracker(RequestKind::OnceOnly);
+    let mut tracker = tracker(RequestIdempotency::OnceOnly);
     tracker.handle(Moment(0), AttemptEvent::Chosen(U));
     let actions = tracker.handle(DEADLINE, AttemptEvent::Sending);
     let actions = actions.iter().map(describe).collect::<Vec<_>>();
--- a/crates/delivery/tests/claim.rs
+++ b/crates/delivery/tests/claim.rs
@@ -3,7 +3,7 @@
 use base::{Execution, Incarnation, Moment, RefusalCode, WallTime};
 use delivery::{
     ClaimAction, ClaimEvent, ClaimKey, ClaimOutcome, ClaimPolicy, ClaimTable, Fingerprint,
-    LogReach, RequestId,
+    LogAvailability, RequestId,
 };
 use proptest::{
     prelude::*,
@@ -109,11 +109,11 @@
 fn log_outage_refuses_truthfully_and_a_late_win_is_released() {
     let mut nodes = Nodes::new(2);
     nodes.apply(0, 0, asked(request(0, 1)));
-    nodes.apply(0, 1, ClaimEvent::LogChanged(LogReach::Down));
+    nodes.apply(0, 1, ClaimEvent::LogChanged(LogAvailability::Down));
     nodes.apply(0, 2, asked(request(0, 2)));
     let refused = |sequence| (request(0, sequence), RefusalCode::LogUnavailable, Execution::NotRun);
     assert_eq!(nodes.refusals, [refused(1), refused(2)]);
-    nodes.apply(0, 3, ClaimEvent::LogChanged(LogReach::Up));
+    nodes.apply(0, 3, ClaimEvent::LogChanged(LogAvailability::Up));
     nodes.read_all(3);
     assert_eq!(nodes.runs, [], "a refused request never runs");
     nodes.apply(1, 4, asked(request(1, 1)));
@@ -156,8 +156,8 @@
             sequence += 1;
             match step {
                 0 => nodes.apply(node, 0, asked(request(node as u64, sequence))),
-                1 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogReach::Down)),
-                2 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogReach::Up)),
+                1 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogAvailability::Down)),
+                2 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogAvailability::Up)),
                 3 => {
                     if let Some(event) = nodes.log.first().cloned() {
                         nodes.log.push(event);
--- a/crates/delivery/tests/stream.rs
+++ b/crates/delivery/tests/stream.rs
@@ -2,7 +2,7 @@
 
 use base::{Incarnation, Moment, UpstreamKey, WeightVersion};
 use delivery::{
-    AnswerPiece, BodyLength, EndMarker, ExchangeNumber, RequestId, StreamAction, StreamAssembler,
+    AnswerToken, BodyLength, EndMarker, ExchangeNumber, RequestId, StreamAction, StreamAssembler,
     StreamEvent, StreamFault, check_body,
 };
 use proptest::{
@@ -18,7 +18,7 @@
 fn piece(exchange: u32, request: RequestId, index: u64) -> StreamEvent {
     let token = format!("t{index}");
     let version = WeightVersion(u64::from(exchange));
-    let piece = AnswerPiece { request, index, token, version };
+    let piece = AnswerToken { request, index, token, version };
     StreamEvent::Piece { exchange: ExchangeNumber(exchange), piece }
 }
 
--- a/crates/delivery/tests/suspect.rs
+++ b/crates/delivery/tests/suspect.rs
@@ -4,8 +4,8 @@
 
 use base::{Execution, Incarnation, Moment, RefusalCode, RouteKey, Span, UpstreamKey, WallTime};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectEvent, SuspectPolicy,
-    SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectEvent,
+    SuspectPolicy, SuspectTable,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -94,7 +94,7 @@
 
     fn send(&mut self, node: usize, fingerprint: Fingerprint) {
         let live = self.upstreams.keys().copied().collect::<Vec<_>>();
-        if self.nodes[node].judge(self.wall(), fingerprint) == Judgement::Clear {
+        if self.nodes[node].judge(self.wall(), fingerprint) == FingerprintStatus::Clear {
             let free = live.into_iter().filter(|key| !self.nodes[node].is_reserved(*key));
             let free = free.collect::<Vec<_>>();
             assert!(!free.is_empty(), "other requests always find an upstream");
@@ -105,7 +105,7 @@
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
         self.asked.insert(request, fingerprint);
-        let ask = IsolationAsk {
+        let ask = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
@@ -181,7 +181,7 @@
     assert!(cluster.lost <= 2 * killers.len(), "{} upstreams lost", cluster.lost);
     for killer in &killers {
         let judgement = cluster.nodes[0].judge(cluster.wall(), *killer);
-        assert!(matches!(judgement, Judgement::Convicted { .. }), "{judgement:?}");
+        assert!(matches!(judgement, FingerprintStatus::Convicted { .. }), "{judgement:?}");
     }
     cluster.refused.retain(|refused, _| !killers.contains(refused));
     assert_eq!(cluster.refused, BTreeMap::new(), "no other request is refused");
@@ -196,9 +196,9 @@
         cluster.run(0, UpstreamKey(upstream), suspect);
         cluster.apply(0, SuspectEvent::Crashed(UpstreamKey(upstream)));
     }
-    let convicted = Judgement::Convicted { retry_after: Span::from_secs(600) };
+    let convicted = FingerprintStatus::Convicted { retry_after: Span::from_secs(600) };
     assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), convicted);
-    assert_eq!(cluster.nodes[0].judge(WallTime(600_000), suspect), Judgement::Clear);
+    assert_eq!(cluster.nodes[0].judge(WallTime(600_000), suspect), FingerprintStatus::Clear);
 }
 
 #[test]
@@ -212,7 +212,7 @@
     for (node, message) in std::mem::take(&mut cluster.messages) {
         cluster.apply(node, message);
     }
-    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), Judgement::Suspect);
+    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), FingerprintStatus::Suspect);
 }
 
 #[test]
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/balancer.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashMap;
 
-use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, key};
+use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, derive_copy};
 
-use crate::{EntryState, ExchangeEnd, LoadReport, UpstreamEntry, row::UpstreamRow};
+use crate::{EntryState, ExchangeOutcome, UpstreamEntry, UpstreamLoad, stats::UpstreamStats};
 
-key! {
+derive_copy! {
     /// Why an entry is gone.
     pub enum RemovalCause {
         /// The store removed it while this node followed it.
@@ -17,7 +17,7 @@
     }
 
     /// What a change of an entry means for requests on the upstream.
-    pub enum BoardChange {
+    pub enum UpstreamChange {
         /// A new upstream, or a changed entry of the same process.
         Updated,
         /// Another process runs under the id.
@@ -34,21 +34,21 @@
 
 /// Upstreams by key, id and service.
 #[derive(Debug, Default)]
-pub struct UpstreamBoard {
-    pub(crate) rows: Arena<UpstreamKey, UpstreamRow>,
+pub struct UpstreamBalancer {
+    pub(crate) rows: Arena<UpstreamKey, UpstreamStats>,
     ids: HashMap<String, UpstreamKey>,
     services: HashMap<String, Vec<UpstreamKey>>,
 }
 
-impl UpstreamBoard {
+impl UpstreamBalancer {
     /// Takes the newest entry of an upstream.
-    pub fn update(&mut self, entry: UpstreamEntry) -> (UpstreamKey, BoardChange) {
+    pub fn update(&mut self, entry: UpstreamEntry) -> (UpstreamKey, UpstreamChange) {
         let Some(upstream) = self.ids.get(&entry.id).copied() else {
             let (id, service) = (entry.id.clone(), entry.service.clone());
-            let upstream = self.rows.push(UpstreamRow::new(entry));
+            let upstream = self.rows.push(UpstreamStats::new(entry));
             self.ids.insert(id, upstream);
             self.services.entry(service).or_default().push(upstream);
-            return (upstream, BoardChange::Updated);
+            return (upstream, UpstreamChange::Updated);
         };
         let row = &mut self.rows[upstream];
         let restarted = row.entry.born != entry.born;
@@ -64,9 +64,9 @@
         row.entry = entry;
         row.removed_until = None;
         let change = match (restarted, draining) {
-            (true, _) => BoardChange::Restarted,
-            (false, true) => BoardChange::Draining,
-            (false, false) => BoardChange::Updated,
+            (true, _) => UpstreamChange::Restarted,
+            (false, true) => UpstreamChange::Draining,
+            (false, false) => UpstreamChange::Updated,
         };
         (upstream, change)
     }
@@ -103,13 +103,13 @@
     }
 
     /// Records that a request was given to an upstream. Each call is paired with one of
-    /// [`UpstreamBoard::finish`].
+    /// [`UpstreamBalancer::finish`].
     pub fn begin(&mut self, upstream: UpstreamKey) {
         self.rows[upstream].own += 1;
     }
 
     /// Records how a request left its upstream.
-    pub fn finish(&mut self, now: Moment, upstream: UpstreamKey, end: ExchangeEnd) {
+    pub fn finish(&mut self, now: Moment, upstream: UpstreamKey, end: ExchangeOutcome) {
         let row = &mut self.rows[upstream];
         row.own = row.own.saturating_sub(1);
         row.finish(now, end);
@@ -121,7 +121,7 @@
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, report: LoadReport) {
+    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, report: UpstreamLoad) {
         self.rows[upstream].report(now, report);
     }
 
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use base::{Span, WeightVersion, key, plain};
+use base::{Span, WeightVersion, derive_copy, derive_value};
 
-key! {
+derive_copy! {
     /// State of an upstream by its own entry.
     pub enum EntryState {
         /// It takes requests.
@@ -14,7 +14,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Entry of one upstream.
     pub struct UpstreamEntry {
         /// Identifier of the upstream, which it checks on each request that names one.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,18 +1,18 @@
 //! Choice of upstreams for plain requests and generations, and the plan of weight loads.
 //!
-//! All decisions are pure: events and times go in, choices come out. [`UpstreamBoard`] holds what one
+//! All decisions are pure: events and times go in, choices come out. [`UpstreamBalancer`] holds what one
 //! node knows about each upstream, and [`plan_loads`] says which engines load which weights.
 
-mod board;
+mod balancer;
 mod entry;
-mod loads;
 mod pick;
-mod row;
+mod stats;
+mod weight_loads;
 
 pub use crate::{
-    board::{BoardChange, RemovalCause, UpstreamBoard},
+    balancer::{RemovalCause, UpstreamBalancer, UpstreamChange},
     entry::{EntryState, UpstreamEntry},
-    loads::{EngineLoad, LoadOrder, LoadPlan, plan_loads},
-    pick::{GenerationAsk, ModelNeed, PlainAsk},
-    row::{ExchangeEnd, LoadReport},
+    pick::{GenerationPickRequest, ModelRequirement, PlainPickRequest},
+    stats::{ExchangeOutcome, UpstreamLoad},
+    weight_loads::{EngineWeights, WeightLoad, WeightLoadLimits, plan_loads},
 };
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -1,14 +1,14 @@
 //! Choice of an upstream for one request.
 
-use base::{Moment, UpstreamKey, WeightVersion, key, rendezvous_weight};
+use base::{Moment, UpstreamKey, WeightVersion, derive_copy, rendezvous_weight};
 
 use smallvec::SmallVec;
 
-use crate::{UpstreamBoard, row::UpstreamRow};
+use crate::{UpstreamBalancer, stats::UpstreamStats};
 
-key! {
+derive_copy! {
     /// A model and the oldest version of its weights that may run a request.
-    pub struct ModelNeed<'a> {
+    pub struct ModelRequirement<'a> {
         /// Name of the model.
         pub model: &'a str,
         /// Oldest version that may be used.
@@ -16,7 +16,7 @@
     }
 
     /// A plain request that needs an upstream.
-    pub struct PlainAsk<'a> {
+    pub struct PlainPickRequest<'a> {
         /// Service that runs the request.
         pub service: &'a str,
         /// Availability zone of this node.
@@ -30,11 +30,11 @@
     }
 
     /// A generation that needs an engine.
-    pub struct GenerationAsk<'a> {
+    pub struct GenerationPickRequest<'a> {
         /// Service that runs the generation.
         pub service: &'a str,
         /// Model and version.
-        pub need: ModelNeed<'a>,
+        pub need: ModelRequirement<'a>,
         /// Engines that failed the generation. They are used only when no other is left.
         pub tried: &'a [UpstreamKey],
         /// Engine that has read the shared part of the prompt, if any.
@@ -82,11 +82,11 @@
 /// times this.
 const WARM_BOUND: f64 = 1.2;
 
-impl UpstreamBoard {
+impl UpstreamBalancer {
     /// Chooses the upstream with the least expected time for a plain request. Suspended upstreams,
     /// then those that failed the request, are used only when no other is left.
     #[must_use]
-    pub fn pick_plain(&self, now: Moment, ask: &PlainAsk<'_>) -> Option<UpstreamKey> {
+    pub fn pick_plain(&self, now: Moment, ask: &PlainPickRequest<'_>) -> Option<UpstreamKey> {
         let tried = ask.tried.iter().map(|key| self.rows[*key].entry.zone.as_str());
         let tried: SmallVec<[&str; 4]> = tried.collect();
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
@@ -108,7 +108,11 @@
 
     /// Chooses an engine with a free slot for a generation, or `None` while all are taken or suspended.
     #[must_use]
-    pub fn pick_generation(&self, now: Moment, ask: &GenerationAsk<'_>) -> Option<UpstreamKey> {
+    pub fn pick_generation(
+        &self,
+        now: Moment,
+        ask: &GenerationPickRequest<'_>,
+    ) -> Option<UpstreamKey> {
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
         let mut warm = None;
         for upstream in self.members(ask.service) {
@@ -143,7 +147,7 @@
 
     /// Tells whether an engine may run a generation now, whatever its load.
     #[must_use]
-    pub fn accepts(&self, now: Moment, upstream: UpstreamKey, need: ModelNeed<'_>) -> bool {
+    pub fn accepts(&self, now: Moment, upstream: UpstreamKey, need: ModelRequirement<'_>) -> bool {
         let version = self.rows[upstream].entry.version(need.model);
         self.is_usable(now, upstream) && version.is_some_and(|version| version >= need.least)
     }
@@ -174,7 +178,7 @@
     }
 }
 
-fn plain_cost(now: Moment, row: &UpstreamRow, tried: &[&str], ask: &PlainAsk<'_>) -> f64 {
+fn plain_cost(now: Moment, row: &UpstreamStats, tried: &[&str], ask: &PlainPickRequest<'_>) -> f64 {
     let time = row.answer_time.unwrap_or(ASSUMED_ANSWER) * row.failure_factor();
     let slots = f64::from(row.entry.slots.max(1));
     let share = f64::from(row.load(now) + 1) / slots;
@@ -185,7 +189,7 @@
     time * wait * zone * again
 }
 
-fn generation_cost(now: Moment, row: &UpstreamRow) -> f64 {
+fn generation_cost(now: Moment, row: &UpstreamStats) -> f64 {
     let time = row.event_time.unwrap_or(ASSUMED_EVENT) * row.failure_factor();
     time * (1.0 + SLOT_SLOWDOWN * f64::from(row.load(now)))
 }
--- a/crates/dispatch/src/row.rs
+++ b/crates/dispatch/src/stats.rs
@@ -1,13 +1,13 @@
 //! Load and health of one upstream, as one node sees them.
 
-use base::{Moment, Span, key};
+use base::{Moment, Span, derive_copy};
 use smallvec::SmallVec;
 
 use crate::UpstreamEntry;
 
-key! {
+derive_copy! {
     /// A load report of an upstream.
-    pub struct LoadReport {
+    pub struct UpstreamLoad {
         /// Requests in its batch.
         pub running: u32,
         /// Requests that wait for a slot.
@@ -17,7 +17,7 @@
     }
 
     /// How an exchange with an upstream ended.
-    pub enum ExchangeEnd {
+    pub enum ExchangeOutcome {
         /// The whole answer arrived after this time.
         Answered(Span),
         /// The upstream answered with an error of its own.
@@ -60,7 +60,7 @@
 
 /// Row of the board.
 #[derive(Debug, Clone)]
-pub(crate) struct UpstreamRow {
+pub(crate) struct UpstreamStats {
     pub(crate) entry: UpstreamEntry,
     /// Set when the entry has left the store: until then the upstream serves as a last resort.
     pub(crate) removed_until: Option<Moment>,
@@ -79,7 +79,7 @@
     pub(crate) event_time: Option<f64>,
 }
 
-impl UpstreamRow {
+impl UpstreamStats {
     pub(crate) fn new(entry: UpstreamEntry) -> Self {
         Self {
             entry,
@@ -96,29 +96,29 @@
         }
     }
 
-    pub(crate) fn report(&mut self, now: Moment, report: LoadReport) {
+    pub(crate) fn report(&mut self, now: Moment, report: UpstreamLoad) {
         self.others = (report.running + report.queued).saturating_sub(self.own);
         self.others_at = now;
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, end: ExchangeEnd) {
+    pub(crate) fn finish(&mut self, now: Moment, end: ExchangeOutcome) {
         match end {
-            ExchangeEnd::Answered(took) => {
+            ExchangeOutcome::Answered(took) => {
                 self.failure_streak = 0;
                 self.failure_share *= 1.0 - OUTCOME_WEIGHT;
                 blend(&mut self.answer_time, took.0 as f64);
             }
-            ExchangeEnd::Failed => {
+            ExchangeOutcome::Failed => {
                 self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
             }
-            ExchangeEnd::Full => {
+            ExchangeOutcome::Full => {
                 self.suspended_until = self.suspended_until.max(now + FULL_PAUSE);
             }
-            ExchangeEnd::Broken | ExchangeEnd::Silent | ExchangeEnd::Misdirected => {
+            ExchangeOutcome::Broken | ExchangeOutcome::Silent | ExchangeOutcome::Misdirected => {
                 self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
                 self.suspend(now);
             }
-            ExchangeEnd::Cancelled => {}
+            ExchangeOutcome::Cancelled => {}
         }
     }
 
--- a/crates/dispatch/src/loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -6,11 +6,11 @@
 
 use std::collections::HashSet;
 
-use base::{Moment, Span, WeightVersion, key, plain};
+use base::{Moment, Span, WeightVersion, derive_copy, derive_value};
 
-plain! {
+derive_value! {
     /// An engine of one service, as the plan sees it.
-    pub struct EngineLoad {
+    pub struct EngineWeights {
         /// Identifier of the engine.
         pub id: String,
         /// Versions by model.
@@ -20,7 +20,7 @@
     }
 
     /// A load to be ordered.
-    pub struct LoadOrder {
+    pub struct WeightLoad {
         /// Engine.
         pub engine: String,
         /// Model.
@@ -30,9 +30,9 @@
     }
 }
 
-key! {
+derive_copy! {
     /// Bounds of a plan.
-    pub struct LoadPlan {
+    pub struct WeightLoadLimits {
         /// Engines that may load at once. The weight store slows down beyond.
         pub at_once: usize,
         /// Engines that each model keeps at the newest version.
@@ -53,7 +53,7 @@
 /// Time after which a load that shows no effect no longer counts as in progress.
 const LOAD_LIFE: Span = Span::from_secs(4);
 
-impl LoadPlan {
+impl WeightLoadLimits {
     /// Returns the bounds for a service with so many engines and models.
     #[must_use]
     pub fn of(engines: usize, models: usize) -> Self {
@@ -77,11 +77,11 @@
 #[must_use]
 pub fn plan_loads(
     now: Moment,
-    engines: &[EngineLoad],
+    engines: &[EngineWeights],
     named: &[(String, WeightVersion)],
-    plan: LoadPlan,
-) -> Vec<LoadOrder> {
-    let loading = |engine: &&EngineLoad| engine.is_loading(now);
+    plan: WeightLoadLimits,
+) -> Vec<WeightLoad> {
+    let loading = |engine: &&EngineWeights| engine.is_loading(now);
     let free = plan.at_once.saturating_sub(engines.iter().filter(loading).count());
     let mut models: Vec<ModelState<'_>> =
         named.iter().map(|(model, version)| ModelState::of(engines, model, *version)).collect();
@@ -106,7 +106,7 @@
         }
         state.current += 1;
         taken.insert(&engine.id);
-        orders.push(LoadOrder {
+        orders.push(WeightLoad {
             engine: engine.id.clone(),
             model: String::from(state.model),
             version: state.version,
@@ -116,7 +116,7 @@
 }
 
 impl<'a> ModelState<'a> {
-    fn of(engines: &[EngineLoad], model: &'a str, version: WeightVersion) -> Self {
+    fn of(engines: &[EngineWeights], model: &'a str, version: WeightVersion) -> Self {
         let lags = engines.iter().map(|engine| engine.lag(model, version));
         let (mut usable, mut current) = (0, 0);
         for lag in lags {
@@ -130,11 +130,11 @@
     /// models, or else one that the next version would make unusable.
     fn choose<'e>(
         &self,
-        engines: impl Iterator<Item = &'e EngineLoad>,
+        engines: impl Iterator<Item = &'e EngineWeights>,
         named: &[(String, WeightVersion)],
-        plan: LoadPlan,
-    ) -> Option<&'e EngineLoad> {
-        let mut best: Option<((bool, usize, &str), &EngineLoad)> = None;
+        plan: WeightLoadLimits,
+    ) -> Option<&'e EngineWeights> {
+        let mut best: Option<((bool, usize, &str), &EngineWeights)> = None;
         for engine in engines {
             let lag = engine.lag(self.model, self.version);
             if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= plan.current) {
@@ -149,7 +149,7 @@
     }
 }
 
-impl EngineLoad {
+impl EngineWeights {
     fn is_loading(&self, now: Moment) -> bool {
         self.loading.as_ref().is_some_and(|(_, _, at)| now.since(*at) < LOAD_LIFE)
     }
--- a/crates/dispatch/tests/loads.rs
+++ b/crates/dispatch/tests/loads.rs
@@ -1,13 +1,13 @@
 //! Plans of weight loads.
 
 use base::{Moment, WeightVersion};
-use dispatch::{EngineLoad, LoadPlan, plan_loads};
+use dispatch::{EngineWeights, WeightLoadLimits, plan_loads};
 
 const MODELS: [&str; 3] = ["a", "b", "c"];
 
-fn engine(id: usize, versions: [u64; 3]) -> EngineLoad {
+fn engine(id: usize, versions: [u64; 3]) -> EngineWeights {
     let versions = MODELS.iter().zip(versions);
-    EngineLoad {
+    EngineWeights {
         id: format!("e{id}"),
         versions: versions.map(|(m, v)| (String::from(*m), WeightVersion(v))).collect(),
         loading: None,
@@ -18,7 +18,7 @@
     MODELS.iter().map(|model| (String::from(*model), WeightVersion(version))).collect()
 }
 
-fn usable(engines: &[EngineLoad], version: u64) -> [usize; 3] {
+fn usable(engines: &[EngineWeights], version: u64) -> [usize; 3] {
     let mut count = [0; 3];
     for engine in engines {
         for (at, (_, known)) in engine.versions.iter().enumerate() {
@@ -40,7 +40,8 @@
         let before = usable(&engines, version);
         assert!(before.iter().all(|count| *count >= 2), "version {version}: {before:?}");
         for _ in 0..4 {
-            let orders = plan_loads(Moment(1), &engines, &named(version), LoadPlan::of(8, 3));
+            let orders =
+                plan_loads(Moment(1), &engines, &named(version), WeightLoadLimits::of(8, 3));
             assert!(orders.len() <= 2);
             for order in orders {
                 let engine = engines.iter_mut().find(|e| e.id == order.engine).unwrap();
@@ -60,7 +61,7 @@
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
     }
-    let orders = plan_loads(Moment(2), &engines, &named(3), LoadPlan::of(8, 3));
+    let orders = plan_loads(Moment(2), &engines, &named(3), WeightLoadLimits::of(8, 3));
     assert!(orders.is_empty(), "{orders:?}");
 }
 
@@ -71,6 +72,6 @@
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
     }
-    let orders = plan_loads(Moment(10_000_000), &engines, &named(3), LoadPlan::of(8, 3));
+    let orders = plan_loads(Moment(10_000_000), &engines, &named(3), WeightLoadLimits::of(8, 3));
     assert_eq!(orders.len(), 2);
 }
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -2,8 +2,8 @@
 
 use base::{Moment, Span, UpstreamKey, WeightVersion};
 use dispatch::{
-    EntryState, ExchangeEnd, GenerationAsk, LoadReport, ModelNeed, PlainAsk, RemovalCause,
-    UpstreamBoard, UpstreamEntry,
+    EntryState, ExchangeOutcome, GenerationPickRequest, ModelRequirement, PlainPickRequest,
+    RemovalCause, UpstreamBalancer, UpstreamEntry, UpstreamLoad,
 };
 use rstest::rstest;
 
@@ -25,20 +25,20 @@
     }
 }
 
-fn board(count: usize, slots: u32) -> (UpstreamBoard, Vec<UpstreamKey>) {
-    let mut board = UpstreamBoard::default();
+fn board(count: usize, slots: u32) -> (UpstreamBalancer, Vec<UpstreamKey>) {
+    let mut board = UpstreamBalancer::default();
     let keys = (0..count).map(|index| board.update(entry(&format!("u{index}"), slots)).0);
     let keys = keys.collect();
     (board, keys)
 }
 
-fn generation<'a>(draw: u64, tried: &'a [UpstreamKey]) -> GenerationAsk<'a> {
-    let need = ModelNeed { model: "m", least: WeightVersion(2) };
-    GenerationAsk { service: "s", need, tried, warm: None, connected: &[], draw }
+fn generation<'a>(draw: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
+    let need = ModelRequirement { model: "m", least: WeightVersion(2) };
+    GenerationPickRequest { service: "s", need, tried, warm: None, connected: &[], draw }
 }
 
-fn plain<'a>(draw: u64, tried: &'a [UpstreamKey]) -> PlainAsk<'a> {
-    PlainAsk { service: "s", zone: "a", tried, connected: &[], draw }
+fn plain<'a>(draw: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
+    PlainPickRequest { service: "s", zone: "a", tried, connected: &[], draw }
 }
 
 /// Pattern: a submission of 72 items arrives at nine engines with 8 slots, one at half the speed.
@@ -77,7 +77,7 @@
         let now = NOW + Span::from_millis(step * 25);
         if let Some(picked) = board.pick_generation(now, &generation(step, &[])) {
             board.begin(picked);
-            board.finish(now, picked, ExchangeEnd::Broken);
+            board.finish(now, picked, ExchangeOutcome::Broken);
             runs += 1;
         }
     }
@@ -92,12 +92,12 @@
 fn engine_that_loads_one_model_serves_others() {
     let mut engine = entry("u0", 8);
     engine.versions.push((String::from("other"), WeightVersion(2)));
-    let mut board = UpstreamBoard::default();
+    let mut board = UpstreamBalancer::default();
     let (key, _) = board.update(engine);
     board.refused_generation(NOW, key, "m");
     assert_eq!(board.pick_generation(NOW, &generation(1, &[])), None);
-    let need = ModelNeed { model: "other", least: WeightVersion(2) };
-    let ask = GenerationAsk { need, ..generation(1, &[]) };
+    let need = ModelRequirement { model: "other", least: WeightVersion(2) };
+    let ask = GenerationPickRequest { need, ..generation(1, &[]) };
     assert_eq!(board.pick_generation(NOW, &ask), Some(key));
 }
 
@@ -107,7 +107,7 @@
 #[case(3, false)]
 fn check_version(#[case] least: u64, #[case] accepted: bool) {
     let (board, keys) = board(1, 8);
-    let need = ModelNeed { model: "m", least: WeightVersion(least) };
+    let need = ModelRequirement { model: "m", least: WeightVersion(least) };
     assert_eq!(board.accepts(NOW, keys[0], need), accepted);
 }
 
@@ -118,7 +118,7 @@
 fn loaded_upstream_is_passed_over() {
     let (mut board, keys) = board(3, 6);
     for key in &keys[..2] {
-        board.report(NOW, *key, LoadReport { running: 6, queued: 6, slots: 6 });
+        board.report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
     }
     for draw in 0..50 {
         assert_eq!(board.pick_plain(NOW, &plain(draw, &[])), Some(keys[2]));
@@ -135,8 +135,8 @@
         for turn in 0..20 {
             board.begin(*key);
             let failed = *key == keys[0] && turn % 5 < 2;
-            let answered = ExchangeEnd::Answered(Span::from_millis(25));
-            board.finish(NOW, *key, if failed { ExchangeEnd::Failed } else { answered });
+            let answered = ExchangeOutcome::Answered(Span::from_millis(25));
+            board.finish(NOW, *key, if failed { ExchangeOutcome::Failed } else { answered });
         }
     }
     let picked = (0..300).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(keys[0]));
@@ -158,12 +158,12 @@
 /// hmla-ops: both tries went to zones out of reach).
 #[test]
 fn second_try_goes_to_another_zone() {
-    let mut board = UpstreamBoard::default();
+    let mut board = UpstreamBalancer::default();
     let mut keys = Vec::new();
     for (id, zone) in [("a1", "a"), ("b1", "b"), ("b2", "b"), ("b3", "b")] {
         keys.push(board.update(UpstreamEntry { zone: String::from(zone), ..entry(id, 6) }).0);
     }
-    board.report(NOW, keys[0], LoadReport { running: 5, queued: 0, slots: 6 });
+    board.report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
     for draw in 0..50 {
         assert_eq!(board.pick_plain(NOW, &plain(draw, &[keys[1]])), Some(keys[0]));
     }
@@ -175,10 +175,10 @@
 #[case(0, true)]
 #[case(5, false)]
 fn check_own_zone(#[case] running: u32, #[case] stays: bool) {
-    let mut board = UpstreamBoard::default();
+    let mut board = UpstreamBalancer::default();
     let (own, _) = board.update(entry("a1", 6));
     board.update(UpstreamEntry { zone: String::from("b"), ..entry("b1", 6) });
-    board.report(NOW, own, LoadReport { running, queued: 0, slots: 6 });
+    board.report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
     let picked = (0..100).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(own));
     let own_share = picked.count();
     assert!(if stays { own_share > 90 } else { own_share < 40 }, "{own_share} of 100");
--- a/crates/document/src/environment.rs
+++ b/crates/document/src/environment.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use base::{KeyDigest, Span, key, plain};
+use base::{KeyDigest, Span, derive_copy, derive_value};
 use jiff::tz::TimeZoneDatabase;
 
 use crate::{DocumentProblem, load, section::Section};
@@ -31,7 +31,7 @@
     /// Largest share of the upstreams of one service and zone that swap weights at once.
     pub max_swapping_share: f64,
     /// What a node does with keys while it reaches neither platform nor peers.
-    pub keys_when_isolated: IsolatedKeys,
+    pub keys_when_isolated: IsolatedKeyPolicy,
     /// Availability zones.
     pub zones: Vec<ZoneEntry>,
     /// Services.
@@ -46,9 +46,9 @@
     pub trainers: Vec<TrainerEntry>,
 }
 
-key! {
+derive_copy! {
     /// What a node does with keys while it reaches neither platform nor peers.
-    pub enum IsolatedKeys {
+    pub enum IsolatedKeyPolicy {
         /// Known keys work for this long, then requests are refused.
         Serve(Span),
         /// Requests are refused as soon as the node counts as isolated.
@@ -80,7 +80,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// An availability zone.
     pub struct ZoneEntry {
         /// Name, unique in the document.
@@ -280,17 +280,17 @@
     }
 }
 
-fn read_isolated(section: &Section<'_>) -> IsolatedKeys {
+fn read_isolated(section: &Section<'_>) -> IsolatedKeyPolicy {
     const LIMIT: Span = Span::from_secs(300);
-    let serve = IsolatedKeys::Serve(LIMIT);
-    let choices = [("serve", serve), ("refuse", IsolatedKeys::Refuse)];
-    if section.choice_or("action", &choices, serve) == IsolatedKeys::Refuse {
+    let serve = IsolatedKeyPolicy::Serve(LIMIT);
+    let choices = [("serve", serve), ("refuse", IsolatedKeyPolicy::Refuse)];
+    if section.choice_or("action", &choices, serve) == IsolatedKeyPolicy::Refuse {
         if section.has("after") {
             section.refuse("after", "only with action = \"serve\"");
         }
-        return IsolatedKeys::Refuse;
+        return IsolatedKeyPolicy::Refuse;
     }
-    IsolatedKeys::Serve(section.duration_or("after", Span::ZERO..=MAX_LENGTH, LIMIT))
+    IsolatedKeyPolicy::Serve(section.duration_or("after", Span::ZERO..=MAX_LENGTH, LIMIT))
 }
 
 fn read_pool(section: &Section<'_>, services: &[String], zones: &[String]) -> PoolEntry {
--- a/crates/document/src/gateway.rs
+++ b/crates/document/src/gateway.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use base::{Span, plain};
+use base::{Span, derive_value};
 use serde::Deserialize;
 
 use crate::DocumentProblem;
 
-plain! {
+derive_value! {
     /// Settings of one gateway daemon.
     pub struct GatewaySettings {
         /// Name of the VM.
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use crate::{
     environment::{
-        CustomerEntry, EnvironmentDocument, FencingCheck, IsolatedKeys, PoolEntry, RouteEntry,
+        CustomerEntry, EnvironmentDocument, FencingCheck, IsolatedKeyPolicy, PoolEntry, RouteEntry,
         RoutePriority, ServiceEntry, ServiceKind, TrainerEntry, ZoneEntry,
     },
     gateway::{GatewaySettings, PromiseSettings, StoreSettings},
--- a/crates/document/src/problem.rs
+++ b/crates/document/src/problem.rs
@@ -2,9 +2,9 @@
 
 use std::{cell::RefCell, fmt, ops::Range};
 
-use base::plain;
+use base::derive_value;
 
-plain! {
+derive_value! {
     /// One fault in a document, with what the operator needs to correct it.
     pub struct DocumentProblem {
         /// Name of the file as the caller gave it.
--- a/crates/document/src/settings.rs
+++ b/crates/document/src/settings.rs
@@ -2,11 +2,11 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use base::{Span, plain};
+use base::{Span, derive_value};
 
 use crate::{DocumentProblem, FencingCheck, environment::FENCING, load, section::Section};
 
-plain! {
+derive_value! {
     /// Settings of one daemon.
     pub struct DaemonSettings {
         /// Name of the VM as the platform's list gives it.
--- a/crates/experiments/src/fleet/week.rs
+++ b/crates/experiments/src/fleet/week.rs
@@ -2,8 +2,8 @@
 
 use base::{Moment, Span, WallTime, ZoneKey};
 use fleet::{
-    CivilClock, DemandKey, DemandModel, FleetAction, FleetPlan, PoolSettings, SLOT_MINUTES,
-    ServiceSettings, UpstreamCount, UpstreamKind, WorkClass, ZoneForecast,
+    CivilClock, DemandKey, DemandModel, FleetAction, FleetPlanner, PoolSettings, PriceClass,
+    SLOT_MINUTES, ServiceSettings, UpstreamCount, WorkClass, ZoneForecast,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -102,7 +102,7 @@
         for minute in (0..self.scenario.learn_weeks * 7 * DAY_MINUTES).step_by(5) {
             self.observe(&mut model, &keys, WallTime(learn_from.0 + minute * MINUTE_MILLIS));
         }
-        let mut plan = FleetPlan::new((0..).map(ZoneKey).take(self.pools.len()));
+        let mut plan = FleetPlanner::new((0..).map(ZoneKey).take(self.pools.len()));
         plan.set_service(self.settings(kind));
         self.start_static(kind);
         for minute in 0..days * DAY_MINUTES {
@@ -138,8 +138,8 @@
             let pool =
                 |kind, min, max, price| PoolSettings { zone, kind, min, max, price, start_up };
             [
-                pool(UpstreamKind::Regular, 1, POOL_MAX, scenario.regular_price),
-                pool(UpstreamKind::Cheap, 0, cheap_max, scenario.cheap_price),
+                pool(PriceClass::Regular, 1, POOL_MAX, scenario.regular_price),
+                pool(PriceClass::Cheap, 0, cheap_max, scenario.cheap_price),
             ]
         });
         let settings = ServiceSettings::new(SERVICE, scenario.capacity, pools);
@@ -229,7 +229,7 @@
         }
     }
 
-    fn reclaim(&mut self, now: Moment, plan: &mut FleetPlan) {
+    fn reclaim(&mut self, now: Moment, plan: &mut FleetPlanner) {
         let per_minute = self.scenario.reclaims_per_week / (7 * DAY_MINUTES) as f64;
         let (draw, zone) = (
             self.reclaims.random_bool(per_minute),
@@ -249,7 +249,7 @@
     }
 
     /// Carries the plan's orders out. Returns whether an order for cheap upstreams was refused.
-    fn order(&mut self, now: Moment, plan: &mut FleetPlan, forecasts: &[ZoneForecast]) -> bool {
+    fn order(&mut self, now: Moment, plan: &mut FleetPlanner, forecasts: &[ZoneForecast]) -> bool {
         let counts = self.counts();
         let mut was_refused = false;
         for action in plan.plan(now, forecasts, &counts) {
@@ -257,7 +257,7 @@
             match action {
                 FleetAction::Start { zone, kind, count, .. } => {
                     let index = zone.0 as usize;
-                    if kind == UpstreamKind::Cheap && now < self.unavailable[index] {
+                    if kind == PriceClass::Cheap && now < self.unavailable[index] {
                         plan.cheap_refused(now, zone);
                         was_refused = true;
                         continue;
@@ -280,8 +280,7 @@
     fn counts(&self) -> Vec<UpstreamCount> {
         let mut counts = Vec::new();
         for (zone, pools) in (0..).map(ZoneKey).zip(&self.pools) {
-            for (kind, pool) in [UpstreamKind::Regular, UpstreamKind::Cheap].into_iter().zip(pools)
-            {
+            for (kind, pool) in [PriceClass::Regular, PriceClass::Cheap].into_iter().zip(pools) {
                 let count = pool.running + pool.starting.len() as u32;
                 counts.push(UpstreamCount { service: String::from(SERVICE), zone, kind, count });
             }
--- a/crates/experiments/src/kills/world.rs
+++ b/crates/experiments/src/kills/world.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use protocol::{UsageEntry, decode_record};
 use rand::{RngExt, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
 const REPLACED_AFTER: Span = Span::from_secs(30);
 const POLL: Span = Span::from_millis(500);
 const WINDOW: Span = Span::from_secs(20);
-const LEASE: FencingNumber = FencingNumber(0);
+const LEASE: FencingToken = FencingToken(0);
 /// Incarnations of one place differ by this.
 const PLACE_STRIDE: u64 = 100;
 
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -15,7 +15,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use error_stack::ResultExt as _;
 use hdrhistogram::Histogram;
 use rand::{RngExt as _, SeedableRng as _};
@@ -151,7 +151,7 @@
     let authorization = format!("Bearer {key}")
         .parse()
         .change_context_lazy(|| RunFailed(String::from("writing the key as a header")))?;
-    let outgoing = Outgoing::post(target, path, Bytes::new())
+    let outgoing = HttpRequest::post(target, path, Bytes::new())
         .with_header("authorization".parse().expect("the name is valid"), authorization);
     let http = HttpClient::new(Span::from_secs(5));
     let begin = Instant::now();
@@ -174,7 +174,8 @@
             figures.borrow_mut().not_sent += 1;
             continue;
         }
-        let outgoing = Outgoing { body: body(arrival.session, number).into(), ..outgoing.clone() };
+        let outgoing =
+            HttpRequest { body: body(arrival.session, number).into(), ..outgoing.clone() };
         let (http, figures) = (http.clone(), Rc::clone(&figures));
         figures.borrow_mut().open += 1;
         actix_rt::spawn(async move {
@@ -191,7 +192,7 @@
 
 async fn send(
     http: &HttpClient,
-    outgoing: Outgoing,
+    outgoing: HttpRequest,
     begin: Instant,
     arrival: &Arrival,
     figures: &RefCell<LoadFigures>,
--- a/crates/experiments/src/overhead.rs
+++ b/crates/experiments/src/overhead.rs
@@ -7,7 +7,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use error_stack::ResultExt as _;
 use futures_util::future::join_all;
 use hdrhistogram::Histogram;
@@ -119,7 +119,7 @@
 }
 
 async fn call(http: &HttpClient, address: SocketAddr, path: &str) -> RunResult<CallOutcome> {
-    let outgoing = Outgoing::post(address, path, Bytes::from_static(b"{}"));
+    let outgoing = HttpRequest::post(address, path, Bytes::from_static(b"{}"));
     let answer = http.exchange(outgoing, CALL_LIMIT, 1 << 20).await;
     let answer = answer.change_context_lazy(|| RunFailed(format!("a call to {address}")))?;
     match answer.status.as_u16() {
--- a/crates/experiments/src/pick_cost.rs
+++ b/crates/experiments/src/pick_cost.rs
@@ -6,8 +6,9 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LeastOutstanding, LoadSample, PickPolicy, PickRequest, RandomPick, RoundRobin, RouteMembers,
-    RoutePicker, TableSettings, UpstreamInfo, UpstreamPrice, UpstreamTable, WorkEnd,
+    LeastOutstanding, LoadMeasurement, PickPolicy, PickRequest, PriceClass, RandomPick,
+    RequestOutcome, RoundRobin, RouteUpstreams, TableSettings, UpstreamPicker, UpstreamProperties,
+    UpstreamTable,
 };
 
 use crate::{
@@ -22,7 +23,7 @@
     let upstreams = flags.upstreams.unwrap_or(600);
     let choices = flags.choices.unwrap_or(2_000_000);
     let mut table = ReportTable::new("policy", &["us per choice"]);
-    let picker = time(&mut RoutePicker::default(), upstreams, choices);
+    let picker = time(&mut UpstreamPicker::default(), upstreams, choices);
     table.push("route picker", vec![picker]);
     // The baselines scan all upstreams, so fewer choices give a steady mean.
     let fewer = (choices / 20).max(1);
@@ -44,13 +45,13 @@
     let mut table = UpstreamTable::new(TableSettings::default(), distances);
     for index in 0..upstreams {
         let zone = ZoneKey(index % ZONES);
-        let price = UpstreamPrice::Regular;
-        let key = table.add(UpstreamInfo { node_hash: u64::from(index), zone, price });
+        let price = PriceClass::Regular;
+        let key = table.add(UpstreamProperties { node_hash: u64::from(index), zone, price });
         let running = index * 7 % 13;
-        let load = LoadSample { running, queued: 0, version: None, measured_at: Moment(1) };
+        let load = LoadMeasurement { running, queued: 0, version: None, measured_at: Moment(1) };
         table.report(Moment(1), key, load);
     }
-    let members = RouteMembers::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
+    let members = RouteUpstreams::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut now = Moment(2);
     let started = Instant::now();
@@ -65,7 +66,7 @@
         };
         let Some(choice) = policy.pick(now, &table, &members, &request, &mut rng) else { continue };
         let work = table.start(now, choice.upstream, request.tokens);
-        table.finish(now + Span::from_millis(300), work, WorkEnd::Completed { tokens: 300 });
+        table.finish(now + Span::from_millis(300), work, RequestOutcome::Completed { tokens: 300 });
     }
     started.elapsed().as_secs_f64() * 1e6 / choices.max(1) as f64
 }
--- a/crates/experiments/src/rollout/faults/node.rs
+++ b/crates/experiments/src/rollout/faults/node.rs
@@ -4,8 +4,8 @@
 
 use base::{Incarnation, Moment, RecordId, Span};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, SampleBook, SampleBound, SampleRecord, SampleVoided,
-    ScoreAction, ScoreDesk, SlotKey, StepShape, TrainerId, TrainerStated,
+    Delivery, DeliveryNumber, SampleBound, SampleOutcome, SampleRecord, SampleTable, SampleVoided,
+    ScoreAction, ScoreQueue, SlotKey, StepShape, TrainerId, TrainerStated,
 };
 
 /// How long a node waits for the answer to an append before it sends the record again.
@@ -32,10 +32,10 @@
 pub(crate) struct Node {
     pub(crate) incarnation: Incarnation,
     pub(crate) cut_until: Moment,
-    pub(crate) book: SampleBook,
+    pub(crate) book: SampleTable,
     pub(crate) offset: usize,
     pub(crate) bytes: BTreeSet<RecordId>,
-    pub(crate) desk: ScoreDesk,
+    pub(crate) desk: ScoreQueue,
     pub(crate) outgoing: Vec<Outgoing>,
     pub(crate) running: BTreeMap<SlotKey, u32>,
     pub(crate) fetch: Option<Fetch>,
@@ -48,10 +48,10 @@
         Self {
             incarnation,
             cut_until: Moment(0),
-            book: SampleBook::default(),
+            book: SampleTable::default(),
             offset: 0,
             bytes: BTreeSet::new(),
-            desk: ScoreDesk::default(),
+            desk: ScoreQueue::default(),
             outgoing: Vec::new(),
             running: BTreeMap::new(),
             fetch: None,
@@ -97,40 +97,40 @@
         let mut answer = None;
         for action in self.book.apply(record) {
             match action {
-                BookAction::Filled { slot, sample } => {
+                SampleOutcome::Filled { slot, sample } => {
                     self.running.remove(&slot);
                     if self.bytes.contains(&sample) {
                         self.desk.enqueue(now, slot, sample);
                     }
                 }
-                BookAction::Bound { sample, .. } => self.desk.forget(sample),
-                BookAction::FillRefused { slot, sample, .. } => {
+                SampleOutcome::Bound { sample, .. } => self.desk.forget(sample),
+                SampleOutcome::FillRefused { slot, sample, .. } => {
                     self.bytes.remove(&sample);
                     if sample.writer == self.incarnation {
                         self.running.remove(&slot);
                     }
                 }
-                BookAction::Voided { sample, .. } => {
+                SampleOutcome::Voided { sample, .. } => {
                     self.desk.forget(sample);
                     self.bytes.remove(&sample);
                 }
-                BookAction::Offered { trainer, offer } => {
+                SampleOutcome::Offered { trainer, offer } => {
                     let Some(fetch) = self.fetch.take_if(|fetch| fetch.record == Some(id)) else {
                         continue;
                     };
                     answer = Some((fetch.request, self.book.deliveries(trainer, offer.statement)));
                 }
-                BookAction::StatementRefused { .. } => {
+                SampleOutcome::StatementRefused { .. } => {
                     // The trainer asks again. This node must not state again for it, as it cannot
                     // tell whether the trainer has gone on with another node.
                     if let Some(fetch) = self.fetch.take_if(|fetch| fetch.record == Some(id)) {
                         answer = Some((fetch.request, None));
                     }
                 }
-                BookAction::StepOpened { .. }
-                | BookAction::StepRefused { .. }
-                | BookAction::StepCompleted { .. }
-                | BookAction::StepRetired { .. } => {}
+                SampleOutcome::StepOpened { .. }
+                | SampleOutcome::StepRefused { .. }
+                | SampleOutcome::StepCompleted { .. }
+                | SampleOutcome::StepRetired { .. } => {}
             }
         }
         answer
--- a/crates/experiments/src/rollout/faults/world.rs
+++ b/crates/experiments/src/rollout/faults/world.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rollout::{
     Delivery, SampleFilled, SampleRecord, ScoreAction, SlotKey, SpanTracker, TrainerId,
-    VersionSpan, WeightAction, WeightPlan, WeightSettings,
+    VersionSpan, WeightAction, WeightScheduler, WeightSettings,
 };
 
 use crate::rollout::faults::{
@@ -58,7 +58,7 @@
     revive: Vec<Moment>,
     incarnations: u64,
     engines: Vec<Engine>,
-    plan: WeightPlan,
+    plan: WeightScheduler,
     scoring: Vec<(Moment, Incarnation, RecordId)>,
     replies: Vec<(Moment, u64, Vec<Delivery>)>,
     trainer: FaultTrainer,
@@ -94,7 +94,7 @@
         let now = Moment(0);
         let settings =
             WeightSettings { load_timeout: Span::from_secs(3), ..WeightSettings::default() };
-        let mut plan = WeightPlan::new(now, settings);
+        let mut plan = WeightScheduler::new(now, settings);
         let mut engines = Vec::new();
         for index in 0..scenario.engines {
             let upstream = UpstreamKey(index as u32);
--- a/crates/experiments/src/rollout/steps.rs
+++ b/crates/experiments/src/rollout/steps.rs
@@ -6,9 +6,9 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use rollout::{
-    Delivery, DeliveryNumber, RerunRule, SampleBook, SampleBound, SampleFilled, SampleRecord,
-    SlotKey, SpanTracker, StepShape, StragglerAction, StragglerPolicy, TrainerId, TrainerShare,
-    TrainerStated, WeightAction, WeightPlan, WeightSettings,
+    Delivery, DeliveryNumber, RerunRule, SampleBound, SampleFilled, SampleRecord, SampleTable,
+    SlotKey, SpanTracker, StepShape, StragglerAction, StragglerDetector, TrainerId,
+    TrainerScheduler, TrainerStated, WeightAction, WeightScheduler, WeightSettings,
 };
 use serde::Deserialize;
 
@@ -94,10 +94,10 @@
     scenario: &'a StepScenario,
     rng: ChaCha8Rng,
     now: Moment,
-    book: SampleBook,
-    share: TrainerShare,
-    policy: StragglerPolicy<R>,
-    plan: WeightPlan,
+    book: SampleTable,
+    share: TrainerScheduler,
+    policy: StragglerDetector<R>,
+    plan: WeightScheduler,
     engines: Vec<Engine>,
     trainers: Vec<Trainer>,
     scoring: Vec<(Moment, SampleBound)>,
@@ -131,7 +131,7 @@
             loads_per_second: scenario.store_loads_per_second,
             ..WeightSettings::default()
         };
-        let mut plan = WeightPlan::new(now, settings);
+        let mut plan = WeightScheduler::new(now, settings);
         let slow = (f64::from(scenario.engines) * scenario.slow_share).round() as u32;
         let mut engines = Vec::new();
         for index in 0..scenario.engines {
@@ -142,7 +142,7 @@
             let version = WeightVersion(1);
             engines.push(Engine { rate, version, loading: None, streams: Vec::new() });
         }
-        let mut share = TrainerShare::default();
+        let mut share = TrainerScheduler::default();
         let mut trainers = Vec::new();
         for index in 0..scenario.trainers {
             let name = format!("trainer-{index}");
@@ -154,9 +154,9 @@
             scenario,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
-            book: SampleBook::default(),
+            book: SampleTable::default(),
             share,
-            policy: StragglerPolicy::new(rule),
+            policy: StragglerDetector::new(rule),
             plan,
             engines,
             trainers,
