--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -2,8 +2,8 @@
 
 use base::{Incarnation, Moment, VmKey, WeightVersion};
 use membership::{
-    BoardSettings, Heartbeat, ListedVm, LoadReport, PeerAction, PeerBeat, PeerEvent, PeerSettings,
-    PeerTable, UpstreamBoard, UpstreamPhase, VmIdentity, ZoneSummary,
+    Heartbeat, ListedVm, LivenessMessage, LoadReport, LoadTable, LoadTableSettings, PeerAction,
+    PeerEvent, PeerSettings, PeerTable, UpstreamPhase, VmIdentity, ZoneSummary,
 };
 use protocol::{PeerMessage, encode_message};
 use rand::{RngExt as _, SeedableRng as _};
@@ -25,7 +25,7 @@
 
 pub(super) struct SpreadNode {
     pub(super) table: PeerTable,
-    pub(super) board: UpstreamBoard,
+    pub(super) board: LoadTable,
     pub(super) zone: String,
     pub(super) watched: Vec<usize>,
 }
@@ -46,7 +46,7 @@
         let own = VmIdentity { name, zone: ring_zone, address, generation: 1, incarnation };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, Moment(0)),
-            board: UpstreamBoard::new(BoardSettings::default(), incarnation),
+            board: LoadTable::new(LoadTableSettings::default(), incarnation),
             zone,
             watched: Vec::new(),
         }
@@ -109,7 +109,7 @@
         sent
     }
 
-    fn heartbeat(&mut self, now: Moment, to: VmKey, beat: PeerBeat) -> SentMessage {
+    fn heartbeat(&mut self, now: Moment, to: VmKey, beat: LivenessMessage) -> SentMessage {
         let heartbeat = Heartbeat {
             beat,
             config_version: 1,
@@ -124,7 +124,7 @@
         &self,
         now: Moment,
         to: VmKey,
-        beat: PeerBeat,
+        beat: LivenessMessage,
         walks: &[UpstreamWalk],
     ) -> SentMessage {
         let mut upstreams = self.board.full(now);
--- a/crates/experiments/src/state_spread/world.rs
+++ b/crates/experiments/src/state_spread/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use base::{Moment, Span};
-use membership::{ListState, ListedVm, WatchPlan};
+use membership::{ListState, ListedVm, WatchAssignment};
 
 use super::{
     SpreadMode, SpreadSize,
@@ -68,7 +68,7 @@
         for (index, walk) in self.walks.iter().enumerate() {
             let live = self.nodes.iter().filter(|node| node.zone == walk.zone);
             let live = live.map(|node| node.table.own_identity().name.as_str());
-            let Some(watcher) = WatchPlan::watcher(&walk.name, live) else { continue };
+            let Some(watcher) = WatchAssignment::watcher(&walk.name, live) else { continue };
             let watcher = self.by_name[watcher];
             self.nodes[watcher].watched.push(index);
         }
--- a/crates/experiments/src/traffic.rs
+++ b/crates/experiments/src/traffic.rs
@@ -8,7 +8,7 @@
 mod tests;
 mod world;
 
-use routing::{LeastOutstanding, PickPolicy, RandomPick, RoundRobin, RoutePicker};
+use routing::{LeastOutstanding, PickPolicy, RandomPick, RoundRobin, UpstreamPicker};
 
 use crate::{
     RunResult, flags,
@@ -58,7 +58,7 @@
         ("random", play(scenario, &RandomPick, gate, 1.0, seed)),
         ("round robin", play(scenario, &RoundRobin::default(), gate, 1.0, seed)),
         ("least outstanding", play(scenario, &LeastOutstanding, gate, 1.0, seed)),
-        ("route picker", play(scenario, &RoutePicker::default(), gate, 1.0, seed)),
+        ("route picker", play(scenario, &UpstreamPicker::default(), gate, 1.0, seed)),
     ];
     let mut table = ReportTable::new("policy", &["p50 ms", "p90 ms", "p99 ms", "goodput %"]);
     for (name, run) in &runs {
@@ -75,7 +75,7 @@
 }
 
 fn fairness(scenario: &TrafficScenario, seed: u64) -> RunReport {
-    let picker = RoutePicker::default();
+    let picker = UpstreamPicker::default();
     let columns = ["others' p99 ms", "with aggressor", "worst change %", "others refused %"];
     let mut table = ReportTable::new("queue", &columns);
     let mut targets = Vec::new();
@@ -112,7 +112,7 @@
 }
 
 fn overload(scenario: &TrafficScenario, seed: u64) -> RunReport {
-    let picker = RoutePicker::default();
+    let picker = UpstreamPicker::default();
     let runs = [
         ("none", play(scenario, &picker, GateKind::Open, 1.0, seed)),
         ("first come", play(scenario, &picker, GateKind::FirstCome, 1.0, seed)),
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -5,8 +5,8 @@
 
 use base::{Execution, Incarnation, Moment, RouteKey, Span, UpstreamKey, WallTime};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectEvent, SuspectPolicy,
-    SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectEvent,
+    SuspectPolicy, SuspectTable,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -194,7 +194,7 @@
     /// Sends a request through any node to the free upstream with the fewest requests of two.
     fn send(&mut self, fingerprint: Fingerprint, arrived: u64) {
         let node = self.rng.random_range(0..self.nodes.len());
-        if self.nodes[node].judge(self.wall(), fingerprint) != Judgement::Clear {
+        if self.nodes[node].judge(self.wall(), fingerprint) != FingerprintStatus::Clear {
             self.ask(node, fingerprint, arrived);
             return;
         }
@@ -217,7 +217,7 @@
         let mut upstreams = self.upstreams.iter().collect::<Vec<_>>();
         upstreams.sort_by_key(|(_, model)| model.runs.len());
         let deadline = Moment(arrived * STEP.0) + Span::from_millis(self.scenario.deadline_ms);
-        let ask = IsolationAsk {
+        let ask = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
--- a/crates/experiments/src/traffic/tests.rs
+++ b/crates/experiments/src/traffic/tests.rs
@@ -1,7 +1,7 @@
 //! Guards the model itself: work is neither lost nor made, and a run depends on its seed only.
 
 use base::{Moment, ZoneKey};
-use routing::RoutePicker;
+use routing::UpstreamPicker;
 
 use super::{
     engine::EngineModel, measure::RunMeasure, play, scenario::TrafficScenario, world::GateKind,
@@ -31,7 +31,7 @@
 fn equal_seeds_give_equal_runs() {
     let scenario = scenario("derwent-today.toml");
     let scenario = TrafficScenario { warmup_seconds: 5, seconds: 60, ..scenario };
-    let run = |seed| play(&scenario, &RoutePicker::default(), GateKind::Fair, 1.0, seed);
+    let run = |seed| play(&scenario, &UpstreamPicker::default(), GateKind::Fair, 1.0, seed);
     let figures = |run: &RunMeasure| (run.percentile(50.0), run.goodput(scenario.capacity()));
     assert_eq!(figures(&run(1)), figures(&run(1)));
     assert_ne!(figures(&run(1)), figures(&run(2)));
--- a/crates/experiments/src/traffic/world.rs
+++ b/crates/experiments/src/traffic/world.rs
@@ -6,15 +6,16 @@
 };
 
 use admission::{
-    DeskSettings, FairQueue, LimitAnswer, LimitDesk, LimitShare, QueueAction, QueueEvent,
-    QueueItem, QueueSettings, ServiceRate, ShareSettings, TicketNumber, WorkClass, ZonePart,
+    AllocatorSettings, FairQueue, LimitAllocator, LimitDecision, LimiterSettings, QueueAction,
+    QueueEvent, QueueSettings, QueuedRequest, RateLimiter, RequestClass, ServiceCapacity,
+    TicketNumber, ZoneLimit,
 };
-use base::{CustomerKey, Incarnation, Moment, Span, UpstreamKey, ZoneKey, key};
+use base::{CustomerKey, Incarnation, Moment, Span, UpstreamKey, ZoneKey, derive_copy};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LoadSample, PickPolicy, PickRequest, RouteMembers, StartedWork, TableSettings, UpstreamInfo,
-    UpstreamPrice, UpstreamTable, WorkEnd,
+    InFlightRequest, LoadMeasurement, PickPolicy, PickRequest, PriceClass, RequestOutcome,
+    RouteUpstreams, TableSettings, UpstreamProperties, UpstreamTable,
 };
 
 use super::{engine::EngineModel, measure::RunMeasure, scenario::TrafficScenario};
@@ -41,10 +42,10 @@
 struct Node<P> {
     zone: ZoneKey,
     table: UpstreamTable,
-    members: RouteMembers,
+    members: RouteUpstreams,
     policy: P,
     gate: Gate,
-    limits: Option<LimitShare>,
+    limits: Option<RateLimiter>,
 }
 
 struct Request {
@@ -52,10 +53,10 @@
     node: usize,
     tokens: u32,
     arrived_at: Moment,
-    work: Option<StartedWork>,
+    work: Option<InFlightRequest>,
 }
 
-key! {
+derive_copy! {
     enum Event {
         Arrival,
         EngineDone { engine: usize, generation: u64 },
@@ -76,9 +77,9 @@
     engines: Vec<EngineModel>,
     nodes: Vec<Node<P>>,
     /// The delegate's desk of each zone.
-    desks: Vec<LimitDesk>,
+    desks: Vec<LimitAllocator>,
     requests: Vec<Request>,
-    rate: ServiceRate,
+    rate: ServiceCapacity,
     rng: ChaCha8Rng,
     measure: RunMeasure,
 }
@@ -100,7 +101,7 @@
             }
         }
         let capacity = scenario.capacity();
-        let rate = ServiceRate {
+        let rate = ServiceCapacity {
             tokens_per_second: (capacity / u64::from(scenario.nodes)) as u32,
             max_in_service: (capacity * scenario.target_service_ms
                 / (1_000 * u64::from(scenario.nodes))) as u32,
@@ -114,15 +115,15 @@
             let mut table = UpstreamTable::new(TableSettings::default(), distances.collect());
             table.set_nodes(scenario.nodes);
             for (index, engine) in engines.iter().enumerate() {
-                let (node_hash, price) = (index as u64 + 1, UpstreamPrice::Regular);
-                table.add(UpstreamInfo { node_hash, zone: engine.zone, price });
+                let (node_hash, price) = (index as u64 + 1, PriceClass::Regular);
+                table.add(UpstreamProperties { node_hash, zone: engine.zone, price });
             }
             let members =
-                RouteMembers::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
+                RouteUpstreams::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
             let me = Incarnation(u64::from(number));
             let is_limited = gate == GateKind::LimitedFair;
             let limits = is_limited.then(|| {
-                let mut limits = LimitShare::new(me, ShareSettings::default());
+                let mut limits = RateLimiter::new(me, LimiterSettings::default());
                 let part = zone_part(scenario, zone.0, zones);
                 for customer in 0..scenario.customers {
                     limits.set_reserve(Moment(0), CustomerKey(customer), part.reserve);
@@ -200,7 +201,7 @@
                 self.plan(Span::from_millis(self.scenario.report_period_ms), Event::Measure);
             }
             Event::Reported { engine, running, queued, measured_at } => {
-                let load = LoadSample { running, queued, version: None, measured_at };
+                let load = LoadMeasurement { running, queued, version: None, measured_at };
                 for node in &mut self.nodes {
                     node.table.report(self.now, UpstreamKey(engine as u32), load);
                 }
@@ -253,10 +254,10 @@
                 self.pass_first_come(node);
             }
             Gate::Fair(queue) => {
-                let item = QueueItem {
+                let item = QueuedRequest {
                     ticket: TicketNumber(request as u64),
                     customer: CustomerKey(customer),
-                    class: WorkClass::Live,
+                    class: RequestClass::Live,
                     tokens: self.scenario.mean_tokens,
                     deadline,
                 };
@@ -278,7 +279,7 @@
                 limits.granted(self.now, grant);
             }
         }
-        answer == LimitAnswer::Admitted
+        answer == LimitDecision::Admitted
     }
 
     fn deadline(&self, request: usize) -> Moment {
@@ -355,7 +356,7 @@
     fn completed(&mut self, engine: usize, request: usize) {
         let deadline = self.deadline(request);
         let Request { customer, node, tokens, arrived_at, work } = self.requests[request];
-        let end = WorkEnd::Completed { tokens };
+        let end = RequestOutcome::Completed { tokens };
         let work = work.expect("a request on an engine was started");
         let Node { zone, table, gate, .. } = &mut self.nodes[node];
         table.finish(self.now, work, end);
@@ -379,10 +380,10 @@
     }
 }
 
-fn desk(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitDesk {
+fn desk(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitAllocator {
     let vms = vms_of(scenario, zone, zones);
     let me = Incarnation(u64::from(zone));
-    let mut desk = LimitDesk::new(me, DeskSettings::new(vms), Moment(0), vms);
+    let mut desk = LimitAllocator::new(me, AllocatorSettings::new(vms), Moment(0), vms);
     let part = zone_part(scenario, zone, zones);
     for customer in 0..scenario.customers {
         desk.set_part(CustomerKey(customer), part);
@@ -394,9 +395,9 @@
     (0..scenario.nodes).filter(|node| node % zones == zone).count() as u32
 }
 
-fn zone_part(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZonePart {
+fn zone_part(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZoneLimit {
     let vms = vms_of(scenario, zone, zones);
     let share = scenario.capacity() / u64::from(scenario.customers);
     let rate = (share * u64::from(vms) / u64::from(scenario.nodes)) as u32;
-    ZonePart::with_reserve(rate, vms)
+    ZoneLimit::with_reserve(rate, vms)
 }
--- a/crates/fleet/src/civil.rs
+++ b/crates/fleet/src/civil.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use base::{WallTime, key, plain};
+use base::{WallTime, derive_copy, derive_value};
 use jiff::{
     Timestamp,
     tz::{TimeZone, TimeZoneDatabase},
@@ -16,12 +16,12 @@
 
 pub(crate) const SLOTS_PER_DAY: u16 = 24 * 60 / SLOT_MINUTES;
 
-key! {
+derive_copy! {
     /// A quarter of an hour of the local week, from Monday 00:00.
     pub struct CivilSlot(pub u16);
 }
 
-plain! {
+derive_value! {
     /// The time zone database has no such zone.
     pub struct UnknownTimeZone {
         /// The name that was asked for.
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::{Span, WallTime, key, plain};
+use base::{Span, WallTime, derive_copy, derive_value};
 
 use crate::civil::{CivilClock, CivilSlot, SLOT_MINUTES, SLOTS_PER_WEEK};
 
@@ -31,7 +31,7 @@
 /// Marks a slot without an observation in a snapshot.
 const UNKNOWN: u32 = u32::MAX;
 
-key! {
+derive_copy! {
     /// Kind of work.
     pub enum WorkClass {
         /// Requests of callers who wait.
@@ -41,7 +41,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Names one demand series. Names are the same on every node.
     #[derive(PartialOrd, Ord, Hash)]
     pub struct DemandKey {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,13 +5,13 @@
 
 mod civil;
 mod demand;
-mod plan;
+mod planner;
 
 pub use crate::{
     civil::{CivilClock, CivilSlot, SLOT_MINUTES, SLOTS_PER_WEEK, UnknownTimeZone},
     demand::{DemandKey, DemandModel, DemandSnapshot, SnapshotMismatch, WorkClass},
-    plan::{
-        FleetAction, FleetPlan, PoolSettings, ServiceSettings, UpstreamCount, UpstreamKind, Wanted,
-        ZoneForecast,
+    planner::{
+        DesiredCounts, FleetAction, FleetPlanner, PoolSettings, PriceClass, ServiceSettings,
+        UpstreamCount, ZoneForecast,
     },
 };
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/planner.rs
@@ -4,10 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use base::{Moment, Span, ZoneKey, key, plain};
+use base::{Moment, Span, ZoneKey, derive_copy, derive_value};
 use smallvec::SmallVec;
 
-use crate::plan::mix::{Bounds, ZonePools, apportion, choose_mix};
+use crate::planner::mix::{Bounds, ZonePools, apportion, choose_mix};
 
 /// How long a zone's cheap upstreams are left alone after a reclaim or a refused order.
 const CHEAP_PAUSE: Span = Span::from_secs(600);
@@ -15,9 +15,9 @@
 /// Bounds the search for a mix, whatever the settings and the demand say.
 const MAX_POOL: u32 = 10_000;
 
-key! {
+derive_copy! {
     /// How an upstream is paid for.
-    pub enum UpstreamKind {
+    pub enum PriceClass {
         /// Runs until it is stopped.
         Regular,
         /// Costs less, but can be reclaimed with seconds of notice and is sometimes unavailable.
@@ -29,7 +29,7 @@
         /// The zone.
         pub zone: ZoneKey,
         /// The kind.
-        pub kind: UpstreamKind,
+        pub kind: PriceClass,
         /// Upstreams that always run.
         pub min: u32,
         /// Largest number of upstreams.
@@ -41,7 +41,7 @@
     }
 
     /// Upstreams wanted in one zone.
-    pub struct Wanted {
+    pub struct DesiredCounts {
         /// Regular upstreams.
         pub regular: u32,
         /// Cheap upstreams.
@@ -49,7 +49,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Upstreams of one service, zone and kind, as the platform lists them.
     pub struct UpstreamCount {
         /// Name of the service.
@@ -57,7 +57,7 @@
         /// The zone.
         pub zone: ZoneKey,
         /// The kind.
-        pub kind: UpstreamKind,
+        pub kind: PriceClass,
         /// Upstreams that run or start, with those of unsettled orders, without leaving ones.
         pub count: u32,
     }
@@ -71,7 +71,7 @@
             /// The zone.
             zone: ZoneKey,
             /// The kind.
-            kind: UpstreamKind,
+            kind: PriceClass,
             /// How many.
             count: u32,
         },
@@ -82,14 +82,14 @@
             /// The zone.
             zone: ZoneKey,
             /// The kind.
-            kind: UpstreamKind,
+            kind: PriceClass,
             /// How many.
             count: u32,
         },
     }
 }
 
-/// Highest forecast of one service and zone over [`FleetPlan::lookahead`].
+/// Highest forecast of one service and zone over [`FleetPlanner::lookahead`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneForecast {
     /// Name of the service.
@@ -140,7 +140,7 @@
         }
     }
 
-    fn pool(&self, zone: ZoneKey, kind: UpstreamKind) -> Bounds {
+    fn pool(&self, zone: ZoneKey, kind: PriceClass) -> Bounds {
         let pool = self.pools.iter().find(|pool| pool.zone == zone && pool.kind == kind);
         pool.map_or(Bounds::NONE, |pool| Bounds {
             min: pool.min.min(MAX_POOL),
@@ -157,19 +157,19 @@
     wanted: u32,
 }
 
-type CountKey = (String, ZoneKey, UpstreamKind);
+type CountKey = (String, ZoneKey, PriceClass);
 
 /// Plans the fleet of all services over the zones that this node can see.
 #[derive(Debug, Clone, Default)]
-pub struct FleetPlan {
+pub struct FleetPlanner {
     services: BTreeMap<String, ServiceSettings>,
     zones: Vec<ZoneKey>,
     cheap_paused: BTreeMap<ZoneKey, Moment>,
     surplus: BTreeMap<CountKey, Surplus>,
-    wanted: BTreeMap<(String, ZoneKey), Wanted>,
+    wanted: BTreeMap<(String, ZoneKey), DesiredCounts>,
 }
 
-impl FleetPlan {
+impl FleetPlanner {
     /// Creates a plan over `zones`.
     #[must_use]
     pub fn new(zones: impl IntoIterator<Item = ZoneKey>) -> Self {
@@ -196,7 +196,7 @@
         self.surplus.retain(|(name, _, _), _| name != service);
     }
 
-    /// Returns how far ahead the forecast passed to [`FleetPlan::plan`] must look. An upstream
+    /// Returns how far ahead the forecast passed to [`FleetPlanner::plan`] must look. An upstream
     /// that is needed again before a stop would pay off is not stopped.
     #[must_use]
     pub fn lookahead(&self, service: &str) -> Span {
@@ -206,7 +206,7 @@
     }
 
     /// Notes that the platform reclaims the cheap upstreams of `zone`. The caller stops placing work
-    /// on them, leaves them out of the counts and calls [`FleetPlan::plan`] at once for replacements.
+    /// on them, leaves them out of the counts and calls [`FleetPlanner::plan`] at once for replacements.
     pub fn reclaimed(&mut self, now: Moment, zone: ZoneKey) {
         self.cheap_paused.insert(zone, now + CHEAP_PAUSE);
     }
@@ -231,7 +231,7 @@
             for (&zone, wanted) in self.zones.iter().zip(wanted) {
                 self.wanted.insert((settings.service.clone(), zone), wanted);
                 for (kind, wanted) in
-                    [(UpstreamKind::Regular, wanted.regular), (UpstreamKind::Cheap, wanted.cheap)]
+                    [(PriceClass::Regular, wanted.regular), (PriceClass::Cheap, wanted.cheap)]
                 {
                     let key = (settings.service.clone(), zone, kind);
                     let have = count_of(counts, &key);
@@ -263,14 +263,18 @@
         actions
     }
 
-    /// Returns what the last [`FleetPlan::plan`] wanted in a zone.
+    /// Returns what the last [`FleetPlanner::plan`] wanted in a zone.
     #[must_use]
-    pub fn wanted(&self, service: &str, zone: ZoneKey) -> Option<Wanted> {
+    pub fn wanted(&self, service: &str, zone: ZoneKey) -> Option<DesiredCounts> {
         self.wanted.get(&(String::from(service), zone)).copied()
     }
 
     /// Returns the wanted numbers in the order of the zones.
-    fn wanted_of(&self, settings: &ServiceSettings, forecasts: &[ZoneForecast]) -> Vec<Wanted> {
+    fn wanted_of(
+        &self,
+        settings: &ServiceSettings,
+        forecasts: &[ZoneForecast],
+    ) -> Vec<DesiredCounts> {
         let mut live = vec![0.0; self.zones.len()];
         let mut total = 0.0;
         for forecast in forecasts.iter().filter(|f| f.service == settings.service) {
@@ -284,14 +288,14 @@
         let mix = choose_mix(settings, live.iter().sum(), total, &pools);
         let regular = apportion(mix.regular, &live, &pools);
         let wanted = regular.into_iter().zip(mix.cheap);
-        wanted.map(|(regular, cheap)| Wanted { regular, cheap }).collect()
+        wanted.map(|(regular, cheap)| DesiredCounts { regular, cheap }).collect()
     }
 
     fn pools_of(&self, settings: &ServiceSettings, zone: ZoneKey) -> ZonePools {
         let is_paused = self.cheap_paused.contains_key(&zone);
-        let cheap = settings.pool(zone, UpstreamKind::Cheap);
+        let cheap = settings.pool(zone, PriceClass::Cheap);
         ZonePools {
-            regular: settings.pool(zone, UpstreamKind::Regular),
+            regular: settings.pool(zone, PriceClass::Regular),
             cheap: if is_paused { Bounds::NONE } else { cheap },
         }
     }
--- a/crates/fleet/src/plan/mix.rs
+++ b/crates/fleet/src/planner/mix.rs
@@ -1,6 +1,6 @@
 //! The cheapest mix of regular and cheap upstreams that survives the loss of one zone's cheap ones.
 
-use crate::plan::ServiceSettings;
+use crate::planner::ServiceSettings;
 
 /// Bounds and price of one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -2,7 +2,7 @@
 
 use base::{Moment, Span, ZoneKey};
 use fleet::{
-    FleetAction, FleetPlan, PoolSettings, ServiceSettings, UpstreamCount, UpstreamKind,
+    FleetAction, FleetPlanner, PoolSettings, PriceClass, ServiceSettings, UpstreamCount,
     ZoneForecast,
 };
 use proptest::prelude::*;
@@ -20,8 +20,8 @@
         start_up: Span::from_secs(180),
     };
     let pools = ZONES.into_iter().flat_map(|zone| {
-        let cheap = pool(zone, UpstreamKind::Cheap, 0, cheap_max, cheap_price);
-        [pool(zone, UpstreamKind::Regular, 1, regular_max, 100), cheap]
+        let cheap = pool(zone, PriceClass::Cheap, 0, cheap_max, cheap_price);
+        [pool(zone, PriceClass::Regular, 1, regular_max, 100), cheap]
     });
     ServiceSettings::new(SERVICE, 10.0, pools)
 }
@@ -42,14 +42,14 @@
 
 /// A platform that carries out every order at once.
 struct Platform {
-    plan: FleetPlan,
+    plan: FleetPlanner,
     counts: Vec<UpstreamCount>,
     orders: usize,
 }
 
 impl Platform {
     fn new(settings: ServiceSettings) -> Self {
-        let mut plan = FleetPlan::new(ZONES);
+        let mut plan = FleetPlanner::new(ZONES);
         plan.set_service(settings);
         Self { plan, counts: Vec::new(), orders: 0 }
     }
@@ -75,13 +75,13 @@
         }
     }
 
-    fn count(&self, kind: UpstreamKind, zone: Option<ZoneKey>) -> u32 {
+    fn count(&self, kind: PriceClass, zone: Option<ZoneKey>) -> u32 {
         let matching = self.counts.iter().filter(|c| c.kind == kind);
         matching.filter(|c| zone.is_none_or(|zone| c.zone == zone)).map(|c| c.count).sum()
     }
 
     fn lose_cheap(&mut self, now: Moment, zone: ZoneKey) {
-        self.counts.retain(|c| c.zone != zone || c.kind != UpstreamKind::Cheap);
+        self.counts.retain(|c| c.zone != zone || c.kind != PriceClass::Cheap);
         self.plan.reclaimed(now, zone);
     }
 }
@@ -103,10 +103,10 @@
         let mut platform = Platform::new(settings(cheap_price, 500, 500));
         platform.step(at(0), live, samples);
         let (regular, cheap) =
-            (platform.count(UpstreamKind::Regular, None), platform.count(UpstreamKind::Cheap, None));
+            (platform.count(PriceClass::Regular, None), platform.count(PriceClass::Cheap, None));
         prop_assert!(f64::from(regular + cheap) * 10.0 * 0.75 >= live + samples - 1e-6);
         for zone in ZONES {
-            let left = regular + cheap - platform.count(UpstreamKind::Cheap, Some(zone));
+            let left = regular + cheap - platform.count(PriceClass::Cheap, Some(zone));
             prop_assert!(f64::from(left) * 10.0 * 0.9 >= live - 1e-6);
         }
     }
@@ -117,7 +117,7 @@
     fn check(cheap_price: u32, expect_cheap: bool) {
         let mut platform = Platform::new(settings(cheap_price, 500, 500));
         platform.step(at(0), 300.0, 300.0);
-        assert_eq!(platform.count(UpstreamKind::Cheap, None) > 0, expect_cheap, "{cheap_price}");
+        assert_eq!(platform.count(PriceClass::Cheap, None) > 0, expect_cheap, "{cheap_price}");
     }
     check(30, true);
     check(100, false);
@@ -129,12 +129,11 @@
     platform.step(at(0), 300.0, 300.0);
     platform.lose_cheap(at(60), ZONES[1]);
     platform.step(at(60), 300.0, 300.0);
-    assert_eq!(platform.count(UpstreamKind::Cheap, Some(ZONES[1])), 0);
-    let all =
-        platform.count(UpstreamKind::Regular, None) + platform.count(UpstreamKind::Cheap, None);
+    assert_eq!(platform.count(PriceClass::Cheap, Some(ZONES[1])), 0);
+    let all = platform.count(PriceClass::Regular, None) + platform.count(PriceClass::Cheap, None);
     assert!(f64::from(all) * 7.5 >= 600.0, "{all} upstreams");
     platform.step(at(660), 300.0, 300.0);
-    assert!(platform.count(UpstreamKind::Cheap, Some(ZONES[1])) > 0, "the pause must end");
+    assert!(platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0, "the pause must end");
 }
 
 #[test]
@@ -144,8 +143,8 @@
         platform.plan.cheap_refused(at(0), zone);
     }
     platform.step(at(0), 300.0, 300.0);
-    assert_eq!(platform.count(UpstreamKind::Cheap, None), 0);
-    assert_eq!(platform.count(UpstreamKind::Regular, None), 80);
+    assert_eq!(platform.count(PriceClass::Cheap, None), 0);
+    assert_eq!(platform.count(PriceClass::Regular, None), 80);
 }
 
 /// Guards against a change of the document that ends the pause of cheap upstreams or starts it anew.
@@ -157,10 +156,10 @@
         platform.plan.set_zones(ZONES);
         platform.plan.set_service(settings(30, 500, 500));
         platform.step(at(secs), 300.0, 300.0);
-        assert_eq!(platform.count(UpstreamKind::Cheap, Some(ZONES[1])), 0, "after {secs} s");
+        assert_eq!(platform.count(PriceClass::Cheap, Some(ZONES[1])), 0, "after {secs} s");
     }
     platform.step(at(601), 300.0, 600.0);
-    assert!(platform.count(UpstreamKind::Cheap, Some(ZONES[1])) > 0, "the pause must end");
+    assert!(platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0, "the pause must end");
 }
 
 #[test]
@@ -184,7 +183,7 @@
     assert_eq!(platform.counts, full);
     platform.step(at(961), 30.0, 0.0);
     assert!(platform.counts.iter().map(|c| c.count).sum::<u32>() <= 9);
-    let each_zone = |zone| platform.count(UpstreamKind::Regular, Some(zone)) >= 1;
+    let each_zone = |zone| platform.count(PriceClass::Regular, Some(zone)) >= 1;
     assert!(ZONES.into_iter().all(each_zone), "every zone keeps one");
 }
 
@@ -193,10 +192,8 @@
     fn check(cheap_max: u32, regular_max: u32, expected: (u32, u32)) {
         let mut platform = Platform::new(settings(30, cheap_max, regular_max));
         platform.step(at(0), 300.0, 300.0);
-        let counts = (
-            platform.count(UpstreamKind::Regular, None),
-            platform.count(UpstreamKind::Cheap, None),
-        );
+        let counts =
+            (platform.count(PriceClass::Regular, None), platform.count(PriceClass::Cheap, None));
         assert_eq!(counts, expected, "cheap {cheap_max}, regular {regular_max}");
     }
     check(0, 100, (80, 0));
--- a/crates/hibiscushinge/src/admin.rs
+++ b/crates/hibiscushinge/src/admin.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use base::Span;
-use clients::{Answer, CallError, HttpClient, Outgoing};
+use clients::{CallError, HttpClient, HttpRequest, HttpResponse};
 use serde_json::Value;
 
 use crate::NodeStatus;
@@ -55,8 +55,8 @@
         parse(&self.get(node, &format!("/admin/explain?id={id}")).await?)
     }
 
-    async fn get(&self, node: SocketAddr, path: &str) -> Result<Answer, CallError> {
-        self.http.exchange(Outgoing::get(node, path), TIMEOUT, MAX_ANSWER).await?.success()
+    async fn get(&self, node: SocketAddr, path: &str) -> Result<HttpResponse, CallError> {
+        self.http.exchange(HttpRequest::get(node, path), TIMEOUT, MAX_ANSWER).await?.success()
     }
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-fn parse<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, CallError> {
+fn parse<T: serde::de::DeserializeOwned>(answer: &HttpResponse) -> Result<T, CallError> {
     serde_json::from_slice(&answer.body).map_err(|error| CallError {
         failure: clients::CallFailure::Malformed,
         execution: base::Execution::MayHaveRun,
--- a/crates/hibiscushinge/src/commands/usage.rs
+++ b/crates/hibiscushinge/src/commands/usage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use clients::wire::Figures;
+use clients::wire::UsageAmount;
 use hibiscushinge::AdminClient;
 use serde::Deserialize;
 
@@ -15,7 +15,7 @@
 /// Answer of `GET /admin/usage`.
 #[derive(Debug, Deserialize)]
 struct UsageAnswer {
-    open: BTreeMap<String, Figures>,
+    open: BTreeMap<String, UsageAmount>,
     windows: Vec<ClosedWindow>,
     pending_batches: u64,
 }
@@ -24,7 +24,7 @@
 struct ClosedWindow {
     window: u64,
     reported: bool,
-    figures: BTreeMap<String, Figures>,
+    figures: BTreeMap<String, UsageAmount>,
 }
 
 /// Prints the usage figures of the whole environment as one daemon reads them from the log.
@@ -53,7 +53,7 @@
     Ok(ExitStatus::Fine)
 }
 
-fn print_figures(figures: &BTreeMap<String, Figures>) {
+fn print_figures(figures: &BTreeMap<String, UsageAmount>) {
     for (customer, amount) in figures {
         println!(
             "{:<12} {customer:<20} {:>10} {:>14} {:>16}",
--- a/crates/hibiscushinge/src/demo/account.rs
+++ b/crates/hibiscushinge/src/demo/account.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Instant};
 
-use clients::wire::Figures;
+use clients::wire::UsageAmount;
 
 use crate::exit::ExitStatus;
 
@@ -20,7 +20,7 @@
 
 /// Usage as the callers counted it, by customer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct UsageCount(pub(crate) BTreeMap<String, Figures>);
+pub(crate) struct UsageCount(pub(crate) BTreeMap<String, UsageAmount>);
 
 impl PromiseAccount {
     pub(crate) fn new() -> Self {
@@ -59,8 +59,8 @@
 
 impl UsageCount {
     /// Adds figures of a customer.
-    pub(crate) fn add(&mut self, customer: &str, figures: Figures) {
-        let none = Figures { requests: 0, prompt_tokens: 0, generated_tokens: 0 };
+    pub(crate) fn add(&mut self, customer: &str, figures: UsageAmount) {
+        let none = UsageAmount { requests: 0, prompt_tokens: 0, generated_tokens: 0 };
         let sum = self.0.entry(String::from(customer)).or_insert(none);
         sum.requests += figures.requests;
         sum.prompt_tokens += figures.prompt_tokens;
@@ -69,7 +69,7 @@
 
     /// Sums the figures of all customers in one line.
     pub(crate) fn summary(&self) -> String {
-        let sum = |field: fn(&Figures) -> u64| self.0.values().map(field).sum::<u64>();
+        let sum = |field: fn(&UsageAmount) -> u64| self.0.values().map(field).sum::<u64>();
         format!(
             "{} customers, {} requests, {} prompt tokens, {} generated tokens",
             self.0.len(),
--- a/crates/hibiscushinge/src/demo/caller.rs
+++ b/crates/hibiscushinge/src/demo/caller.rs
@@ -8,7 +8,7 @@
 use actix_rt::task::JoinHandle;
 use awc::{Client, Connector, http::StatusCode};
 use bytes::Bytes;
-use clients::wire::Figures;
+use clients::wire::UsageAmount;
 use futures_util::StreamExt as _;
 use serde_json::{Value, json};
 use stand_ins::token_text;
@@ -226,11 +226,11 @@
     }
 
     /// Returns what the caller expects to be billed for a stream.
-    pub(crate) fn stream_figures(&self) -> Figures {
+    pub(crate) fn stream_figures(&self) -> UsageAmount {
         let lines = self.lines();
         let tokens = lines.iter().filter(|line| !line["token"].is_null()).count();
         let prompt = lines.last().and_then(|line| line["prompt_tokens"].as_u64());
-        Figures {
+        UsageAmount {
             requests: u64::from(self.status == StatusCode::OK.as_u16()),
             prompt_tokens: prompt.unwrap_or_default(),
             generated_tokens: tokens as u64,
@@ -238,9 +238,9 @@
     }
 
     /// Returns what the caller expects to be billed for a call to a plain service.
-    pub(crate) fn plain_figures(&self) -> Figures {
+    pub(crate) fn plain_figures(&self) -> UsageAmount {
         let requests = u64::from(self.status == StatusCode::OK.as_u16());
-        Figures { requests, prompt_tokens: 0, generated_tokens: 0 }
+        UsageAmount { requests, prompt_tokens: 0, generated_tokens: 0 }
     }
 }
 
--- a/crates/hibiscushinge/src/demo/steps/billing.rs
+++ b/crates/hibiscushinge/src/demo/steps/billing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use clients::wire::{Figures, Report};
+use clients::wire::{Report, UsageAmount};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -86,7 +86,7 @@
 
 fn covers(billed: &UsageCount, counted: &UsageCount) -> bool {
     counted.0.iter().all(|(customer, counted)| {
-        let at_least = |billed: &Figures| {
+        let at_least = |billed: &UsageAmount| {
             billed.requests >= counted.requests
                 && billed.prompt_tokens >= counted.prompt_tokens
                 && billed.generated_tokens >= counted.generated_tokens
--- a/crates/hibiscushinge/src/demo/world.rs
+++ b/crates/hibiscushinge/src/demo/world.rs
@@ -4,7 +4,7 @@
 
 use base::{Incarnation, Span};
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use document::DaemonSettings;
 use hibiscushinge::{AdminClient, NodeStatus, OperatorClient};
 use hibiscushinged::{Daemon, DaemonAddresses};
@@ -182,7 +182,7 @@
     /// Returns what the upstreams received, one value for each.
     pub(crate) async fn upstream_views(&self) -> Result<Vec<Value>, String> {
         let mut views = self.engines.iter().map(Engine::inspect).collect::<Vec<_>>();
-        let ask = Outgoing::get(self.plain.address(), "/inspect");
+        let ask = HttpRequest::get(self.plain.address(), "/inspect");
         let answer = self.http.exchange(ask, Span::from_secs(5), 16 << 20).await;
         let answer = answer.map_err(|error| format!("the plain service: {error}"))?;
         views.push(serde_json::from_slice(&answer.body).unwrap_or_default());
@@ -213,7 +213,7 @@
             })
         });
         let body = Bytes::from(vms.collect::<Value>().to_string());
-        let ask = Outgoing::post(self.platform.address(), "/vms", body);
+        let ask = HttpRequest::post(self.platform.address(), "/vms", body);
         let answer = self.http.exchange(ask, Span::from_secs(5), 1 << 10).await;
         answer.map(|_| ()).map_err(|error| format!("listing the VMs: {error}"))
     }
--- a/crates/hibiscushinge/src/exit.rs
+++ b/crates/hibiscushinge/src/exit.rs
@@ -2,9 +2,9 @@
 
 use std::process::ExitCode;
 
-use base::key;
+use base::derive_copy;
 
-key! {
+derive_copy! {
     /// How a command ended. `xflags` exits with 2 when the command line is wrong, and scripts read
     /// 3 as a conflict with another operator's change.
     pub(crate) enum ExitStatus {
--- a/crates/hibiscushinge/src/operator.rs
+++ b/crates/hibiscushinge/src/operator.rs
@@ -2,20 +2,18 @@
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
-use base::{Incarnation, LogOffset, RecordId, Span, plain};
+use base::{Incarnation, LogOffset, RecordId, Span, derive_value};
 use bytes::Bytes;
 use clients::{
     CallError, HttpClient, NewRecord, PlatformClient, PlatformLog as _, PlatformTimeouts,
 };
 use configuration::{
-    ConfigEdit, ConfigHistory, ConfigOutcome, ConfigPromote, ConfigRecord, ConfigVersion,
+    ConfigEdit, ConfigOutcome, ConfigPromote, ConfigRecord, ConfigRegistry, ConfigVersion,
     ConflictReport, EnvironmentName, RefusedReason, VersionedDocument,
 };
 use hibiscushinged::{CONFIG_STREAM, check_document};
 use protocol::{decode_record, encode_record};
-use record_log::{
-    FetchedRecord, FollowerAction, FollowerSettings, LogFollower, LogPage as FollowedPage,
-};
+use record_log::{DecodedPage, DecodedRecord, LogReader, ReaderAction, ReaderSettings};
 
 /// Records asked for in one read.
 const PAGE: u32 = 500;
@@ -25,7 +23,7 @@
 
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-plain! {
+derive_value! {
     /// What became of an edit or a promotion.
     pub enum EditOutcome {
         /// The document has this version.
@@ -56,11 +54,11 @@
     last_sequence: u64,
 }
 
-type DocumentVerdict = fn(&EnvironmentName, &str) -> Result<(), String>;
+type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
 
 /// Documents as the whole stream tells them.
 struct ReadHistory {
-    history: ConfigHistory<DocumentVerdict>,
+    history: ConfigRegistry<DocumentCheckFn>,
     /// What became of the record that was asked for.
     outcome: Option<ConfigOutcome>,
 }
@@ -153,15 +151,15 @@
     }
 
     async fn read(&self, wanted: Option<RecordId>) -> Result<ReadHistory, OperatorError> {
-        let check = check_document as DocumentVerdict;
-        let mut read = ReadHistory { history: ConfigHistory::new(check), outcome: None };
-        let mut follower = LogFollower::new(FollowerSettings::default(), LogOffset(0));
+        let check = check_document as DocumentCheckFn;
+        let mut read = ReadHistory { history: ConfigRegistry::new(check), outcome: None };
+        let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
         loop {
             let page = self.platform.read(CONFIG_STREAM, follower.next_offset(), PAGE).await?;
             let is_last = page.records.len() < PAGE as usize;
             read.history.note_retention(page.first);
             for action in follower.handle(decode(page)) {
-                let FollowerAction::Deliver { offset, id, record } = action else { continue };
+                let ReaderAction::Deliver { offset, id, record } = action else { continue };
                 let outcome = read.history.apply(offset, &record);
                 if wanted == Some(id) {
                     read.outcome = Some(outcome);
@@ -183,12 +181,12 @@
     }
 }
 
-fn decode(page: clients::LogPage) -> FollowedPage<ConfigRecord> {
-    let records = page.records.into_iter().map(|stored| FetchedRecord {
+fn decode(page: clients::LogPage) -> DecodedPage<ConfigRecord> {
+    let records = page.records.into_iter().map(|stored| DecodedRecord {
         offset: stored.offset,
         content: decode_record(&stored.data).map_err(|error| error.to_string()),
     });
-    FollowedPage { first_retained: page.first, records: records.collect() }
+    DecodedPage { first_retained: page.first, records: records.collect() }
 }
 
 impl From<CallError> for OperatorError {
--- a/crates/hibiscushinge/tests/daemons.rs
+++ b/crates/hibiscushinge/tests/daemons.rs
@@ -50,7 +50,7 @@
     let daemon = daemon(&platform, "entry-a", "hobart-a");
     let node = daemon.addresses().admin.to_string();
     let http = clients::HttpClient::new(base::Span::from_secs(5));
-    let call = clients::Outgoing::post(daemon.addresses().listen, "/v1/draft", "{}".into());
+    let call = clients::HttpRequest::post(daemon.addresses().listen, "/v1/draft", "{}".into());
     let answer = http.exchange(call, base::Span::from_secs(30), 4096).await.unwrap();
     let id = answer.headers.get("x-request-id").unwrap().to_str().unwrap();
     let text = wait_for("the decision", || async {
--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -10,7 +10,7 @@
 mod limits;
 mod orders;
 mod peers;
-mod sample_carry;
+mod sample_snapshot;
 mod sample_store;
 mod samples;
 mod score;
@@ -41,10 +41,10 @@
 
 use crate::{
     clock::wall_now,
-    input::ControlInput,
+    control_message::ControlMessage,
     shared::SharedState,
     telemetry::log_event,
-    trace::{DecisionLine, DecisionTrace},
+    trace::{DecisionEvent, DecisionTrace},
 };
 
 /// Period of the timers of all state machines. It bounds how late a timer can act.
@@ -87,7 +87,7 @@
 /// Runs the control thread until the daemon is drained.
 pub(crate) async fn run(
     shared: Arc<SharedState>,
-    input: mpsc::Receiver<ControlInput>,
+    input: mpsc::Receiver<ControlMessage>,
     peer: TcpListener,
     admin: TcpListener,
 ) {
@@ -130,27 +130,27 @@
     }
 }
 
-async fn receive(control: Rc<Control>, mut input: mpsc::Receiver<ControlInput>) {
+async fn receive(control: Rc<Control>, mut input: mpsc::Receiver<ControlMessage>) {
     while let Some(message) = input.recv().await {
         match message {
-            ControlInput::Metered(figures) => control.metered(&figures),
-            ControlInput::Claim { ask, reply } => control.claim_asked(ask, reply),
-            ControlInput::ClaimEnded { request, outcome } => {
+            ControlMessage::Metered(figures) => control.metered(&figures),
+            ControlMessage::Claim { ask, reply } => control.claim_asked(ask, reply),
+            ControlMessage::ClaimEnded { request, outcome } => {
                 control.claim_ended(request, outcome);
             }
-            ControlInput::CrashCheck { upstream, fingerprint, reply } => {
+            ControlMessage::CrashCheck { upstream, fingerprint, reply } => {
                 let control = Rc::clone(&control);
                 actix_rt::spawn(async move {
                     control.check_crash(upstream, fingerprint).await;
                     let _ = reply.send(());
                 });
             }
-            ControlInput::Suspicion(actions) => control.spread(actions),
-            ControlInput::Decision(line) => control.state().trace.record(line),
-            ControlInput::Trainer { ask, reply } => {
+            ControlMessage::Suspicion(actions) => control.spread(actions),
+            ControlMessage::Decision(line) => control.state().trace.record(line),
+            ControlMessage::Trainer { ask, reply } => {
                 actix_rt::spawn(Rc::clone(&control).trainer_asked(ask, reply));
             }
-            ControlInput::Drain(done) => {
+            ControlMessage::Drain(done) => {
                 let control = Rc::clone(&control);
                 actix_rt::spawn(async move {
                     control.drain().await;
@@ -242,7 +242,7 @@
 
     /// Keeps a decision for `explain`.
     pub(crate) fn trace(&self, subject: String, code: base::EventCode, detail: String) {
-        self.state().trace.record(DecisionLine { subject, code, detail });
+        self.state().trace.record(DecisionEvent { subject, code, detail });
     }
 
     fn tick(self: &Rc<Self>) {
--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    clock::to_duration, control::Control, input::AdminAsk, shared::ServicePhase,
+    clock::to_duration, control::Control, control_message::AdminRequest, shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -17,11 +17,11 @@
 const BALANCER_NOTICE: Duration = Duration::from_millis(500);
 
 impl Control {
-    pub(crate) fn admin(self: &Rc<Self>, ask: AdminAsk) -> Value {
+    pub(crate) fn admin(self: &Rc<Self>, ask: AdminRequest) -> Value {
         match ask {
-            AdminAsk::Status => self.status(self.now()),
-            AdminAsk::Usage => self.usage(),
-            AdminAsk::Explain(id) => self.state().trace.explain(&id),
+            AdminRequest::Status => self.status(self.now()),
+            AdminRequest::Usage => self.usage(),
+            AdminRequest::Explain(id) => self.state().trace.explain(&id),
         }
     }
 
@@ -94,7 +94,7 @@
 
     fn usage(&self) -> Value {
         let state = self.state();
-        let figures = |figures: &usage::UsageFigures| {
+        let figures = |figures: &usage::UsageByCustomer| {
             let entries = figures.0.iter().map(|(customer, amount)| {
                 let amount = json!({
                     "requests": amount.requests,
@@ -122,7 +122,7 @@
 
     /// Finishes all requests, hands over usage and leases, and returns when the daemon may exit.
     pub(crate) async fn drain(self: &Rc<Self>) {
-        self.shared.enter(ServicePhase::Draining);
+        self.shared.enter(NodePhase::Draining);
         log_event!(ProcessDraining, in_flight = self.shared.in_flight());
         let deadline = self.now() + self.shared.settings.timeouts.drain;
         actix_rt::time::sleep(BALANCER_NOTICE).await;
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use authority::{
-    AuthorityRecord, Candidacy, DeskAction, DeskSettings, FencingSupport, LeaseAction, LeaseKeeper,
-    LeaseSettings, OrderDesk, Scope,
+    AuthorityRecord, FencingSupport, LeaseAction, LeaseManager, LeaseRole, LeaseScope,
+    LeaseSettings, OrderAction, OrderManager, OrderSettings,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span, rendezvous_weight};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span, rendezvous_weight};
 use clients::SendPermit;
 use document::FencingCheck;
 
@@ -25,22 +25,22 @@
 
 /// One scope on this node.
 pub(crate) struct ScopeDriver {
-    pub(crate) scope: Scope,
-    pub(crate) keeper: LeaseKeeper,
-    pub(crate) desk: OrderDesk,
-    was_held: Option<FencingNumber>,
+    pub(crate) scope: LeaseScope,
+    pub(crate) keeper: LeaseManager,
+    pub(crate) desk: OrderManager,
+    was_held: Option<FencingToken>,
 }
 
 /// Creates the scopes of a node: its own zone, `usage` and `fleet`.
 pub(crate) fn drivers(shared: &SharedState) -> Vec<ScopeDriver> {
-    let zone = Scope::Zone(shared.settings.zone.clone());
-    let scopes = [zone, Scope::Usage, Scope::Fleet];
-    let driver = |scope: Scope| ScopeDriver::new(shared, scope);
+    let zone = LeaseScope::Zone(shared.settings.zone.clone());
+    let scopes = [zone, LeaseScope::Usage, LeaseScope::Fleet];
+    let driver = |scope: LeaseScope| ScopeDriver::new(shared, scope);
     scopes.into_iter().map(driver).collect()
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
-    for scope in [Scope::Zone(control.shared.settings.zone.clone()), Scope::Fleet] {
+    for scope in [LeaseScope::Zone(control.shared.settings.zone.clone()), LeaseScope::Fleet] {
         let stream = scope.stream();
         follow::<AuthorityRecord>(control, stream, move |control, event| {
             control.on_authority(&scope, event);
@@ -50,15 +50,15 @@
 }
 
 /// Returns the stream that carries the lease records of a scope.
-fn stream_of(scope: &Scope) -> String {
+fn stream_of(scope: &LeaseScope) -> String {
     match scope {
-        Scope::Usage => String::from(USAGE_STREAM),
-        Scope::Zone(_) | Scope::Fleet => scope.stream(),
+        LeaseScope::Usage => String::from(USAGE_STREAM),
+        LeaseScope::Zone(_) | LeaseScope::Fleet => scope.stream(),
     }
 }
 
 impl ScopeDriver {
-    fn new(shared: &SharedState, scope: Scope) -> Self {
+    fn new(shared: &SharedState, scope: LeaseScope) -> Self {
         let lease = &shared.settings.lease;
         let settings = LeaseSettings {
             term: lease.term,
@@ -69,14 +69,14 @@
         };
         let incarnation = shared.incarnation;
         let mut keeper =
-            LeaseKeeper::new(settings, scope.clone(), incarnation, Candidacy::Standing);
+            LeaseManager::new(settings, scope.clone(), incarnation, LeaseRole::Standing);
         keeper.set_claim_delay(claim_delay(incarnation, &scope));
-        let desk_settings = DeskSettings {
+        let desk_settings = OrderSettings {
             order_timeout: lease.order_timeout,
             ask_retry: Span::from_secs(1),
             receiver: fencing_support(shared.settings.platform_fencing),
         };
-        let desk = OrderDesk::new(desk_settings, scope.clone(), incarnation);
+        let desk = OrderManager::new(desk_settings, scope.clone(), incarnation);
         Self { scope, keeper, desk, was_held: None }
     }
 }
@@ -89,23 +89,23 @@
     }
 }
 
-fn claim_delay(incarnation: Incarnation, scope: &Scope) -> Span {
+fn claim_delay(incarnation: Incarnation, scope: &LeaseScope) -> Span {
     let scope_number = match scope {
-        Scope::Zone(_) => 0,
-        Scope::Usage => 1,
-        Scope::Fleet => 2,
+        LeaseScope::Zone(_) => 0,
+        LeaseScope::Usage => 1,
+        LeaseScope::Fleet => 2,
     };
     Span(rendezvous_weight(incarnation.0, scope_number) % CLAIM_SPREAD.0)
 }
 
 impl Control {
     /// Tells whether this node holds the lease of a scope now.
-    pub(crate) fn holds(&self, scope: &Scope, now: Moment) -> bool {
+    pub(crate) fn holds(&self, scope: &LeaseScope, now: Moment) -> bool {
         self.fencing(scope, now).is_some()
     }
 
     /// Returns the fencing number while this node holds the lease of a scope.
-    pub(crate) fn fencing(&self, scope: &Scope, now: Moment) -> Option<FencingNumber> {
+    pub(crate) fn fencing(&self, scope: &LeaseScope, now: Moment) -> Option<FencingToken> {
         self.permit(scope, now, FencingSupport::Checked)
     }
 
@@ -113,8 +113,8 @@
     /// engines. It grants them while this node holds the scope under `fencing`.
     pub(crate) fn lease_check(
         self: &Rc<Self>,
-        scope: &Scope,
-        fencing: FencingNumber,
+        scope: &LeaseScope,
+        fencing: FencingToken,
         receiver: FencingSupport,
     ) -> impl Fn() -> SendPermit + 'static {
         let (control, scope) = (Rc::clone(self), scope.clone());
@@ -127,16 +127,16 @@
     /// Returns the fencing number under which an order may go to this kind of receiver now.
     pub(crate) fn permit(
         &self,
-        scope: &Scope,
+        scope: &LeaseScope,
         now: Moment,
         receiver: FencingSupport,
-    ) -> Option<FencingNumber> {
+    ) -> Option<FencingToken> {
         let state = self.state();
         let found = state.scopes.iter().find(|driver| driver.scope == *scope);
         found.and_then(|driver| driver.keeper.permit(now, receiver).ok())
     }
 
-    fn on_authority(self: &Rc<Self>, scope: &Scope, event: StreamEvent<AuthorityRecord>) {
+    fn on_authority(self: &Rc<Self>, scope: &LeaseScope, event: StreamEvent<AuthorityRecord>) {
         match event {
             StreamEvent::ReadingFrom(offset) => self.lease_reading_from(scope, offset),
             StreamEvent::Retained(_) => {}
@@ -146,7 +146,7 @@
         }
     }
 
-    pub(crate) fn lease_reading_from(self: &Rc<Self>, scope: &Scope, offset: LogOffset) {
+    pub(crate) fn lease_reading_from(self: &Rc<Self>, scope: &LeaseScope, offset: LogOffset) {
         let now = self.now();
         self.with_scope(scope, |driver| {
             (driver.keeper.reading_from(now, offset).into_vec(), Vec::new())
@@ -155,7 +155,7 @@
 
     pub(crate) fn lease_record(
         self: &Rc<Self>,
-        scope: &Scope,
+        scope: &LeaseScope,
         offset: LogOffset,
         record: &AuthorityRecord,
     ) {
@@ -177,7 +177,7 @@
         }
     }
 
-    fn scope_names(&self) -> Vec<Scope> {
+    fn scope_names(&self) -> Vec<LeaseScope> {
         let state = self.state();
         state.scopes.iter().map(|driver| driver.scope.clone()).collect()
     }
@@ -192,8 +192,8 @@
     /// Runs one decision on a scope and performs its actions.
     pub(crate) fn with_scope(
         self: &Rc<Self>,
-        scope: &Scope,
-        decide: impl FnOnce(&mut ScopeDriver) -> (Vec<LeaseAction>, Vec<DeskAction>),
+        scope: &LeaseScope,
+        decide: impl FnOnce(&mut ScopeDriver) -> (Vec<LeaseAction>, Vec<OrderAction>),
     ) {
         let (lease_actions, desk_actions) = {
             let mut state = self.state();
@@ -219,14 +219,14 @@
         }
     }
 
-    fn note_held(&self, scope: &Scope, fencing: Option<FencingNumber>) {
+    fn note_held(&self, scope: &LeaseScope, fencing: Option<FencingToken>) {
         let mut state = self.state();
         if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
             driver.was_held = fencing;
         }
     }
 
-    fn append_lease(self: &Rc<Self>, scope: &Scope, record: &AuthorityRecord) {
+    fn append_lease(self: &Rc<Self>, scope: &LeaseScope, record: &AuthorityRecord) {
         if self.append_authority(scope, record).is_err() {
             let mut state = self.state();
             if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
@@ -237,16 +237,16 @@
 
     pub(crate) fn append_authority(
         self: &Rc<Self>,
-        scope: &Scope,
+        scope: &LeaseScope,
         record: &AuthorityRecord,
     ) -> Result<(), record_log::BufferFull> {
         let stream = stream_of(scope);
         match scope {
-            Scope::Usage => {
+            LeaseScope::Usage => {
                 let entry = protocol::UsageEntry::Lease(record.clone());
                 self.append(&stream, &entry).map(drop)
             }
-            Scope::Zone(_) | Scope::Fleet => self.append(&stream, record).map(drop),
+            LeaseScope::Zone(_) | LeaseScope::Fleet => self.append(&stream, record).map(drop),
         }
     }
 }
--- a/crates/hibiscushinged/src/control/claims.rs
+++ b/crates/hibiscushinged/src/control/claims.rs
@@ -4,7 +4,7 @@
 
 use base::Moment;
 use delivery::{
-    ClaimAction, ClaimActions, ClaimEvent, ClaimOutcome, ClaimPolicy, ClaimTable, LogReach,
+    ClaimAction, ClaimActions, ClaimEvent, ClaimOutcome, ClaimPolicy, ClaimTable, LogAvailability,
     RequestId,
 };
 use tokio::sync::oneshot;
@@ -16,14 +16,14 @@
         follow::{NextRead, StreamEvent, follow},
         streams::CLAIM_STREAM,
     },
-    input::{ClaimAnswer, ClaimAsk},
+    control_message::{ClaimDecision, ClaimRequest},
 };
 
 /// Claims of this node.
 pub(crate) struct ClaimDriver {
     table: ClaimTable,
-    waiting: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
-    log: LogReach,
+    waiting: HashMap<RequestId, oneshot::Sender<ClaimDecision>>,
+    log: LogAvailability,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -41,14 +41,18 @@
         Self {
             table: ClaimTable::new(ClaimPolicy::default()),
             waiting: HashMap::new(),
-            log: LogReach::Up,
+            log: LogAvailability::Up,
         }
     }
 }
 
 impl Control {
-    pub(crate) fn claim_asked(self: &Rc<Self>, ask: ClaimAsk, reply: oneshot::Sender<ClaimAnswer>) {
-        let ClaimAsk { claim, fingerprint, request, deadline } = ask;
+    pub(crate) fn claim_asked(
+        self: &Rc<Self>,
+        ask: ClaimRequest,
+        reply: oneshot::Sender<ClaimDecision>,
+    ) {
+        let ClaimRequest { claim, fingerprint, request, deadline } = ask;
         self.state().claims.waiting.insert(request, reply);
         self.claim_event(ClaimEvent::Asked { claim, fingerprint, request, deadline });
     }
@@ -61,8 +65,8 @@
         let changed = {
             let mut state = self.state();
             let reach = match state.log.is_down(now) {
-                true => LogReach::Down,
-                false => LogReach::Up,
+                true => LogAvailability::Down,
+                false => LogAvailability::Up,
             };
             let changed = state.claims.log != reach;
             state.claims.log = reach;
@@ -106,22 +110,22 @@
                     let _ = self.append(CLAIM_STREAM, &ClaimEvent::DoneRead(done));
                 }
                 ClaimAction::Run(request) => {
-                    if !self.answer_claim(request, ClaimAnswer::Run) {
+                    if !self.answer_claim(request, ClaimDecision::Run) {
                         self.claim_ended(request, ClaimOutcome::NotRun);
                     }
                 }
                 ClaimAction::Replay { request, status, body } => {
-                    self.answer_claim(request, ClaimAnswer::Replay { status, body });
+                    self.answer_claim(request, ClaimDecision::Replay { status, body });
                 }
                 ClaimAction::Refuse { request, refusal } => {
-                    self.answer_claim(request, ClaimAnswer::Refuse(refusal));
+                    self.answer_claim(request, ClaimDecision::Refuse(refusal));
                 }
             }
         }
     }
 
     /// Returns whether the request is still there.
-    fn answer_claim(&self, request: RequestId, answer: ClaimAnswer) -> bool {
+    fn answer_claim(&self, request: RequestId, answer: ClaimDecision) -> bool {
         let reply = self.state().claims.waiting.remove(&request);
         reply.is_some_and(|reply| reply.send(answer).is_ok())
     }
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -4,10 +4,10 @@
 
 use base::{Arena, LogOffset, Moment, Span, ZoneKey};
 use configuration::{
-    CarrySchedule, ConfigHistory, ConfigOutcome, ConfigRecord, ConfigSnapshot, ConfigVersion,
-    Currency, EnvironmentName, IsolatedService, IsolationPolicy, IsolationState, PeerOutcome,
+    ConfigOutcome, ConfigRecord, ConfigRegistry, ConfigSnapshot, ConfigVersion, EnvironmentName,
+    Freshness, IsolationPolicy, IsolationStatus, IsolationTracker, PeerOutcome, SnapshotSchedule,
 };
-use document::{DaemonSettings, EnvironmentDocument, IsolatedKeys};
+use document::{DaemonSettings, EnvironmentDocument, IsolatedKeyPolicy};
 
 use crate::{
     control::{
@@ -15,24 +15,24 @@
         follow::{NextRead, StreamEvent, follow},
         streams::CONFIG_STREAM,
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
-    view::{KeyService, RoutingView},
+    view::{KeyAcceptance, RoutingView},
 };
 
 /// Time between snapshots of the documents. It must stay well below the log's retention.
 const CARRY_PERIOD: Span = Span::from_secs(600);
 const CARRY_RETRY: Span = Span::from_secs(30);
 
-type DocumentVerdict = fn(&EnvironmentName, &str) -> Result<(), String>;
+type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
 
 /// Configuration of this node.
 pub(crate) struct ConfigDriver {
-    pub(crate) history: ConfigHistory<DocumentVerdict>,
+    pub(crate) history: ConfigRegistry<DocumentCheckFn>,
     pub(crate) document: Option<EnvironmentDocument>,
     pub(crate) zones: Arena<ZoneKey, String>,
-    carry: CarrySchedule,
-    isolation: IsolationState,
+    carry: SnapshotSchedule,
+    isolation: IsolationTracker,
     environment: EnvironmentName,
     applied: ConfigVersion,
     /// Offset at which a peer's state of the log ends, until the reader of the stream goes there.
@@ -64,11 +64,11 @@
 impl ConfigDriver {
     pub(crate) fn new(settings: &DaemonSettings, now: Moment) -> Self {
         Self {
-            history: ConfigHistory::new(check_document as DocumentVerdict),
+            history: ConfigRegistry::new(check_document as DocumentCheckFn),
             document: None,
             zones: Arena::new(),
-            carry: CarrySchedule::new(CARRY_PERIOD, CARRY_RETRY),
-            isolation: IsolationState::new(IsolationPolicy::default(), now),
+            carry: SnapshotSchedule::new(CARRY_PERIOD, CARRY_RETRY),
+            isolation: IsolationTracker::new(IsolationPolicy::default(), now),
             environment: EnvironmentName(settings.environment.clone()),
             applied: ConfigVersion::default(),
             read_again: None,
@@ -94,11 +94,11 @@
 
     pub(crate) fn is_possibly_stale(&self) -> bool {
         let state = self.history.in_force(&self.environment);
-        state.is_some_and(|state| state.currency == Currency::PossiblyStale)
+        state.is_some_and(|state| state.currency == Freshness::PossiblyStale)
     }
 
     pub(crate) fn is_refusing_keys(&self, now: Moment) -> bool {
-        self.isolation.service(now) == IsolatedService::Refusing
+        self.isolation.service(now) == IsolationStatus::Refusing
     }
 
     /// Documents in force, for a peer.
@@ -202,8 +202,8 @@
             .expect("an accepted document is valid");
         config.applied = version;
         config.isolation.set_policy(match document.keys_when_isolated {
-            IsolatedKeys::Serve(limit) => IsolationPolicy::ServeFor(limit),
-            IsolatedKeys::Refuse => IsolationPolicy::Refuse,
+            IsolatedKeyPolicy::Serve(limit) => IsolationPolicy::ServeFor(limit),
+            IsolatedKeyPolicy::Refuse => IsolationPolicy::Refuse,
         });
         for zone in &document.zones {
             config.zone_key(&zone.name);
@@ -225,7 +225,7 @@
             }
         }
         self.shared.view.store(view.into());
-        self.shared.enter(ServicePhase::Serving);
+        self.shared.enter(NodePhase::Serving);
         log_event!(ConfigApplied, version = version.0, customers = document.customers.len());
         self.apply_static_upstreams(&document);
         self.apply_limits(now, &document);
@@ -234,7 +234,7 @@
 
     pub(crate) fn tick_config(self: &Rc<Self>, now: Moment) {
         self.apply_key_service(now);
-        if !self.holds(&authority::Scope::Fleet, now) {
+        if !self.holds(&authority::LeaseScope::Fleet, now) {
             return;
         }
         let carry = {
@@ -247,7 +247,7 @@
             rebuilt.or_else(|| config.history.snapshot().cloned())
         };
         if let Some(snapshot) = carry {
-            let record = ConfigRecord::Carry(configuration::ConfigCarry { snapshot });
+            let record = ConfigRecord::Carry(configuration::ConfigSnapshotRecord { snapshot });
             // A full buffer is reported by `append`; the schedule tries again.
             let _ = self.append(CONFIG_STREAM, &record);
         }
@@ -255,8 +255,8 @@
 
     fn apply_key_service(&self, now: Moment) {
         let service = match self.state().config.is_refusing_keys(now) {
-            true => KeyService::Refusing,
-            false => KeyService::Accepting,
+            true => KeyAcceptance::Refusing,
+            false => KeyAcceptance::Accepting,
         };
         let view = self.shared.view.load();
         if view.key_service == service {
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -11,11 +11,13 @@
     rc::Rc,
 };
 
-use authority::{OrderId, OrderKind, OrderOutcome, OrderRequest, OrderState, PriceClass, Scope};
-use base::{EventCode, FencingNumber, Moment, Span, WallTime};
+use authority::{
+    LeaseScope, OrderId, OrderKind, OrderOutcome, OrderRequest, OrderState, PriceClass,
+};
+use base::{EventCode, FencingToken, Moment, Span, WallTime};
 use clients::{ReclaimNotice, UpstreamInfo};
 use document::{EnvironmentDocument, ServiceKind};
-use fleet::{FleetAction, FleetPlan, UpstreamKind, Wanted, ZoneForecast};
+use fleet::{DesiredCounts, FleetAction, FleetPlanner, ZoneForecast};
 use membership::{LeavingCause, UpstreamPhase};
 
 use crate::{
@@ -46,11 +48,11 @@
 /// Fleet state of this node.
 pub(crate) struct FleetDriver {
     pub(crate) demand: DemandDriver,
-    plan: FleetPlan,
+    plan: FleetPlanner,
     services: Vec<String>,
-    wanted: BTreeMap<String, Wanted>,
+    wanted: BTreeMap<String, DesiredCounts>,
     /// Lease of the own zone under which this node plans, and since when.
-    tenure: Option<(FencingNumber, Moment)>,
+    tenure: Option<(FencingToken, Moment)>,
     /// When an order of the own zone was last settled. Older lists may lack its effect.
     settled_at: Moment,
     orders: BTreeMap<OrderId, OrderTarget>,
@@ -68,7 +70,7 @@
     pub(crate) fn new(now: Moment) -> Self {
         Self {
             demand: DemandDriver::new(),
-            plan: FleetPlan::default(),
+            plan: FleetPlanner::default(),
             services: Vec::new(),
             wanted: BTreeMap::new(),
             tenure: None,
@@ -82,7 +84,7 @@
 
     /// Tells whether orders may follow from a list that was asked for at `listed_at`. It must show
     /// the effect of all earlier orders, also of those that an earlier holder gave.
-    fn is_list_current(&mut self, now: Moment, fencing: FencingNumber, listed_at: Moment) -> bool {
+    fn is_list_current(&mut self, now: Moment, fencing: FencingToken, listed_at: Moment) -> bool {
         let since = match self.tenure {
             Some((known, since)) if known == fencing => since,
             _ => {
@@ -147,7 +149,7 @@
     /// orders that follow.
     pub(crate) fn plan_fleet(self: &Rc<Self>, listed_at: Moment, listed: &[UpstreamInfo]) {
         let now = self.now();
-        let scope = Scope::Zone(self.shared.settings.zone.clone());
+        let scope = LeaseScope::Zone(self.shared.settings.zone.clone());
         let Some(fencing) = self.fencing(&scope, now) else { return };
         let document = {
             let mut state = self.state();
@@ -224,12 +226,12 @@
             if fleet.wanted.insert(service.clone(), wanted) == Some(wanted) {
                 continue;
             }
-            let Wanted { regular, cheap } = wanted;
+            let DesiredCounts { regular, cheap } = wanted;
             log_event!(FleetPlanned, zone = own_zone, service, regular, cheap);
             let subject = format!("fleet/{own_zone}/{service}");
             let detail = format!("{regular} regular and {cheap} cheap upstreams wanted");
             let code = EventCode::FleetPlanned;
-            state.trace.record(crate::trace::DecisionLine { subject, code, detail });
+            state.trace.record(crate::trace::DecisionEvent { subject, code, detail });
         }
     }
 
@@ -239,12 +241,12 @@
         now: Moment,
         document: &EnvironmentDocument,
         listed: &[UpstreamInfo],
-        (service, kind): (&str, UpstreamKind),
+        (service, kind): (&str, fleet::PriceClass),
         count: u32,
     ) {
         let mut staying = Vec::new();
         for info in ordered(document, &self.shared.settings.zone, listed) {
-            if info.service != service || info.cheap != (kind == UpstreamKind::Cheap) {
+            if info.service != service || info.cheap != (kind == fleet::PriceClass::Cheap) {
                 continue;
             }
             let report = self.state().peers.board.view(now, &info.name).map(|found| found.report);
@@ -265,7 +267,7 @@
     fn stop_drained(
         self: &Rc<Self>,
         now: Moment,
-        scope: &Scope,
+        scope: &LeaseScope,
         document: &EnvironmentDocument,
         listed: &[UpstreamInfo],
     ) {
@@ -316,7 +318,7 @@
         })
     }
 
-    fn give_order(self: &Rc<Self>, scope: &Scope, target: OrderTarget, request: OrderRequest) {
+    fn give_order(self: &Rc<Self>, scope: &LeaseScope, target: OrderTarget, request: OrderRequest) {
         if self.state().fleet.paused.contains_key(&target) {
             return;
         }
--- a/crates/hibiscushinged/src/control/fleet/demand.rs
+++ b/crates/hibiscushinged/src/control/fleet/demand.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::BTreeMap, rc::Rc};
 
-use authority::Scope;
+use authority::LeaseScope;
 use base::{Moment, Span};
-use configuration::CarrySchedule;
+use configuration::SnapshotSchedule;
 use document::{EnvironmentDocument, ServiceKind};
 use fleet::{CivilClock, DemandKey, DemandModel, DemandSnapshot, WorkClass};
 use membership::{LoadReport, PeerState, UpstreamPhase};
@@ -28,7 +28,7 @@
 /// Demand as this node sees it.
 pub(crate) struct DemandDriver {
     model: Option<DemandModel>,
-    carry: CarrySchedule,
+    carry: SnapshotSchedule,
     observed_at: Option<Moment>,
     /// Requests that this node had started by the last observation, by plain service.
     started: BTreeMap<String, u64>,
@@ -45,7 +45,7 @@
     pub(crate) fn new() -> Self {
         Self {
             model: None,
-            carry: CarrySchedule::new(CARRY_PERIOD, CARRY_RETRY),
+            carry: SnapshotSchedule::new(CARRY_PERIOD, CARRY_RETRY),
             observed_at: None,
             started: BTreeMap::new(),
         }
@@ -94,7 +94,7 @@
 
     /// Observes demand, and appends snapshots while this node holds the fleet scope.
     pub(crate) fn tick_demand(self: &Rc<Self>, now: Moment) {
-        if !self.observe_demand(now) || !self.holds(&Scope::Fleet, now) {
+        if !self.observe_demand(now) || !self.holds(&LeaseScope::Fleet, now) {
             return;
         }
         let snapshots = {
--- a/crates/hibiscushinged/src/control/fleet/pools.rs
+++ b/crates/hibiscushinged/src/control/fleet/pools.rs
@@ -4,7 +4,7 @@
 use base::ZoneKey;
 use clients::{UpstreamInfo, UpstreamState};
 use document::{EnvironmentDocument, PoolEntry};
-use fleet::{PoolSettings, ServiceSettings, UpstreamCount, UpstreamKind};
+use fleet::{PoolSettings, ServiceSettings, UpstreamCount};
 
 /// Returns the settings of all services that have a pool without addresses.
 ///
@@ -54,7 +54,7 @@
     };
     PoolSettings {
         zone,
-        kind: if pool.cheap { UpstreamKind::Cheap } else { UpstreamKind::Regular },
+        kind: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         min,
         max,
         price: pool.price_cents_per_hour,
@@ -87,22 +87,22 @@
     let fixed = document.pools.iter().filter(|pool| pool.zone == zone).map(|pool| UpstreamCount {
         service: pool.service.clone(),
         zone: key,
-        kind: if pool.cheap { UpstreamKind::Cheap } else { UpstreamKind::Regular },
+        kind: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: pool.addresses.len() as u32,
     });
     let staying = ordered(document, zone, listed).filter(|info| !is_leaving(&info.name));
     let ordered = staying.map(|info| UpstreamCount {
         service: info.service.clone(),
         zone: key,
-        kind: if info.cheap { UpstreamKind::Cheap } else { UpstreamKind::Regular },
+        kind: if info.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: 1,
     });
     fixed.chain(ordered).collect()
 }
 
-pub(crate) const fn price_class(kind: UpstreamKind) -> PriceClass {
+pub(crate) const fn price_class(kind: fleet::PriceClass) -> PriceClass {
     match kind {
-        UpstreamKind::Regular => PriceClass::Regular,
-        UpstreamKind::Cheap => PriceClass::Cheap,
+        fleet::PriceClass::Regular => PriceClass::Regular,
+        fleet::PriceClass::Cheap => PriceClass::Cheap,
     }
 }
--- a/crates/hibiscushinged/src/control/fleet/tests.rs
+++ b/crates/hibiscushinged/src/control/fleet/tests.rs
@@ -5,7 +5,7 @@
 use base::{Span, ZoneKey};
 use clients::{UpstreamInfo, UpstreamState};
 use document::EnvironmentDocument;
-use fleet::{PoolSettings, UpstreamKind};
+use fleet::{PoolSettings, PriceClass};
 
 use super::pools::{counts, service_settings};
 
@@ -38,7 +38,7 @@
     let [settings] = settings.as_slice() else { panic!("{settings:?}") };
     assert_eq!((settings.service.as_str(), settings.capacity), ("draft-models", 200.0));
     assert_eq!(settings.hold, Span::from_secs(120));
-    let pool = |kind: UpstreamKind, min: u32, max: u32| PoolSettings {
+    let pool = |kind: PriceClass, min: u32, max: u32| PoolSettings {
         zone: ZoneKey(0),
         kind,
         min,
@@ -46,7 +46,7 @@
         price: 100,
         start_up: Span::from_secs(30),
     };
-    let expected = [pool(UpstreamKind::Regular, 3, 6), pool(UpstreamKind::Cheap, 1, 4)];
+    let expected = [pool(PriceClass::Regular, 3, 6), pool(PriceClass::Cheap, 1, 4)];
     assert_eq!(settings.pools, expected);
 }
 
@@ -62,11 +62,11 @@
     };
     let listed = listed.iter().map(info).collect::<Vec<_>>();
     let counts = counts(&document(), "hobart-a", ZoneKey(0), &listed, |name| name == "marked");
-    let sum = |kind: UpstreamKind| {
+    let sum = |kind: PriceClass| {
         let same = counts.iter().filter(|one| one.kind == kind && one.service == "draft-models");
         same.map(|one| one.count).sum::<u32>()
     };
-    assert_eq!((sum(UpstreamKind::Regular), sum(UpstreamKind::Cheap)), (regular, cheap));
+    assert_eq!((sum(PriceClass::Regular), sum(PriceClass::Cheap)), (regular, cheap));
 }
 
 #[test]
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -6,7 +6,7 @@
 use clients::{NewRecord, PlatformLog as _};
 use protocol::{StreamRecord, decode_record};
 use record_log::{
-    FetchedRecord, FollowerAction, FollowerSettings, LogFollower, LogPage, WriterAction,
+    DecodedPage, DecodedRecord, LogReader, ReaderAction, ReaderSettings, WriterAction,
 };
 use tokio::sync::Notify;
 
@@ -81,7 +81,7 @@
     let control = Rc::clone(control);
     actix_rt::spawn(async move {
         let kick = control.kick(&stream);
-        let mut follower = LogFollower::new(FollowerSettings::default(), LogOffset(0));
+        let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
         let mut started = false;
         let mut news_at = control.now();
         loop {
@@ -98,12 +98,12 @@
             if !started {
                 started = true;
                 // A stream that was trimmed before this process started has no gap to report.
-                follower = LogFollower::new(FollowerSettings::default(), page.first);
+                follower = LogReader::new(ReaderSettings::default(), page.first);
                 apply(&control, StreamEvent::ReadingFrom(page.first));
             }
             let retained = apply(&control, StreamEvent::Retained(page.first));
             if let NextRead::From(offset) = retained {
-                follower = LogFollower::new(FollowerSettings::default(), offset);
+                follower = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
             let mut next = NextRead::Onwards;
@@ -114,7 +114,7 @@
                 }
             }
             if let NextRead::From(offset) = next {
-                follower = LogFollower::new(FollowerSettings::default(), offset);
+                follower = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
             if behind {
@@ -130,32 +130,32 @@
     });
 }
 
-fn decode<T: StreamRecord>(page: clients::LogPage) -> LogPage<T> {
+fn decode<T: StreamRecord>(page: clients::LogPage) -> DecodedPage<T> {
     let records = page.records.into_iter().map(|stored| {
         let content = decode_record(&stored.data).map_err(|error| error.to_string());
-        FetchedRecord { offset: stored.offset, content }
+        DecodedRecord { offset: stored.offset, content }
     });
-    LogPage { first_retained: page.first, records: records.collect() }
+    DecodedPage { first_retained: page.first, records: records.collect() }
 }
 
 impl Control {
     fn apply<T>(
         self: &Rc<Self>,
         stream: &str,
-        action: FollowerAction<T>,
+        action: ReaderAction<T>,
         catching_up: bool,
         apply: &impl Fn(&Rc<Self>, StreamEvent<T>) -> NextRead,
     ) -> NextRead {
         match action {
-            FollowerAction::Gap { expected, resumed } => {
+            ReaderAction::Gap { expected, resumed } => {
                 log_event!(warn, LogGapFound, stream, expected = expected.0, resumed = resumed.0);
                 self.state().log.gaps += 1;
                 apply(self, StreamEvent::ReadingFrom(resumed))
             }
-            FollowerAction::Deliver { offset, id, record } => {
+            ReaderAction::Deliver { offset, id, record } => {
                 apply(self, StreamEvent::Record { offset, id, record, catching_up })
             }
-            FollowerAction::Malformed { offset, problem } => {
+            ReaderAction::Malformed { offset, problem } => {
                 log_event!(warn, LogRecordRefused, stream, offset = offset.0, problem);
                 self.state().log.malformed += 1;
                 NextRead::Onwards
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -13,7 +13,8 @@
 
 use base::{EventCode, Moment, Span, UpstreamKey, WeightVersion};
 use rollout::{
-    GainOverCost, OpenSlot, SlotKey, StragglerAction, StragglerPolicy, TrainerId, TrainerShare,
+    CostBenefitRule, OpenSlot, SlotKey, StragglerAction, StragglerDetector, TrainerId,
+    TrainerScheduler,
 };
 use tokio::sync::Notify;
 
@@ -22,7 +23,7 @@
         Control,
         slots::{SlotOwners, slot_hash},
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -41,8 +42,8 @@
 
 /// Slots that this node makes.
 pub(crate) struct GenerationDriver {
-    pub(crate) share: TrainerShare,
-    pub(crate) policy: StragglerPolicy<GainOverCost>,
+    pub(crate) share: TrainerScheduler,
+    pub(crate) policy: StragglerDetector<CostBenefitRule>,
     running: BTreeMap<SlotKey, SlotRun>,
     wanted: BTreeMap<TrainerId, VecDeque<OpenSlot>>,
     owners: Option<SlotOwners>,
@@ -79,8 +80,8 @@
 impl GenerationDriver {
     pub(crate) fn new() -> Self {
         Self {
-            share: TrainerShare::default(),
-            policy: StragglerPolicy::new(GainOverCost::default()),
+            share: TrainerScheduler::default(),
+            policy: StragglerDetector::new(CostBenefitRule::default()),
             running: BTreeMap::new(),
             wanted: BTreeMap::new(),
             owners: None,
@@ -146,7 +147,7 @@
 impl Control {
     /// Starts attempts at open slots of this node.
     pub(crate) fn place_samples(self: &Rc<Self>, now: Moment, owners: &SlotOwners) {
-        if self.shared.phase() != ServicePhase::Serving {
+        if self.shared.phase() != NodePhase::Serving {
             return;
         }
         let live_callers_wait = self.shared.desk().queued_tokens() > 0;
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -6,11 +6,11 @@
 use clients::{
     CallError, EngineControl as _, EnginePriority, GenerateRequest, TokenEvent, TokenSource as _,
 };
-use delivery::{Fingerprint, IsolationAsk, Judgement};
+use delivery::{Fingerprint, FingerprintStatus, IsolationRequest};
 use membership::{PeerState, stable_hash};
 use protocol::{PeerMessage, SampleEntry, WireSampleCopy};
 use rollout::{SampleFilled, SampleRecord, SpanTracker};
-use routing::{PickRequest, WorkEnd};
+use routing::{PickRequest, RequestOutcome};
 use smallvec::{SmallVec, smallvec};
 use tokio::sync::oneshot;
 
@@ -120,8 +120,8 @@
             let end = self.exchange(attempt, work, &id, address, &mut progress).await;
             let tokens = progress.tracker.tokens();
             let work_end = match end {
-                ExchangeEnd::Whole => WorkEnd::Completed { tokens: tokens - offset },
-                ExchangeEnd::Broken(_) | ExchangeEnd::Cancelled => WorkEnd::Failed,
+                ExchangeEnd::Whole => RequestOutcome::Completed { tokens: tokens - offset },
+                ExchangeEnd::Broken(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
             };
             let now = self.now();
             self.shared.desk().finish(now, started, work_end);
@@ -210,9 +210,9 @@
     ) -> Option<(UpstreamKey, SocketAddr)> {
         let judgement = self.shared.desk().judge(wall_now(), fingerprint);
         let chosen = match judgement {
-            Judgement::Convicted { .. } => None,
-            Judgement::Suspect => self.isolated_engine(work, fingerprint).await,
-            Judgement::Clear => {
+            FingerprintStatus::Convicted { .. } => None,
+            FingerprintStatus::Suspect => self.isolated_engine(work, fingerprint).await,
+            FingerprintStatus::Clear => {
                 let (version, bound) = self.trainer_version(attempt.slot)?;
                 let lead = LEAD.min(bound);
                 // An older engine makes a sample that is valid now, which beats an idle engine.
@@ -264,7 +264,7 @@
         let now = self.now();
         let (reply, answer) = oneshot::channel();
         let request = self.shared.next_request();
-        let ask = IsolationAsk {
+        let ask = IsolationRequest {
             request,
             fingerprint,
             // No route leads to samples.
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, rc::Rc};
 
-use admission::{DeskSettings, GrantId, LimitAsk, LimitDesk, LimitGrant, ZonePart};
+use admission::{AllocatorSettings, GrantId, GrantRequest, LimitAllocator, LimitGrant, ZoneLimit};
 use base::{CustomerKey, Incarnation, Moment, Span};
 use document::EnvironmentDocument;
 use protocol::{PeerMessage, WireLimitAsk, WireLimitGrant};
@@ -12,8 +12,8 @@
 /// Limits of this node, and of its zone while it is the delegate.
 #[derive(Default)]
 pub(crate) struct LimitDriver {
-    desk: Option<LimitDesk>,
-    parts: BTreeMap<CustomerKey, ZonePart>,
+    desk: Option<LimitAllocator>,
+    parts: BTreeMap<CustomerKey, ZoneLimit>,
     zone_vms: u32,
 }
 
@@ -32,7 +32,7 @@
             let limit = u64::from(customer.tokens_per_second);
             let rate = limit * u64::from(zone_vms) / u64::from(all_vms);
             let rate = u32::try_from(rate).unwrap_or(u32::MAX);
-            let part = ZonePart::with_reserve(rate, zone_vms);
+            let part = ZoneLimit::with_reserve(rate, zone_vms);
             state.limits.parts.insert(key, part);
             self.shared.desk().limits().set_reserve(now, key, part.reserve);
         }
@@ -111,7 +111,7 @@
             let held = ask.held.map(|(desk, number)| GrantId { desk: Incarnation(desk), number });
             let granted = desk.ask(
                 now,
-                LimitAsk {
+                GrantRequest {
                     node: Incarnation(ask.node),
                     customer,
                     demand: ask.demand,
@@ -144,9 +144,10 @@
         let live = state.peers.table.live_in_zone(zone).count();
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         let grant_period = self.shared.settings.timeouts.limit_grant;
-        let settings = DeskSettings { grant_period, zone_vms: state.limits.zone_vms };
+        let settings = AllocatorSettings { grant_period, zone_vms: state.limits.zone_vms };
         let me = self.shared.incarnation;
-        let desk = state.limits.desk.get_or_insert_with(|| LimitDesk::new(me, settings, now, live));
+        let desk =
+            state.limits.desk.get_or_insert_with(|| LimitAllocator::new(me, settings, now, live));
         desk.set_live_vms(now, live);
         for (customer, part) in &state.limits.parts {
             desk.set_part(*customer, *part);
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -2,16 +2,18 @@
 
 use std::rc::Rc;
 
-use authority::{DeskAction, OrderAnswer, OrderId, OrderIntent, OrderKind, PriceClass, Scope};
-use base::FencingNumber;
+use authority::{
+    LeaseScope, OrderAction, OrderId, OrderIntent, OrderKind, OrderResponse, PriceClass,
+};
+use base::FencingToken;
 use clients::{CallFailure, SendPermit, UpstreamOrder, UpstreamOrders as _};
 
 use crate::{control::Control, telemetry::log_event};
 
 impl Control {
-    pub(crate) fn perform_order(self: &Rc<Self>, scope: &Scope, action: DeskAction) {
+    pub(crate) fn perform_order(self: &Rc<Self>, scope: &LeaseScope, action: OrderAction) {
         match action {
-            DeskAction::Append(record) => {
+            OrderAction::Append(record) => {
                 if self.append_authority(scope, &record).is_err() {
                     self.with_scope(scope, |driver| {
                         driver.desk.append_refused(&record);
@@ -19,19 +21,19 @@
                     });
                 }
             }
-            DeskAction::Send(intent) => {
+            OrderAction::Send(intent) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
                 actix_rt::spawn(async move { control.send_order(scope, intent).await });
             }
-            DeskAction::Ask(id) => {
+            OrderAction::Ask(id) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
                 actix_rt::spawn(async move { control.ask_order(scope, id).await });
             }
-            DeskAction::Voided(id) => {
+            OrderAction::Voided(id) => {
                 let detail = String::from("void: its intent took effect under a later lease");
                 self.trace(id.to_string(), base::EventCode::OrderSettled, detail);
             }
-            DeskAction::Settled(outcome) => {
+            OrderAction::Settled(outcome) => {
                 self.fleet_settled(&outcome);
                 log_event!(
                     OrderSettled,
@@ -46,7 +48,7 @@
         }
     }
 
-    async fn send_order(self: Rc<Self>, scope: Scope, intent: OrderIntent) {
+    async fn send_order(self: Rc<Self>, scope: LeaseScope, intent: OrderIntent) {
         let Some(fencing) = self.order_permit(&scope, intent.id) else { return };
         let order = wire_order(&intent, fencing);
         // The call may first wait for a connection, so the clock is checked again by the last step
@@ -66,29 +68,29 @@
         self.trace(order.id, base::EventCode::OrderIssued, detail);
         let answer = match result {
             Ok(answer) => answer_of(answer),
-            Err(error) if error.failure == CallFailure::Status(409) => OrderAnswer::FencingTooLow,
-            Err(_) => OrderAnswer::Lost,
+            Err(error) if error.failure == CallFailure::Status(409) => OrderResponse::FencingTooLow,
+            Err(_) => OrderResponse::Lost,
         };
         self.order_answered(&scope, intent.id, answer);
     }
 
-    fn order_permit(&self, scope: &Scope, id: OrderId) -> Option<FencingNumber> {
+    fn order_permit(&self, scope: &LeaseScope, id: OrderId) -> Option<FencingToken> {
         let now = self.now();
         let state = self.state();
         let driver = state.scopes.iter().find(|driver| driver.scope == *scope)?;
         driver.desk.permit(now, &driver.keeper, id).ok()
     }
 
-    async fn ask_order(self: Rc<Self>, scope: Scope, id: OrderId) {
+    async fn ask_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
         let answer = match self.platform.find_order(&id.to_string()).await {
             Ok(Some(answer)) => answer_of(answer),
-            Ok(None) => OrderAnswer::NotFound,
-            Err(_) => OrderAnswer::Lost,
+            Ok(None) => OrderResponse::NotFound,
+            Err(_) => OrderResponse::Lost,
         };
         self.order_answered(&scope, id, answer);
     }
 
-    fn order_answered(self: &Rc<Self>, scope: &Scope, id: OrderId, answer: OrderAnswer) {
+    fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, answer: OrderResponse) {
         let now = self.now();
         self.with_scope(scope, |driver| {
             let actions = driver.desk.answer(now, &driver.keeper, id, answer).into_vec();
@@ -97,7 +99,7 @@
     }
 }
 
-fn wire_order(intent: &OrderIntent, fencing: FencingNumber) -> UpstreamOrder {
+fn wire_order(intent: &OrderIntent, fencing: FencingToken) -> UpstreamOrder {
     let kind = match &intent.kind {
         OrderKind::Start { count, price } => {
             clients::OrderKind::Start { count: *count, cheap: *price == PriceClass::Cheap }
@@ -105,7 +107,7 @@
         OrderKind::Stop { upstream } => clients::OrderKind::Stop { upstream: upstream.clone() },
     };
     let zone = match &intent.scope {
-        Scope::Zone(name) => name.clone(),
+        LeaseScope::Zone(name) => name.clone(),
         other => other.to_string(),
     };
     UpstreamOrder {
@@ -117,11 +119,11 @@
     }
 }
 
-fn answer_of(answer: clients::OrderAnswer) -> OrderAnswer {
+fn answer_of(answer: clients::OrderInfo) -> OrderResponse {
     let state = match answer.state {
         clients::OrderState::Accepted => authority::OrderState::Accepted,
         clients::OrderState::Done => authority::OrderState::Done,
         clients::OrderState::Refused => authority::OrderState::Refused,
     };
-    OrderAnswer::State { state, upstreams: answer.upstreams }
+    OrderResponse::State { state, upstreams: answer.upstreams }
 }
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -4,11 +4,11 @@
 
 use base::{Moment, VmKey};
 use bytes::Bytes;
-use clients::{Outgoing, VmList as _, VmState};
+use clients::{HttpRequest, VmList as _, VmState};
 use configuration::ConfigSnapshot;
 use membership::{
-    BoardSettings, Heartbeat, ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings,
-    PeerState, PeerTable, UpstreamBoard, UpstreamEntry, VmIdentity, ZoneSummary,
+    Heartbeat, ListState, ListedVm, LivenessMessage, LoadTable, LoadTableSettings, LoadUpdate,
+    PeerAction, PeerEvent, PeerSettings, PeerState, PeerTable, VmIdentity, ZoneSummary,
 };
 use protocol::{
     MAX_MESSAGE_BYTES, PeerMessage, WireConfigCopy, WireSnapshot, WireUpstream, decode_message,
@@ -29,7 +29,7 @@
 /// Peers and upstream states as this node knows them.
 pub(crate) struct PeerDriver {
     pub(crate) table: PeerTable,
-    pub(crate) board: UpstreamBoard,
+    pub(crate) board: LoadTable,
     pub(crate) malformed: u64,
     fetching: bool,
 }
@@ -57,7 +57,7 @@
         };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, now),
-            board: UpstreamBoard::new(BoardSettings::default(), shared.incarnation),
+            board: LoadTable::new(LoadTableSettings::default(), shared.incarnation),
             malformed: 0,
             fetching: false,
         }
@@ -98,7 +98,8 @@
                 let heartbeat = {
                     let (now, state) = (self.now(), self.state());
                     let from = state.peers.table.own_identity().clone();
-                    let beat = PeerBeat { from, beat: 0, refutation: 0, notices: Vec::new() };
+                    let beat =
+                        LivenessMessage { from, beat: 0, refutation: 0, notices: Vec::new() };
                     Heartbeat {
                         beat,
                         config_version: state.config.version().0,
@@ -177,8 +178,8 @@
         self: &Rc<Self>,
         now: Moment,
         to: VmKey,
-        beat: PeerBeat,
-        upstreams: Vec<UpstreamEntry>,
+        beat: LivenessMessage,
+        upstreams: Vec<LoadUpdate>,
     ) {
         let (address, heartbeat) = {
             let state = self.state();
@@ -193,7 +194,7 @@
         self.tell_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
     }
 
-    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, beat: PeerBeat) {
+    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, beat: LivenessMessage) {
         let (address, summary) = {
             let mut state = self.state();
             let state = &mut *state;
@@ -212,7 +213,7 @@
     }
 
     /// Sends changes that must not wait for the next heartbeat to all peers.
-    fn send_urgent(self: &Rc<Self>, upstreams: &[UpstreamEntry]) {
+    fn send_urgent(self: &Rc<Self>, upstreams: &[LoadUpdate]) {
         let upstreams = upstreams.iter().map(WireUpstream::from).collect();
         self.tell_all_peers(&PeerMessage::Upstreams(upstreams));
     }
@@ -234,7 +235,7 @@
             PeerMessage::Heartbeat(wire) => self.heartbeat(wire.into()),
             PeerMessage::Summary(wire) => self.summary(wire.into()),
             PeerMessage::Upstreams(entries) => {
-                self.learn_entries(entries.into_iter().map(UpstreamEntry::from));
+                self.learn_entries(entries.into_iter().map(LoadUpdate::from));
             }
             PeerMessage::ConfigFetch => return self.config_copy(),
             PeerMessage::BatchHold(hold) => return self.hold_batch(hold),
@@ -264,7 +265,12 @@
         self.heard(summary.beat, summary.config_version, summary.upstreams);
     }
 
-    fn heard(self: &Rc<Self>, beat: PeerBeat, config_version: u64, upstreams: Vec<UpstreamEntry>) {
+    fn heard(
+        self: &Rc<Self>,
+        beat: LivenessMessage,
+        config_version: u64,
+        upstreams: Vec<LoadUpdate>,
+    ) {
         let address = beat.from.address.parse::<SocketAddr>().ok();
         self.peer_event(PeerEvent::BeatReceived(beat));
         self.learn_entries(upstreams);
@@ -274,7 +280,7 @@
         }
     }
 
-    fn learn_entries(self: &Rc<Self>, entries: impl IntoIterator<Item = UpstreamEntry>) {
+    fn learn_entries(self: &Rc<Self>, entries: impl IntoIterator<Item = LoadUpdate>) {
         let now = self.now();
         for entry in entries {
             let name = entry.upstream.clone();
@@ -328,7 +334,7 @@
         address: SocketAddr,
         message: &PeerMessage,
     ) -> Option<PeerMessage> {
-        let outgoing = Outgoing::post(address, PEER_PATH, Bytes::from(encode_message(message)));
+        let outgoing = HttpRequest::post(address, PEER_PATH, Bytes::from(encode_message(message)));
         let timeout = self.shared.settings.timeouts.peer;
         let answer = self.peer_http.exchange(outgoing, timeout, MAX_MESSAGE_BYTES).await.ok()?;
         decode_message(&answer.success().ok()?.body).ok()
--- a/crates/hibiscushinged/src/control/sample_carry.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -4,8 +4,8 @@
 
 use base::{LogOffset, Moment, Span};
 use membership::PeerState;
-use protocol::{MAX_MESSAGE_BYTES, SampleCarry, SampleEntry, encode_record};
-use rollout::{SampleBook, TrainerId};
+use protocol::{MAX_MESSAGE_BYTES, SampleEntry, SampleSnapshot, encode_record};
+use rollout::{SampleTable, TrainerId};
 
 use crate::control::{Control, slots::SlotOwners, streams::SAMPLE_STREAM};
 
@@ -17,7 +17,7 @@
 
 /// When the trainers were last carried.
 #[derive(Debug, Default)]
-pub(crate) struct CarryTracker {
+pub(crate) struct SnapshotTracker {
     /// Oldest retained offset.
     first: u64,
     /// Offset that follows the last record read.
@@ -28,7 +28,7 @@
     tried: BTreeMap<TrainerId, Moment>,
 }
 
-impl CarryTracker {
+impl SnapshotTracker {
     pub(crate) fn retained(&mut self, first: LogOffset) {
         self.first = first.0;
     }
@@ -67,11 +67,11 @@
             let mut state = self.state();
             let samples = &mut state.samples;
             samples.book = match offset {
-                LogOffset(0) => SampleBook::default(),
-                _ => SampleBook::after_gap(offset),
+                LogOffset(0) => SampleTable::default(),
+                _ => SampleTable::after_gap(offset),
             };
             samples.opened.clear();
-            samples.carries = CarryTracker::default();
+            samples.carries = SnapshotTracker::default();
             samples.generation.slots()
         };
         for slot in slots {
@@ -80,8 +80,8 @@
     }
 
     /// Takes a snapshot from the log.
-    pub(crate) fn adopt_trainer(&self, offset: LogOffset, carry: SampleCarry) {
-        let SampleCarry { carry, opened } = carry;
+    pub(crate) fn adopt_trainer(&self, offset: LogOffset, carry: SampleSnapshot) {
+        let SampleSnapshot { carry, opened } = carry;
         let mut state = self.state();
         let samples = &mut state.samples;
         let trainer = carry.book.id;
@@ -134,7 +134,7 @@
                 Some((number, samples.opened.get(&(trainer, number))?.clone()))
             });
             let opened = opened.collect();
-            SampleEntry::Carry(Box::new(SampleCarry { carry, opened }))
+            SampleEntry::Carry(Box::new(SampleSnapshot { carry, opened }))
         };
         let id = self.state().writer.next_id(SAMPLE_STREAM);
         let length = encode_record(id, &entry).len();
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -13,10 +13,10 @@
 use base::{EventCode, Incarnation, LogOffset, Moment, RecordId, Span};
 use document::{DaemonSettings, TrainerEntry};
 use membership::PeerState;
-use protocol::{OpenedStep, PeerMessage, SampleEntry, WireSampleCopy};
+use protocol::{PeerMessage, SampleEntry, StepPrompts, WireSampleCopy};
 use rollout::{
-    BookAction, SampleBook, SampleFilled, SampleRecord, ScoreAction, ScoreDesk, SlotKey, TrainerId,
-    VoidReason,
+    SampleFilled, SampleOutcome, SampleRecord, SampleTable, ScoreAction, ScoreQueue, SlotKey,
+    TrainerId, VoidReason,
 };
 use serde_json::{Value, json};
 
@@ -25,7 +25,7 @@
         Control,
         follow::{NextRead, StreamEvent, follow},
         generate::GenerationDriver,
-        sample_carry::CarryTracker,
+        sample_snapshot::SnapshotTracker,
         sample_store::{SampleStore, StoreOutcome},
         slots::SlotOwners,
         streams::SAMPLE_STREAM,
@@ -52,15 +52,15 @@
 
 /// Samples as this node knows them.
 pub(crate) struct SampleDriver {
-    pub(crate) book: SampleBook,
-    pub(crate) opened: BTreeMap<(TrainerId, u64), OpenedStep>,
+    pub(crate) book: SampleTable,
+    pub(crate) opened: BTreeMap<(TrainerId, u64), StepPrompts>,
     pub(crate) store: SampleStore,
     pub(crate) waiters: StatementWaiters,
     pub(crate) generation: GenerationDriver,
-    pub(crate) scores: ScoreDesk,
+    pub(crate) scores: ScoreQueue,
     /// Bound and voided records that were appended and not read back.
     appended: HashMap<RecordId, Moment>,
-    pub(crate) carries: CarryTracker,
+    pub(crate) carries: SnapshotTracker,
     started: Option<Moment>,
     next_care: Moment,
     next_audit: Moment,
@@ -74,14 +74,14 @@
 impl SampleDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
         Self {
-            book: SampleBook::default(),
+            book: SampleTable::default(),
             opened: BTreeMap::new(),
             store: SampleStore::new(settings.bounds.sample_bytes as usize),
             waiters: StatementWaiters::default(),
             generation: GenerationDriver::new(),
-            scores: ScoreDesk::default(),
+            scores: ScoreQueue::default(),
             appended: HashMap::new(),
-            carries: CarryTracker::default(),
+            carries: SnapshotTracker::default(),
             started: None,
             next_care: Moment(0),
             next_audit: Moment(0),
@@ -163,7 +163,7 @@
         offset: LogOffset,
         id: RecordId,
         record: &SampleRecord,
-        mut opened: Option<OpenedStep>,
+        mut opened: Option<StepPrompts>,
     ) {
         let actions = self.state().samples.book.apply_at(offset, record);
         {
@@ -184,7 +184,7 @@
         }
         for action in actions {
             match action {
-                BookAction::StepOpened { trainer, step, slots } => {
+                SampleOutcome::StepOpened { trainer, step, slots } => {
                     tracing::info!(trainer = trainer.0, step, slots, "a step was opened");
                     let mut state = self.state();
                     state.samples.carries.step_opened(trainer);
@@ -193,8 +193,8 @@
                         state.samples.opened.insert((trainer, step), opened);
                     }
                 }
-                BookAction::Filled { slot, sample } => self.slot_filled(slot, sample, record),
-                BookAction::FillRefused { slot, sample, reason } => {
+                SampleOutcome::Filled { slot, sample } => self.slot_filled(slot, sample, record),
+                SampleOutcome::FillRefused { slot, sample, reason } => {
                     let name = self.state().samples.slot_text(slot);
                     tracing::info!(slot = name, reason = ?reason, "a fill record lost");
                     self.state().samples.store.remove(sample);
@@ -203,13 +203,13 @@
                         self.state().samples.generation.slots_opened();
                     }
                 }
-                BookAction::Bound { sample, number, .. } => {
+                SampleOutcome::Bound { sample, number, .. } => {
                     let mut state = self.state();
                     state.samples.scores.forget(sample);
                     state.samples.appended.remove(&sample);
                     state.samples.store.bound(sample, number);
                 }
-                BookAction::Voided { slot, sample, number, reason } => {
+                SampleOutcome::Voided { slot, sample, number, reason } => {
                     let name = self.state().samples.slot_text(slot);
                     let number = number.map(|number| number.0);
                     log_event!(warn, SampleVoided, slot = name, number, reason = ?reason);
@@ -221,17 +221,17 @@
                     state.samples.store.remove(sample);
                     state.samples.generation.slots_opened();
                 }
-                BookAction::StepRetired { trainer, step } => {
+                SampleOutcome::StepRetired { trainer, step } => {
                     let mut state = self.state();
                     state.samples.opened.remove(&(trainer, step));
                     state.samples.store.retired(trainer, step);
                 }
-                BookAction::StepCompleted { trainer, step } => {
+                SampleOutcome::StepCompleted { trainer, step } => {
                     tracing::info!(trainer = trainer.0, step, "a step is complete");
                 }
-                BookAction::StepRefused { .. }
-                | BookAction::Offered { .. }
-                | BookAction::StatementRefused { .. } => {}
+                SampleOutcome::StepRefused { .. }
+                | SampleOutcome::Offered { .. }
+                | SampleOutcome::StatementRefused { .. } => {}
             }
         }
     }
--- a/crates/hibiscushinged/src/control/score.rs
+++ b/crates/hibiscushinged/src/control/score.rs
@@ -4,10 +4,10 @@
 
 use base::{Moment, RecordId, Span};
 use bytes::Bytes;
-use clients::Outgoing;
+use clients::HttpRequest;
 use http::{HeaderName, HeaderValue};
 use rollout::{SampleFilled, Score, SlotKey};
-use routing::{PickRequest, WorkEnd};
+use routing::{PickRequest, RequestOutcome};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -80,19 +80,19 @@
         let body = json!({ "prompt": prompt, "sample": text }).to_string();
         // The id is that of the sample, so a scorer can tell a repeated call.
         let id = format!("{:016x}-s{:x}", filled.sample.writer.0, filled.sample.sequence);
-        let outgoing = Outgoing::post(address, SCORE_PATH, Bytes::from(body)).with_header(
+        let outgoing = HttpRequest::post(address, SCORE_PATH, Bytes::from(body)).with_header(
             HeaderName::from_static("x-request-id"),
             HeaderValue::from_str(&id).expect("the id has hexadecimal digits only"),
         );
         let work = self.shared.desk().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
         let answer = self.http.exchange(outgoing, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
         let end = match &answer {
-            Ok(_) => WorkEnd::Completed { tokens: SCORE_WORK },
-            Err(_) => WorkEnd::Failed,
+            Ok(_) => RequestOutcome::Completed { tokens: SCORE_WORK },
+            Err(_) => RequestOutcome::Failed,
         };
         let now: Moment = self.now();
         self.shared.desk().finish(now, work, end);
-        let answer = answer.and_then(clients::Answer::success).ok()?;
+        let answer = answer.and_then(clients::HttpResponse::success).ok()?;
         let found = serde_json::from_slice::<ScoreAnswer>(&answer.body).ok()?;
         found.score.is_finite().then_some(Score((found.score * 1e6) as i64))
     }
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -13,9 +13,9 @@
 use crate::{
     accept::serve_connections,
     control::{Control, peers::PEER_PATH, transfer},
-    input::AdminAsk,
-    shared::ServicePhase,
-    traffic::{answer, request},
+    control_message::AdminRequest,
+    shared::NodePhase,
+    traffic::{request, response},
 };
 
 pub(crate) async fn serve_peers(control: Rc<Control>, listener: TcpListener) {
@@ -67,33 +67,33 @@
     };
     let body = Bytes::from(encode_message(&message));
     control.transfer.peers_served.add(transfer::answer_bytes(body.len()), 0);
-    answer::with_body(StatusCode::OK, "application/msgpack", body)
+    response::with_body(StatusCode::OK, "application/msgpack", body)
 }
 
 fn admin(control: &Rc<Control>, request: &Request) -> Response<BoxBody> {
     let ask = match request.path() {
         "/admin/ready" => return ready(control),
-        "/admin/status" => AdminAsk::Status,
-        "/admin/usage" => AdminAsk::Usage,
+        "/admin/status" => AdminRequest::Status,
+        "/admin/usage" => AdminRequest::Usage,
         "/admin/explain" => {
             let query = request.uri().query().unwrap_or("");
             let id = query.strip_prefix("id=").unwrap_or("");
-            AdminAsk::Explain(String::from(id))
+            AdminRequest::Explain(String::from(id))
         }
         path => {
             let message = format!("path \"{path}\" does not exist");
-            return answer::json_body(StatusCode::NOT_FOUND, &json!({ "error": message }));
+            return response::json_body(StatusCode::NOT_FOUND, &json!({ "error": message }));
         }
     };
-    answer::json_body(StatusCode::OK, &control.admin(ask))
+    response::json_body(StatusCode::OK, &control.admin(ask))
 }
 
 /// Tells the balancer whether to send new requests here.
 fn ready(control: &Rc<Control>) -> Response<BoxBody> {
     let (status, phase) = match control.shared.phase() {
-        ServicePhase::Serving => (StatusCode::OK, "serving"),
-        ServicePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
-        ServicePhase::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
+        NodePhase::Serving => (StatusCode::OK, "serving"),
+        NodePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
+        NodePhase::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
     };
-    answer::json_body(status, &json!({ "phase": phase }))
+    response::json_body(status, &json!({ "phase": phase }))
 }
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use base::{Incarnation, UpstreamKey};
-use clients::{EngineControl as _, Outgoing};
-use delivery::{Fingerprint, IsolationNotice, SuspectAction, SuspectEvent, SuspectNote, Verdict};
+use clients::{EngineControl as _, HttpRequest};
+use delivery::{Conviction, Fingerprint, IsolationNotice, SuspectAction, SuspectEvent, Suspicion};
 use document::ServiceKind;
-use protocol::{PeerMessage, WireIsolation, WireSuspicion, WireVerdict};
+use protocol::{PeerMessage, WireConviction, WireIsolation, WireSuspicion};
 use routing::UpstreamState;
 
 use crate::{
@@ -20,7 +20,7 @@
 };
 
 pub(crate) fn start(control: &Rc<Control>) {
-    follow::<Verdict>(control, String::from(VERDICT_STREAM), |control, event| {
+    follow::<Conviction>(control, String::from(VERDICT_STREAM), |control, event| {
         if let StreamEvent::Record { record, .. } = event {
             control.suspect_event(SuspectEvent::VerdictHeard(record));
         }
@@ -65,7 +65,7 @@
             return self.engines.report(target.address).await.is_ok();
         }
         let timeout = self.shared.settings.timeouts.engine_control;
-        let probe = Outgoing::get(target.address, "/health");
+        let probe = HttpRequest::get(target.address, "/health");
         self.http.exchange(probe, timeout, 1 << 16).await.is_ok()
     }
 
@@ -83,7 +83,7 @@
                         fingerprint = ?verdict.fingerprint,
                         expires_at_ms = verdict.expires_at.0
                     );
-                    verdicts.push(WireVerdict::from(&verdict));
+                    verdicts.push(WireConviction::from(&verdict));
                     // Peers hear it as well, so an unreachable log only delays distant zones.
                     let _ = self.append(VERDICT_STREAM, &verdict);
                 }
@@ -103,7 +103,7 @@
     pub(crate) fn hear_suspicions(
         self: &Rc<Self>,
         notes: Vec<WireSuspicion>,
-        verdicts: Vec<WireVerdict>,
+        verdicts: Vec<WireConviction>,
         reserved: &[WireIsolation],
         released: &[WireIsolation],
     ) {
@@ -111,7 +111,7 @@
         for note in notes {
             let (fingerprint, expires_at) = note.subject();
             let crashed = note.crashed.iter().filter_map(|name| view.upstream_key(name));
-            let note = SuspectNote { fingerprint, crashed: crashed.collect(), expires_at };
+            let note = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
             self.suspect_event(SuspectEvent::NoteHeard(note));
         }
         for verdict in verdicts {
@@ -130,7 +130,7 @@
         }
     }
 
-    fn wire_note(&self, note: &SuspectNote) -> WireSuspicion {
+    fn wire_note(&self, note: &Suspicion) -> WireSuspicion {
         WireSuspicion {
             fingerprint: note.fingerprint.0,
             crashed: note.crashed.iter().map(|key| self.upstream_name(*key)).collect(),
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -5,9 +5,9 @@
 use base::{EventCode, RecordId, Refusal, RefusalCode, Span, WeightVersion};
 use document::TrainerEntry;
 use membership::stable_hash;
-use protocol::{OpenedStep, PeerMessage, SampleEntry};
+use protocol::{PeerMessage, SampleEntry, StepPrompts};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, SampleBook, SampleFilled, SampleRecord, StepShape,
+    Delivery, DeliveryNumber, SampleFilled, SampleOutcome, SampleRecord, SampleTable, StepShape,
     TrainerId, TrainerStated,
 };
 use serde_json::{Value, json};
@@ -16,8 +16,8 @@
 use crate::{
     clock::to_duration,
     control::{Control, streams::SAMPLE_STREAM},
-    input::{StepRequest, TrainerAsk},
-    shared::ServicePhase,
+    control_message::{StepRequest, TrainerRequest},
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -74,17 +74,18 @@
     entry: &'a TrainerEntry,
     version: u64,
     acknowledged: DeliveryNumber,
-    opened: Option<(StepShape, OpenedStep)>,
+    opened: Option<(StepShape, StepPrompts)>,
 }
 
 impl StatementWaiters {
     /// Answers the request that waits for a record.
-    pub(crate) fn read(&mut self, id: RecordId, book: &SampleBook, actions: &[BookAction]) {
+    pub(crate) fn read(&mut self, id: RecordId, book: &SampleTable, actions: &[SampleOutcome]) {
         let Some(waiter) = self.waiting.remove(&id) else { return };
-        let refused = actions.iter().any(|action| matches!(action, BookAction::StepRefused { .. }));
+        let refused =
+            actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
         let step = if refused { StepOutcome::Refused } else { StepOutcome::Taken };
         let offered = actions.iter().find_map(|action| match action {
-            BookAction::Offered { trainer, offer } => Some((*trainer, offer.statement)),
+            SampleOutcome::Offered { trainer, offer } => Some((*trainer, offer.statement)),
             _ => None,
         });
         let end = offered.and_then(|(trainer, statement)| {
@@ -104,13 +105,13 @@
     /// Answers a trainer, unless it gives up first.
     pub(crate) async fn trainer_asked(
         self: Rc<Self>,
-        ask: TrainerAsk,
+        ask: TrainerRequest,
         mut reply: oneshot::Sender<Result<Value, Refusal>>,
     ) {
         let answer = async {
             match ask {
-                TrainerAsk::Open(step) => self.open_step(step).await,
-                TrainerAsk::Fetch { trainer, after, version } => {
+                TrainerRequest::Open(step) => self.open_step(step).await,
+                TrainerRequest::Fetch { trainer, after, version } => {
                     self.fetch_samples(&trainer, after, version).await
                 }
             }
@@ -128,7 +129,7 @@
         let groups = u32::try_from(request.prompts.len()).unwrap_or(u32::MAX);
         let shape =
             StepShape { step: request.step, groups, samples_per_group: request.samples_per_group };
-        let opened = OpenedStep { prompts: request.prompts, max_tokens: request.max_tokens };
+        let opened = StepPrompts { prompts: request.prompts, max_tokens: request.max_tokens };
         if opened.max_tokens == 0 {
             let message = "max_tokens must be at least 1";
             return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
@@ -212,7 +213,7 @@
             if self.state().samples.book.has_after(trainer, after) {
                 return true;
             }
-            let stops = self.shared.phase() == ServicePhase::Draining;
+            let stops = self.shared.phase() == NodePhase::Draining;
             if stops || self.now() >= deadline {
                 return false;
             }
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use authority::Scope;
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
-use clients::{CustomerFigures, ReportOutcome, UsageReport, UsageSink as _};
+use authority::LeaseScope;
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
+use clients::{CustomerUsage, ReportOutcome, UsageReport, UsageSink as _};
 use protocol::{PeerMessage, UsageEntry, WireBatchHold};
 use usage::{
     HoldOutcome, LedgerOutcome, LedgerSnapshot, OriginState, PendingBatches, ReplicaStore,
-    ReportAnswer, ReportDesk, UsageBatch, UsageFigures, UsageLedger, UsageMeter, UsageRecord,
-    WindowClose, WindowNumber, WindowReport,
+    ReportAnswer, UsageBatch, UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose,
+    WindowNumber, WindowReport, WindowReporter,
 };
 
 use crate::{
@@ -43,7 +43,7 @@
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) ledger: UsageLedger,
-    reports: ReportDesk,
+    reports: WindowReporter,
     closing: Option<WindowNumber>,
     awaits_since: Option<Moment>,
     carry_tried: Option<Moment>,
@@ -60,7 +60,7 @@
             pending: PendingBatches::new(RETRY),
             replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
             ledger: UsageLedger::new(),
-            reports: ReportDesk::new(RETRY),
+            reports: WindowReporter::new(RETRY),
             closing: None,
             awaits_since: None,
             carry_tried: None,
@@ -70,7 +70,7 @@
 
 impl Control {
     /// Adds the usage of finished requests.
-    pub(crate) fn metered(&self, figures: &UsageFigures) {
+    pub(crate) fn metered(&self, figures: &UsageByCustomer) {
         let now = self.now();
         let mut state = self.state();
         for (customer, amount) in &figures.0 {
@@ -82,12 +82,12 @@
     fn on_usage(self: &Rc<Self>, event: StreamEvent<UsageEntry>) -> NextRead {
         match event {
             StreamEvent::ReadingFrom(offset) => {
-                self.lease_reading_from(&Scope::Usage, offset);
+                self.lease_reading_from(&LeaseScope::Usage, offset);
                 self.state().usage.ledger.note_retention(offset);
             }
             StreamEvent::Retained(offset) => self.state().usage.ledger.note_retention(offset),
             StreamEvent::Record { offset, record: UsageEntry::Lease(record), .. } => {
-                self.lease_record(&Scope::Usage, offset, &record);
+                self.lease_record(&LeaseScope::Usage, offset, &record);
             }
             StreamEvent::Record { offset, id, record: UsageEntry::Usage(record), .. } => {
                 return self.usage_record(offset, id, &record);
@@ -98,7 +98,7 @@
 
     fn usage_record(&self, offset: LogOffset, id: RecordId, record: &UsageRecord) -> NextRead {
         let mut state = self.state();
-        let scope = state.scopes.iter().find(|driver| driver.scope == Scope::Usage);
+        let scope = state.scopes.iter().find(|driver| driver.scope == LeaseScope::Usage);
         let valid = scope.and_then(|driver| driver.keeper.claim_in_force());
         let usage = &mut state.usage;
         let outcome = usage.ledger.apply(offset, record, valid);
@@ -128,7 +128,7 @@
         self.cut_batch(now);
         self.hold_batches(now);
         self.append_replicas(now);
-        let Some(fencing) = self.fencing(&Scope::Usage, now) else {
+        let Some(fencing) = self.fencing(&LeaseScope::Usage, now) else {
             self.state().usage.closing = None;
             return;
         };
@@ -221,7 +221,7 @@
         }
     }
 
-    fn close_window(self: &Rc<Self>, fencing: FencingNumber) {
+    fn close_window(self: &Rc<Self>, fencing: FencingToken) {
         let due = {
             let mut state = self.state();
             let Some(document) = &state.config.document else { return };
@@ -240,7 +240,7 @@
         }
     }
 
-    fn carry_ledger(self: &Rc<Self>, now: Moment, fencing: FencingNumber) {
+    fn carry_ledger(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let snapshot = {
             let mut state = self.state();
             let usage = &mut state.usage;
@@ -262,7 +262,7 @@
         let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
     }
 
-    fn report_window(self: &Rc<Self>, now: Moment, fencing: FencingNumber) {
+    fn report_window(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let report = {
             let mut state = self.state();
             let usage = &mut state.usage;
@@ -276,7 +276,7 @@
     async fn send_report(self: Rc<Self>, report: WindowReport) {
         let window = report.window;
         let receiver = fencing_support(self.shared.settings.platform_fencing);
-        let check = self.lease_check(&Scope::Usage, report.fencing, receiver);
+        let check = self.lease_check(&LeaseScope::Usage, report.fencing, receiver);
         let guarded = self.platform.guarded(check);
         let answer = match guarded.report_usage(&wire_report(&report)).await {
             Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
@@ -313,7 +313,7 @@
 
 fn wire_report(report: &WindowReport) -> UsageReport {
     let figures = report.figures.0.iter().map(|(customer, amount)| {
-        let figures = CustomerFigures {
+        let figures = CustomerUsage {
             requests: amount.requests,
             prompt_tokens: amount.prompt_tokens,
             generated_tokens: amount.generated_tokens,
--- a/crates/hibiscushinged/src/control/watch.rs
+++ b/crates/hibiscushinged/src/control/watch.rs
@@ -4,10 +4,10 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
 use base::{Moment, WeightVersion};
-use clients::{EngineControl as _, Outgoing, UpstreamInfo, UpstreamOrders as _, UpstreamState};
+use clients::{EngineControl as _, HttpRequest, UpstreamInfo, UpstreamOrders as _, UpstreamState};
 use document::{DaemonSettings, EnvironmentDocument, ServiceKind};
-use membership::{LeavingCause, LoadReport, UpstreamPhase, WatchPlan, stable_hash};
-use routing::{LoadSample, UpstreamPrice};
+use membership::{LeavingCause, LoadReport, UpstreamPhase, WatchAssignment, stable_hash};
+use routing::{LoadMeasurement, PriceClass};
 
 use crate::{
     clock::wall_now,
@@ -27,7 +27,7 @@
 
 /// Upstreams that this node knows and watches.
 pub(crate) struct WatchDriver {
-    plan: WatchPlan,
+    plan: WatchAssignment,
     zones: BTreeMap<String, String>,
 }
 
@@ -50,7 +50,7 @@
 
 impl WatchDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
-        Self { plan: WatchPlan::new(settings.vm_name.clone()), zones: BTreeMap::new() }
+        Self { plan: WatchAssignment::new(settings.vm_name.clone()), zones: BTreeMap::new() }
     }
 
     pub(crate) fn is_in_zone(&self, upstream: &str, zone: &str) -> bool {
@@ -112,7 +112,7 @@
             return;
         }
         let mut changed = RoutingView::clone(&view);
-        let price = if info.cheap { UpstreamPrice::Cheap } else { UpstreamPrice::Regular };
+        let price = if info.cheap { PriceClass::Cheap } else { PriceClass::Regular };
         let speed = self.pool_speed(info);
         let zone = {
             let mut state = self.state();
@@ -132,7 +132,7 @@
             let node_hash = stable_hash(&info.name);
             let added = desk.add_upstream(
                 &info.service,
-                routing::UpstreamInfo { node_hash, zone, price },
+                routing::UpstreamProperties { node_hash, zone, price },
                 speed,
             );
             assert_eq!(added, key, "view and desk list upstreams in the same order");
@@ -166,7 +166,7 @@
     fn reclaim_noticed(self: &Rc<Self>, zone: &str) {
         let view = self.shared.view.load_full();
         for (_, target) in view.upstreams.iter() {
-            if target.zone_name != zone || target.price != UpstreamPrice::Cheap {
+            if target.zone_name != zone || target.price != PriceClass::Cheap {
                 continue;
             }
             let known = self.state().peers.board.view(self.now(), &target.name);
@@ -228,7 +228,7 @@
     }
 
     async fn probe_plain(&self, target: &UpstreamTarget) -> LoadReport {
-        let probe = Outgoing::get(target.address, "/health");
+        let probe = HttpRequest::get(target.address, "/health");
         let timeout = self.shared.settings.timeouts.engine_control;
         // Any answer shows that the service takes calls.
         match self.http.exchange(probe, timeout, 1 << 16).await {
@@ -255,7 +255,7 @@
             UpstreamPhase::Unreachable => routing::UpstreamState::Down,
         };
         let version = (report.version > WeightVersion(0)).then_some(report.version);
-        let sample = LoadSample {
+        let sample = LoadMeasurement {
             running: report.running,
             queued: report.queued,
             version,
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -3,12 +3,12 @@
 
 use std::{net::SocketAddr, rc::Rc};
 
-use authority::{FencingSupport, Scope};
-use base::{EventCode, FencingNumber, Moment, Span, UpstreamKey, WeightVersion};
-use clients::{CallFailure, EngineControl as _, WeightOrder};
+use authority::{FencingSupport, LeaseScope};
+use base::{EventCode, FencingToken, Moment, Span, UpstreamKey, WeightVersion};
+use clients::{CallFailure, EngineControl as _, WeightLoadOrder};
 use document::ServiceKind;
-use rollout::{WeightAction, WeightPlan, WeightSettings};
-use routing::{UpstreamPrice, UpstreamState};
+use rollout::{WeightAction, WeightScheduler, WeightSettings};
+use routing::{PriceClass, UpstreamState};
 
 use crate::{
     control::{Control, authority::fencing_support},
@@ -26,10 +26,10 @@
 /// Versions held by engines, and the loads that this node orders.
 pub(crate) struct WeightDriver {
     /// All engines, to judge which of them may take a sample.
-    held: WeightPlan,
+    held: WeightScheduler,
     /// The engines of the own zone. It is made anew with each lease.
-    orders: WeightPlan,
-    fencing: Option<FencingNumber>,
+    orders: WeightScheduler,
+    fencing: Option<FencingToken>,
     share: f64,
     next_update: Moment,
 }
@@ -38,15 +38,15 @@
     pub(crate) fn new(now: Moment) -> Self {
         let settings = WeightSettings::default();
         Self {
-            held: WeightPlan::new(now, settings),
-            orders: WeightPlan::new(now, settings),
+            held: WeightScheduler::new(now, settings),
+            orders: WeightScheduler::new(now, settings),
             fencing: None,
             share: settings.max_swapping_share,
             next_update: now,
         }
     }
 
-    /// Tells whether the engine may take a sample, like [`WeightPlan::may_take`].
+    /// Tells whether the engine may take a sample, like [`WeightScheduler::may_take`].
     pub(crate) fn may_take(
         &self,
         upstream: UpstreamKey,
@@ -60,7 +60,7 @@
     }
 
     /// Starts a new plan when the lease or the document's share has changed.
-    fn prepare(&mut self, now: Moment, fencing: Option<FencingNumber>, share: f64) {
+    fn prepare(&mut self, now: Moment, fencing: Option<FencingToken>, share: f64) {
         if self.fencing == fencing && self.share == share {
             return;
         }
@@ -70,7 +70,7 @@
             load_timeout: LOAD_TIMEOUT,
             ..WeightSettings::default()
         };
-        self.orders = WeightPlan::new(now, settings);
+        self.orders = WeightScheduler::new(now, settings);
     }
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// Takes versions from load reports, and targets from the trainers' statements.
-    fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingNumber>) {
+    fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingToken>) {
         let view = self.shared.view.load_full();
         let states = {
             let desk = self.shared.desk();
@@ -158,7 +158,7 @@
             self.state().weights.orders.load_failed(now, upstream);
             return;
         };
-        let order = WeightOrder { model, version, fencing };
+        let order = WeightLoadOrder { model, version, fencing };
         // The call may first wait for a connection, so the clock is checked again by the last step
         // before the bytes.
         let guarded = self.engines.guarded(self.lease_check(&scope, fencing, receiver));
@@ -195,7 +195,7 @@
     fn engine_fencing(&self, upstream: UpstreamKey) -> FencingSupport {
         let view = self.shared.view.load();
         let Some(target) = view.upstreams.get(upstream) else { return FencingSupport::Ignored };
-        let is_cheap = target.price == UpstreamPrice::Cheap;
+        let is_cheap = target.price == PriceClass::Cheap;
         let state = self.state();
         let pools = state.config.document.iter().flat_map(|document| &document.pools);
         let mut pools = pools.filter(|pool| {
@@ -216,6 +216,6 @@
     }
 }
 
-fn own_scope(shared: &SharedState) -> Scope {
-    Scope::Zone(shared.settings.zone.clone())
+fn own_scope(shared: &SharedState) -> LeaseScope {
+    LeaseScope::Zone(shared.settings.zone.clone())
 }
--- a/crates/hibiscushinged/src/input.rs
+++ b/crates/hibiscushinged/src/control_message.rs
@@ -3,17 +3,17 @@
 use base::{Refusal, UpstreamKey};
 use delivery::{ClaimKey, ClaimOutcome, Fingerprint, RequestId, SuspectAction};
 use tokio::sync::oneshot;
-use usage::UsageFigures;
+use usage::UsageByCustomer;
 
-use crate::trace::DecisionLine;
+use crate::trace::DecisionEvent;
 
 /// A message to the control thread.
 #[derive(Debug)]
-pub(crate) enum ControlInput {
+pub(crate) enum ControlMessage {
     /// Usage of finished requests.
-    Metered(UsageFigures),
+    Metered(UsageByCustomer),
     /// A request with an idempotency key wants to run.
-    Claim { ask: ClaimAsk, reply: oneshot::Sender<ClaimAnswer> },
+    Claim { ask: ClaimRequest, reply: oneshot::Sender<ClaimDecision> },
     /// A request that was told to run has ended.
     ClaimEnded { request: RequestId, outcome: ClaimOutcome },
     /// An exchange broke off; the upstream may have crashed.
@@ -21,16 +21,16 @@
     /// Suspicions, convictions and isolated upstreams to be spread.
     Suspicion(Vec<SuspectAction>),
     /// A decision to keep for `explain`.
-    Decision(DecisionLine),
+    Decision(DecisionEvent),
     /// A request of a trainer.
-    Trainer { ask: TrainerAsk, reply: oneshot::Sender<Result<serde_json::Value, Refusal>> },
+    Trainer { ask: TrainerRequest, reply: oneshot::Sender<Result<serde_json::Value, Refusal>> },
     /// Finish running requests and stop.
     Drain(oneshot::Sender<()>),
 }
 
 /// A request that wants its idempotency key.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct ClaimAsk {
+pub(crate) struct ClaimRequest {
     pub(crate) claim: ClaimKey,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) request: RequestId,
@@ -39,7 +39,7 @@
 
 /// What a request with an idempotency key must do.
 #[derive(Debug)]
-pub(crate) enum ClaimAnswer {
+pub(crate) enum ClaimDecision {
     Run,
     Replay { status: u16, body: Vec<u8> },
     Refuse(Refusal),
@@ -47,7 +47,7 @@
 
 /// A request of an operator.
 #[derive(Debug)]
-pub(crate) enum AdminAsk {
+pub(crate) enum AdminRequest {
     Status,
     Usage,
     Explain(String),
@@ -55,7 +55,7 @@
 
 /// A request of a trainer whose key was checked.
 #[derive(Debug)]
-pub(crate) enum TrainerAsk {
+pub(crate) enum TrainerRequest {
     /// Opens a step.
     Open(StepRequest),
     /// Fetches samples after a delivery number.
--- a/crates/hibiscushinged/src/gateway.rs
+++ b/crates/hibiscushinged/src/gateway.rs
@@ -4,15 +4,12 @@
 //! traffic thread serves callers and trainers and runs the items of submissions. What the platform's
 //! messages look like is known only to the `platform` package.
 
-mod answer;
 mod attempt;
-mod board;
 mod channel;
 mod cleanup;
 mod commit;
 mod control;
 mod control_state;
-mod duties;
 mod fetch;
 mod gate;
 mod generation;
@@ -21,22 +18,25 @@
 mod items;
 mod job;
 mod lease;
-mod loads;
 mod metrics;
-mod mirror;
 mod node;
+mod partition_follower;
 mod partitions;
 mod plain;
 mod pool;
 mod ready;
 mod relay;
+mod response;
 mod reward;
 mod runner;
 mod serve;
 mod store;
 mod submit;
 mod traffic_state;
+mod upstreams;
 mod usage;
+mod usage_reports;
+mod weight_loads;
 
 use std::{io, sync::Arc};
 
@@ -47,7 +47,7 @@
 use crate::{
     clock::ProcessClock,
     gateway::{metrics::GatewayMetrics, node::NodeState},
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -101,7 +101,7 @@
 
     /// Finishes all requests, hands over what this node runs, and returns when the process may end.
     pub async fn drain(self) {
-        self.node.enter(ServicePhase::Draining);
+        self.node.enter(NodePhase::Draining);
         log_event!(ProcessDraining, requests = self.node.in_flight());
         let last = self.traffic.last_moment();
         self.traffic.drain(last).await;
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -8,13 +8,13 @@
 };
 use base::{Span, UpstreamKey};
 use bytes::{Bytes, BytesMut};
-use dispatch::ExchangeEnd;
-use platform::ReplyMarks;
+use dispatch::ExchangeOutcome;
+use platform::ResponseMetadata;
 
 use crate::{
     clock::to_duration,
     gateway::{
-        channel::{ChannelFault, Exchange, UpstreamChannel},
+        channel::{ChannelError, Exchange, UpstreamChannel},
         traffic_state::TrafficState,
     },
     telemetry::log_event,
@@ -43,13 +43,13 @@
 pub(crate) struct WholeAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
-    pub(crate) marks: ReplyMarks,
+    pub(crate) marks: ResponseMetadata,
     pub(crate) body: Bytes,
 }
 
 /// Why an attempt has no answer that can be passed on.
 #[derive(Debug)]
-pub(crate) enum AttemptFault {
+pub(crate) enum AttemptError {
     /// The request was not sent, or the upstream says that it did not run it.
     NotRun(String),
     /// The request may have run.
@@ -57,23 +57,23 @@
 }
 
 /// The place that a request takes at its upstream. Dropping it without an end gives it back.
-pub(crate) struct PlaceGuard {
+pub(crate) struct AttemptGuard {
     traffic: Rc<TrafficState>,
     upstream: UpstreamKey,
     ended: bool,
 }
 
-impl PlaceGuard {
+impl AttemptGuard {
     pub(crate) fn take(traffic: &Rc<TrafficState>, upstream: UpstreamKey) -> Self {
         traffic.board.borrow_mut().begin(upstream);
         Self { traffic: Rc::clone(traffic), upstream, ended: false }
     }
 
-    pub(crate) fn end(mut self, end: ExchangeEnd) {
+    pub(crate) fn end(mut self, end: ExchangeOutcome) {
         self.finish(end);
     }
 
-    fn finish(&mut self, end: ExchangeEnd) {
+    fn finish(&mut self, end: ExchangeOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.traffic.node.now();
             self.traffic.board.borrow_mut().finish(now, self.upstream, end);
@@ -81,9 +81,9 @@
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.finish(ExchangeEnd::Cancelled);
+        self.finish(ExchangeOutcome::Cancelled);
     }
 }
 
@@ -97,7 +97,7 @@
 pub(crate) async fn open_exchange(
     traffic: &Rc<TrafficState>,
     call: AttemptCall<'_>,
-) -> Result<Exchange, (AttemptFault, ExchangeEnd)> {
+) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
     let address = traffic.board.borrow().entry(call.upstream).address;
     let mut head = RequestHead::default();
     head.method = call.method.clone();
@@ -113,11 +113,11 @@
                 Ok(Ok(channel)) => channel,
                 Ok(Err(error)) => {
                     let reason = format!("no connection to {address}: {error}");
-                    return Err((AttemptFault::NotRun(reason), ExchangeEnd::Broken));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::Broken));
                 }
                 Err(_) => {
                     let reason = format!("no connection to {address} in time");
-                    return Err((AttemptFault::NotRun(reason), ExchangeEnd::Silent));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::Silent));
                 }
             }
         }
@@ -125,7 +125,9 @@
     let mark = call.billed.map(|customer| traffic.node.count_begin(customer));
     let exchange = match channel.send(head, call.body, call.id).await {
         Ok(exchange) => exchange,
-        Err(fault) => return Err((AttemptFault::MaybeRun(fault.to_string()), ExchangeEnd::Broken)),
+        Err(fault) => {
+            return Err((AttemptError::MaybeRun(fault.to_string()), ExchangeOutcome::Broken));
+        }
     };
     let marks = exchange.marks();
     if let Some(load) = marks.load {
@@ -140,8 +142,8 @@
     let misdirected = marks.misdirected;
     let status = exchange.head().status.as_u16();
     finish_exchange(traffic, call.upstream, exchange).await;
-    let end = if misdirected { ExchangeEnd::Misdirected } else { ExchangeEnd::Full };
-    Err((AttemptFault::NotRun(format!("refused with status {status}")), end))
+    let end = if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Full };
+    Err((AttemptError::NotRun(format!("refused with status {status}")), end))
 }
 
 /// Reads the rest of an answer, whose content is not needed, and keeps the connection.
@@ -166,9 +168,9 @@
 pub(crate) async fn whole_exchange(
     traffic: &Rc<TrafficState>,
     call: AttemptCall<'_>,
-) -> Result<WholeAnswer, AttemptFault> {
+) -> Result<WholeAnswer, AttemptError> {
     let upstream = call.upstream;
-    let place = PlaceGuard::take(traffic, upstream);
+    let place = AttemptGuard::take(traffic, upstream);
     let started = traffic.node.now();
     let mut exchange = match open_exchange(traffic, call).await {
         Ok(exchange) => exchange,
@@ -182,9 +184,9 @@
             let took = traffic.node.now().since(started);
             let status = exchange.head().status;
             let end = if status.as_u16() < 500 {
-                ExchangeEnd::Answered(took)
+                ExchangeOutcome::Answered(took)
             } else {
-                ExchangeEnd::Failed
+                ExchangeOutcome::Failed
             };
             place.end(end);
             let headers = platform::relay_headers(exchange.head());
@@ -193,26 +195,26 @@
             Ok(WholeAnswer { status, headers, marks, body })
         }
         Err(fault) => {
-            place.end(ExchangeEnd::Broken);
-            Err(AttemptFault::MaybeRun(fault.to_string()))
+            place.end(ExchangeOutcome::Broken);
+            Err(AttemptError::MaybeRun(fault.to_string()))
         }
     }
 }
 
-async fn read_body(exchange: &mut Exchange) -> Result<Bytes, ChannelFault> {
+async fn read_body(exchange: &mut Exchange) -> Result<Bytes, ChannelError> {
     let Some(first) = exchange.chunk().await? else { return Ok(Bytes::new()) };
     let mut body = BytesMut::from(first);
     while let Some(chunk) = exchange.chunk().await? {
         if body.len() + chunk.len() > MAX_ANSWER {
-            return Err(ChannelFault::Malformed(String::from("the answer exceeds 32 MiB")));
+            return Err(ChannelError::Malformed(String::from("the answer exceeds 32 MiB")));
         }
         body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-const fn not_sent(reason: String) -> (AttemptFault, ExchangeEnd) {
-    (AttemptFault::NotRun(reason), ExchangeEnd::Cancelled)
+const fn not_sent(reason: String) -> (AttemptError, ExchangeOutcome) {
+    (AttemptError::NotRun(reason), ExchangeOutcome::Cancelled)
 }
 
 /// Logs the choice of an upstream with what decided it.
@@ -244,7 +246,7 @@
     tokio::time::sleep(to_duration(until.since(traffic.node.now()))).await;
 }
 
-impl AttemptFault {
+impl AttemptError {
     pub(crate) fn reason(&self) -> &str {
         match self {
             Self::NotRun(reason) | Self::MaybeRun(reason) => reason,
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -12,7 +12,7 @@
     header::{CONTENT_LENGTH, TRANSFER_ENCODING},
 };
 use bytes::{Bytes, BytesMut};
-use platform::{ReplyMarks, read_reply};
+use platform::{ResponseMetadata, read_reply};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::TcpStream,
@@ -31,7 +31,7 @@
 
 /// Why an exchange broke off.
 #[derive(Debug)]
-pub(crate) enum ChannelFault {
+pub(crate) enum ChannelError {
     /// The connection ended or was reset before the answer was whole.
     Closed(String),
     /// The bytes are no answer, or answer another request.
@@ -50,7 +50,7 @@
 pub(crate) struct Exchange {
     channel: UpstreamChannel,
     head: ResponseHead,
-    marks: ReplyMarks,
+    marks: ResponseMetadata,
     body: BodyState,
 }
 
@@ -93,7 +93,7 @@
         head: RequestHead,
         body: Bytes,
         id: &str,
-    ) -> Result<Exchange, ChannelFault> {
+    ) -> Result<Exchange, ChannelError> {
         let mut bytes = BytesMut::with_capacity(512 + body.len());
         let size = if body.is_empty() && head.method == Method::GET {
             BodySize::None
@@ -116,26 +116,26 @@
             }
             while exchange.chunk().await?.is_some() {}
             let Some(channel) = exchange.into_reusable() else {
-                return Err(ChannelFault::Malformed(String::from("answer to another request")));
+                return Err(ChannelError::Malformed(String::from("answer to another request")));
             };
             self = channel;
             codec = ClientCodec::new(self.config.clone());
         }
-        Err(ChannelFault::Malformed(String::from("answers to other requests")))
+        Err(ChannelError::Malformed(String::from("answers to other requests")))
     }
 
-    async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ChannelFault> {
+    async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ChannelError> {
         loop {
             let decoded = codec.decode(&mut self.buffer);
-            match decoded.map_err(|error| ChannelFault::Malformed(error.to_string()))? {
+            match decoded.map_err(|error| ChannelError::Malformed(error.to_string()))? {
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(head),
                 None if self.buffer.len() > MAX_HEAD => {
-                    return Err(ChannelFault::Malformed(String::from("the head is too long")));
+                    return Err(ChannelError::Malformed(String::from("the head is too long")));
                 }
                 None => {
                     if self.fill().await? == 0 {
-                        return Err(ChannelFault::Closed(String::from("closed without an answer")));
+                        return Err(ChannelError::Closed(String::from("closed without an answer")));
                     }
                 }
             }
@@ -167,7 +167,7 @@
         &self.head
     }
 
-    pub(crate) const fn marks(&self) -> &ReplyMarks {
+    pub(crate) const fn marks(&self) -> &ResponseMetadata {
         &self.marks
     }
 
@@ -184,7 +184,7 @@
     /// # Errors
     ///
     /// Returns a fault when the connection ends before the body does.
-    pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, ChannelFault> {
+    pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, ChannelError> {
         let result = self.next_chunk().await;
         if result.is_err() {
             self.body = BodyState::Failed;
@@ -192,7 +192,7 @@
         result
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, ChannelFault> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, ChannelError> {
         loop {
             let decoded = match &mut self.body {
                 BodyState::Framed(codec) => codec.decode(&mut self.channel.buffer),
@@ -200,7 +200,7 @@
                 BodyState::UntilClose => Ok(Some(Some(self.channel.buffer.split().freeze()))),
                 BodyState::Complete { .. } | BodyState::Failed => return Ok(None),
             };
-            match decoded.map_err(|error| ChannelFault::Malformed(error.to_string()))? {
+            match decoded.map_err(|error| ChannelError::Malformed(error.to_string()))? {
                 Some(Some(bytes)) if bytes.is_empty() => {}
                 Some(Some(bytes)) => return Ok(Some(bytes)),
                 Some(None) => {
@@ -217,7 +217,7 @@
                         self.body = BodyState::Complete { keep_alive: false };
                         return Ok(None);
                     }
-                    return Err(ChannelFault::Closed(String::from("the answer broke off")));
+                    return Err(ChannelError::Closed(String::from("the answer broke off")));
                 }
             }
         }
@@ -247,13 +247,13 @@
     }
 }
 
-impl From<io::Error> for ChannelFault {
+impl From<io::Error> for ChannelError {
     fn from(error: io::Error) -> Self {
         Self::Closed(error.to_string())
     }
 }
 
-impl fmt::Display for ChannelFault {
+impl fmt::Display for ChannelError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Closed(reason) => write!(f, "connection ended: {reason}"),
--- a/crates/hibiscushinged/src/gateway/cleanup.rs
+++ b/crates/hibiscushinged/src/gateway/cleanup.rs
@@ -4,13 +4,15 @@
 
 use base::{Span, WallTime};
 use clients::CallError;
-use platform::{AppendAnswer, keyed_record};
+use platform::{AppendResponse, keyed_record};
 use protocol::{EXPIRING_PREFIX, decode_book_record, submission_prefix};
-use submissions::BookRecord;
+use submissions::SubmissionRecord;
 
 use crate::{
     clock::wall_now,
-    gateway::{fetch::fetch_keys, mirror::PartitionMirror, traffic_state::TrafficState},
+    gateway::{
+        fetch::fetch_keys, partition_follower::PartitionFollower, traffic_state::TrafficState,
+    },
     telemetry::log_event,
 };
 
@@ -40,7 +42,7 @@
 /// Returns an error when the store does not answer. What is left is deleted at the next look.
 pub(crate) async fn delete_part(
     traffic: &TrafficState,
-    mirror: &PartitionMirror,
+    mirror: &PartitionFollower,
 ) -> Result<(), CallError> {
     let name = &mirror.name;
     let keep = traffic.node.settings.promises.results + MARGIN;
@@ -48,7 +50,9 @@
     let markers = fetch_keys(&traffic.store, name, EXPIRING_PREFIX).await?;
     for marker in markers.items {
         let record = decode_book_record(&marker.key, marker.value.as_deref());
-        let Ok(Some(BookRecord::Expiring { submission, accepted_at })) = record else { continue };
+        let Ok(Some(SubmissionRecord::Expiring { submission, accepted_at })) = record else {
+            continue;
+        };
         if accepted_at > oldest {
             continue;
         }
@@ -59,7 +63,7 @@
         let records: Vec<_> =
             keys.chain([marker.key.as_str()]).map(|key| keyed_record(key, None)).collect();
         let stored = traffic.store.append(&name.topic, name.part, None, &records).await?;
-        if let AppendAnswer::Appended { .. } = stored {
+        if let AppendResponse::Appended { .. } = stored {
             log_event!(SubmissionDeleted, submission, part = name.part, keys = records.len());
         }
     }
--- a/crates/hibiscushinged/src/gateway/commit.rs
+++ b/crates/hibiscushinged/src/gateway/commit.rs
@@ -2,21 +2,21 @@
 
 use std::rc::Rc;
 
-use base::{Span, key};
+use base::{Span, derive_copy};
 use bytes::Bytes;
 use clients::CallError;
-use platform::{AppendAnswer, keyed_record};
+use platform::{AppendResponse, keyed_record};
 use protocol::encode_book_record;
-use submissions::{BookRecord, SubmissionBook};
+use submissions::{SubmissionRecord, SubmissionTable};
 
-use crate::gateway::{mirror::PartitionMirror, traffic_state::TrafficState};
+use crate::gateway::{partition_follower::PartitionFollower, traffic_state::TrafficState};
 
 /// Pause before an append is tried again.
 const RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(60);
 
-key! {
+derive_copy! {
     /// How an append ended that did not succeed.
-    pub(crate) enum CommitFault {
+    pub(crate) enum CommitError {
         /// Nothing was stored and nothing will be.
         NotStored,
         /// The records may be stored, also later.
@@ -35,14 +35,14 @@
 /// Returns a fault when the records could not be stored within `patience`.
 pub(crate) async fn commit(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionMirror>,
+    mirror: &Rc<PartitionFollower>,
     patience: Span,
     submissions: &[&str],
-    mut build: impl FnMut(&SubmissionBook) -> Option<Vec<BookRecord>>,
-) -> Result<(), CommitFault> {
+    mut build: impl FnMut(&SubmissionTable) -> Option<Vec<SubmissionRecord>>,
+) -> Result<(), CommitError> {
     let until = traffic.node.now() + patience;
     let _writer = mirror.writing.lock().await;
-    let mut fault = CommitFault::NotStored;
+    let mut fault = CommitError::NotStored;
     // What is known may be old. An append at an old end fails and tells the new one.
     let mut known = mirror.copy().next().is_some();
     loop {
@@ -70,15 +70,15 @@
         let part = mirror.name.part;
         let appended = traffic.store.append(&mirror.name.topic, part, Some(at), &bytes).await;
         match appended {
-            Ok(AppendAnswer::Appended { offset, end }) => {
+            Ok(AppendResponse::Appended { offset, end }) => {
                 mirror.appended(offset, end, records);
                 return Ok(());
             }
-            Ok(AppendAnswer::Moved { .. }) => known = false,
-            Ok(AppendAnswer::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
+            Ok(AppendResponse::Moved { .. }) => known = false,
+            Ok(AppendResponse::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
             Err(error) => {
                 if error.may_have_run() {
-                    fault = CommitFault::Unknown;
+                    fault = CommitError::Unknown;
                 }
                 known = false;
             }
@@ -86,7 +86,7 @@
     }
 }
 
-fn encode(records: &[BookRecord]) -> Vec<Bytes> {
+fn encode(records: &[SubmissionRecord]) -> Vec<Bytes> {
     let encoded = records.iter().map(encode_book_record);
     encoded.map(|(key, value)| keyed_record(&key, value.as_deref())).collect()
 }
--- a/crates/hibiscushinged/src/gateway/control.rs
+++ b/crates/hibiscushinged/src/gateway/control.rs
@@ -8,21 +8,19 @@
     OPERATOR_TOPIC, OperatorKey, UPSTREAM_TOPIC, decode_entry, decode_manifest,
     decode_named_version, operator_key,
 };
-use routebook::{BookHistory, BookOutcome};
+use routebook::{ActiveConfig, ApplyOutcome};
 use tokio::sync::mpsc;
 
 use crate::{
     gateway::{
-        board::UpstreamNews,
         control_state::ControlState,
-        duties,
         fetch::{FetchedKeys, KeyChange, PartitionName, fetch},
         lease::keep_lease,
-        loads,
         node::NodeState,
-        usage,
+        upstreams::UpstreamUpdate,
+        usage, usage_reports, weight_loads,
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -45,26 +43,26 @@
 /// What the operator and the trainers write.
 struct OperatorSink {
     control: Rc<ControlState>,
-    history: RefCell<BookHistory>,
+    history: RefCell<ActiveConfig>,
 }
 
 /// Entries of upstreams.
 struct UpstreamSink {
     control: Rc<ControlState>,
-    news: mpsc::UnboundedSender<UpstreamNews>,
+    news: mpsc::UnboundedSender<UpstreamUpdate>,
 }
 
 /// Runs the control thread until the process ends.
-pub(crate) async fn run(node: Arc<NodeState>, news: mpsc::UnboundedSender<UpstreamNews>) {
+pub(crate) async fn run(node: Arc<NodeState>, news: mpsc::UnboundedSender<UpstreamUpdate>) {
     let control = Rc::new(ControlState::new(node));
     let upstreams = UpstreamSink { control: Rc::clone(&control), news };
     let operator = OperatorSink { control: Rc::clone(&control), history: RefCell::default() };
     actix_rt::spawn(follow(Rc::clone(&control), UPSTREAM_TOPIC, upstreams));
     actix_rt::spawn(follow(Rc::clone(&control), OPERATOR_TOPIC, operator));
     actix_rt::spawn(keep_lease(Rc::clone(&control)));
-    actix_rt::spawn(loads::order_loads(Rc::clone(&control)));
+    actix_rt::spawn(weight_loads::order_loads(Rc::clone(&control)));
     actix_rt::spawn(usage::store_usage(Rc::clone(&control)));
-    duties::run(control).await;
+    usage_reports::run(control).await;
 }
 
 async fn follow(control: Rc<ControlState>, topic: &'static str, sink: impl ChangeSink) {
@@ -124,12 +122,12 @@
         let version = config.version;
         let routes = config.routes.len();
         let mut history = self.history.borrow_mut();
-        if history.offer(config) == BookOutcome::NotNewer {
+        if history.offer(config) == ApplyOutcome::NotNewer {
             return;
         }
         let node = &self.control.node;
         node.book.store(history.newest().cloned());
-        node.enter(ServicePhase::Serving);
+        node.enter(NodePhase::Serving);
         log_event!(ConfigApplied, version, offset, routes);
     }
 }
@@ -161,7 +159,7 @@
             Ok(entry) => {
                 let known = self.control.entries.borrow_mut().insert(change.key, entry.clone());
                 if known.as_ref() != Some(&entry) {
-                    self.send(UpstreamNews::Updated(entry));
+                    self.send(UpstreamUpdate::Updated(entry));
                 }
             }
             Err(error) => {
@@ -184,11 +182,11 @@
 impl UpstreamSink {
     fn remove(&self, id: String, cause: RemovalCause) {
         if self.control.entries.borrow_mut().remove(&id).is_some() {
-            self.send(UpstreamNews::Removed { id, cause });
+            self.send(UpstreamUpdate::Removed { id, cause });
         }
     }
 
-    fn send(&self, news: UpstreamNews) {
+    fn send(&self, news: UpstreamUpdate) {
         if self.news.send(news).is_err() {
             tracing::debug!("the traffic thread has ended");
         }
--- a/crates/hibiscushinged/src/gateway/fetch.rs
+++ b/crates/hibiscushinged/src/gateway/fetch.rs
@@ -3,7 +3,7 @@
 use base::Span;
 use bytes::Bytes;
 use clients::CallError;
-use platform::{ReadAnswer, StoredRecord, split_keyed};
+use platform::{ReadResponse, StoredRecord, split_keyed};
 
 use crate::{gateway::store::StoreSession, telemetry::log_event};
 
@@ -54,13 +54,13 @@
 ) -> Result<FetchedPart, CallError> {
     if let Some(from) = next {
         match store.read(&name.topic, name.part, from, wait).await? {
-            ReadAnswer::Records { records, end } => {
+            ReadResponse::Records { records, end } => {
                 let next = records.last().map_or(from, |record| record.offset + 1);
                 let changes = records.iter().filter_map(|record| split(name, record));
                 let keys = FetchedKeys::Changes(changes.collect());
                 return Ok(FetchedPart { keys, next, complete: next >= end });
             }
-            ReadAnswer::Trimmed { first } => {
+            ReadResponse::Trimmed { first } => {
                 log_event!(warn, LogGapFound, topic = name.topic, part = name.part, from, first);
             }
         }
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -4,13 +4,13 @@
 
 use actix_http::Method;
 use base::{Moment, UpstreamKey};
-use dispatch::ExchangeEnd;
-use platform::{EventReader, UpstreamCall, item_headers};
+use dispatch::ExchangeOutcome;
+use platform::{EventReader, UpstreamRequestMetadata, item_headers};
 use submissions::ItemResult;
 
 use crate::{
     gateway::{
-        attempt::{AttemptCall, PlaceGuard, open_exchange},
+        attempt::{AttemptCall, AttemptGuard, open_exchange},
         channel::Exchange,
         job::ItemJob,
         reward,
@@ -45,7 +45,7 @@
     traffic: Rc<TrafficState>,
     job: Rc<ItemJob>,
     upstream: UpstreamKey,
-    place: PlaceGuard,
+    place: AttemptGuard,
 ) {
     let started = traffic.node.now();
     let resume_after = job.progress.borrow().text.last_id();
@@ -100,9 +100,9 @@
     upstream: UpstreamKey,
     engine: &str,
     started: Moment,
-) -> (RunEnd, ExchangeEnd) {
+) -> (RunEnd, ExchangeOutcome) {
     let last_id = job.progress.borrow().text.last_id();
-    let call = UpstreamCall {
+    let call = UpstreamRequestMetadata {
         id: &job.item.id,
         host: &job.head.host,
         customer: Some(&job.head.customer),
@@ -122,41 +122,41 @@
     let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, call)).await;
     let mut exchange = match opened {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err((fault, ExchangeEnd::Full))) => {
+        Ok(Err((fault, ExchangeOutcome::Full))) => {
             let now = traffic.node.now();
             traffic.board.borrow_mut().refused_generation(now, upstream, &job.head.model);
             // Other models of the engine are not affected.
-            return (RunEnd::Refused(String::from(fault.reason())), ExchangeEnd::Cancelled);
+            return (RunEnd::Refused(String::from(fault.reason())), ExchangeOutcome::Cancelled);
         }
         Ok(Err((fault, end))) => {
             return (RunEnd::Interrupted(String::from(fault.reason())), end);
         }
         Err(_) => {
-            return (RunEnd::Interrupted(String::from("no answer")), ExchangeEnd::Silent);
+            return (RunEnd::Interrupted(String::from("no answer")), ExchangeOutcome::Silent);
         }
     };
     match exchange.head().status.as_u16() {
         200 => {}
         422 => {
             let took = traffic.node.now().since(started);
-            return (RunEnd::Hopeless, ExchangeEnd::Answered(took));
+            return (RunEnd::Hopeless, ExchangeOutcome::Answered(took));
         }
-        500 => return (RunEnd::Failed, ExchangeEnd::Failed),
+        500 => return (RunEnd::Failed, ExchangeOutcome::Failed),
         status => {
-            return (RunEnd::Interrupted(format!("status {status}")), ExchangeEnd::Failed);
+            return (RunEnd::Interrupted(format!("status {status}")), ExchangeOutcome::Failed);
         }
     }
     if let Some(version) = exchange.marks().version {
         traffic.board.borrow_mut().learn_version(upstream, &job.head.model, version);
         if let Err(fault) = job.progress.borrow_mut().text.begin_run(version) {
-            return (RunEnd::Interrupted(fault.to_string()), ExchangeEnd::Cancelled);
+            return (RunEnd::Interrupted(fault.to_string()), ExchangeOutcome::Cancelled);
         }
     }
     match read_events(traffic, job, upstream, &mut exchange).await {
         Ok(()) => {
             traffic.keep_channel(upstream, exchange);
             // The time of a generation says nothing about that of a plain request.
-            (RunEnd::Whole, ExchangeEnd::Cancelled)
+            (RunEnd::Whole, ExchangeOutcome::Cancelled)
         }
         Err((reason, end)) => (RunEnd::Interrupted(reason), end),
     }
@@ -167,25 +167,25 @@
     job: &ItemJob,
     upstream: UpstreamKey,
     exchange: &mut Exchange,
-) -> Result<(), (String, ExchangeEnd)> {
+) -> Result<(), (String, ExchangeOutcome)> {
     let mut reader = EventReader::default();
     let mut last_event: Option<Moment> = None;
     loop {
         let chunk = match tokio::time::timeout(MOST_SILENCE, exchange.chunk()).await {
             Ok(Ok(Some(chunk))) => chunk,
             Ok(Ok(None)) => break,
-            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeEnd::Broken)),
-            Err(_) => return Err((String::from("silence"), ExchangeEnd::Silent)),
+            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeOutcome::Broken)),
+            Err(_) => return Err((String::from("silence"), ExchangeOutcome::Silent)),
         };
         reader.feed(&chunk);
         loop {
             let event = match reader.next_event() {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
-                Err(error) => return Err((error.to_string(), ExchangeEnd::Broken)),
+                Err(error) => return Err((error.to_string(), ExchangeOutcome::Broken)),
             };
             if let Err(fault) = job.progress.borrow_mut().text.push(&event) {
-                return Err((fault.to_string(), ExchangeEnd::Broken));
+                return Err((fault.to_string(), ExchangeOutcome::Broken));
             }
             let now = traffic.node.now();
             if let Some(last) = last_event.replace(now) {
@@ -194,5 +194,5 @@
         }
     }
     let whole = reader.is_empty() && job.progress.borrow().text.last_id() > 0;
-    if whole { Ok(()) } else { Err((String::from("the text broke off"), ExchangeEnd::Broken)) }
+    if whole { Ok(()) } else { Err((String::from("the text broke off"), ExchangeOutcome::Broken)) }
 }
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     gateway::{partitions::SUBMISSION_TOPIC, runner, traffic_state::TrafficState},
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -34,7 +34,7 @@
     let life = MEMBER_LIFE.max(traffic.node.settings.store.least_member_life);
     let member = member_name(&traffic);
     let topics = [String::from(SUBMISSION_TOPIC)];
-    while traffic.node.phase() != ServicePhase::Draining {
+    while traffic.node.phase() != NodePhase::Draining {
         let generation = traffic.partitions.generation.get();
         let joined = traffic.store.join(GROUP, &member, &topics, life, generation).await;
         // While the store does not answer, this node goes on with what it has: its appends are
--- a/crates/hibiscushinged/src/gateway/holder.rs
+++ b/crates/hibiscushinged/src/gateway/holder.rs
@@ -2,11 +2,11 @@
 
 use std::cell::RefCell;
 
-use authority::{Candidacy, FencingSupport, LeaseKeeper, LeaseSettings, Scope};
-use base::{FencingNumber, Moment, Span};
-use platform::HolderMark;
+use authority::{FencingSupport, LeaseManager, LeaseRole, LeaseScope, LeaseSettings};
+use base::{FencingToken, Moment, Span};
+use platform::HolderIdentity;
 
-use crate::{gateway::node::NodeState, shared::ServicePhase};
+use crate::{gateway::node::NodeState, shared::NodePhase};
 
 /// Length of the lease. A successor acts about a second after it has run out.
 const TERM: Span = Span::from_millis(2_000);
@@ -25,7 +25,7 @@
 
 /// The lease as the tasks of this node use it.
 pub(crate) struct LeaseHolder {
-    pub(crate) keeper: RefCell<LeaseKeeper>,
+    pub(crate) keeper: RefCell<LeaseManager>,
     /// A node that held the lease, or may have held it before its start, claims again only after
     /// this moment. Holders must not take turns faster than the platform allows.
     pub(crate) rests_until: RefCell<Moment>,
@@ -41,7 +41,7 @@
             extra_wait: Span::ZERO,
         };
         let mut keeper =
-            LeaseKeeper::new(settings, Scope::Fleet, node.incarnation, Candidacy::Abstaining);
+            LeaseManager::new(settings, LeaseScope::Fleet, node.incarnation, LeaseRole::Abstaining);
         keeper.set_claim_delay(Span(rand::random_range(0..CLAIM_SPREAD.0)));
         let rest = if node.settings.first_start { Span::ZERO } else { rest(node) };
         let rests_until = RefCell::new(node.now() + rest);
@@ -49,18 +49,18 @@
     }
 
     /// Returns the number of the lease while this node may act.
-    pub(crate) fn permit(&self, node: &NodeState) -> Option<FencingNumber> {
-        if node.phase() == ServicePhase::Draining {
+    pub(crate) fn permit(&self, node: &NodeState) -> Option<FencingToken> {
+        if node.phase() == NodePhase::Draining {
             return None;
         }
         self.keeper.borrow().permit(node.now(), FencingSupport::Ignored).ok()
     }
 
     /// Returns how calls of the holder are marked, while this node may act.
-    pub(crate) fn mark(&self, node: &NodeState) -> Option<HolderMark> {
+    pub(crate) fn mark(&self, node: &NodeState) -> Option<HolderIdentity> {
         // The first record of a log has offset 0, which a receiver may take for no number at all.
-        let fencing = FencingNumber(self.permit(node)?.0 + 1);
-        Some(HolderMark { holder: node.settings.vm_name.clone(), fencing })
+        let fencing = FencingToken(self.permit(node)?.0 + 1);
+        Some(HolderIdentity { holder: node.settings.vm_name.clone(), fencing })
     }
 }
 
--- a/crates/hibiscushinged/src/gateway/items.rs
+++ b/crates/hibiscushinged/src/gateway/items.rs
@@ -11,7 +11,7 @@
 };
 
 use base::{Moment, Span, UpstreamKey};
-use submissions::{ItemQueue, ItemResult, ItemText, SubmissionHead, SubmissionItem};
+use submissions::{GeneratedText, ItemQueue, ItemResult, SubmissionItem, SubmissionMetadata};
 use tokio::sync::Notify;
 
 use crate::{
@@ -31,7 +31,7 @@
 struct KeptText {
     model: String,
     item: Arc<SubmissionItem>,
-    text: ItemText,
+    text: GeneratedText,
     kept_at: Moment,
 }
 
@@ -87,9 +87,9 @@
     /// prompt or of another model is of no use.
     pub(crate) fn take_kept(
         &mut self,
-        head: &SubmissionHead,
+        head: &SubmissionMetadata,
         item: &SubmissionItem,
-    ) -> Option<ItemText> {
+    ) -> Option<GeneratedText> {
         let kept = self.kept.remove(&(head.customer.clone(), item.id.clone()))?;
         let same = kept.model == head.model && kept.item.body == item.body;
         same.then_some(kept.text)
--- a/crates/hibiscushinged/src/gateway/items/tests.rs
+++ b/crates/hibiscushinged/src/gateway/items/tests.rs
@@ -5,13 +5,13 @@
 use base::{Moment, WallTime, WeightVersion};
 use bytes::Bytes;
 use rstest::rstest;
-use submissions::{SubmissionHead, SubmissionItem, TextEvent};
+use submissions::{GenerationEvent, SubmissionItem, SubmissionMetadata};
 
 use super::ItemLists;
 use crate::gateway::job::ItemJob;
 
-fn head(submission: &str, customer: &str, model: &str) -> SubmissionHead {
-    SubmissionHead {
+fn head(submission: &str, customer: &str, model: &str) -> SubmissionMetadata {
+    SubmissionMetadata {
         id: String::from(submission),
         customer: String::from(customer),
         host: String::from("h"),
@@ -56,7 +56,7 @@
     let mut lists = ItemLists::default();
     let (first, prompt) = (Arc::new(head("s", "brewer", "m")), Arc::new(item("prompt")));
     let job = Rc::new(ItemJob::new(0, &first, &prompt, false, None));
-    let event = TextEvent { id: 1, data: String::from("a"), version: Some(WeightVersion(1)) };
+    let event = GenerationEvent { id: 1, data: String::from("a"), version: Some(WeightVersion(1)) };
     job.progress.borrow_mut().text.push(&event).unwrap();
     lists.keep(Moment(0), &job);
     let text = lists.take_kept(&head("later", customer, model), &item(body));
--- a/crates/hibiscushinged/src/gateway/job.rs
+++ b/crates/hibiscushinged/src/gateway/job.rs
@@ -8,9 +8,9 @@
 };
 
 use base::{Moment, Span, UpstreamKey};
-use routebook::RouteRule;
+use routebook::RouteSpec;
 use smallvec::SmallVec;
-use submissions::{ItemText, SubmissionHead, SubmissionItem};
+use submissions::{GeneratedText, SubmissionItem, SubmissionMetadata};
 use tokio::task::AbortHandle;
 
 use crate::clock::wall_now;
@@ -24,7 +24,7 @@
 /// One item that this node runs.
 pub(crate) struct ItemJob {
     pub(crate) part: u32,
-    pub(crate) head: Arc<SubmissionHead>,
+    pub(crate) head: Arc<SubmissionMetadata>,
     pub(crate) item: Arc<SubmissionItem>,
     pub(crate) progress: RefCell<JobProgress>,
     /// Whether the text is whole and waits for its score.
@@ -41,7 +41,7 @@
 
 /// How far an item is.
 pub(crate) struct JobProgress {
-    pub(crate) text: ItemText,
+    pub(crate) text: GeneratedText,
     /// Answers of 500.
     pub(crate) failures: u32,
     /// Engines that failed the item, latest last.
@@ -57,14 +57,14 @@
 impl ItemJob {
     pub(crate) fn new(
         part: u32,
-        head: &Arc<SubmissionHead>,
+        head: &Arc<SubmissionMetadata>,
         item: &Arc<SubmissionItem>,
         one_version: bool,
-        kept: Option<ItemText>,
+        kept: Option<GeneratedText>,
     ) -> Self {
         let least = head.least_version;
         let kept = kept.and_then(|mut text| text.require(least).ok().map(|()| text));
-        let text = kept.unwrap_or_else(|| ItemText::new(least, one_version));
+        let text = kept.unwrap_or_else(|| GeneratedText::new(least, one_version));
         let progress = JobProgress { text, failures: 0, tried: SmallVec::new() };
         Self {
             part,
@@ -107,7 +107,7 @@
 }
 
 /// Returns when the results of a submission are due.
-pub(crate) fn due_at(now: Moment, head: &SubmissionHead, route: &RouteRule) -> Moment {
+pub(crate) fn due_at(now: Moment, head: &SubmissionMetadata, route: &RouteSpec) -> Moment {
     let objective = route.run_objective.unwrap_or(DEFAULT_DUE);
     let age = wall_now().0.saturating_sub(head.accepted_at.0);
     let age = Span::from_millis(u64::try_from(age).unwrap_or(0));
--- a/crates/hibiscushinged/src/gateway/lease.rs
+++ b/crates/hibiscushinged/src/gateway/lease.rs
@@ -2,11 +2,11 @@
 
 use std::{rc::Rc, time::Duration};
 
-use authority::{AuthorityRecord, Candidacy, LeaseAction};
+use authority::{AuthorityRecord, LeaseAction, LeaseRole};
 use base::{LogOffset, Span};
 use bytes::Bytes;
 use clients::{HttpClient, SendPermit};
-use platform::{AppendAnswer, ReadAnswer};
+use platform::{AppendResponse, ReadResponse};
 use protocol::{StreamRecord as _, WireAuthority, decode_message, encode_message};
 
 use crate::{
@@ -15,7 +15,7 @@
         control_state::ControlState,
         holder::{RENEWAL, rest},
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -50,12 +50,12 @@
     loop {
         tokio::time::sleep(TICK).await;
         let now = control.node.now();
-        let draining = control.node.phase() == ServicePhase::Draining;
+        let draining = control.node.phase() == NodePhase::Draining;
         let actions = {
             let mut keeper = control.lease.keeper.borrow_mut();
             let rested = now >= *control.lease.rests_until.borrow();
-            let stands = rested && !draining && control.node.phase() == ServicePhase::Serving;
-            keeper.set_candidacy(if stands { Candidacy::Standing } else { Candidacy::Abstaining });
+            let stands = rested && !draining && control.node.phase() == NodePhase::Serving;
+            keeper.set_candidacy(if stands { LeaseRole::Standing } else { LeaseRole::Abstaining });
             if draining { keeper.resign() } else { keeper.tick(now) }
         };
         for action in actions {
@@ -69,7 +69,7 @@
     let mut begun = false;
     loop {
         match control.store.read(LEASE_TOPIC, 0, next, POLL_WAIT).await {
-            Ok(ReadAnswer::Records { records, .. }) => {
+            Ok(ReadResponse::Records { records, .. }) => {
                 if !begun {
                     begun = true;
                     restart(&control, next);
@@ -79,7 +79,7 @@
                     take_record(&control, record.offset, &record.bytes);
                 }
             }
-            Ok(ReadAnswer::Trimmed { first }) => {
+            Ok(ReadResponse::Trimmed { first }) => {
                 begun = true;
                 next = first;
                 restart(&control, first);
@@ -135,7 +135,7 @@
     let append = control.store.append(LEASE_TOPIC, 0, None, &records);
     // A renewal that takes longer than the time between two is of no use.
     let appended = tokio::time::timeout(to_duration(RENEWAL), append).await;
-    if !matches!(appended, Ok(Ok(AppendAnswer::Appended { .. }))) {
+    if !matches!(appended, Ok(Ok(AppendResponse::Appended { .. }))) {
         control.lease.keeper.borrow_mut().append_refused();
     }
 }
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -6,16 +6,16 @@
 };
 
 use arc_swap::ArcSwapOption;
-use base::{Incarnation, Moment, Span, key};
+use base::{Incarnation, Moment, Span, derive_copy};
 use document::GatewaySettings;
-use routebook::RouteBook;
+use routebook::ConfigIndex;
 use tokio::sync::watch;
-use usage::{WindowNumber, WindowTally, window_of};
+use usage::{WindowNumber, WindowTotals, window_of};
 
 use crate::{
     clock::{ProcessClock, to_duration, wall_now},
     gateway::metrics::GatewayMetrics,
-    shared::{FlightGuard, ServiceLife, ServicePhase},
+    shared::{InFlightGuard, NodeLifecycle, NodePhase},
     telemetry::log_event,
 };
 
@@ -35,10 +35,10 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
-    pub(crate) book: ArcSwapOption<RouteBook>,
+    pub(crate) book: ArcSwapOption<ConfigIndex>,
     pub(crate) metrics: GatewayMetrics,
-    tally: Mutex<WindowTally>,
-    life: Arc<ServiceLife>,
+    tally: Mutex<WindowTotals>,
+    life: Arc<NodeLifecycle>,
     store_contact: AtomicU64,
     store_trouble: AtomicU64,
     store_lost: AtomicBool,
@@ -46,7 +46,7 @@
     last_totals: watch::Sender<LastTotals>,
 }
 
-key! {
+derive_copy! {
     /// The last totals of usage of a process that is stopped as planned.
     pub(crate) enum LastTotals {
         /// The process goes on.
@@ -59,7 +59,7 @@
 }
 
 /// A request that was counted for usage.
-pub(crate) struct UsageMark {
+pub(crate) struct CountedRequest {
     window: WindowNumber,
     customer: String,
 }
@@ -77,7 +77,7 @@
             clock,
             book: ArcSwapOption::empty(),
             metrics,
-            tally: Mutex::new(WindowTally::default()),
+            tally: Mutex::new(WindowTotals::default()),
             life: Arc::default(),
             store_contact: AtomicU64::new(0),
             store_trouble: AtomicU64::new(0),
@@ -90,11 +90,11 @@
         self.clock.now()
     }
 
-    pub(crate) fn phase(&self) -> ServicePhase {
+    pub(crate) fn phase(&self) -> NodePhase {
         self.life.phase()
     }
 
-    pub(crate) fn enter(&self, phase: ServicePhase) {
+    pub(crate) fn enter(&self, phase: NodePhase) {
         self.life.enter(phase);
     }
 
@@ -102,8 +102,8 @@
         self.life.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> FlightGuard {
-        FlightGuard::enter(&self.life)
+    pub(crate) fn enter_flight(&self) -> InFlightGuard {
+        InFlightGuard::enter(&self.life)
     }
 
     /// Attempts that the route of a path allows, if there is one.
@@ -112,7 +112,7 @@
         Some(book.as_ref()?.route(host, path)?.attempts)
     }
 
-    pub(crate) fn tally(&self) -> MutexGuard<'_, WindowTally> {
+    pub(crate) fn tally(&self) -> MutexGuard<'_, WindowTotals> {
         self.tally.lock().expect("no holder of the tally panics")
     }
 
@@ -140,14 +140,14 @@
     }
 
     /// Counts a request that begins to run now.
-    pub(crate) fn count_begin(&self, customer: &str) -> UsageMark {
+    pub(crate) fn count_begin(&self, customer: &str) -> CountedRequest {
         let window = window_of(wall_now(), self.settings.promises.window);
         self.tally().add(window, customer);
-        UsageMark { window, customer: String::from(customer) }
+        CountedRequest { window, customer: String::from(customer) }
     }
 
     /// Takes back a request that the upstream did not run.
-    pub(crate) fn take_back(&self, mark: &UsageMark) {
+    pub(crate) fn take_back(&self, mark: &CountedRequest) {
         self.tally().take_back(mark.window, &mark.customer);
     }
 
--- a/crates/hibiscushinged/src/gateway/mirror.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower.rs
@@ -13,9 +13,11 @@
 
 use base::{Moment, Span};
 use clients::CallError;
-use platform::ReadAnswer;
+use platform::ReadResponse;
 use protocol::{OPEN_PREFIX, decode_book_record, submission_prefix};
-use submissions::{BookRecord, LogPart, PartitionCopy, SubmissionBook, SubmissionRead};
+use submissions::{
+    LogBatch, PartitionCache, SubmissionRecord, SubmissionSnapshot, SubmissionTable,
+};
 use tokio::sync::{Mutex, watch};
 
 use crate::{
@@ -36,9 +38,9 @@
 const IDLE_LIFE: Span = Span::from_secs(20);
 
 /// Copy of one partition, kept up to date by reads of the store.
-pub(crate) struct PartitionMirror {
+pub(crate) struct PartitionFollower {
     pub(crate) name: PartitionName,
-    copy: RefCell<PartitionCopy>,
+    copy: RefCell<PartitionCache>,
     /// Whether this node runs the items of the partition.
     owned: Cell<bool>,
     used_at: Cell<Moment>,
@@ -48,7 +50,7 @@
     pub(crate) writing: Mutex<()>,
 }
 
-impl PartitionMirror {
+impl PartitionFollower {
     pub(crate) fn new(name: PartitionName) -> Self {
         Self {
             name,
@@ -61,11 +63,11 @@
         }
     }
 
-    pub(crate) fn book(&self) -> Ref<'_, SubmissionBook> {
-        Ref::map(self.copy.borrow(), PartitionCopy::book)
+    pub(crate) fn book(&self) -> Ref<'_, SubmissionTable> {
+        Ref::map(self.copy.borrow(), PartitionCache::book)
     }
 
-    pub(crate) fn copy(&self) -> Ref<'_, PartitionCopy> {
+    pub(crate) fn copy(&self) -> Ref<'_, PartitionCache> {
         self.copy.borrow()
     }
 
@@ -90,7 +92,7 @@
             let records = items.iter().filter_map(|change| self.decode(change));
             let records = records.map(|(_, record)| record).collect();
             let submission = String::from(submission);
-            let read = SubmissionRead { submission, sent_at, end, records };
+            let read = SubmissionSnapshot { submission, sent_at, end, records };
             if self.copy.borrow_mut().load(read) {
                 self.tell_change();
             }
@@ -144,18 +146,18 @@
         // The copy is complete as of the moment at which the read was sent.
         let sent_at = store.node.now();
         match store.read(&self.name.topic, self.name.part, from, wait).await? {
-            ReadAnswer::Records { records, end } => {
+            ReadResponse::Records { records, end } => {
                 let read_to = records.last().map_or(from, |record| record.offset + 1);
                 let changes = records.iter().filter_map(|record| split(&self.name, record));
                 let records = changes.filter_map(|change| self.decode(&change)).collect();
                 let complete =
-                    self.copy.borrow_mut().read(LogPart { sent_at, from, read_to, end, records });
+                    self.copy.borrow_mut().read(LogBatch { sent_at, from, read_to, end, records });
                 if read_to > from {
                     self.tell_change();
                 }
                 Ok(complete)
             }
-            ReadAnswer::Trimmed { first } => {
+            ReadResponse::Trimmed { first } => {
                 let (topic, part) = (&self.name.topic, self.name.part);
                 log_event!(warn, LogGapFound, topic, part, from, first);
                 self.copy.borrow_mut().reset();
@@ -165,7 +167,7 @@
     }
 
     /// Takes records that this node has appended itself.
-    pub(crate) fn appended(&self, offset: u64, end: u64, records: Vec<BookRecord>) {
+    pub(crate) fn appended(&self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
         self.copy.borrow_mut().appended(offset, end, records);
         self.tell_change();
     }
@@ -175,7 +177,7 @@
     }
 
     /// Decodes a record. One that cannot be read is logged and skipped.
-    fn decode(&self, change: &KeyChange) -> Option<(u64, BookRecord)> {
+    fn decode(&self, change: &KeyChange) -> Option<(u64, SubmissionRecord)> {
         match decode_book_record(&change.key, change.value.as_deref()) {
             Ok(record) => Some((change.offset, record?)),
             Err(error) => {
--- a/crates/hibiscushinged/src/gateway/mirror/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -7,7 +7,7 @@
 use platform::keyed_record;
 use protocol::encode_book_record;
 use site_stand_in::{SiteStore, StoreOptions, rendered_settings};
-use submissions::{BookRecord, ItemResult, SubmissionHead, SubmissionItem};
+use submissions::{ItemResult, SubmissionItem, SubmissionMetadata, SubmissionRecord};
 
 use crate::{
     clock::ProcessClock,
@@ -36,13 +36,13 @@
     Rc::new(TrafficState::new(Arc::new(node)))
 }
 
-fn bytes(record: &BookRecord) -> bytes::Bytes {
+fn bytes(record: &SubmissionRecord) -> bytes::Bytes {
     let (key, value) = encode_book_record(record);
     keyed_record(&key, value.as_deref())
 }
 
-fn submission() -> Vec<BookRecord> {
-    let head = SubmissionHead {
+fn submission() -> Vec<SubmissionRecord> {
+    let head = SubmissionMetadata {
         id: String::from("s"),
         customer: String::from("brewer"),
         host: String::from("h"),
@@ -65,8 +65,8 @@
         reward: None,
     });
     let items =
-        BookRecord::Items { submission: String::from("s"), first: 0, items: items.collect() };
-    vec![BookRecord::Opened(head), items]
+        SubmissionRecord::Items { submission: String::from("s"), first: 0, items: items.collect() };
+    vec![SubmissionRecord::Opened(head), items]
 }
 
 /// Guards against a copy that counts as complete after one answer of the store, which holds a bounded
@@ -82,7 +82,7 @@
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     let results = (0..ITEMS).map(|position| {
         let result = ItemResult::errored(format!("i{position}"));
-        bytes(&BookRecord::Result { submission: String::from("s"), position, result })
+        bytes(&SubmissionRecord::Result { submission: String::from("s"), position, result })
     });
     store.append(SUBMISSION_TOPIC, 0, results.collect());
 
@@ -119,8 +119,8 @@
         let mut records = submission();
         for record in &mut records {
             match record {
-                BookRecord::Opened(head) => head.id = String::from(other),
-                BookRecord::Items { submission, .. } => *submission = String::from(other),
+                SubmissionRecord::Opened(head) => head.id = String::from(other),
+                SubmissionRecord::Items { submission, .. } => *submission = String::from(other),
                 _ => {}
             }
         }
@@ -155,22 +155,24 @@
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
     let config = platform::decode_manifest(CONFIG.as_bytes()).unwrap();
-    traffic.node.book.store(Some(Arc::new(routebook::RouteBook::new(config))));
+    traffic.node.book.store(Some(Arc::new(routebook::ConfigIndex::new(config))));
     let mirror = traffic.partitions.get(0).unwrap();
     mirror.load(&traffic.store, "s").await.unwrap();
     let mut records = submission();
-    records.push(BookRecord::Marked { submission: String::from("s") });
+    records.push(SubmissionRecord::Marked { submission: String::from("s") });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     mirror.catch_up(&traffic.store).await.unwrap();
     if ended {
         let id = || String::from("s");
-        let records =
-            [BookRecord::Ended { submission: id() }, BookRecord::Unmarked { submission: id() }];
+        let records = [
+            SubmissionRecord::Ended { submission: id() },
+            SubmissionRecord::Unmarked { submission: id() },
+        ];
         store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     }
     if forgotten {
         // Something is appended in any case, so that the copy is behind what is forgotten.
-        let other = BookRecord::Unmarked { submission: String::from("other") };
+        let other = SubmissionRecord::Unmarked { submission: String::from("other") };
         store.append(SUBMISSION_TOPIC, 0, vec![bytes(&other)]);
         store.forget();
     }
@@ -199,8 +201,9 @@
     let mirror = traffic.partitions.get(0).unwrap();
     let id = || String::from("s");
     let mut records = submission();
-    records.push(BookRecord::Ended { submission: id() });
-    records.push(BookRecord::Expiring { submission: id(), accepted_at: WallTime(accepted_ms) });
+    records.push(SubmissionRecord::Ended { submission: id() });
+    records
+        .push(SubmissionRecord::Expiring { submission: id(), accepted_at: WallTime(accepted_ms) });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     mirror.load(&traffic.store, "s").await.unwrap();
     crate::gateway::cleanup::delete_part(&traffic, mirror).await.unwrap();
--- a/crates/hibiscushinged/src/gateway/partitions.rs
+++ b/crates/hibiscushinged/src/gateway/partitions.rs
@@ -5,7 +5,7 @@
 use base::stable_hash;
 use document::StoreSettings;
 
-use crate::gateway::{fetch::PartitionName, mirror::PartitionMirror};
+use crate::gateway::{fetch::PartitionName, partition_follower::PartitionFollower};
 
 /// Topic of submissions. It is keyed, because results are read for longer than the log is kept.
 pub(crate) const SUBMISSION_TOPIC: &str = "keyed.submissions";
@@ -17,7 +17,7 @@
 
 /// Partitions of submissions.
 pub(crate) struct PartitionSet {
-    mirrors: Vec<Rc<PartitionMirror>>,
+    mirrors: Vec<Rc<PartitionFollower>>,
     pub(crate) generation: Cell<u64>,
 }
 
@@ -27,19 +27,19 @@
         let large = settings.reads_per_second >= LARGE_STORE_READS;
         let count = if large { settings.partitions } else { 1 };
         let mirrors = (0..count).map(|part| {
-            Rc::new(PartitionMirror::new(PartitionName { topic: topic.clone(), part }))
+            Rc::new(PartitionFollower::new(PartitionName { topic: topic.clone(), part }))
         });
         Self { mirrors: mirrors.collect(), generation: Cell::new(0) }
     }
 
     /// Returns the partition of a customer. All submissions of a customer share one, so that their
     /// owner can go on with the texts of items that return in a later submission.
-    pub(crate) fn of_customer(&self, customer: &str) -> &Rc<PartitionMirror> {
+    pub(crate) fn of_customer(&self, customer: &str) -> &Rc<PartitionFollower> {
         let index = stable_hash(customer) % self.mirrors.len() as u64;
         &self.mirrors[index as usize]
     }
 
-    pub(crate) fn get(&self, part: u32) -> Option<&Rc<PartitionMirror>> {
+    pub(crate) fn get(&self, part: u32) -> Option<&Rc<PartitionFollower>> {
         self.mirrors.get(part as usize)
     }
 
--- a/crates/hibiscushinged/src/gateway/plain.rs
+++ b/crates/hibiscushinged/src/gateway/plain.rs
@@ -5,15 +5,15 @@
 use actix_http::{Method, header::HeaderMap};
 use base::{Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use bytes::Bytes;
-use dispatch::PlainAsk;
+use dispatch::PlainPickRequest;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
-use platform::{UpstreamCall, forward_headers};
+use platform::{UpstreamRequestMetadata, forward_headers};
 use smallvec::SmallVec;
 
 use crate::{
     gateway::{
         attempt::{
-            AttemptCall, AttemptFault, WholeAnswer, log_attempt, wait_until, whole_exchange,
+            AttemptCall, AttemptError, WholeAnswer, log_attempt, wait_until, whole_exchange,
         },
         traffic_state::TrafficState,
     },
@@ -58,7 +58,7 @@
         left: Span,
     ) -> AttemptCall<'_> {
         let instance = traffic.board.borrow().entry(upstream).id.clone();
-        let call = UpstreamCall {
+        let call = UpstreamRequestMetadata {
             id: self.id,
             host: self.host,
             customer: self.customer,
@@ -147,7 +147,7 @@
     let zone = &traffic.node.settings.zone;
     let connected = &traffic.pool.connected();
     let draw = rand::random();
-    let ask = PlainAsk { service: job.service, zone, tried, connected, draw };
+    let ask = PlainPickRequest { service: job.service, zone, tried, connected, draw };
     traffic.board.borrow().pick_plain(traffic.node.now(), &ask)
 }
 
@@ -156,7 +156,7 @@
     job: &PlainJob<'_>,
     upstream: UpstreamKey,
     left: Span,
-) -> (UpstreamKey, Result<WholeAnswer, AttemptFault>) {
+) -> (UpstreamKey, Result<WholeAnswer, AttemptError>) {
     let call = job.call(traffic, upstream, left);
     (upstream, whole_exchange(traffic, call).await)
 }
@@ -168,7 +168,7 @@
         traffic: &TrafficState,
         job: &PlainJob<'_>,
         upstream: UpstreamKey,
-        result: Result<WholeAnswer, AttemptFault>,
+        result: Result<WholeAnswer, AttemptError>,
     ) -> Option<WholeAnswer> {
         let board = traffic.board.borrow();
         let name = &board.entry(upstream).id;
@@ -188,7 +188,7 @@
                 self.failed_answer = Some(answer);
             }
             Err(fault) => {
-                let ran = matches!(fault, AttemptFault::MaybeRun(_));
+                let ran = matches!(fault, AttemptError::MaybeRun(_));
                 log_event!(
                     AttemptFailed,
                     request = job.id,
--- a/crates/hibiscushinged/src/gateway/ready.rs
+++ b/crates/hibiscushinged/src/gateway/ready.rs
@@ -7,12 +7,12 @@
 
 use crate::{
     gateway::{
-        answer,
         node::NodeState,
+        response,
         serve::{listen, serve_endpoint},
     },
-    shared::ServicePhase,
-    traffic::answer::with_body,
+    shared::NodePhase,
+    traffic::response::with_body,
 };
 
 /// Serves readiness and metrics.
@@ -26,7 +26,7 @@
     serve_endpoint(ready, move |_: &Request| {
         let status =
             if is_ready(&state) { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        answer::status(status)
+        response::status(status)
     });
     let metrics = listen(node.settings.metrics)?;
     let state = Arc::clone(node);
@@ -41,5 +41,5 @@
 /// A node without a configuration, one that stops, and one that the store does not answer leave the
 /// callers to others.
 fn is_ready(node: &NodeState) -> bool {
-    node.phase() == ServicePhase::Serving && node.store_in_reach()
+    node.phase() == NodePhase::Serving && node.store_in_reach()
 }
--- a/crates/hibiscushinged/src/gateway/relay.rs
+++ b/crates/hibiscushinged/src/gateway/relay.rs
@@ -7,20 +7,20 @@
     body::{BodyStream, BoxBody},
 };
 use base::{Refusal, RefusalCode, Span, UpstreamKey};
-use dispatch::ExchangeEnd;
+use dispatch::ExchangeOutcome;
 use futures_util::stream;
 use platform::relay_headers;
 use smallvec::SmallVec;
 
 use crate::{
     gateway::{
-        answer,
-        attempt::{AttemptFault, PlaceGuard, log_attempt, open_exchange},
+        attempt::{AttemptError, AttemptGuard, log_attempt, open_exchange},
         channel::Exchange,
         plain::{PlainJob, pick},
+        response,
         traffic_state::TrafficState,
     },
-    shared::FlightGuard,
+    shared::InFlightGuard,
     telemetry::log_event,
 };
 
@@ -32,8 +32,8 @@
     traffic: Rc<TrafficState>,
     upstream: UpstreamKey,
     exchange: Option<Exchange>,
-    place: Option<PlaceGuard>,
-    _flight: FlightGuard,
+    place: Option<AttemptGuard>,
+    _flight: InFlightGuard,
 }
 
 /// Sends a request whose answer is a stream, and passes the events on as they come. A stream that
@@ -45,7 +45,7 @@
 pub(crate) async fn relay(
     traffic: &Rc<TrafficState>,
     job: &PlainJob<'_>,
-    flight: FlightGuard,
+    flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
     let mut tried: SmallVec<[UpstreamKey; 4]> = SmallVec::new();
     let mut reason = String::from("no upstream is usable");
@@ -55,15 +55,15 @@
         let Some(upstream) = pick(traffic, job, &tried) else { break };
         tried.push(upstream);
         log_attempt(traffic, job.id, upstream, tried.len(), left);
-        let place = PlaceGuard::take(traffic, upstream);
+        let place = AttemptGuard::take(traffic, upstream);
         match begin(traffic, job, upstream, left).await {
             Ok(exchange) => return Ok(response(traffic, upstream, exchange, place, flight)),
-            Err((AttemptFault::NotRun(why), end)) => {
+            Err((AttemptError::NotRun(why), end)) => {
                 place.end(end);
                 log_event!(AttemptFailed, request = job.id, may_have_run = false, reason = why);
                 reason = why;
             }
-            Err((AttemptFault::MaybeRun(why), end)) => {
+            Err((AttemptError::MaybeRun(why), end)) => {
                 place.end(end);
                 log_event!(AttemptFailed, request = job.id, may_have_run = true, reason = why);
                 reason = why;
@@ -85,14 +85,14 @@
     job: &PlainJob<'_>,
     upstream: UpstreamKey,
     left: Span,
-) -> Result<Exchange, (AttemptFault, ExchangeEnd)> {
+) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
     let call = job.call(traffic, upstream, left);
     let timeout = crate::clock::to_duration(left);
     match tokio::time::timeout(timeout, open_exchange(traffic, call)).await {
         Ok(result) => result,
         Err(_) => {
             let reason = String::from("no answer before the deadline");
-            Err((AttemptFault::MaybeRun(reason), ExchangeEnd::Silent))
+            Err((AttemptError::MaybeRun(reason), ExchangeOutcome::Silent))
         }
     }
 }
@@ -101,8 +101,8 @@
     traffic: &Rc<TrafficState>,
     upstream: UpstreamKey,
     exchange: Exchange,
-    place: PlaceGuard,
-    flight: FlightGuard,
+    place: AttemptGuard,
+    flight: InFlightGuard,
 ) -> Response<BoxBody> {
     let status = exchange.head().status;
     let headers = relay_headers(exchange.head());
@@ -114,7 +114,7 @@
         _flight: flight,
     };
     let body = BodyStream::new(Box::pin(stream::unfold(state, next_chunk)));
-    answer::with_headers(status, BoxBody::new(body), headers)
+    response::with_headers(status, BoxBody::new(body), headers)
 }
 
 async fn next_chunk(
@@ -127,14 +127,14 @@
             let exchange = state.exchange.take()?;
             state.traffic.keep_channel(state.upstream, exchange);
             if let Some(place) = state.place.take() {
-                place.end(ExchangeEnd::Cancelled);
+                place.end(ExchangeOutcome::Cancelled);
             }
             None
         }
         Err(fault) => {
             state.exchange = None;
             if let Some(place) = state.place.take() {
-                place.end(ExchangeEnd::Broken);
+                place.end(ExchangeOutcome::Broken);
             }
             Some((Err(std::io::Error::other(fault.to_string())), state))
         }
--- a/crates/hibiscushinged/src/gateway/answer.rs
+++ b/crates/hibiscushinged/src/gateway/response.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     gateway::{attempt::WholeAnswer, node::NodeState},
-    shared::ServicePhase,
-    traffic::answer::refusal_body,
+    shared::NodePhase,
+    traffic::response::refusal_body,
 };
 
 /// Builds the answer to a refused request. The time to come back has a fraction, since many callers
@@ -52,7 +52,7 @@
 
 /// Asks the caller to use another connection next time, when this node is about to stop.
 pub(crate) fn close_when_draining(node: &NodeState, response: &mut Response<BoxBody>) {
-    if node.phase() == ServicePhase::Draining {
+    if node.phase() == NodePhase::Draining {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
 }
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -7,20 +7,20 @@
 };
 
 use base::{Moment, Span, UpstreamKey};
-use dispatch::{GenerationAsk, ModelNeed};
-use submissions::{SubmissionBook, result_records};
+use dispatch::{GenerationPickRequest, ModelRequirement};
+use submissions::{SubmissionTable, result_records};
 
 use crate::{
     clock::to_duration,
     gateway::{
-        attempt::PlaceGuard,
+        attempt::AttemptGuard,
         commit::commit,
         generation,
         job::{ItemJob, ItemRun, due_at},
-        mirror::PartitionMirror,
+        partition_follower::PartitionFollower,
         traffic_state::TrafficState,
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -49,7 +49,7 @@
 const MOST_MOVES: usize = 4;
 
 /// Follows the submissions of an owned partition.
-pub(crate) fn watch(traffic: &Rc<TrafficState>, mirror: &Rc<PartitionMirror>) {
+pub(crate) fn watch(traffic: &Rc<TrafficState>, mirror: &Rc<PartitionFollower>) {
     let part = mirror.name.part;
     if !traffic.items.lists.borrow_mut().watched.insert(part) {
         collect(traffic, mirror);
@@ -69,7 +69,7 @@
 
 /// Takes over open items of a partition, and drops those that are resolved, ended, or owned by
 /// another node.
-fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionMirror) {
+fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionFollower) {
     let part = mirror.name.part;
     let copy = mirror.copy();
     let owned = mirror.is_owned() && !traffic.items.stopped.get();
@@ -134,9 +134,9 @@
         let Some(service) = route.target(rand::random()) else { return false };
         let prompt = job.item.shared_prompt.as_ref();
         let progress = job.progress.borrow();
-        let ask = GenerationAsk {
+        let ask = GenerationPickRequest {
             service,
-            need: ModelNeed { model: &head.model, least: head.least_version },
+            need: ModelRequirement { model: &head.model, least: head.least_version },
             tried: &progress.tried,
             warm: prompt.and_then(|prompt| warm.get(prompt).copied()),
             connected: &connected,
@@ -189,9 +189,9 @@
         return false;
     }
     let service = traffic.board.borrow().entry(from).service.clone();
-    let ask = GenerationAsk {
+    let ask = GenerationPickRequest {
         service: &service,
-        need: ModelNeed { model: &job.head.model, least: job.head.least_version },
+        need: ModelRequirement { model: &job.head.model, least: job.head.least_version },
         tried: &[from],
         warm: None,
         connected: &traffic.pool.connected(),
@@ -216,7 +216,7 @@
 }
 
 fn start(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, upstream: UpstreamKey) {
-    let place = PlaceGuard::take(traffic, upstream);
+    let place = AttemptGuard::take(traffic, upstream);
     let started_at = traffic.node.now();
     let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, place);
     let task = actix_rt::spawn(run);
@@ -238,7 +238,7 @@
             () = traffic.items.wake.notified() => {}
             () = tokio::time::sleep(period) => {}
         }
-        if traffic.node.phase() != ServicePhase::Draining {
+        if traffic.node.phase() != NodePhase::Draining {
             place(&traffic);
             move_runs(&traffic);
         }
@@ -263,7 +263,7 @@
     let submissions: BTreeSet<&str> =
         results.iter().map(|(submission, _)| submission.as_str()).collect();
     let submissions: Vec<&str> = submissions.into_iter().collect();
-    let build = |book: &SubmissionBook| result_records(book, &results);
+    let build = |book: &SubmissionTable| result_records(book, &results);
     let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, build).await;
     if stored.is_ok() {
         return;
