--- a/crates/hibiscushinged/src/gateway/serve.rs
+++ b/crates/hibiscushinged/src/gateway/serve.rs
@@ -6,24 +6,23 @@
 use base::{Moment, Refusal, RefusalCode, Span};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt as _;
-use platform::{CallHead, CallTarget, read_head, read_target};
-use routebook::{RequestKind, RouteBook, RouteRule};
+use platform::{RequestMetadata, RequestTarget, read_head, read_target};
+use routebook::{ConfigIndex, RequestKind, RouteSpec};
 use tokio::{net::TcpListener, sync::mpsc};
 
 use crate::{
     accept::serve_connections,
     clock::to_duration,
     gateway::{
-        answer,
-        board::{UpstreamNews, follow_news, sweep_channels},
         cleanup, group,
         node::{LAST_TOTALS_PATIENCE, NodeState},
         plain::{PlainJob, run_plain},
-        relay, runner,
+        relay, response, runner,
         submit::{self, Arrival, Inquiry},
         traffic_state::TrafficState,
+        upstreams::{UpstreamUpdate, follow_news, sweep_channels},
     },
-    shared::FlightGuard,
+    shared::InFlightGuard,
     telemetry::log_event,
 };
 
@@ -62,7 +61,7 @@
 /// A request with its body and what is known of its sender.
 struct CallerRequest<'a> {
     request: &'a Request,
-    call: &'a CallHead,
+    call: &'a RequestMetadata,
     path: &'a str,
     body: Bytes,
     arrived: Moment,
@@ -76,7 +75,7 @@
     /// Returns an error when the address cannot be bound.
     pub(crate) fn start(
         node: Arc<NodeState>,
-        changes: mpsc::UnboundedReceiver<UpstreamNews>,
+        changes: mpsc::UnboundedReceiver<UpstreamUpdate>,
     ) -> io::Result<Self> {
         let listener = listen(node.settings.listen)?;
         let traffic = Rc::new(TrafficState::new(node));
@@ -184,16 +183,16 @@
                 config = traffic.node.book.load().as_ref().map(|book| book.version()),
                 took_ms,
             );
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
     };
-    answer::close_when_draining(&traffic.node, &mut response);
+    response::close_when_draining(&traffic.node, &mut response);
     response
 }
 
 async fn read_body(
     traffic: &TrafficState,
-    call: &CallHead,
+    call: &RequestMetadata,
     request: &mut Request,
 ) -> Result<Bytes, Refusal> {
     let book = traffic.node.book.load();
@@ -229,7 +228,7 @@
 async fn dispatch(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    flight: FlightGuard,
+    flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
     let Some(book) = traffic.node.book.load_full() else {
         let message = "this node has no configuration yet";
@@ -237,27 +236,27 @@
     };
     let target = read_target(&caller.request.head().method, caller.path);
     let submission = match target {
-        CallTarget::Route => return route_call(traffic, caller, &book, flight).await,
-        CallTarget::Results { submission, .. }
-        | CallTarget::ItemBody { submission, .. }
-        | CallTarget::End { submission } => submission,
+        RequestTarget::Route => return route_call(traffic, caller, &book, flight).await,
+        RequestTarget::Results { submission, .. }
+        | RequestTarget::ItemBody { submission, .. }
+        | RequestTarget::End { submission } => submission,
     };
     let Some(customer) = customer(&book, caller)? else {
         return Err(key_refused());
     };
     let inquiry = Inquiry { submission, customer };
     match target {
-        CallTarget::Results { after, .. } => {
+        RequestTarget::Results { after, .. } => {
             let wait = caller.call.wait.unwrap_or(Span::ZERO).min(Span::from_secs(1));
             submit::results(traffic, &inquiry, after, wait).await
         }
-        CallTarget::ItemBody { item, .. } => submit::item_body(traffic, &inquiry, item).await,
-        CallTarget::End { .. } | CallTarget::Route => submit::end(traffic, &inquiry).await,
+        RequestTarget::ItemBody { item, .. } => submit::item_body(traffic, &inquiry, item).await,
+        RequestTarget::End { .. } | RequestTarget::Route => submit::end(traffic, &inquiry).await,
     }
 }
 
 fn customer<'b>(
-    book: &'b RouteBook,
+    book: &'b ConfigIndex,
     caller: &CallerRequest<'_>,
 ) -> Result<Option<&'b str>, Refusal> {
     if !book.needs_keys() {
@@ -274,8 +273,8 @@
 async fn route_call(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    book: &RouteBook,
-    flight: FlightGuard,
+    book: &ConfigIndex,
+    flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
     let (call, path) = (caller.call, caller.path);
     let Some(route) = book.route(&call.host, path) else {
@@ -298,12 +297,12 @@
     if route.kind == RequestKind::Stream {
         return relay::relay(traffic, &job, flight).await;
     }
-    run_plain(traffic, &job).await.map(answer::relayed)
+    run_plain(traffic, &job).await.map(response::relayed)
 }
 
 fn plain_job<'a>(
     caller: &'a CallerRequest<'_>,
-    route: &'a RouteRule,
+    route: &'a RouteSpec,
     customer: Option<&'a str>,
     id: &'a str,
     deadline: Moment,
--- a/crates/hibiscushinged/src/gateway/store.rs
+++ b/crates/hibiscushinged/src/gateway/store.rs
@@ -5,7 +5,7 @@
 use base::Span;
 use bytes::Bytes;
 use clients::{CallError, HttpClient};
-use platform::{AppendAnswer, GroupShare, KeyedPage, ReadAnswer, StoreClient};
+use platform::{AppendResponse, GroupAssignment, KeyedPage, ReadResponse, StoreClient};
 
 use crate::gateway::node::NodeState;
 
@@ -36,10 +36,10 @@
         part: u32,
         at: Option<u64>,
         records: &[Bytes],
-    ) -> Result<AppendAnswer, CallError> {
+    ) -> Result<AppendResponse, CallError> {
         let client = self.client();
         let result = client.append(topic, part, at, records, CALL_TIMEOUT).await;
-        if let Ok(AppendAnswer::Refused(status)) = &result {
+        if let Ok(AppendResponse::Refused(status)) = &result {
             self.node.store_failed("append", &format!("status {status}"));
             return result;
         }
@@ -52,7 +52,7 @@
         part: u32,
         from: u64,
         wait: Span,
-    ) -> Result<ReadAnswer, CallError> {
+    ) -> Result<ReadResponse, CallError> {
         let client = self.client();
         let result = client.read(topic, part, from, wait, wait + CALL_TIMEOUT).await;
         self.note("read", result)
@@ -76,7 +76,7 @@
         topics: &[String],
         life: Span,
         generation: u64,
-    ) -> Result<GroupShare, CallError> {
+    ) -> Result<GroupAssignment, CallError> {
         let client = self.client();
         let result = client.join(group, member, topics, life, generation, CALL_TIMEOUT).await;
         self.note("join", result)
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -7,19 +7,19 @@
 use bytes::Bytes;
 use platform::{SubmissionBody, decode_submission, encode_results};
 use submissions::{
-    BookRecord, SubmissionHead, SubmissionItem, check_owner, check_submission, ending_records,
-    opening_records,
+    SubmissionItem, SubmissionMetadata, SubmissionRecord, check_owner, check_submission,
+    ending_records, opening_records,
 };
 
 use crate::{
     clock::{to_duration, wall_now},
     gateway::{
-        commit::{CommitFault, commit},
-        mirror::PartitionMirror,
+        commit::{CommitError, commit},
+        partition_follower::PartitionFollower,
         traffic_state::TrafficState,
     },
     telemetry::log_event,
-    traffic::answer::with_body,
+    traffic::response::with_body,
 };
 
 /// Time for which an append is tried. Senders come back to another node after a refusal.
@@ -86,7 +86,7 @@
             let (submission, customer) = (arrival.id, arrival.customer);
             let part = mirror.name.part;
             log_event!(SubmissionAccepted, submission, customer, part, items, repeated = known);
-            Ok(super::answer::status(StatusCode::ACCEPTED))
+            Ok(super::response::status(StatusCode::ACCEPTED))
         }
         Err(fault) => Err(unsettled(fault)),
     }
@@ -96,11 +96,11 @@
     Refusal::not_run(RefusalCode::RequestInvalid, error.to_string())
 }
 
-fn unsettled(fault: CommitFault) -> Refusal {
+fn unsettled(fault: CommitError) -> Refusal {
     let code = RefusalCode::LogUnavailable;
     match fault {
-        CommitFault::NotStored => Refusal::not_run(code, "the store does not take the records"),
-        CommitFault::Unknown => {
+        CommitError::NotStored => Refusal::not_run(code, "the store does not take the records"),
+        CommitError::Unknown => {
             // The status must not promise that the submission will not run.
             Refusal::may_have_run(RefusalCode::UpstreamFailed, "the store has not answered")
         }
@@ -108,13 +108,17 @@
     .with_retry_after(STORE_PAUSE)
 }
 
-fn items_of(record: &BookRecord) -> usize {
-    if let BookRecord::Items { items, .. } = record { items.len() } else { 0 }
+fn items_of(record: &SubmissionRecord) -> usize {
+    if let SubmissionRecord::Items { items, .. } = record { items.len() } else { 0 }
 }
 
-fn records(traffic: &TrafficState, arrival: &Arrival<'_>, body: SubmissionBody) -> Vec<BookRecord> {
+fn records(
+    traffic: &TrafficState,
+    arrival: &Arrival<'_>,
+    body: SubmissionBody,
+) -> Vec<SubmissionRecord> {
     let most = (f64::from(traffic.node.settings.store.record_bytes) * CHUNK_SHARE) as usize;
-    let mut records = vec![BookRecord::Opened(SubmissionHead {
+    let mut records = vec![SubmissionRecord::Opened(SubmissionMetadata {
         id: String::from(arrival.id),
         customer: String::from(arrival.customer),
         host: String::from(arrival.host),
@@ -133,7 +137,11 @@
         if size + length > most && !chunk.is_empty() {
             let items = std::mem::take(&mut chunk);
             let count = items.len() as u32;
-            records.push(BookRecord::Items { submission: String::from(arrival.id), first, items });
+            records.push(SubmissionRecord::Items {
+                submission: String::from(arrival.id),
+                first,
+                items,
+            });
             first += count;
             size = 0;
         }
@@ -141,8 +149,8 @@
         chunk.push(item);
     }
     let submission = String::from(arrival.id);
-    records.push(BookRecord::Items { submission, first, items: chunk });
-    records.push(BookRecord::Marked { submission: String::from(arrival.id) });
+    records.push(SubmissionRecord::Items { submission, first, items: chunk });
+    records.push(SubmissionRecord::Marked { submission: String::from(arrival.id) });
     records
 }
 
@@ -184,22 +192,22 @@
     }
 }
 
-fn listed(mirror: &PartitionMirror, inquiry: &Inquiry<'_>) -> u32 {
+fn listed(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
     mirror.book().get(inquiry.submission).map_or(0, submissions::SubmissionState::listed)
 }
 
-fn is_complete(mirror: &PartitionMirror, inquiry: &Inquiry<'_>) -> bool {
+fn is_complete(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
     mirror.book().get(inquiry.submission).is_none_or(|state| !state.is_open())
 }
 
 fn results_answer(
-    mirror: &PartitionMirror,
+    mirror: &PartitionFollower,
     inquiry: &Inquiry<'_>,
     after: u32,
 ) -> Response<BoxBody> {
     let book = mirror.book();
     let Some(state) = book.get(inquiry.submission) else {
-        return super::answer::status(StatusCode::NOT_FOUND);
+        return super::response::status(StatusCode::NOT_FOUND);
     };
     let total = state.head().items;
     let results = state.results(after).map(std::convert::AsRef::as_ref);
@@ -220,7 +228,7 @@
     require(traffic, mirror, inquiry).await?;
     let book = mirror.book();
     let found = book.get(inquiry.submission).and_then(|state| state.item(item));
-    let Some(item) = found else { return Ok(super::answer::status(StatusCode::NOT_FOUND)) };
+    let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
 }
 
@@ -242,13 +250,13 @@
     });
     stored.await.map_err(unsettled)?;
     log_event!(SubmissionEnded, submission, customer = inquiry.customer);
-    Ok(super::answer::status(StatusCode::OK))
+    Ok(super::response::status(StatusCode::OK))
 }
 
 /// Makes sure that the submission is known, belongs to the customer, and is fresh.
 async fn require(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionMirror>,
+    mirror: &Rc<PartitionFollower>,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     mirror.follow(&traffic.store);
@@ -265,7 +273,7 @@
 /// Reads what is new when the copy may be older than other nodes' answers.
 async fn refresh(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionMirror,
+    mirror: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     let settle = traffic.node.settings.promises.settle.0 as f64;
@@ -279,7 +287,7 @@
 
 async fn catch_up(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionMirror,
+    mirror: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     /// Time for which a read is tried before the caller is sent to another node. A small node takes
--- a/crates/hibiscushinged/src/gateway/traffic_state.rs
+++ b/crates/hibiscushinged/src/gateway/traffic_state.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use base::UpstreamKey;
-use dispatch::UpstreamBoard;
+use dispatch::UpstreamBalancer;
 
 use crate::gateway::{
     channel::Exchange, items::ItemDesk, node::NodeState, partitions::PartitionSet,
@@ -13,7 +13,7 @@
 /// State of the traffic thread.
 pub(crate) struct TrafficState {
     pub(crate) node: Arc<NodeState>,
-    pub(crate) board: RefCell<UpstreamBoard>,
+    pub(crate) board: RefCell<UpstreamBalancer>,
     pub(crate) pool: ChannelPool,
     pub(crate) store: Rc<StoreSession>,
     pub(crate) partitions: PartitionSet,
--- a/crates/hibiscushinged/src/gateway/board.rs
+++ b/crates/hibiscushinged/src/gateway/upstreams.rs
@@ -3,31 +3,31 @@
 use std::rc::Rc;
 
 use base::Moment;
-use dispatch::{BoardChange, RemovalCause, UpstreamEntry};
+use dispatch::{RemovalCause, UpstreamChange, UpstreamEntry};
 use tokio::sync::mpsc;
 
 use crate::{gateway::traffic_state::TrafficState, telemetry::log_event};
 
 /// Change of an upstream's entry.
 #[derive(Debug)]
-pub(crate) enum UpstreamNews {
+pub(crate) enum UpstreamUpdate {
     Updated(UpstreamEntry),
     Removed { id: String, cause: RemovalCause },
 }
 
 impl TrafficState {
-    fn take_news(&self, news: UpstreamNews) {
+    fn take_news(&self, news: UpstreamUpdate) {
         match news {
-            UpstreamNews::Updated(entry) => {
+            UpstreamUpdate::Updated(entry) => {
                 let (id, address) = (entry.id.clone(), entry.address);
                 let state = entry.state;
                 let (upstream, change) = self.board.borrow_mut().update(entry);
-                if change == BoardChange::Restarted {
+                if change == UpstreamChange::Restarted {
                     self.pool.close(upstream);
                 }
                 log_event!(UpstreamChanged, upstream = id, %address, ?state, ?change);
             }
-            UpstreamNews::Removed { id, cause } => {
+            UpstreamUpdate::Removed { id, cause } => {
                 let now = self.node.now();
                 let removed = self.board.borrow_mut().remove(now, &id, cause);
                 if let (Some(upstream), RemovalCause::Left) = (removed, cause) {
@@ -43,7 +43,7 @@
 /// Applies changes of upstreams until the control thread ends.
 pub(crate) async fn follow_news(
     traffic: Rc<TrafficState>,
-    mut changes: mpsc::UnboundedReceiver<UpstreamNews>,
+    mut changes: mpsc::UnboundedReceiver<UpstreamUpdate>,
 ) {
     while let Some(news) = changes.recv().await {
         traffic.take_news(news);
--- a/crates/hibiscushinged/src/gateway/usage.rs
+++ b/crates/hibiscushinged/src/gateway/usage.rs
@@ -4,7 +4,7 @@
 
 use base::{Span, WallTime};
 use bytes::Bytes;
-use platform::{AppendAnswer, keyed_record};
+use platform::{AppendResponse, keyed_record};
 use protocol::encode_usage_totals;
 use usage::{CustomerCounts, TotalsPhase, WindowNumber, window_of};
 
@@ -98,5 +98,5 @@
         })
         .collect();
     let stored = control.store.append(USAGE_TOPIC, 0, None, &records).await;
-    matches!(stored, Ok(AppendAnswer::Appended { .. }))
+    matches!(stored, Ok(AppendResponse::Appended { .. }))
 }
--- a/crates/hibiscushinged/src/gateway/duties.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -7,11 +7,11 @@
 };
 
 use base::{Incarnation, Span, WallTime};
-use platform::{AppendAnswer, DutyClient, UsageReport, keyed_record};
+use platform::{AppendResponse, UsageClient, UsageReport, keyed_record};
 use protocol::{
     UsageKey, decode_usage_record, encode_usage_report, usage_report_key, usage_totals_key,
 };
-use usage::{CustomerCounts, WindowBoard, WindowNumber, window_end, window_of};
+use usage::{CustomerCounts, WindowAggregator, WindowNumber, window_end, window_of};
 
 use crate::{
     clock::wall_now,
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct UsageState {
     next: Option<u64>,
-    board: WindowBoard,
+    board: WindowAggregator,
     reports: BTreeMap<WindowNumber, CustomerCounts>,
     confirmed: BTreeSet<WindowNumber>,
 }
@@ -133,7 +133,7 @@
     let (key, value) = encode_usage_report(window, &counts);
     let record = keyed_record(&key, Some(&value));
     let stored = control.store.append(USAGE_TOPIC, 0, state.next, &[record]).await;
-    if let Ok(AppendAnswer::Appended { offset, end }) = stored {
+    if let Ok(AppendResponse::Appended { offset, end }) = stored {
         let requests: u64 = counts.values().sum();
         log_event!(UsageWindowClosed, window = window.0, offset, requests);
         state.next = Some(end);
@@ -183,7 +183,7 @@
     report: &UsageReport,
 ) -> bool {
     let Some(mark) = control.lease.mark(&control.node) else { return false };
-    let client = DutyClient::new(holder_client(control, IDLE_TIME), address);
+    let client = UsageClient::new(holder_client(control, IDLE_TIME), address);
     match client.report_usage(&mark, report, ORDER_TIMEOUT).await {
         Ok(()) => {
             control.node.metrics.usage_reports.inc();
--- a/crates/hibiscushinged/src/gateway/loads.rs
+++ b/crates/hibiscushinged/src/gateway/weight_loads.rs
@@ -8,8 +8,10 @@
 };
 
 use base::{Moment, Span, WeightVersion};
-use dispatch::{EngineLoad, EntryState, LoadOrder, LoadPlan, UpstreamEntry, plan_loads};
-use platform::{EngineSurface, LoadRequest, OrderAnswer};
+use dispatch::{
+    EngineWeights, EntryState, UpstreamEntry, WeightLoad, WeightLoadLimits, plan_loads,
+};
+use platform::{EngineControlClient, WeightLoadRequest, WeightLoadResponse};
 
 use crate::{
     gateway::{control_state::ControlState, holder::ORDER_TIMEOUT, lease::holder_client},
@@ -35,9 +37,9 @@
 const IDLE_TIME: Span = Span::from_secs(8);
 
 /// Loads in progress as this node knows them.
-struct LoadDesk {
+struct WeightLoader {
     /// Checks the lease as the last step before an order is written.
-    surface: EngineSurface,
+    surface: EngineControlClient,
     loading: RefCell<HashMap<String, (String, WeightVersion, Moment)>>,
     /// Versions that reports have shown, which may be newer than the entries.
     shown: RefCell<HashMap<String, Vec<(String, WeightVersion)>>>,
@@ -46,7 +48,7 @@
 
 /// Orders loads for as long as the process lives, while it holds the lease.
 pub(crate) async fn order_loads(control: Rc<ControlState>) {
-    let desk = Rc::new(LoadDesk::new(&control));
+    let desk = Rc::new(WeightLoader::new(&control));
     loop {
         tokio::time::sleep(PLAN_PERIOD).await;
         if control.lease.permit(&control.node).is_none() {
@@ -63,7 +65,7 @@
     }
 }
 
-fn plan(control: &ControlState, desk: &LoadDesk) -> Vec<LoadOrder> {
+fn plan(control: &ControlState, desk: &WeightLoader) -> Vec<WeightLoad> {
     let now = control.node.now();
     let Some(book) = control.node.book.load_full() else { return Vec::new() };
     let entries = control.entries.borrow();
@@ -75,8 +77,8 @@
         let members = entries
             .values()
             .filter(|entry| entry.service == service.name && entry.state == EntryState::Ready);
-        let engines: Vec<EngineLoad> = members.map(|entry| desk.engine(entry)).collect();
-        let plan = LoadPlan::of(engines.len(), engine.models.len());
+        let engines: Vec<EngineWeights> = members.map(|entry| desk.engine(entry)).collect();
+        let plan = WeightLoadLimits::of(engines.len(), engine.models.len());
         orders.extend(plan_loads(now, &engines, &named, plan));
     }
     let paused = desk.paused.borrow();
@@ -92,18 +94,18 @@
     named.collect()
 }
 
-impl LoadDesk {
+impl WeightLoader {
     fn new(control: &Rc<ControlState>) -> Self {
         let http = holder_client(control, IDLE_TIME);
         Self {
-            surface: EngineSurface::new(http),
+            surface: EngineControlClient::new(http),
             loading: RefCell::default(),
             shown: RefCell::default(),
             paused: RefCell::default(),
         }
     }
 
-    fn engine(&self, entry: &UpstreamEntry) -> EngineLoad {
+    fn engine(&self, entry: &UpstreamEntry) -> EngineWeights {
         let mut versions = entry.versions.clone();
         if let Some(shown) = self.shown.borrow().get(&entry.id) {
             for (model, version) in &mut versions {
@@ -112,7 +114,7 @@
             }
         }
         let loading = self.loading.borrow().get(&entry.id).cloned();
-        EngineLoad { id: entry.id.clone(), versions, loading }
+        EngineWeights { id: entry.id.clone(), versions, loading }
     }
 
     fn end(&self, engine: &str, pause_until: Option<Moment>) {
@@ -123,7 +125,7 @@
     }
 }
 
-async fn carry_out(control: &Rc<ControlState>, desk: &LoadDesk, order: &LoadOrder) {
+async fn carry_out(control: &Rc<ControlState>, desk: &WeightLoader, order: &WeightLoad) {
     let entry = control.entries.borrow().get(&order.engine).cloned();
     let Some(entry) = entry else {
         desk.end(&order.engine, None);
@@ -143,8 +145,8 @@
 
 async fn load(
     control: &Rc<ControlState>,
-    desk: &LoadDesk,
-    order: &LoadOrder,
+    desk: &WeightLoader,
+    order: &WeightLoad,
     entry: &UpstreamEntry,
 ) -> Result<(), String> {
     let surface = &desk.surface;
@@ -160,7 +162,7 @@
     let Some(mark) = control.lease.mark(&control.node) else {
         return Err(String::from("the lease has ended"));
     };
-    let request = LoadRequest {
+    let request = WeightLoadRequest {
         engine: order.engine.clone(),
         model: order.model.clone(),
         version: order.version,
@@ -178,7 +180,7 @@
     );
     control.node.metrics.loads_ordered.inc();
     match surface.load(entry.address, &request, ORDER_TIMEOUT).await {
-        Ok(OrderAnswer::Accepted | OrderAnswer::Holds) => {}
+        Ok(WeightLoadResponse::Accepted | WeightLoadResponse::Holds) => {}
         Ok(answer) => return Err(format!("the engine answers {answer:?}")),
         // The order may have been accepted, which the reports show.
         Err(error) if error.may_have_run() => {}
@@ -198,6 +200,6 @@
     Err(String::from("the version did not appear in time"))
 }
 
-fn holds(versions: &[(String, WeightVersion)], order: &LoadOrder) -> bool {
+fn holds(versions: &[(String, WeightVersion)], order: &WeightLoad) -> bool {
     versions.iter().any(|(model, version)| *model == order.model && *version >= order.version)
 }
--- a/crates/hibiscushinged/src/lib.rs
+++ b/crates/hibiscushinged/src/lib.rs
@@ -6,10 +6,10 @@
 mod accept;
 mod clock;
 mod control;
-mod desk;
+mod control_message;
 mod gateway;
-mod input;
 mod metrics;
+mod scheduler;
 mod shared;
 mod telemetry;
 mod trace;
@@ -28,8 +28,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::{
-    clock::ProcessClock, desk::TrafficDesk, input::ControlInput, metrics::DaemonMetrics,
-    shared::SharedState, telemetry::log_event,
+    clock::ProcessClock, control_message::ControlMessage, metrics::DaemonMetrics,
+    scheduler::TrafficScheduler, shared::SharedState, telemetry::log_event,
 };
 
 pub use crate::{
@@ -40,7 +40,7 @@
 /// A running daemon.
 pub struct Daemon {
     addresses: DaemonAddresses,
-    control: mpsc::Sender<ControlInput>,
+    control: mpsc::Sender<ControlMessage>,
     server: actix_server::ServerHandle,
     thread: Option<JoinHandle<()>>,
     stop: Option<oneshot::Sender<()>>,
@@ -74,7 +74,7 @@
         let addresses = DaemonAddresses { listen, peer, admin };
         let incarnation = Incarnation(settings.seed.unwrap_or_else(rand::random));
         let clock = ProcessClock::start();
-        let desk = TrafficDesk::new(incarnation, &settings);
+        let desk = TrafficScheduler::new(incarnation, &settings);
         let (control, input) = mpsc::channel(settings.bounds.channel_messages as usize);
         let vm_name = settings.vm_name.clone();
         let metrics = DaemonMetrics::start(settings.metrics, &vm_name)?;
@@ -110,7 +110,7 @@
     /// Finishes all requests, hands over usage and leases, and stops.
     pub async fn drain(mut self) {
         let (reply, done) = oneshot::channel();
-        if self.control.send(ControlInput::Drain(reply)).await.is_ok() {
+        if self.control.send(ControlMessage::Drain(reply)).await.is_ok() {
             let _ = done.await;
         }
         self.server.stop(true).await;
--- a/crates/hibiscushinged/src/desk.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -9,20 +9,22 @@
 use std::collections::HashMap;
 
 use admission::{
-    FairQueue, LimitAnswer, LimitShare, QueueAction, QueueActions, QueueEvent, QueueItem,
-    QueueSettings, RetryBudget, ServiceRate, ShareSettings, TicketNumber, WorkClass,
+    FairQueue, LimitDecision, LimiterSettings, QueueAction, QueueActions, QueueEvent,
+    QueueSettings, QueuedRequest, RateLimiter, RequestClass, RetryBudget, ServiceCapacity,
+    TicketNumber,
 };
 use base::{CustomerKey, Incarnation, Moment, Refusal, Span, UpstreamKey, WallTime, ZoneKey};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectActions, SuspectEvent,
-    SuspectPolicy, SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectActions,
+    SuspectEvent, SuspectPolicy, SuspectTable,
 };
 use document::DaemonSettings;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LoadSample, PickChoice, PickPolicy as _, PickRequest, PickerSettings, RouteMembers,
-    RoutePicker, StartedWork, TableSettings, UpstreamInfo, UpstreamState, UpstreamTable, WorkEnd,
+    InFlightRequest, LoadMeasurement, PickPolicy as _, PickRequest, PickResult, PickerSettings,
+    RequestOutcome, RouteUpstreams, TableSettings, UpstreamPicker, UpstreamProperties,
+    UpstreamState, UpstreamTable,
 };
 use tokio::sync::oneshot;
 
@@ -42,24 +44,24 @@
 pub(crate) type IsolationReply = oneshot::Sender<Result<UpstreamKey, Refusal>>;
 
 /// Traffic decisions of one node.
-pub(crate) struct TrafficDesk {
+pub(crate) struct TrafficScheduler {
     table: UpstreamTable,
     own_zone: ZoneKey,
-    services: HashMap<String, ServiceDesk>,
+    services: HashMap<String, ServiceQueue>,
     service_of: HashMap<UpstreamKey, String>,
-    limits: LimitShare,
+    limits: RateLimiter,
     budget: RetryBudget,
     suspects: SuspectTable,
     isolated: HashMap<RequestId, IsolationReply>,
-    picker: RoutePicker,
+    picker: UpstreamPicker,
     rng: ChaCha8Rng,
     last_ticket: u64,
     live_nodes: u32,
     max_waiting: usize,
 }
 
-struct ServiceDesk {
-    members: RouteMembers,
+struct ServiceQueue {
+    members: RouteUpstreams,
     upstreams: Vec<UpstreamKey>,
     queue: FairQueue,
     started: u64,
@@ -68,9 +70,9 @@
 
 /// A request that asks for admission.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AdmissionAsk {
+pub(crate) struct AdmissionRequest {
     pub(crate) customer: CustomerKey,
-    pub(crate) class: WorkClass,
+    pub(crate) class: RequestClass,
     pub(crate) tokens: u32,
     /// Least charge against the customer's limit, which also bounds its requests per second.
     pub(crate) least_charge: u32,
@@ -79,7 +81,7 @@
 
 /// Place of an admitted or waiting request.
 #[derive(Debug, Clone)]
-pub(crate) struct AdmissionPlace {
+pub(crate) struct AdmissionTicket {
     pub(crate) service: String,
     pub(crate) ticket: TicketNumber,
     pub(crate) customer: CustomerKey,
@@ -87,7 +89,7 @@
     pub(crate) least_charge: u32,
 }
 
-impl TrafficDesk {
+impl TrafficScheduler {
     pub(crate) fn new(incarnation: Incarnation, settings: &DaemonSettings) -> Self {
         // A share is renewed twice before it ends.
         let ask_period = Span(settings.timeouts.limit_grant.0 / 3);
@@ -97,14 +99,14 @@
             own_zone: ZoneKey(0),
             services: HashMap::new(),
             service_of: HashMap::new(),
-            limits: LimitShare::new(
+            limits: RateLimiter::new(
                 incarnation,
-                ShareSettings { ask_period, ..ShareSettings::default() },
+                LimiterSettings { ask_period, ..LimiterSettings::default() },
             ),
             budget: RetryBudget::new(),
             suspects: SuspectTable::new(incarnation, SuspectPolicy::default()),
             isolated: HashMap::new(),
-            picker: RoutePicker::new(PickerSettings::default()),
+            picker: UpstreamPicker::new(PickerSettings::default()),
             rng: ChaCha8Rng::seed_from_u64(incarnation.0),
             last_ticket: 0,
             live_nodes: 1,
@@ -137,7 +139,7 @@
     pub(crate) fn add_upstream(
         &mut self,
         service: &str,
-        info: UpstreamInfo,
+        info: UpstreamProperties,
         speed: Option<u32>,
     ) -> UpstreamKey {
         let key = match speed {
@@ -149,9 +151,9 @@
         let desk = self
             .services
             .entry(String::from(service))
-            .or_insert_with(|| ServiceDesk::new(&self.table, self.own_zone, seed));
+            .or_insert_with(|| ServiceQueue::new(&self.table, self.own_zone, seed));
         desk.upstreams.push(key);
-        desk.members = RouteMembers::new(&self.table, self.own_zone, desk.upstreams.clone());
+        desk.members = RouteUpstreams::new(&self.table, self.own_zone, desk.upstreams.clone());
         key
     }
 
@@ -169,7 +171,7 @@
         now: Moment,
         wall: WallTime,
         upstream: UpstreamKey,
-        load: LoadSample,
+        load: LoadMeasurement,
     ) -> Vec<SuspectAction> {
         self.table.report(now, upstream, load);
         let (requests, measured_at) = (load.running + load.queued, load.measured_at);
@@ -182,9 +184,9 @@
         &mut self,
         now: Moment,
         service: &str,
-        ask: AdmissionAsk,
+        ask: AdmissionRequest,
         reply: QueueReply,
-    ) -> Option<AdmissionPlace> {
+    ) -> Option<AdmissionTicket> {
         self.last_ticket += 1;
         let ticket = TicketNumber(self.last_ticket);
         let Some(desk) = self.services.get_mut(service) else {
@@ -201,28 +203,28 @@
             return None;
         }
         desk.waiting.insert(ticket, reply);
-        let AdmissionAsk { customer, class, tokens, least_charge, deadline } = ask;
-        let item = QueueItem { ticket, customer, class, tokens, deadline };
+        let AdmissionRequest { customer, class, tokens, least_charge, deadline } = ask;
+        let item = QueuedRequest { ticket, customer, class, tokens, deadline };
         let actions = desk.queue.handle(now, QueueEvent::Offered(item));
         desk.apply(actions);
         let service = String::from(service);
-        Some(AdmissionPlace { service, ticket, customer, tokens, least_charge })
+        Some(AdmissionTicket { service, ticket, customer, tokens, least_charge })
     }
 
     /// Takes the request's tokens from the customer's limit. Open routes have none.
-    pub(crate) fn admit(&mut self, now: Moment, ask: &AdmissionAsk) -> LimitAnswer {
+    pub(crate) fn admit(&mut self, now: Moment, ask: &AdmissionRequest) -> LimitDecision {
         if ask.customer == OPEN_CALLERS {
-            return LimitAnswer::Admitted;
+            return LimitDecision::Admitted;
         }
         self.limits.admit(now, ask.customer, ask.tokens.max(ask.least_charge))
     }
 
-    pub(crate) const fn limits(&mut self) -> &mut LimitShare {
+    pub(crate) const fn limits(&mut self) -> &mut RateLimiter {
         &mut self.limits
     }
 
     /// Ends a request that was admitted or waits. `tokens` is its true cost, 0 when it did not run.
-    pub(crate) fn done(&mut self, now: Moment, place: &AdmissionPlace, tokens: u32) {
+    pub(crate) fn done(&mut self, now: Moment, place: &AdmissionTicket, tokens: u32) {
         if place.customer != OPEN_CALLERS {
             let charged = place.tokens.max(place.least_charge);
             let due = tokens.max(place.least_charge);
@@ -241,7 +243,7 @@
         now: Moment,
         service: &str,
         request: &PickRequest<'_>,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         let desk = self.services.get(service)?;
         self.picker.pick(now, &self.table, &desk.members, request, &mut self.rng)
     }
@@ -254,7 +256,7 @@
         upstream: UpstreamKey,
         tokens: u32,
         fingerprint: Option<Fingerprint>,
-    ) -> StartedWork {
+    ) -> InFlightRequest {
         if let Some(fingerprint) = fingerprint {
             self.suspects.handle(now, wall, SuspectEvent::Started { upstream, fingerprint });
         }
@@ -275,8 +277,8 @@
         self.table.own_requests(upstream)
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, work: StartedWork, end: WorkEnd) {
-        if matches!(end, WorkEnd::Completed { .. }) {
+    pub(crate) fn finish(&mut self, now: Moment, work: InFlightRequest, end: RequestOutcome) {
+        if matches!(end, RequestOutcome::Completed { .. }) {
             self.budget.succeeded();
         }
         self.table.finish(now, work, end);
@@ -286,7 +288,7 @@
         self.budget.take()
     }
 
-    pub(crate) fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> Judgement {
+    pub(crate) fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> FingerprintStatus {
         self.suspects.judge(wall, fingerprint)
     }
 
@@ -311,7 +313,7 @@
         now: Moment,
         wall: WallTime,
         service: &str,
-        mut ask: IsolationAsk,
+        mut ask: IsolationRequest,
         reply: IsolationReply,
     ) -> Vec<SuspectAction> {
         self.isolated.insert(ask.request, reply);
@@ -375,12 +377,12 @@
     }
 }
 
-impl ServiceDesk {
+impl ServiceQueue {
     fn new(table: &UpstreamTable, own_zone: ZoneKey, seed: u64) -> Self {
-        let rate = ServiceRate { tokens_per_second: 1_000, max_in_service: MIN_IN_SERVICE };
+        let rate = ServiceCapacity { tokens_per_second: 1_000, max_in_service: MIN_IN_SERVICE };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
-            members: RouteMembers::new(table, own_zone, []),
+            members: RouteUpstreams::new(table, own_zone, []),
             upstreams: Vec::new(),
             started: 0,
             queue: FairQueue::new(QueueSettings::default(), rate, rng),
@@ -391,7 +393,7 @@
     /// Returns what this node can expect: its equal part of the service, or what the other nodes
     /// leave unused when that is more. `None` while no upstream can be chosen: the choice then
     /// refuses for the true reason, where a rate of zero would claim an overload.
-    fn rate(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceRate> {
+    fn rate(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceCapacity> {
         let mut total = 0.0;
         let mut others = 0.0;
         for key in &self.upstreams {
@@ -410,7 +412,7 @@
         let share = unused.max(1.0 / live_nodes as f32);
         let tokens_per_second = (total * share).max(1.0) as u32;
         let max_in_service = ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
-        Some(ServiceRate { tokens_per_second, max_in_service })
+        Some(ServiceCapacity { tokens_per_second, max_in_service })
     }
 
     fn apply(&mut self, actions: QueueActions) {
@@ -419,7 +421,7 @@
                 QueueAction::Dispatch(ticket) => (ticket, Ok(())),
                 QueueAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
-            // A caller that has gone is taken out of the queue by `TrafficDesk::done`.
+            // A caller that has gone is taken out of the queue by `TrafficScheduler::done`.
             if let Some(reply) = self.waiting.remove(&ticket) {
                 let _ = reply.send(answer);
             }
--- a/crates/hibiscushinged/src/desk/tests.rs
+++ b/crates/hibiscushinged/src/scheduler/tests.rs
@@ -1,11 +1,11 @@
-use admission::WorkClass;
+use admission::RequestClass;
 use base::{Incarnation, Moment, Span, WallTime, ZoneKey};
 use document::DaemonSettings;
-use routing::{UpstreamInfo, UpstreamPrice, UpstreamState};
+use routing::{PriceClass, UpstreamProperties, UpstreamState};
 use rstest::rstest;
 use tokio::sync::oneshot;
 
-use super::{AdmissionAsk, TrafficDesk};
+use super::{AdmissionRequest, TrafficScheduler};
 use crate::view::OPEN_CALLERS;
 
 const SETTINGS: &str = r#"
@@ -27,16 +27,17 @@
 #[case::not_answering(UpstreamState::Down)]
 fn single_request_is_not_refused_as_overload(#[case] state: UpstreamState) {
     let settings = DaemonSettings::parse("daemon.toml", SETTINGS).expect("the settings are valid");
-    let mut desk = TrafficDesk::new(Incarnation(1), &settings);
+    let mut desk = TrafficScheduler::new(Incarnation(1), &settings);
     let (now, wall) = (Moment(1_000_000), WallTime(0));
-    let info = UpstreamInfo { node_hash: 1, zone: ZoneKey(0), price: UpstreamPrice::Regular };
+    let info = UpstreamProperties { node_hash: 1, zone: ZoneKey(0), price: PriceClass::Regular };
     let upstream = desk.add_upstream("dieline-index", info, None);
     desk.set_state(upstream, state);
     desk.tick(now, wall);
 
     let deadline = now + Span::from_secs(30);
-    let class = WorkClass::Live;
-    let ask = AdmissionAsk { customer: OPEN_CALLERS, class, tokens: 50, least_charge: 0, deadline };
+    let class = RequestClass::Live;
+    let ask =
+        AdmissionRequest { customer: OPEN_CALLERS, class, tokens: 50, least_charge: 0, deadline };
     let (reply, mut turn) = oneshot::channel();
     desk.offer(now, "dieline-index", ask, reply);
     assert_eq!(turn.try_recv().expect("the request is decided at once"), Ok(()));
--- a/crates/hibiscushinged/src/shared.rs
+++ b/crates/hibiscushinged/src/shared.rs
@@ -12,8 +12,8 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    clock::ProcessClock, desk::TrafficDesk, input::ControlInput, metrics::DaemonMetrics,
-    view::RoutingView,
+    clock::ProcessClock, control_message::ControlMessage, metrics::DaemonMetrics,
+    scheduler::TrafficScheduler, view::RoutingView,
 };
 
 /// Shared state of one daemon.
@@ -22,16 +22,16 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
     pub(crate) view: ArcSwap<RoutingView>,
-    pub(crate) control: mpsc::Sender<ControlInput>,
+    pub(crate) control: mpsc::Sender<ControlMessage>,
     pub(crate) metrics: DaemonMetrics,
-    desk: Mutex<TrafficDesk>,
-    life: Arc<ServiceLife>,
+    desk: Mutex<TrafficScheduler>,
+    life: Arc<NodeLifecycle>,
     last_request: AtomicU64,
 }
 
 /// Stage of the daemon's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ServicePhase {
+pub(crate) enum NodePhase {
     /// No configuration is in force yet.
     Starting,
     Serving,
@@ -41,14 +41,14 @@
 
 /// Phase of a process and the requests that it is working on.
 #[derive(Debug, Default)]
-pub(crate) struct ServiceLife {
+pub(crate) struct NodeLifecycle {
     phase: AtomicU8,
     in_flight: AtomicUsize,
 }
 
 /// Counts a request as running until dropped.
-pub(crate) struct FlightGuard {
-    life: Arc<ServiceLife>,
+pub(crate) struct InFlightGuard {
+    life: Arc<NodeLifecycle>,
 }
 
 impl SharedState {
@@ -56,8 +56,8 @@
         settings: DaemonSettings,
         incarnation: Incarnation,
         clock: ProcessClock,
-        control: mpsc::Sender<ControlInput>,
-        desk: TrafficDesk,
+        control: mpsc::Sender<ControlMessage>,
+        desk: TrafficScheduler,
         metrics: DaemonMetrics,
     ) -> Self {
         Self {
@@ -74,15 +74,15 @@
     }
 
     /// Locks the traffic state. The lock is held for one decision, never across an await.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, TrafficDesk> {
+    pub(crate) fn desk(&self) -> MutexGuard<'_, TrafficScheduler> {
         self.desk.lock().expect("no decision panics while it holds the lock")
     }
 
-    pub(crate) fn phase(&self) -> ServicePhase {
+    pub(crate) fn phase(&self) -> NodePhase {
         self.life.phase()
     }
 
-    pub(crate) fn enter(&self, phase: ServicePhase) {
+    pub(crate) fn enter(&self, phase: NodePhase) {
         self.life.enter(phase);
     }
 
@@ -90,8 +90,8 @@
         self.life.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> FlightGuard {
-        FlightGuard::enter(&self.life)
+    pub(crate) fn enter_flight(&self) -> InFlightGuard {
+        InFlightGuard::enter(&self.life)
     }
 
     pub(crate) fn next_request(&self) -> RequestId {
@@ -100,21 +100,21 @@
     }
 }
 
-impl ServiceLife {
-    pub(crate) fn phase(&self) -> ServicePhase {
+impl NodeLifecycle {
+    pub(crate) fn phase(&self) -> NodePhase {
         match self.phase.load(Ordering::Acquire) {
-            0 => ServicePhase::Starting,
-            1 => ServicePhase::Serving,
-            _ => ServicePhase::Draining,
+            0 => NodePhase::Starting,
+            1 => NodePhase::Serving,
+            _ => NodePhase::Draining,
         }
     }
 
     /// Moves on to `phase`. A process never goes back to an earlier phase.
-    pub(crate) fn enter(&self, phase: ServicePhase) {
+    pub(crate) fn enter(&self, phase: NodePhase) {
         let code = match phase {
-            ServicePhase::Starting => 0,
-            ServicePhase::Serving => 1,
-            ServicePhase::Draining => 2,
+            NodePhase::Starting => 0,
+            NodePhase::Serving => 1,
+            NodePhase::Draining => 2,
         };
         self.phase.fetch_max(code, Ordering::AcqRel);
     }
@@ -124,14 +124,14 @@
     }
 }
 
-impl FlightGuard {
-    pub(crate) fn enter(life: &Arc<ServiceLife>) -> Self {
+impl InFlightGuard {
+    pub(crate) fn enter(life: &Arc<NodeLifecycle>) -> Self {
         life.in_flight.fetch_add(1, Ordering::AcqRel);
         Self { life: Arc::clone(life) }
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.life.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/hibiscushinged/src/trace.rs
+++ b/crates/hibiscushinged/src/trace.rs
@@ -10,7 +10,7 @@
 
 /// One numbered event of a request, sample or order.
 #[derive(Debug, Clone)]
-pub(crate) struct DecisionLine {
+pub(crate) struct DecisionEvent {
     pub(crate) subject: String,
     pub(crate) code: EventCode,
     pub(crate) detail: String,
@@ -24,8 +24,8 @@
 }
 
 impl DecisionTrace {
-    pub(crate) fn record(&mut self, line: DecisionLine) {
-        let DecisionLine { subject, code, detail } = line;
+    pub(crate) fn record(&mut self, line: DecisionEvent) {
+        let DecisionEvent { subject, code, detail } = line;
         if !self.lines.contains_key(&subject) {
             self.order.push_back(subject.clone());
         }
--- a/crates/hibiscushinged/src/traffic.rs
+++ b/crates/hibiscushinged/src/traffic.rs
@@ -1,11 +1,11 @@
 //! Serving of callers and trainers on the traffic threads.
 
 mod admitted;
-pub(crate) mod answer;
 mod caller;
 mod choice;
 mod plain;
 pub(crate) mod request;
+pub(crate) mod response;
 mod server;
 mod stream;
 mod trainer;
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -5,27 +5,27 @@
 use base::{Execution, Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use bytes::Bytes;
 use delivery::{
-    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, IsolationAsk, Judgement, RequestId,
-    SuspectEvent,
+    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, FingerprintStatus, IsolationRequest,
+    RequestId, SuspectEvent,
 };
 use tokio::sync::{mpsc::error::TrySendError, oneshot};
-use usage::{UsageAmount, UsageFigures};
+use usage::{UsageAmount, UsageByCustomer};
 
 use crate::{
     clock::{to_duration, wall_now},
-    desk::AdmissionPlace,
-    input::ControlInput,
-    shared::{FlightGuard, SharedState, request_text},
+    control_message::ControlMessage,
+    scheduler::AdmissionTicket,
+    shared::{InFlightGuard, SharedState, request_text},
     telemetry::log_event,
-    trace::DecisionLine,
+    trace::DecisionEvent,
     traffic::request::KeyOwner,
-    view::RouteTarget,
+    view::ResolvedRoute,
 };
 
 /// An admitted request.
 pub(crate) struct CallerRequest {
     pub(crate) id: RequestId,
-    pub(crate) route: RouteTarget,
+    pub(crate) route: ResolvedRoute,
     pub(crate) owner: Option<KeyOwner>,
     pub(crate) body: Bytes,
     pub(crate) arrived_at: Moment,
@@ -34,7 +34,7 @@
     pub(crate) tracker: AttemptTracker,
     /// Whether the request holds an idempotency claim that must be ended.
     pub(crate) claim: Option<ClaimKey>,
-    pub(crate) _flight: FlightGuard,
+    pub(crate) _flight: InFlightGuard,
     pub(crate) meter: RequestMeter,
 }
 
@@ -42,13 +42,13 @@
 /// ends.
 pub(crate) struct RequestMeter {
     pub(crate) shared: Arc<SharedState>,
-    pub(crate) place: Option<AdmissionPlace>,
+    pub(crate) place: Option<AdmissionTicket>,
     pub(crate) customer: Option<String>,
     pub(crate) amount: UsageAmount,
 }
 
 /// Sends a message that must not be lost, waiting in a task when the channel is full.
-pub(crate) fn tell_control(shared: &SharedState, input: ControlInput) {
+pub(crate) fn tell_control(shared: &SharedState, input: ControlMessage) {
     let Err(TrySendError::Full(input)) = shared.control.try_send(input) else { return };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
@@ -66,10 +66,10 @@
     let actions = {
         let mut desk = shared.desk();
         match desk.judge(wall, request.fingerprint) {
-            Judgement::Clear => return Ok(None),
-            Judgement::Convicted { .. } | Judgement::Suspect => {}
+            FingerprintStatus::Clear => return Ok(None),
+            FingerprintStatus::Convicted { .. } | FingerprintStatus::Suspect => {}
         }
-        let ask = IsolationAsk {
+        let ask = IsolationRequest {
             request: request.id,
             fingerprint: request.fingerprint,
             route: request.route.key,
@@ -113,7 +113,7 @@
 pub(crate) fn forward(shared: &SharedState, actions: Vec<delivery::SuspectAction>) {
     if !actions.is_empty() {
         // A full channel delays the spread; the next heartbeat carries the same state.
-        let _ = shared.control.try_send(ControlInput::Suspicion(actions));
+        let _ = shared.control.try_send(ControlMessage::Suspicion(actions));
     }
 }
 
@@ -139,7 +139,7 @@
         if self.claim.take().is_none() {
             return;
         }
-        tell_control(shared, ControlInput::ClaimEnded { request: self.id, outcome });
+        tell_control(shared, ControlMessage::ClaimEnded { request: self.id, outcome });
     }
 
     /// Returns the outcome of a claim whose request ended without a whole answer.
@@ -170,11 +170,11 @@
         if self.amount == UsageAmount::default() {
             return;
         }
-        let mut figures = UsageFigures::default();
+        let mut figures = UsageByCustomer::default();
         if figures.add(&customer, self.amount).is_err() {
             return;
         }
-        tell_control(&self.shared, ControlInput::Metered(figures));
+        tell_control(&self.shared, ControlMessage::Metered(figures));
     }
 }
 
@@ -186,8 +186,8 @@
 
 /// Keeps a decision for `explain`. A full channel drops it, since the log has the same line.
 pub(crate) fn record(shared: &SharedState, id: RequestId, code: base::EventCode, detail: String) {
-    let line = DecisionLine { subject: request_text(id), code, detail };
-    let _ = shared.control.try_send(ControlInput::Decision(line));
+    let line = DecisionEvent { subject: request_text(id), code, detail };
+    let _ = shared.control.try_send(ControlMessage::Decision(line));
 }
 
 /// Time left before the deadline of a request.
--- a/crates/hibiscushinged/src/traffic/caller.rs
+++ b/crates/hibiscushinged/src/traffic/caller.rs
@@ -3,12 +3,12 @@
 use std::{rc::Rc, sync::Arc};
 
 use actix_http::{Method, Request, Response, body::BoxBody};
-use admission::{LimitAnswer, WorkClass};
+use admission::{LimitDecision, RequestClass};
 use base::{Refusal, RefusalCode, Span};
 use bytes::Bytes;
 use delivery::{
-    AttemptPolicy, AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, Judgement, RequestId,
-    RequestKind,
+    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, FingerprintStatus, RequestId,
+    RequestIdempotency, RetryPolicy,
 };
 use document::{RoutePriority, ServiceKind};
 use tokio::sync::oneshot;
@@ -16,14 +16,14 @@
 
 use crate::{
     clock::wall_now,
-    desk::{AdmissionAsk, AdmissionPlace},
-    input::{ClaimAnswer, ClaimAsk, ControlInput},
+    control_message::{ClaimDecision, ClaimRequest, ControlMessage},
+    scheduler::{AdmissionRequest, AdmissionTicket},
     shared::{SharedState, request_text},
     traffic::{
         admitted::{CallerRequest, RequestMeter, log_refusal, tell_control},
-        answer, plain,
+        plain,
         request::{self, GenerateBody},
-        stream,
+        response, stream,
         worker::TrafficWorker,
     },
     view::CALL_TOKENS,
@@ -49,11 +49,11 @@
         Ok((request, RequestWork::Plain)) => plain::run(worker, request).await,
         Err(Ended::Refused(refusal)) => {
             log_refusal(&worker.shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
         Err(Ended::Replayed { status, body }) => {
             let status = actix_http::StatusCode::from_u16(status).unwrap_or_default();
-            answer::with_body(status, "application/octet-stream", Bytes::from(body))
+            response::with_body(status, "application/octet-stream", Bytes::from(body))
         }
     };
     with_id(response, id)
@@ -117,10 +117,10 @@
         amount: UsageAmount::default(),
     };
     let class = match route.entry.priority {
-        RoutePriority::Live => WorkClass::Live,
-        RoutePriority::Sample => WorkClass::Sample(admission::TrainerKey(u32::MAX)),
+        RoutePriority::Live => RequestClass::Live,
+        RoutePriority::Sample => RequestClass::Sample(admission::TrainerKey(u32::MAX)),
     };
-    let ask = AdmissionAsk {
+    let ask = AdmissionRequest {
         customer: view.customer_key(customer),
         class,
         tokens,
@@ -130,13 +130,13 @@
     meter.place = admit(shared, &route.entry.service, ask).await?;
 
     let kind = match route.entry.idempotent {
-        true => RequestKind::Idempotent,
-        false => RequestKind::OnceOnly,
+        true => RequestIdempotency::Idempotent,
+        false => RequestIdempotency::OnceOnly,
     };
     let mut claim = None;
-    if let Some(key) = key.filter(|_| kind == RequestKind::OnceOnly) {
+    if let Some(key) = key.filter(|_| kind == RequestIdempotency::OnceOnly) {
         let wanted = ClaimKey::of(name, &key);
-        let ask = ClaimAsk { claim: wanted, fingerprint, request: id, deadline };
+        let ask = ClaimRequest { claim: wanted, fingerprint, request: id, deadline };
         take_claim(shared, ask).await?;
         claim = Some(wanted);
     }
@@ -148,7 +148,7 @@
         arrived_at,
         deadline,
         fingerprint,
-        tracker: AttemptTracker::new(kind, deadline, AttemptPolicy::default()),
+        tracker: AttemptTracker::new(kind, deadline, RetryPolicy::default()),
         claim,
         _flight: flight,
         meter,
@@ -158,7 +158,7 @@
 
 fn check_conviction(shared: &SharedState, fingerprint: Fingerprint) -> Result<(), Refusal> {
     let judgement = shared.desk().judge(wall_now(), fingerprint);
-    let Judgement::Convicted { retry_after } = judgement else { return Ok(()) };
+    let FingerprintStatus::Convicted { retry_after } = judgement else { return Ok(()) };
     let message = "this request has crashed upstreams and is blocked for a time";
     Err(Refusal::not_run(RefusalCode::Convicted, message).with_retry_after(retry_after))
 }
@@ -167,14 +167,14 @@
 async fn admit(
     shared: &Arc<SharedState>,
     service: &str,
-    ask: AdmissionAsk,
-) -> Result<Option<AdmissionPlace>, Refusal> {
+    ask: AdmissionRequest,
+) -> Result<Option<AdmissionTicket>, Refusal> {
     loop {
         let answer = shared.desk().admit(shared.clock.now(), &ask);
         match answer {
-            LimitAnswer::Admitted => break,
-            LimitAnswer::Refused(refusal) => return Err(refusal),
-            LimitAnswer::AwaitGrant => actix_rt::time::sleep(GRANT_POLL).await,
+            LimitDecision::Admitted => break,
+            LimitDecision::Refused(refusal) => return Err(refusal),
+            LimitDecision::AwaitGrant => actix_rt::time::sleep(GRANT_POLL).await,
         }
     }
     let (reply, turn) = oneshot::channel();
@@ -192,7 +192,7 @@
 
 struct QueueGuard {
     shared: Arc<SharedState>,
-    place: Option<AdmissionPlace>,
+    place: Option<AdmissionTicket>,
 }
 
 impl Drop for QueueGuard {
@@ -203,22 +203,22 @@
     }
 }
 
-async fn take_claim(shared: &SharedState, ask: ClaimAsk) -> Result<(), Ended> {
+async fn take_claim(shared: &SharedState, ask: ClaimRequest) -> Result<(), Ended> {
     let unavailable = || {
         let message = "the claim of the idempotency key cannot be settled now";
         let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
         Ended::Refused(refusal.with_retry_after(Span::from_secs(1)))
     };
     let (reply, answer) = oneshot::channel();
-    let input = ControlInput::Claim { ask, reply };
+    let input = ControlMessage::Claim { ask, reply };
     let mut guard = ClaimGuard { shared, request: Some(ask.request) };
     shared.control.send(input).await.map_err(|_| unavailable())?;
     let answer = answer.await;
     guard.request = None;
     match answer {
-        Ok(ClaimAnswer::Run) => Ok(()),
-        Ok(ClaimAnswer::Refuse(refusal)) => Err(refusal.into()),
-        Ok(ClaimAnswer::Replay { status, body }) => Err(Ended::Replayed { status, body }),
+        Ok(ClaimDecision::Run) => Ok(()),
+        Ok(ClaimDecision::Refuse(refusal)) => Err(refusal.into()),
+        Ok(ClaimDecision::Replay { status, body }) => Err(Ended::Replayed { status, body }),
         Err(_) => Err(unavailable()),
     }
 }
@@ -234,7 +234,7 @@
         if let Some(request) = self.request {
             tell_control(
                 self.shared,
-                ControlInput::ClaimEnded { request, outcome: ClaimOutcome::NotRun },
+                ControlMessage::ClaimEnded { request, outcome: ClaimOutcome::NotRun },
             );
         }
     }
@@ -242,7 +242,7 @@
 
 fn with_id(mut response: Response<BoxBody>, id: RequestId) -> Response<BoxBody> {
     if let Ok(value) = actix_http::header::HeaderValue::from_str(&request_text(id)) {
-        response.headers_mut().insert(answer::REQUEST_ID, value);
+        response.headers_mut().insert(response::REQUEST_ID, value);
     }
     response
 }
--- a/crates/hibiscushinged/src/traffic/choice.rs
+++ b/crates/hibiscushinged/src/traffic/choice.rs
@@ -9,14 +9,14 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    input::ControlInput,
+    control_message::ControlMessage,
     shared::{SharedState, request_text},
     telemetry::log_event,
     traffic::{
         admitted::{CallerRequest, record},
         worker::TrafficWorker,
     },
-    view::KeyService,
+    view::KeyAcceptance,
 };
 
 /// An upstream that will get the request.
@@ -26,7 +26,7 @@
 }
 
 /// Size of the work to be placed.
-pub(crate) struct ChoiceAsk {
+pub(crate) struct WorkSize {
     pub(crate) tokens: u32,
     pub(crate) prompt_tokens: u32,
     pub(crate) prefix: Option<u64>,
@@ -36,7 +36,7 @@
 pub(crate) fn pick(
     shared: &SharedState,
     request: &CallerRequest,
-    ask: &ChoiceAsk,
+    ask: &WorkSize,
 ) -> Result<ChosenUpstream, Refusal> {
     let service = &request.route.entry.service;
     let pick = PickRequest {
@@ -99,7 +99,7 @@
 pub(crate) fn key_stands(shared: &SharedState, request: &CallerRequest) -> bool {
     let Some(owner) = &request.owner else { return true };
     let view = shared.view.load();
-    view.key_service == KeyService::Accepting
+    view.key_service == KeyAcceptance::Accepting
         && view.keys.check(&owner.digest, &owner.customer) == KeyCheck::Stands
 }
 
@@ -110,7 +110,7 @@
     request: &CallerRequest,
 ) {
     let (reply, answer) = oneshot::channel();
-    let input = ControlInput::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    let input = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
     if shared.control.send(input).await.is_ok() {
         let _ = answer.await;
     }
@@ -123,7 +123,7 @@
     request: &CallerRequest,
 ) {
     let (reply, _) = oneshot::channel();
-    let input = ControlInput::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    let input = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
         let _ = control.send(input).await;
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -4,9 +4,9 @@
 
 use actix_http::{Response, StatusCode, body::BoxBody, header::HeaderValue};
 use base::{Refusal, RefusalCode, UpstreamKey};
-use clients::{Answer, CallError, Outgoing};
+use clients::{CallError, HttpRequest, HttpResponse};
 use delivery::{AttemptAction, AttemptEvent, ClaimOutcome, FailureCause, SuspectEvent};
-use routing::WorkEnd;
+use routing::RequestOutcome;
 use usage::UsageAmount;
 
 use crate::{
@@ -15,8 +15,8 @@
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record},
-        answer,
         choice::{self, ChosenUpstream},
+        response,
         worker::TrafficWorker,
     },
     view::CALL_TOKENS,
@@ -46,19 +46,19 @@
             );
             let detail = format!("status {status}, {} bytes", body.len());
             record(&worker.shared, id, base::EventCode::RequestCompleted, detail);
-            answer::with_body(found.status, "application/octet-stream", body)
+            response::with_body(found.status, "application/octet-stream", body)
         }
         Err(refusal) => {
             let outcome = call.request.failed_outcome();
             call.request.end_claim(&worker.shared, outcome);
             admitted::log_refusal(&worker.shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
     }
 }
 
 impl PlainCall {
-    async fn attempts(&mut self) -> Result<Answer, Refusal> {
+    async fn attempts(&mut self) -> Result<HttpResponse, Refusal> {
         let worker = Rc::clone(&self.worker);
         let shared = &worker.shared;
         loop {
@@ -71,8 +71,8 @@
             self.running = Some(upstream);
             let result = self.exchange(&chosen).await;
             let end = match &result {
-                Ok(_) => WorkEnd::Completed { tokens: CALL_TOKENS },
-                Err(_) => WorkEnd::Failed,
+                Ok(_) => RequestOutcome::Completed { tokens: CALL_TOKENS },
+                Err(_) => RequestOutcome::Failed,
             };
             shared.desk().finish(shared.clock.now(), work, end);
             match result {
@@ -93,15 +93,15 @@
         if let Some(upstream) = admitted::isolation(shared, &self.request).await? {
             return choice::isolated(shared, &self.request, upstream);
         }
-        let ask = choice::ChoiceAsk { tokens: CALL_TOKENS, prompt_tokens: 0, prefix: None };
+        let ask = choice::WorkSize { tokens: CALL_TOKENS, prompt_tokens: 0, prefix: None };
         choice::pick(shared, &self.request, &ask)
     }
 
-    async fn exchange(&self, chosen: &ChosenUpstream) -> Result<Answer, CallError> {
+    async fn exchange(&self, chosen: &ChosenUpstream) -> Result<HttpResponse, CallError> {
         let path = format!("/{}", self.request.route.entry.path);
-        let mut outgoing = Outgoing::post(chosen.address, path, self.request.body.clone());
+        let mut outgoing = HttpRequest::post(chosen.address, path, self.request.body.clone());
         if let Ok(id) = HeaderValue::from_str(&request_text(self.request.id)) {
-            outgoing = outgoing.with_header(answer::REQUEST_ID, id);
+            outgoing = outgoing.with_header(response::REQUEST_ID, id);
         }
         let left = self.request.deadline.since(self.worker.shared.clock.now());
         let longest = self.worker.shared.settings.bounds.answer_bytes as usize;
--- a/crates/hibiscushinged/src/traffic/request.rs
+++ b/crates/hibiscushinged/src/traffic/request.rs
@@ -7,8 +7,8 @@
 use serde::Deserialize;
 
 use crate::{
-    shared::{ServicePhase, SharedState},
-    view::{KeyService, RouteTarget, RoutingView},
+    shared::{NodePhase, SharedState},
+    view::{KeyAcceptance, ResolvedRoute, RoutingView},
 };
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -37,9 +37,9 @@
 /// Checks that the daemon takes new requests.
 pub(crate) fn check_phase(shared: &SharedState) -> Result<(), Refusal> {
     let (code, message) = match shared.phase() {
-        ServicePhase::Serving => return Ok(()),
-        ServicePhase::Starting => (RefusalCode::NoUpstream, "no configuration is in force yet"),
-        ServicePhase::Draining => (RefusalCode::Draining, "this node is stopping"),
+        NodePhase::Serving => return Ok(()),
+        NodePhase::Starting => (RefusalCode::NoUpstream, "no configuration is in force yet"),
+        NodePhase::Draining => (RefusalCode::Draining, "this node is stopping"),
     };
     Err(Refusal::not_run(code, message).with_retry_after(Span::from_secs(1)))
 }
@@ -52,13 +52,13 @@
 /// is isolated for longer than the document allows.
 pub(crate) fn authenticate(
     view: &RoutingView,
-    route: &RouteTarget,
+    route: &ResolvedRoute,
     request: &Request,
 ) -> Result<Option<KeyOwner>, Refusal> {
     if route.entry.open {
         return Ok(None);
     }
-    if view.key_service == KeyService::Refusing {
+    if view.key_service == KeyAcceptance::Refusing {
         let message = "this node cannot learn of withdrawn keys and refuses all keys";
         let refusal = Refusal::not_run(RefusalCode::Isolated, message);
         return Err(refusal.with_retry_after(Span::from_secs(5)));
@@ -83,7 +83,7 @@
 /// Returns the request's deadline within the bounds of its route.
 pub(crate) fn deadline(
     now: Moment,
-    route: &RouteTarget,
+    route: &ResolvedRoute,
     request: &Request,
 ) -> Result<Moment, Refusal> {
     let Some(value) = request.headers().get(DEADLINE) else {
--- a/crates/hibiscushinged/src/traffic/server.rs
+++ b/crates/hibiscushinged/src/traffic/server.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     shared::SharedState,
-    traffic::{answer, caller, trainer, worker::TrafficWorker},
+    traffic::{caller, response, trainer, worker::TrafficWorker},
 };
 
 /// Starts the traffic threads on `listener`.
@@ -40,7 +40,7 @@
 async fn serve(worker: Rc<TrafficWorker>, request: Request) -> Response<BoxBody> {
     let path = String::from(request.path());
     let Some(rest) = path.strip_prefix("/v1/") else {
-        return answer::refusal(&unknown_path(&path));
+        return response::refusal(&unknown_path(&path));
     };
     if let Some(rest) = rest.strip_prefix("trainers/") {
         return trainer::serve(worker, rest, request).await;
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -13,11 +13,11 @@
     CallError, EngineControl as _, EnginePriority, GenerateRequest, TokenEvent, TokenSource as _,
 };
 use delivery::{
-    AnswerPiece, AttemptAction, AttemptEvent, AttemptState, ClaimOutcome, EndMarker, FailureCause,
+    AnswerToken, AttemptAction, AttemptEvent, AttemptState, ClaimOutcome, EndMarker, FailureCause,
     StreamAction, StreamAssembler, StreamEvent, SuspectEvent,
 };
 use document::RoutePriority;
-use routing::WorkEnd;
+use routing::RequestOutcome;
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 use usage::UsageAmount;
@@ -28,9 +28,9 @@
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record, time_left},
-        answer,
         choice::{self, ChosenUpstream},
         request::GenerateBody,
+        response,
         worker::TrafficWorker,
     },
 };
@@ -99,11 +99,11 @@
         Ok(Ok(())) => stream_response(line_source),
         Ok(Err(refusal)) => {
             admitted::log_refusal(shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
         Err(_) => {
             let message = "the request ended without an answer";
-            answer::refusal(&Refusal::may_have_run(RefusalCode::UpstreamFailed, message))
+            response::refusal(&Refusal::may_have_run(RefusalCode::UpstreamFailed, message))
         }
     }
 }
@@ -167,8 +167,8 @@
             let before = self.offset();
             let end = self.exchange(&chosen).await;
             let work_end = match end {
-                ExchangeEnd::Whole => WorkEnd::Completed { tokens: self.offset() - before },
-                _ => WorkEnd::Failed,
+                ExchangeEnd::Whole => RequestOutcome::Completed { tokens: self.offset() - before },
+                _ => RequestOutcome::Failed,
             };
             self.worker.shared.desk().finish(self.now(), work, work_end);
             self.count_usage();
@@ -186,7 +186,7 @@
             return choice::isolated(shared, &self.request, upstream);
         }
         let prefix_length = self.body.prompt.len().min(PREFIX_BYTES);
-        let ask = choice::ChoiceAsk {
+        let ask = choice::WorkSize {
             tokens: self.body.max_tokens.saturating_sub(self.offset()),
             prompt_tokens: (self.body.prompt.len() / 4) as u32,
             prefix: Some(choice::prefix_hash(&self.body.prompt.as_bytes()[..prefix_length])),
@@ -257,7 +257,7 @@
     fn piece(&mut self, index: u32, token: String, version: base::WeightVersion) -> PieceResult {
         let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
         let piece =
-            AnswerPiece { request: self.request.id, index: u64::from(index), token, version };
+            AnswerToken { request: self.request.id, index: u64::from(index), token, version };
         self.apply(StreamEvent::Piece { exchange, piece })
     }
 
@@ -485,7 +485,7 @@
             let _ = head.send(Err(refusal.clone()));
             return;
         }
-        let line = format!("{}\n", json!({ "error": answer::error_value(refusal) }));
+        let line = format!("{}\n", json!({ "error": response::error_value(refusal) }));
         let _ = self.lines.send(Ok(Bytes::from(line))).await;
     }
 }
--- a/crates/hibiscushinged/src/traffic/trainer.rs
+++ b/crates/hibiscushinged/src/traffic/trainer.rs
@@ -9,8 +9,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    input::{ControlInput, StepRequest, TrainerAsk},
-    traffic::{answer, request, worker::TrafficWorker},
+    control_message::{ControlMessage, StepRequest, TrainerRequest},
+    traffic::{request, response, worker::TrafficWorker},
 };
 
 #[derive(Debug, Deserialize)]
@@ -31,8 +31,8 @@
 ) -> Response<BoxBody> {
     let _flight = worker.shared.enter_flight();
     match answer(&worker, path, &mut incoming).await {
-        Ok(value) => answer::json_body(StatusCode::OK, &value),
-        Err(refusal) => answer::refusal(&refusal),
+        Ok(value) => response::json_body(StatusCode::OK, &value),
+        Err(refusal) => response::refusal(&refusal),
     }
 }
 
@@ -51,9 +51,9 @@
         ("steps", &Method::POST) => {
             let limit = shared.settings.bounds.request_bytes as usize;
             let body = request::body(incoming, limit).await?;
-            TrainerAsk::Open(step(trainer, request::parse(&body)?)?)
+            TrainerRequest::Open(step(trainer, request::parse(&body)?)?)
         }
-        ("samples", &Method::GET) => TrainerAsk::Fetch {
+        ("samples", &Method::GET) => TrainerRequest::Fetch {
             trainer: trainer.name,
             after: query(incoming, "after")?,
             version: query(incoming, "version")?,
@@ -65,7 +65,7 @@
         let refusal = Refusal::not_run(RefusalCode::Draining, "this node is stopping");
         refusal.with_retry_after(Span::from_secs(1))
     };
-    let input = ControlInput::Trainer { ask, reply };
+    let input = ControlMessage::Trainer { ask, reply };
     shared.control.send(input).await.map_err(|_| unavailable())?;
     answer.await.map_err(|_| unavailable())?
 }
--- a/crates/hibiscushinged/src/view.rs
+++ b/crates/hibiscushinged/src/view.rs
@@ -15,14 +15,14 @@
     pub(crate) customers: Vec<CustomerEntry>,
     pub(crate) customer_keys: HashMap<String, CustomerKey>,
     pub(crate) trainers: Vec<TrainerEntry>,
-    pub(crate) routes: HashMap<String, RouteTarget>,
+    pub(crate) routes: HashMap<String, ResolvedRoute>,
     pub(crate) upstreams: Arena<UpstreamKey, UpstreamTarget>,
-    pub(crate) key_service: KeyService,
+    pub(crate) key_service: KeyAcceptance,
 }
 
 /// A route with what the traffic threads need of its service.
 #[derive(Debug, Clone)]
-pub(crate) struct RouteTarget {
+pub(crate) struct ResolvedRoute {
     pub(crate) key: RouteKey,
     pub(crate) entry: RouteEntry,
     pub(crate) kind: ServiceKind,
@@ -35,13 +35,13 @@
     pub(crate) service: String,
     pub(crate) zone_name: String,
     pub(crate) address: SocketAddr,
-    pub(crate) price: routing::UpstreamPrice,
+    pub(crate) price: routing::PriceClass,
     pub(crate) version: Option<WeightVersion>,
 }
 
 /// Whether keys are accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum KeyService {
+pub(crate) enum KeyAcceptance {
     #[default]
     Accepting,
     /// The node is isolated for longer than the document allows.
@@ -68,7 +68,7 @@
         for (index, entry) in document.routes.iter().enumerate() {
             let Some(service) = document.service(&entry.service) else { continue };
             let key = RouteKey(index as u32);
-            let target = RouteTarget { key, entry: entry.clone(), kind: service.kind };
+            let target = ResolvedRoute { key, entry: entry.clone(), kind: service.kind };
             self.routes.insert(entry.path.clone(), target);
         }
     }
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -1,10 +1,10 @@
 //! Events, actions and settings of the peer table.
 
-use base::{Incarnation, Moment, Span, VmKey, key, plain};
+use base::{Incarnation, Moment, Span, VmKey, derive_copy, derive_value};
 
-use crate::{PeerBeat, VmIdentity};
+use crate::{LivenessMessage, VmIdentity};
 
-key! {
+derive_copy! {
     /// Liveness of a VM in the eyes of this node.
     pub enum PeerState {
         /// The VM sends heartbeats, or is listed and not yet known to be silent.
@@ -40,7 +40,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// An entry of the platform's list.
     pub struct ListedVm {
         /// Name of the VM.
@@ -60,7 +60,7 @@
         /// The platform's list was read.
         ListRead(Vec<ListedVm>),
         /// A heartbeat or a zone summary arrived.
-        BeatReceived(PeerBeat),
+        BeatReceived(LivenessMessage),
     }
 
     /// What the caller must do.
@@ -70,14 +70,14 @@
             /// The receiver.
             to: VmKey,
             /// Liveness part of the message.
-            beat: PeerBeat,
+            beat: LivenessMessage,
         },
         /// Send a summary to a VM of another zone.
         SendSummary {
             /// The receiver.
             to: VmKey,
             /// Liveness part of the message.
-            beat: PeerBeat,
+            beat: LivenessMessage,
         },
         /// The state of a VM has changed.
         Changed {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Liveness of entry VMs, delegates of zones, watchers of upstreams, and the spread of their state.
 
-mod board;
 mod change;
+mod load_table;
 mod message;
 mod placement;
 mod ring;
@@ -12,13 +12,13 @@
 pub use base::stable_hash;
 
 pub use crate::{
-    board::{BoardSettings, UpstreamBoard, UpstreamView},
     change::{ListState, ListedVm, PeerAction, PeerEvent, PeerSettings, PeerState, VmRecord},
+    load_table::{LoadTable, LoadTableSettings, LoadView},
     message::{
-        Heartbeat, LeavingCause, LoadReport, NoticeState, PeerBeat, PeerNotice, UpstreamEntry,
-        UpstreamPhase, VmIdentity, ZoneSummary,
+        Heartbeat, LeavingCause, LivenessMessage, LoadReport, LoadUpdate, PeerUpdate,
+        ReportedState, UpstreamPhase, VmIdentity, ZoneSummary,
     },
     placement::rank_by_weight,
     table::PeerTable,
-    watch::{WatchChange, WatchPlan},
+    watch::{WatchAssignment, WatchChange},
 };
--- a/crates/membership/src/board.rs
+++ b/crates/membership/src/load_table.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, Moment, Span, key, plain};
+use base::{Incarnation, Moment, Span, derive_copy, derive_value};
 
-use crate::{LeavingCause, LoadReport, UpstreamEntry, UpstreamPhase};
+use crate::{LeavingCause, LoadReport, LoadUpdate, UpstreamPhase};
 
-key! {
+derive_copy! {
     /// Limits of what a message carries.
-    pub struct BoardSettings {
+    pub struct LoadTableSettings {
         /// Changed entries in one message. Bounds the cost of a heartbeat.
         pub delta_limit: usize,
         /// Age of its last transmission at which an unchanged report is sent again.
@@ -20,10 +20,10 @@
     }
 }
 
-plain! {
+derive_value! {
     /// State of an upstream with its age.
     #[derive(Copy)]
-    pub struct UpstreamView {
+    pub struct LoadView {
         /// What the watcher measured.
         pub report: LoadReport,
         /// Time since the measurement.
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct BoardEntry {
+struct LoadTableEntry {
     watcher: Incarnation,
     serial: u64,
     measured_at: Moment,
@@ -45,16 +45,16 @@
 
 /// What a node knows of the upstreams, from its own watch and from peers.
 #[derive(Debug, Clone)]
-pub struct UpstreamBoard {
-    settings: BoardSettings,
+pub struct LoadTable {
+    settings: LoadTableSettings,
     own: Incarnation,
     serial: u64,
-    entries: BTreeMap<String, BoardEntry>,
+    entries: BTreeMap<String, LoadTableEntry>,
     // Name after which the spread-out repetition goes on.
     cursor: Option<String>,
 }
 
-impl Default for BoardSettings {
+impl Default for LoadTableSettings {
     fn default() -> Self {
         Self {
             delta_limit: 24,
@@ -65,17 +65,17 @@
     }
 }
 
-impl UpstreamBoard {
+impl LoadTable {
     /// Creates an empty board of the process `own`.
     #[must_use]
-    pub fn new(settings: BoardSettings, own: Incarnation) -> Self {
+    pub fn new(settings: LoadTableSettings, own: Incarnation) -> Self {
         Self { settings, own, serial: 0, entries: BTreeMap::new(), cursor: None }
     }
 
     /// Takes a report that this node measured as the watcher.
     pub fn measured(&mut self, now: Moment, upstream: &str, report: LoadReport) {
         self.serial += 1;
-        let entry = UpstreamEntry {
+        let entry = LoadUpdate {
             upstream: upstream.to_owned(),
             watcher: self.own,
             serial: self.serial,
@@ -86,7 +86,7 @@
     }
 
     /// Takes an entry from a peer. Returns whether it was newer than the known one.
-    pub fn learned(&mut self, now: Moment, entry: UpstreamEntry) -> bool {
+    pub fn learned(&mut self, now: Moment, entry: LoadUpdate) -> bool {
         let measured_at = now - entry.age;
         if let Some(known) = self.entries.get(&entry.upstream) {
             let newer = if known.watcher == entry.watcher {
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Marks an upstream as leaving, for the next [`UpstreamBoard::urgent`].
+    /// Marks an upstream as leaving, for the next [`LoadTable::urgent`].
     pub fn mark_leaving(&mut self, now: Moment, upstream: &str, cause: LeavingCause) {
         let phase = UpstreamPhase::Leaving(cause);
         match self.entries.get_mut(upstream) {
@@ -132,23 +132,20 @@
 
     /// Returns the state of an upstream.
     #[must_use]
-    pub fn view(&self, now: Moment, upstream: &str) -> Option<UpstreamView> {
+    pub fn view(&self, now: Moment, upstream: &str) -> Option<LoadView> {
         let entry = self.entries.get(upstream)?;
-        Some(UpstreamView { report: entry.report, age: now.since(entry.measured_at) })
+        Some(LoadView { report: entry.report, age: now.since(entry.measured_at) })
     }
 
     /// Iterates over all upstreams, in the order of their names.
-    pub fn iter(&self, now: Moment) -> impl Iterator<Item = (&str, UpstreamView)> {
+    pub fn iter(&self, now: Moment) -> impl Iterator<Item = (&str, LoadView)> {
         self.entries.iter().map(move |(name, entry)| {
-            (
-                name.as_str(),
-                UpstreamView { report: entry.report, age: now.since(entry.measured_at) },
-            )
+            (name.as_str(), LoadView { report: entry.report, age: now.since(entry.measured_at) })
         })
     }
 
     /// Returns the entries that must be sent at once, without waiting for the heartbeat period.
-    pub fn urgent(&mut self, now: Moment) -> Vec<UpstreamEntry> {
+    pub fn urgent(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut entries = Vec::new();
         for (name, entry) in &mut self.entries {
             if std::mem::take(&mut entry.urgent) {
@@ -160,7 +157,7 @@
 
     /// Returns the entries for the next heartbeat: changed ones, those unsent for longest first,
     /// and a part of the full repetition.
-    pub fn delta(&mut self, now: Moment) -> Vec<UpstreamEntry> {
+    pub fn delta(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut changed: Vec<(bool, Option<Moment>, &str)> = self
             .entries
             .iter()
@@ -193,12 +190,12 @@
 
     /// Returns every entry, for a peer that has just started.
     #[must_use]
-    pub fn full(&self, now: Moment) -> Vec<UpstreamEntry> {
+    pub fn full(&self, now: Moment) -> Vec<LoadUpdate> {
         self.entries.iter().map(|(name, entry)| entry.message(name, now)).collect()
     }
 
-    fn store(&mut self, now: Moment, entry: UpstreamEntry) {
-        let UpstreamEntry { upstream, watcher, serial, age, mut report } = entry;
+    fn store(&mut self, now: Moment, entry: LoadUpdate) {
+        let LoadUpdate { upstream, watcher, serial, age, mut report } = entry;
         let known = self.entries.get(&upstream);
         let was_leaving = known.map(|known| known.report.phase).filter(|phase| phase.is_leaving());
         // An upstream that is leaving stays so until it is removed: its own report lags behind the
@@ -214,12 +211,12 @@
             || sent
                 .is_none_or(|(sent, at)| differs(&sent, &report) || now.since(at) >= refresh_after);
         let measured_at = now - age;
-        let entry = BoardEntry { watcher, serial, measured_at, report, sent, dirty, urgent };
+        let entry = LoadTableEntry { watcher, serial, measured_at, report, sent, dirty, urgent };
         self.entries.insert(upstream, entry);
     }
 
     /// Takes the leaving phase of an entry whose measurement is not newer.
-    fn learn_leaving(&mut self, entry: &UpstreamEntry) -> bool {
+    fn learn_leaving(&mut self, entry: &LoadUpdate) -> bool {
         let Some(known) = self.entries.get_mut(&entry.upstream) else { return false };
         if !entry.report.phase.is_leaving() || known.report.phase.is_leaving() {
             return false;
@@ -244,9 +241,9 @@
     }
 }
 
-impl BoardEntry {
-    fn message(&self, name: &str, now: Moment) -> UpstreamEntry {
-        UpstreamEntry {
+impl LoadTableEntry {
+    fn message(&self, name: &str, now: Moment) -> LoadUpdate {
+        LoadUpdate {
             upstream: name.to_owned(),
             watcher: self.watcher,
             serial: self.serial,
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,8 +1,8 @@
 //! Contents of the messages between peers.
 
-use base::{Incarnation, Span, WeightVersion, key, plain};
+use base::{Incarnation, Span, WeightVersion, derive_copy, derive_value};
 
-plain! {
+derive_value! {
     /// Who a process is.
     pub struct VmIdentity {
         /// Name of the VM in the platform's list.
@@ -19,7 +19,7 @@
     }
 
     /// What a process knows about a VM.
-    pub struct PeerNotice {
+    pub struct PeerUpdate {
         /// The VM and its process.
         pub vm: VmIdentity,
         /// Number of times that the process has refuted an accusation. A notice with a higher
@@ -28,11 +28,11 @@
         /// Time since the latest evidence that the process runs.
         pub age: Span,
         /// State of the VM.
-        pub state: NoticeState,
+        pub state: ReportedState,
     }
 
     /// The part of a heartbeat that concerns liveness.
-    pub struct PeerBeat {
+    pub struct LivenessMessage {
         /// The sender.
         pub from: VmIdentity,
         /// Number of the message, rising within an incarnation.
@@ -40,33 +40,33 @@
         /// Number of times that the sender has refuted an accusation.
         pub refutation: u64,
         /// Changes that the receiver should know.
-        pub notices: Vec<PeerNotice>,
+        pub notices: Vec<PeerUpdate>,
     }
 
     /// Sent every second to the ring successors in the zone.
     pub struct Heartbeat {
         /// Liveness.
-        pub beat: PeerBeat,
+        pub beat: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
         /// Time since the sender heard the platform or another zone.
         pub contact_age: Span,
         /// Changed upstream state.
-        pub upstreams: Vec<UpstreamEntry>,
+        pub upstreams: Vec<LoadUpdate>,
     }
 
     /// Sent between the delegates of zones.
     pub struct ZoneSummary {
         /// Liveness. The notices concern VMs of the sender's zone.
-        pub beat: PeerBeat,
+        pub beat: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
         /// Changed state of upstreams that the sender's zone watches.
-        pub upstreams: Vec<UpstreamEntry>,
+        pub upstreams: Vec<LoadUpdate>,
     }
 
     /// State of an upstream as its watcher measured it.
-    pub struct UpstreamEntry {
+    pub struct LoadUpdate {
         /// Name of the upstream.
         pub upstream: String,
         /// The process that watched the upstream.
@@ -80,9 +80,9 @@
     }
 }
 
-key! {
+derive_copy! {
     /// State of a VM in a notice.
-    pub enum NoticeState {
+    pub enum ReportedState {
         /// The process sends heartbeats.
         Live,
         /// The process has missed heartbeats.
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -5,7 +5,8 @@
 use base::{Moment, Span, VmKey};
 
 use crate::{
-    NoticeState, PeerAction, PeerBeat, PeerNotice, PeerState, PeerTable, VmIdentity, table::Actions,
+    LivenessMessage, PeerAction, PeerState, PeerTable, PeerUpdate, ReportedState, VmIdentity,
+    table::Actions,
 };
 
 /// Why a message is sent.
@@ -43,20 +44,24 @@
         }
     }
 
-    pub(crate) fn notice(&self, now: Moment, vm: VmKey) -> PeerNotice {
+    pub(crate) fn notice(&self, now: Moment, vm: VmKey) -> PeerUpdate {
         let record = self.record(vm);
         let age = if vm == self.own { Span::ZERO } else { now.since(record.evidence_at) };
         let (vm, refutation) = (record.vm.clone(), record.refutation);
-        PeerNotice { vm, refutation, age, state: record.state.into() }
+        PeerUpdate { vm, refutation, age, state: record.state.into() }
     }
 
-    pub(crate) fn next_message(&mut self, now: Moment, notices: Vec<PeerNotice>) -> PeerBeat {
+    pub(crate) fn next_message(
+        &mut self,
+        now: Moment,
+        notices: Vec<PeerUpdate>,
+    ) -> LivenessMessage {
         let own = self.own;
         let record = self.record_mut(own);
         record.beat += 1;
         record.evidence_at = now;
         let (from, beat, refutation) = (record.vm.clone(), record.beat, record.refutation);
-        PeerBeat { from, beat, refutation, notices }
+        LivenessMessage { from, beat, refutation, notices }
     }
 
     pub(crate) fn send_heartbeats(
@@ -120,7 +125,7 @@
         &mut self,
         now: Moment,
         from: VmKey,
-        notice: PeerNotice,
+        notice: PeerUpdate,
         actions: &mut Actions,
     ) {
         if notice.vm.name == self.own_identity().name {
@@ -147,9 +152,9 @@
         if notice.vm.rank() > record.vm.rank() {
             self.replace(vm, notice.vm, actions);
         } else {
-            let known = (record.refutation, NoticeState::from(record.state));
+            let known = (record.refutation, ReportedState::from(record.state));
             if (notice.refutation, notice.state) <= known {
-                if state == PeerState::Live && known.1 != NoticeState::Live {
+                if state == PeerState::Live && known.1 != ReportedState::Live {
                     self.inform(now, vm, vm, actions);
                 } else if notice.refutation < known.0 {
                     self.inform(now, from, vm, actions);
@@ -203,14 +208,14 @@
     }
 
     /// Answers a peer that takes this process for silent, or an older one of this VM for current.
-    fn learn_about_self(&mut self, notice: &PeerNotice) {
+    fn learn_about_self(&mut self, notice: &PeerUpdate) {
         let own = self.own;
         let record = self.record_mut(own);
         if notice.vm.incarnation != record.vm.incarnation {
             if notice.vm.rank() > record.vm.rank() {
                 record.vm.generation = notice.vm.generation.saturating_add(1);
             }
-        } else if notice.state == NoticeState::Live || notice.refutation < record.refutation {
+        } else if notice.state == ReportedState::Live || notice.refutation < record.refutation {
             return;
         } else {
             record.refutation = notice.refutation + 1;
@@ -218,7 +223,7 @@
         self.tell(own);
     }
 
-    fn all_notices(&self, now: Moment) -> Vec<PeerNotice> {
+    fn all_notices(&self, now: Moment) -> Vec<PeerUpdate> {
         let known = self.vms.iter().filter(|(vm, record)| {
             // Live VMs of other zones need no notice: their own zone reports a change.
             record.listed.is_some() && (self.is_own_zone(*vm) || record.state != PeerState::Live)
@@ -240,7 +245,7 @@
     told
 }
 
-impl From<PeerState> for NoticeState {
+impl From<PeerState> for ReportedState {
     fn from(state: PeerState) -> Self {
         match state {
             PeerState::Live => Self::Live,
@@ -250,12 +255,12 @@
     }
 }
 
-impl From<NoticeState> for PeerState {
-    fn from(state: NoticeState) -> Self {
+impl From<ReportedState> for PeerState {
+    fn from(state: ReportedState) -> Self {
         match state {
-            NoticeState::Live => Self::Live,
-            NoticeState::Suspect => Self::Suspect,
-            NoticeState::Gone => Self::Gone,
+            ReportedState::Live => Self::Live,
+            ReportedState::Suspect => Self::Suspect,
+            ReportedState::Gone => Self::Gone,
         }
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -6,8 +6,8 @@
 use smallvec::SmallVec;
 
 use crate::{
-    ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings, PeerState, VmIdentity,
-    VmRecord,
+    ListState, ListedVm, LivenessMessage, PeerAction, PeerEvent, PeerSettings, PeerState,
+    VmIdentity, VmRecord,
     placement::{heaviest, rank_by_weight},
     ring::{RingSlot, Walk, neighbours},
     spread::Occasion,
@@ -373,7 +373,7 @@
         self.rebuild_ring();
     }
 
-    fn receive(&mut self, now: Moment, beat: PeerBeat, actions: &mut Actions) {
+    fn receive(&mut self, now: Moment, beat: LivenessMessage, actions: &mut Actions) {
         if beat.from.name == self.own_identity().name {
             return;
         }
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use base::plain;
+use base::derive_value;
 
 use crate::placement::heaviest;
 
-plain! {
+derive_value! {
     /// Upstreams that this node starts or stops to watch.
     #[derive(Default)]
     pub struct WatchChange {
@@ -20,12 +20,12 @@
 /// The upstreams that this node watches: one watcher for each upstream of the zone, by rendezvous
 /// hashing over the live VMs. When a VM fails, only the upstreams it watched move.
 #[derive(Debug, Clone)]
-pub struct WatchPlan {
+pub struct WatchAssignment {
     own: String,
     watched: BTreeSet<String>,
 }
 
-impl WatchPlan {
+impl WatchAssignment {
     /// Creates the plan of the VM `own`, which watches nothing yet.
     #[must_use]
     pub fn new(own: String) -> Self {
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -4,8 +4,8 @@
 
 use base::{Incarnation, Moment, Span};
 use membership::{
-    ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings, PeerState, PeerTable,
-    VmIdentity,
+    ListState, ListedVm, LivenessMessage, PeerAction, PeerEvent, PeerSettings, PeerState,
+    PeerTable, VmIdentity,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
     pub(crate) notices: u64,
     pub(crate) changes: Vec<(String, PeerState)>,
     pub(crate) replaced: Vec<Incarnation>,
-    inbox: Vec<PeerBeat>,
+    inbox: Vec<LivenessMessage>,
 }
 
 pub(crate) struct Network {
@@ -27,7 +27,7 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) cuts: BTreeSet<(usize, usize)>,
     pub(crate) rng: ChaCha8Rng,
-    flight: BTreeMap<(Moment, u64), (usize, String, PeerBeat)>,
+    flight: BTreeMap<(Moment, u64), (usize, String, LivenessMessage)>,
     sequence: u64,
 }
 
--- a/crates/membership/tests/upstreams.rs
+++ b/crates/membership/tests/upstreams.rs
@@ -2,7 +2,8 @@
 
 use base::{Incarnation, Moment, Span, WeightVersion};
 use membership::{
-    BoardSettings, LeavingCause, LoadReport, UpstreamBoard, UpstreamEntry, UpstreamPhase, WatchPlan,
+    LeavingCause, LoadReport, LoadTable, LoadTableSettings, LoadUpdate, UpstreamPhase,
+    WatchAssignment,
 };
 
 fn report(running: u32) -> LoadReport {
@@ -19,11 +20,11 @@
     Moment(0) + Span::from_secs(seconds)
 }
 
-fn board(incarnation: u64) -> UpstreamBoard {
-    UpstreamBoard::new(BoardSettings::default(), Incarnation(incarnation))
+fn board(incarnation: u64) -> LoadTable {
+    LoadTable::new(LoadTableSettings::default(), Incarnation(incarnation))
 }
 
-fn names(entries: &[UpstreamEntry]) -> Vec<&str> {
+fn names(entries: &[LoadUpdate]) -> Vec<&str> {
     entries.iter().map(|entry| entry.upstream.as_str()).collect()
 }
 
@@ -33,7 +34,7 @@
     let upstreams: Vec<String> = (0..55).map(|number| format!("engine-{number}")).collect();
     let upstreams: Vec<&str> = upstreams.iter().map(String::as_str).collect();
     let all = ["vm-a", "vm-b", "vm-c", "vm-d"];
-    let mut plans = all.map(|name| WatchPlan::new(name.to_owned()));
+    let mut plans = all.map(|name| WatchAssignment::new(name.to_owned()));
     for plan in &mut plans {
         plan.update(&all, &upstreams);
     }
@@ -60,16 +61,15 @@
     assert!(peer.learned(secs(100), copy[0].clone()));
     assert_eq!(peer.view(secs(101), "engine").unwrap().age, Span::from_secs(3));
     assert!(!peer.learned(secs(120), copy[0].clone()), "the same measurement again");
-    let late =
-        UpstreamEntry { watcher: Incarnation(9), age: Span::from_secs(30), ..copy[0].clone() };
+    let late = LoadUpdate { watcher: Incarnation(9), age: Span::from_secs(30), ..copy[0].clone() };
     assert!(!peer.learned(secs(120), late.clone()));
-    assert!(peer.learned(secs(120), UpstreamEntry { age: Span::ZERO, ..late }));
+    assert!(peer.learned(secs(120), LoadUpdate { age: Span::ZERO, ..late }));
 }
 
 /// Guards against a heartbeat that grows with the number of upstreams, and an entry never sent.
 #[test]
 fn deltas_are_bounded_and_reach_every_entry() {
-    let settings = BoardSettings::default();
+    let settings = LoadTableSettings::default();
     let mut board = board(1);
     for number in 0..600 {
         board.measured(secs(0), &format!("engine-{number:03}"), report(8));
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -1,6 +1,6 @@
 //! Specification of leases and orders: several processes, one stream, one receiver of orders.
 //!
-//! Every process holds a real [`LeaseKeeper`] and a real [`OrderDesk`]. Running processes do all due
+//! Every process holds a real [`LeaseManager`] and a real [`OrderManager`]. Running processes do all due
 //! work before time moves on, in the order of their numbers. A pause is possible before each step of
 //! a process, so other orders need a pause. Free interleaving gave 31,128 states for three units of
 //! time and one fault, too many for a takeover. Every fault takes one from a common budget, so the
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 
 use authority::{
-    AuthorityRecord, DeskSettings, FencingSupport, LeaseKeeper, LeaseSettings, OrderAnswer,
-    OrderDesk, OrderId, OrderIntent,
+    AuthorityRecord, FencingSupport, LeaseManager, LeaseSettings, OrderId, OrderIntent,
+    OrderManager, OrderResponse, OrderSettings,
 };
-use base::{FencingNumber, LogOffset, Moment, Span, key, plain};
+use base::{FencingToken, LogOffset, Moment, Span, derive_copy, derive_value};
 
 pub use crate::authority::{
     process::{CheckedOrder, ProcessState},
@@ -34,7 +34,7 @@
 /// An order took effect although the log says that it was refused.
 pub const TRUE_OUTCOME: &str = "an order with the outcome `refused` never takes effect";
 
-key! {
+derive_copy! {
     /// Sizes of a model. Times are in units of one microsecond, which stand for any length.
     pub struct ModelBounds {
         /// Time at which the model ends.
@@ -102,13 +102,13 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Times and bounds of a model.
     pub struct ModelSettings {
         /// Times of the lease.
         pub lease: LeaseSettings,
         /// Times of orders.
-        pub desk: DeskSettings,
+        pub desk: OrderSettings,
         /// Sizes of the model.
         pub bounds: ModelBounds,
     }
@@ -122,7 +122,7 @@
         now: Moment,
         process: &ProcessState,
         id: OrderId,
-    ) -> Option<FencingNumber> {
+    ) -> Option<FencingToken> {
         process.desk.permit(now, &process.keeper, id).ok()
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Tells whether the receiver takes an order with this number.
-    fn accepts(&self, receiver: &OrderReceiver, fencing: FencingNumber) -> bool {
+    fn accepts(&self, receiver: &OrderReceiver, fencing: FencingToken) -> bool {
         receiver.support == FencingSupport::Ignored || fencing >= receiver.highest
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Returns what a process makes of the receiver's answer to a question.
-    fn understand(&self, answer: OrderAnswer) -> OrderAnswer {
+    fn understand(&self, answer: OrderResponse) -> OrderResponse {
         answer
     }
 
     /// Returns the desk with which a process goes on after it has acquired the lease.
-    fn take_over(&self, desk: OrderDesk) -> OrderDesk {
+    fn take_over(&self, desk: OrderManager) -> OrderManager {
         desk
     }
 
@@ -204,7 +204,7 @@
             extra_wait: Span(2),
         };
         let desk =
-            DeskSettings { order_timeout: Span(1), ask_retry: Span(1), receiver: bounds.receiver };
+            OrderSettings { order_timeout: Span(1), ask_retry: Span(1), receiver: bounds.receiver };
         Self { lease, desk, bounds }
     }
 }
@@ -347,7 +347,7 @@
 
     fn describe(&self, state: &AuthorityState) -> String {
         let holds = |process: &ProcessState| {
-            let keeper: &LeaseKeeper = &process.keeper;
+            let keeper: &LeaseManager = &process.keeper;
             keeper.held(state.now).map_or("-".to_owned(), |fencing| fencing.0.to_string())
         };
         let held: Vec<_> = state.processes.iter().map(holds).collect();
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use authority::{
-    AuthorityRecord, Candidacy, DeskAction, LeaseAction, LeaseKeeper, OrderDesk, OrderId,
-    OrderIntent, OrderKind, OrderRequest, PriceClass, Scope,
+    AuthorityRecord, LeaseAction, LeaseManager, LeaseRole, LeaseScope, OrderAction, OrderId,
+    OrderIntent, OrderKind, OrderManager, OrderRequest, PriceClass,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, key};
+use base::{FencingToken, Incarnation, LogOffset, Moment, derive_copy};
 
 use super::{
     AuthorityModel, AuthorityState, AuthorityStep, GuardedSteps, ModelSettings, RestartReading,
@@ -14,12 +14,12 @@
 };
 
 /// Scope of the model. It needs no heap, which keeps states small.
-const SCOPE: Scope = Scope::Fleet;
+const SCOPE: LeaseScope = LeaseScope::Fleet;
 
 /// Added to the incarnation of a process when it restarts.
 const RESTART_STRIDE: u64 = 10;
 
-key! {
+derive_copy! {
     pub(crate) enum Activity {
         Running,
         Paused,
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CheckedOrder {
     pub(crate) intent: OrderIntent,
-    pub(crate) fencing: FencingNumber,
+    pub(crate) fencing: FencingToken,
     pub(crate) at: Moment,
 }
 
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ProcessState {
     /// The real keeper.
-    pub keeper: LeaseKeeper,
+    pub keeper: LeaseManager,
     /// The real desk.
-    pub desk: OrderDesk,
+    pub desk: OrderManager,
     pub(crate) incarnation: Incarnation,
     pub(crate) next: LogOffset,
     pub(crate) outbox: Vec<Rc<AuthorityRecord>>,
@@ -64,12 +64,12 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let candidacy = Candidacy::Standing;
-        let mut keeper = LeaseKeeper::new(settings.lease, SCOPE, incarnation, candidacy);
+        let candidacy = LeaseRole::Standing;
+        let mut keeper = LeaseManager::new(settings.lease, SCOPE, incarnation, candidacy);
         keeper.reading_from(now, first);
         Self {
             keeper,
-            desk: OrderDesk::new(settings.desk, SCOPE, incarnation),
+            desk: OrderManager::new(settings.desk, SCOPE, incarnation),
             incarnation,
             next: first,
             outbox: Vec::new(),
@@ -93,13 +93,13 @@
             || !self.asks.is_empty()
     }
 
-    fn queue(&mut self, actions: impl IntoIterator<Item = DeskAction>) {
+    fn queue(&mut self, actions: impl IntoIterator<Item = OrderAction>) {
         for action in actions {
             match action {
-                DeskAction::Append(record) => self.outbox.push(Rc::new(record)),
-                DeskAction::Send(intent) => self.sends.push(intent),
-                DeskAction::Ask(id) => self.asks.push(id),
-                DeskAction::Settled(_) | DeskAction::Voided(_) => {}
+                OrderAction::Append(record) => self.outbox.push(Rc::new(record)),
+                OrderAction::Send(intent) => self.sends.push(intent),
+                OrderAction::Ask(id) => self.asks.push(id),
+                OrderAction::Settled(_) | OrderAction::Voided(_) => {}
             }
         }
     }
@@ -251,7 +251,7 @@
         let kind = OrderKind::Start { count: 1, price: PriceClass::Regular };
         let request = OrderRequest { service: String::new(), kind };
         let (_, action) = process.desk.order(state.now, &process.keeper, request).ok()?;
-        if let DeskAction::Append(AuthorityRecord::Intent(intent)) = &action {
+        if let OrderAction::Append(AuthorityRecord::Intent(intent)) = &action {
             process.sends.extend(self.steps.send_early(intent));
         }
         process.queue([action]);
--- a/crates/model-check/src/authority/receiver.rs
+++ b/crates/model-check/src/authority/receiver.rs
@@ -1,7 +1,7 @@
 //! The platform as a receiver of orders.
 
-use authority::{AuthorityRecord, FencingSupport, OrderAnswer, OrderId, OrderIntent, OrderState};
-use base::{FencingNumber, Moment};
+use authority::{AuthorityRecord, FencingSupport, OrderId, OrderIntent, OrderResponse, OrderState};
+use base::{FencingToken, Moment};
 
 use super::{
     AuthorityModel, AuthorityState, FENCED, GuardedSteps, ONE_EFFECT, RECONCILED, TRUE_OUTCOME,
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct WireOrder {
     pub(crate) intent: OrderIntent,
-    pub(crate) fencing: FencingNumber,
+    pub(crate) fencing: FencingToken,
     /// Latest arrival.
     pub(crate) due: Moment,
 }
@@ -22,16 +22,16 @@
     /// What it does with fencing numbers.
     pub support: FencingSupport,
     /// Highest fencing number of an accepted order.
-    pub highest: FencingNumber,
+    pub highest: FencingToken,
     /// Accepted orders with their fencing numbers, in order of arrival.
-    pub accepted: Vec<(OrderId, FencingNumber)>,
+    pub accepted: Vec<(OrderId, FencingToken)>,
     /// Newest lease under which a new order was decided on.
-    pub(crate) newest_decision: FencingNumber,
+    pub(crate) newest_decision: FencingToken,
 }
 
 impl OrderReceiver {
     pub(crate) const fn new(support: FencingSupport) -> Self {
-        let zero = FencingNumber(0);
+        let zero = FencingToken(0);
         Self { support, highest: zero, accepted: Vec::new(), newest_decision: zero }
     }
 
@@ -41,13 +41,13 @@
         self.accepted.iter().any(|(accepted, _)| *accepted == id)
     }
 
-    pub(crate) fn state(&self, id: OrderId) -> OrderAnswer {
-        if self.has_carried_out(id) { accepted() } else { OrderAnswer::NotFound }
+    pub(crate) fn state(&self, id: OrderId) -> OrderResponse {
+        if self.has_carried_out(id) { accepted() } else { OrderResponse::NotFound }
     }
 }
 
-const fn accepted() -> OrderAnswer {
-    OrderAnswer::State { state: OrderState::Accepted, upstreams: Vec::new() }
+const fn accepted() -> OrderResponse {
+    OrderResponse::State { state: OrderState::Accepted, upstreams: Vec::new() }
 }
 
 impl<G: GuardedSteps> AuthorityModel<G> {
@@ -56,10 +56,10 @@
         &self,
         state: &mut AuthorityState,
         intent: &OrderIntent,
-        fencing: FencingNumber,
-    ) -> OrderAnswer {
+        fencing: FencingToken,
+    ) -> OrderResponse {
         if !self.steps.accepts(&state.receiver, fencing) {
-            return OrderAnswer::FencingTooLow;
+            return OrderResponse::FencingTooLow;
         }
         let is_older = fencing < state.receiver.highest;
         if is_older {
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Specification of configuration: several processes, the stream `config` and racing operators.
 //!
-//! Every process holds a real [`ConfigHistory`]. An operator reads the versions of a process, and
+//! Every process holds a real [`ConfigRegistry`]. An operator reads the versions of a process, and
 //! writes an edit or a promotion that builds on them. A process appends a snapshot of its state at
 //! any time, as the holder of the `fleet` lease does, or an old holder whose append comes late.
 //! Retention drops any records that a snapshot in the log contains. Peers exchange the documents in
@@ -17,7 +17,7 @@
     ConfigEdit, ConfigOutcome, ConfigPromote, ConfigRecord, ConfigVersion, EnvironmentName,
     VersionedDocument,
 };
-use base::{Incarnation, LogOffset, RecordId, key, plain};
+use base::{Incarnation, LogOffset, RecordId, derive_copy, derive_value};
 
 pub use crate::configuration::process::{AcceptAll, ConfigProcess, History};
 use crate::{configuration::process::expected_documents, search::Specification};
@@ -37,7 +37,7 @@
 /// First number of the operators' incarnations.
 const FIRST_OPERATOR: u64 = 100;
 
-key! {
+derive_copy! {
     /// Sizes of a model. Each number bounds the transitions of a kind in one run.
     pub struct ConfigBounds {
         /// Records that each of the two operators writes.
@@ -103,7 +103,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A record with a hash that goes by its id.
     pub struct ConfigEntry(pub ConfigRecord);
 }
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -6,17 +6,17 @@
 };
 
 use ::configuration::{
-    ConfigCarry, ConfigHistory, ConfigOutcome, ConfigRecord, ConfigVersion, DocumentCheck,
-    EnvironmentName, VersionedDocument,
+    ConfigOutcome, ConfigRecord, ConfigRegistry, ConfigSnapshotRecord, ConfigVersion,
+    DocumentCheck, EnvironmentName, VersionedDocument,
 };
-use base::{LogOffset, RecordId, plain};
+use base::{LogOffset, RecordId, derive_value};
 
 use super::{
     ConfigEntry, ConfigGuards, ConfigModel, ConfigModelState, ConfigStep, NEVER_FALLS, PRODUCTION,
     SNAPSHOT_YIELDS, TRIAL,
 };
 
-plain! {
+derive_value! {
     /// Accepts every text.
     #[derive(Copy)]
     pub struct AcceptAll;
@@ -28,7 +28,7 @@
 }
 
 /// The real history with a check that accepts every text.
-pub type History = ConfigHistory<AcceptAll>;
+pub type History = ConfigRegistry<AcceptAll>;
 
 /// A process and what the invariants need to know of its past.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 impl ConfigProcess {
     pub(crate) fn new() -> Self {
         Self {
-            history: ConfigHistory::new(AcceptAll),
+            history: ConfigRegistry::new(AcceptAll),
             next: LogOffset(0),
             access: LogAccess::Reachable,
             accepted: Vec::new(),
@@ -171,7 +171,7 @@
         if snapshot.documents.is_empty() {
             return;
         }
-        let carry = ConfigRecord::Carry(ConfigCarry { snapshot: snapshot.clone() });
+        let carry = ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshot.clone() });
         let carry = Rc::new(ConfigEntry(carry));
         let mut next = ConfigModelState { snapshots_left, ..state.clone() };
         next.log.push(Rc::clone(&carry));
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -5,7 +5,7 @@
     hash::{Hash, Hasher},
 };
 
-use base::plain;
+use base::derive_value;
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
 /// A transition system with invariants.
@@ -31,7 +31,7 @@
     fn describe(&self, state: &Self::State) -> String;
 }
 
-plain! {
+derive_value! {
     /// Result of a search of all reachable states.
     pub struct Exploration {
         /// Number of different states.
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -1,7 +1,7 @@
 //! Specification of one partition of submissions in the platform's store: nodes that accept, run and end
 //! submissions at the same time, and read them.
 //!
-//! Every node holds a real [`PartitionCopy`] and appends what [`opening_records`], [`result_records`] and
+//! Every node holds a real [`PartitionCache`] and appends what [`opening_records`], [`result_records`] and
 //! [`ending_records`] plan. The store checks nothing but the offset that an append names. A node reads
 //! the keys of a submission in two pages, which are no snapshot, and follows the log meanwhile.
 //!
@@ -14,8 +14,8 @@
 
 use std::rc::Rc;
 
-use ::submissions::PartitionCopy;
-use base::{key, plain};
+use ::submissions::PartitionCache;
+use base::{derive_copy, derive_value};
 
 use crate::search::Specification;
 pub use crate::submissions::{
@@ -32,7 +32,7 @@
 /// A copy misses records of a loaded submission, or shows others than the log.
 pub const COPY_IS_WHOLE: &str = "a copy misses nothing of a loaded submission up to its offset";
 
-key! {
+derive_copy! {
     /// Sizes of a model.
     pub struct SubmissionBounds {
         /// Number of faults of any kind.
@@ -78,7 +78,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// What a node does for a caller or for its items.
     pub enum NodeWork {
         /// Accepts a submission.
@@ -93,7 +93,7 @@
 /// Steps that guard an invariant. A test replaces one of them to show that the search notices.
 pub trait SubmissionGuards {
     /// Returns the offset at which an append may be tried.
-    fn append_offset(&self, copy: &PartitionCopy, submissions: &[&str]) -> Option<u64> {
+    fn append_offset(&self, copy: &PartitionCache, submissions: &[&str]) -> Option<u64> {
         copy.append_offset(submissions)
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Returns the offset from which the log follows a read of two pages.
-    fn read_end(&self, _copy: &PartitionCopy, first_page: u64, _last_page: u64) -> u64 {
+    fn read_end(&self, _copy: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
         first_page
     }
 }
--- a/crates/model-check/src/submissions/node.rs
+++ b/crates/model-check/src/submissions/node.rs
@@ -7,10 +7,10 @@
 };
 
 use ::submissions::{
-    BookRecord, ItemResult, LogPart, PartitionCopy, SubmissionHead, SubmissionItem, SubmissionRead,
-    ending_records, opening_records, result_records,
+    ItemResult, LogBatch, PartitionCache, SubmissionItem, SubmissionMetadata, SubmissionRecord,
+    SubmissionSnapshot, ending_records, opening_records, result_records,
 };
-use base::{Moment, WallTime, WeightVersion, plain};
+use base::{Moment, WallTime, WeightVersion, derive_value};
 use bytes::Bytes;
 
 use crate::submissions::{
@@ -24,7 +24,7 @@
 /// The model has no clock: nothing in the copy that it checks depends on time.
 const NOW: Moment = Moment(0);
 
-plain! {
+derive_value! {
     /// What a node is about to do for the first work in its list.
     pub enum NodeTask {
         /// Reads what it needs to know.
@@ -37,7 +37,7 @@
             /// Offset that was decided on.
             offset: u64,
             /// What to append.
-            records: Vec<BookRecord>,
+            records: Vec<SubmissionRecord>,
         },
     }
 
@@ -45,12 +45,12 @@
     struct OpenRead {
         submission: &'static str,
         end: u64,
-        records: Vec<BookRecord>,
+        records: Vec<SubmissionRecord>,
     }
 
     /// A node.
     pub struct StoreNode {
-        pub(crate) copy: PartitionCopy,
+        pub(crate) copy: PartitionCache,
         pub(crate) work: VecDeque<NodeWork>,
         /// Submissions that callers ask this node for, at any time.
         callers: Vec<&'static str>,
@@ -84,7 +84,7 @@
     }
 
     /// Returns what is left to append.
-    fn records(&self, copy: &PartitionCopy) -> Option<Vec<BookRecord>> {
+    fn records(&self, copy: &PartitionCache) -> Option<Vec<SubmissionRecord>> {
         match self {
             Self::Open(submission) => opening_records(copy.book(), submission, &opened(submission)),
             Self::End(submission) => ending_records(copy.book(), submission),
@@ -98,7 +98,7 @@
     }
 }
 
-fn opened(submission: &str) -> Vec<BookRecord> {
+fn opened(submission: &str) -> Vec<SubmissionRecord> {
     let text = |text: &str| String::from(text);
     let items = (0..ITEMS).map(|index| SubmissionItem {
         id: format!("{submission}{index}"),
@@ -110,7 +110,7 @@
         shared_prompt: None,
         reward: None,
     });
-    let head = SubmissionHead {
+    let head = SubmissionMetadata {
         id: text(submission),
         customer: text("brewer"),
         host: text("h"),
@@ -124,15 +124,15 @@
     };
     let items = items.collect();
     vec![
-        BookRecord::Opened(head),
-        BookRecord::Items { submission: text(submission), first: 0, items },
+        SubmissionRecord::Opened(head),
+        SubmissionRecord::Items { submission: text(submission), first: 0, items },
     ]
 }
 
 impl StoreNode {
     pub(crate) fn new(work: Vec<NodeWork>, callers: Vec<&'static str>) -> Self {
         let task = NodeTask::Prepare { behind: false };
-        let copy = PartitionCopy::default();
+        let copy = PartitionCache::default();
         Self { copy, work: work.into(), callers, task, reads: Vec::new() }
     }
 
@@ -219,7 +219,7 @@
         let mut records = read.records;
         records.extend(log.newest(read.submission, |key| key.starts_with('r')));
         // A read that was overtaken is repeated.
-        node.copy.load(SubmissionRead {
+        node.copy.load(SubmissionSnapshot {
             submission: String::from(read.submission),
             sent_at: NOW,
             end: self.guards.read_end(&node.copy, read.end, log.end()),
@@ -281,5 +281,5 @@
     let end = log.end();
     let read_to = if matches!(step, SubmissionStep::ReadRecord(_)) { from + 1 } else { end };
     let records = log.read(from, read_to);
-    node.copy.read(LogPart { sent_at: NOW, from, read_to, end, records });
+    node.copy.read(LogBatch { sent_at: NOW, from, read_to, end, records });
 }
--- a/crates/model-check/src/submissions/store.rs
+++ b/crates/model-check/src/submissions/store.rs
@@ -6,17 +6,17 @@
     rc::Rc,
 };
 
-use ::submissions::{BookRecord, PartitionCopy};
-use base::plain;
+use ::submissions::{PartitionCache, SubmissionRecord};
+use base::derive_value;
 use protocol::{encode_book_record, submission_prefix};
 
 use crate::submissions::{ACCEPTED_ONCE, ENDED_STAYS, ONE_POSITION};
 
-plain! {
+derive_value! {
     /// A record with its key.
     pub(crate) struct KeyedRecord {
         pub(crate) key: String,
-        pub(crate) record: BookRecord,
+        pub(crate) record: SubmissionRecord,
     }
 
     /// An append that nobody waits for any more.
@@ -38,14 +38,14 @@
 impl Hash for KeyedRecord {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.key.hash(hasher);
-        if let BookRecord::Result { result, .. } = &self.record {
+        if let SubmissionRecord::Result { result, .. } = &self.record {
             result.item.hash(hasher);
         }
     }
 }
 
-impl From<BookRecord> for KeyedRecord {
-    fn from(record: BookRecord) -> Self {
+impl From<SubmissionRecord> for KeyedRecord {
+    fn from(record: SubmissionRecord) -> Self {
         Self { key: encode_book_record(&record).0, record }
     }
 }
@@ -85,7 +85,7 @@
     }
 
     /// Returns the records of offsets from `from` to before `to`.
-    pub(crate) fn read(&self, from: u64, to: u64) -> Vec<(u64, BookRecord)> {
+    pub(crate) fn read(&self, from: u64, to: u64) -> Vec<(u64, SubmissionRecord)> {
         let records = self.records[from as usize..to as usize].iter();
         (from..).zip(records.map(|stored| stored.record.clone())).collect()
     }
@@ -95,7 +95,7 @@
         &self,
         submission: &str,
         wanted: impl Fn(&str) -> bool,
-    ) -> Vec<BookRecord> {
+    ) -> Vec<SubmissionRecord> {
         let prefix = submission_prefix(submission);
         let mut newest = BTreeMap::new();
         for stored in &self.records {
@@ -112,11 +112,13 @@
         let mut positions: BTreeMap<&str, u32> = BTreeMap::new();
         for stored in &self.records {
             match &stored.record {
-                BookRecord::Opened(head) if !opened.insert(&head.id) => return Some(ACCEPTED_ONCE),
-                BookRecord::Ended { submission } => {
+                SubmissionRecord::Opened(head) if !opened.insert(&head.id) => {
+                    return Some(ACCEPTED_ONCE);
+                }
+                SubmissionRecord::Ended { submission } => {
                     ended.insert(submission);
                 }
-                BookRecord::Result { submission, position, result } => {
+                SubmissionRecord::Result { submission, position, result } => {
                     if ended.contains(submission) {
                         return Some(ENDED_STAYS);
                     }
@@ -134,15 +136,15 @@
 
     /// Tells whether a copy shows every record of its loaded submissions up to its offset, and no other
     /// result than the log at any position.
-    pub(crate) fn agrees_with(&self, copy: &PartitionCopy) -> bool {
+    pub(crate) fn agrees_with(&self, copy: &PartitionCache) -> bool {
         let known = copy.next().unwrap_or_default();
         (0..).zip(&self.records).all(|(offset, stored)| match &stored.record {
             // The last record of an acceptance. Before it the submission does not exist yet.
-            BookRecord::Items { submission, .. } => {
+            SubmissionRecord::Items { submission, .. } => {
                 let due = offset < known && copy.is_loaded(submission);
                 !due || copy.book().get(submission).is_some()
             }
-            BookRecord::Result { submission, position, result } => {
+            SubmissionRecord::Result { submission, position, result } => {
                 let state = copy.book().get(submission);
                 let shown = state.and_then(|state| state.results(*position).next());
                 match shown {
@@ -150,7 +152,7 @@
                     None => offset >= known || !copy.is_loaded(submission),
                 }
             }
-            BookRecord::Ended { submission } => {
+            SubmissionRecord::Ended { submission } => {
                 let state = copy.book().get(submission);
                 let shown = state.is_some_and(submissions::SubmissionState::is_ended);
                 shown || offset >= known || !copy.is_loaded(submission)
@@ -161,7 +163,7 @@
 
     pub(crate) fn describe(&self) -> String {
         let keys = self.records.iter().map(|stored| match &stored.record {
-            BookRecord::Result { result, .. } => format!("{}={}", stored.key, result.item),
+            SubmissionRecord::Result { result, .. } => format!("{}={}", stored.key, result.item),
             _ => stored.key.clone(),
         });
         let keys: Vec<String> = keys.collect();
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -1,14 +1,14 @@
 //! Specification of usage windows: several processes, the stream `usage` and the platform's report
 //! interface.
 //!
-//! Every process holds a real [`LeaseKeeper`], [`UsageLedger`], [`ReportDesk`], [`PendingBatches`]
+//! Every process holds a real [`LeaseManager`], [`UsageLedger`], [`WindowReporter`], [`PendingBatches`]
 //! and [`ReplicaStore`]. Lease records share the stream with batches, closes, reports and
 //! snapshots. Running processes do all due work before time moves on, in the order of their
 //! numbers, as in [`crate::authority`]; other orders need a pause. The log shows repeats of a record
 //! to the ledger, which is stricter than the daemon's follower.
 //!
-//! [`LeaseKeeper`]: authority::LeaseKeeper
-//! [`ReportDesk`]: ::usage::ReportDesk
+//! [`LeaseManager`]: authority::LeaseKeeper
+//! [`WindowReporter`]: ::usage::ReportDesk
 //! [`PendingBatches`]: ::usage::PendingBatches
 //! [`ReplicaStore`]: ::usage::ReplicaStore
 
@@ -21,8 +21,8 @@
 };
 
 use ::usage::{UsageBatch, UsageLedger, UsageRecord, WindowNumber, WindowReport};
-use authority::{AuthorityRecord, FencingSupport, LeaseKeeper, LeaseSettings};
-use base::{FencingNumber, LogOffset, Moment, Span, key, plain};
+use authority::{AuthorityRecord, FencingSupport, LeaseManager, LeaseSettings};
+use base::{FencingToken, LogOffset, Moment, Span, derive_copy, derive_value};
 
 use crate::search::Specification;
 pub use crate::usage::{
@@ -41,7 +41,7 @@
 /// A report of an old fencing number was accepted after one of a newer number.
 pub const FENCED_REPORTS: &str = "no report of an old fencing number is accepted after a newer one";
 
-key! {
+derive_copy! {
     /// Sizes of a model. Times are in units of one microsecond, which stand for any length.
     pub struct UsageBounds {
         /// Time at which the model ends.
@@ -113,7 +113,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A record of the stream.
     pub enum UsageStreamRecord {
         /// A lease record of the scope `usage`.
@@ -144,7 +144,7 @@
     }
 
     /// Returns the fencing number that the ledger takes as valid at the present position.
-    fn valid_claim(&self, _now: Moment, keeper: &LeaseKeeper) -> Option<FencingNumber> {
+    fn valid_claim(&self, _now: Moment, keeper: &LeaseManager) -> Option<FencingToken> {
         keeper.claim_in_force()
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Tells whether the platform takes a report with this number.
-    fn accepts(&self, sink: &ReportSink, fencing: FencingNumber) -> bool {
+    fn accepts(&self, sink: &ReportSink, fencing: FencingToken) -> bool {
         sink.support == FencingSupport::Ignored || fencing >= sink.highest
     }
 }
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -6,12 +6,12 @@
 };
 
 use ::usage::{
-    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, ReportDesk,
-    UsageAmount, UsageBatch, UsageFigures, UsageLedger, UsageRecord, WindowClose, WindowNumber,
-    WindowReport,
+    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount,
+    UsageBatch, UsageByCustomer, UsageLedger, UsageRecord, WindowClose, WindowNumber, WindowReport,
+    WindowReporter,
 };
-use authority::{Candidacy, LeaseAction, LeaseKeeper, LeaseSettings, Scope};
-use base::{Incarnation, LogOffset, Moment, RecordId, Span, key};
+use authority::{LeaseAction, LeaseManager, LeaseRole, LeaseScope, LeaseSettings};
+use base::{Incarnation, LogOffset, Moment, RecordId, Span, derive_copy};
 
 use super::{UsageGuards, UsageModel, UsageState, UsageStep, UsageStreamRecord, WireReport};
 
@@ -26,7 +26,7 @@
 
 const REPLICA_CAPACITY: usize = 2;
 
-key! {
+derive_copy! {
     pub(crate) enum Activity {
         Running,
         Paused,
@@ -42,10 +42,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageProcess {
     /// The real keeper.
-    pub keeper: LeaseKeeper,
+    pub keeper: LeaseManager,
     /// The real ledger.
     pub ledger: Rc<UsageLedger>,
-    pub(crate) reports: ReportDesk,
+    pub(crate) reports: WindowReporter,
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) incarnation: Incarnation,
@@ -84,14 +84,15 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let mut keeper = LeaseKeeper::new(settings, Scope::Usage, incarnation, Candidacy::Standing);
+        let mut keeper =
+            LeaseManager::new(settings, LeaseScope::Usage, incarnation, LeaseRole::Standing);
         keeper.reading_from(now, first);
         let mut ledger = UsageLedger::new();
         ledger.note_retention(first);
         Self {
             keeper,
             ledger: Rc::new(ledger),
-            reports: ReportDesk::new(RETRY),
+            reports: WindowReporter::new(RETRY),
             pending: PendingBatches::new(RETRY),
             replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
             incarnation,
@@ -254,7 +255,7 @@
             let process = Rc::make_mut(&mut next.processes[index]);
             process.sequence += 1;
             let id = RecordId { writer: process.incarnation, sequence: process.sequence };
-            let mut figures = UsageFigures::default();
+            let mut figures = UsageByCustomer::default();
             let amount = UsageAmount { requests: 1, ..UsageAmount::default() };
             figures.0.insert(format!("customer {batches_left}"), amount);
             let batch = UsageBatch { id, figures };
--- a/crates/model-check/src/usage/sink.rs
+++ b/crates/model-check/src/usage/sink.rs
@@ -1,8 +1,8 @@
 //! The platform as a receiver of usage reports.
 
-use ::usage::{ReportAnswer, UsageFigures, WindowNumber, WindowReport};
+use ::usage::{ReportAnswer, UsageByCustomer, WindowNumber, WindowReport};
 use authority::FencingSupport;
-use base::{FencingNumber, Moment};
+use base::{FencingToken, Moment};
 
 use super::{FENCED_REPORTS, ONE_FIGURE, ONE_REPORTER, UsageGuards, UsageModel, UsageState};
 
@@ -20,9 +20,9 @@
     /// What it does with fencing numbers.
     pub support: FencingSupport,
     /// Highest fencing number of an accepted report.
-    pub highest: FencingNumber,
+    pub highest: FencingToken,
     /// Figures of each window that arrived first, also of refused reports.
-    pub(crate) arrived: Vec<(WindowNumber, UsageFigures)>,
+    pub(crate) arrived: Vec<(WindowNumber, UsageByCustomer)>,
     /// Accepted windows.
     pub(crate) accepted: Vec<WindowNumber>,
 }
@@ -41,7 +41,7 @@
 
 impl ReportSink {
     pub(crate) const fn new(support: FencingSupport) -> Self {
-        let highest = FencingNumber(0);
+        let highest = FencingToken(0);
         Self { support, highest, arrived: Vec::new(), accepted: Vec::new() }
     }
 
@@ -53,7 +53,8 @@
 
     /// Returns window numbers and requests that arrived, for traces.
     pub(crate) fn summary(&self) -> Vec<(u64, u64)> {
-        let requests = |figures: &UsageFigures| figures.0.values().map(|used| used.requests).sum();
+        let requests =
+            |figures: &UsageByCustomer| figures.0.values().map(|used| used.requests).sum();
         self.arrived.iter().map(|(window, figures)| (window.0, requests(figures))).collect()
     }
 }
--- a/crates/model-check/tests/authority.rs
+++ b/crates/model-check/tests/authority.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use authority::{
-    AuthorityRecord, DeskSettings, FencingSupport, OrderAnswer, OrderDesk, OrderId, OrderIntent,
-    OrderState, Scope,
+    AuthorityRecord, FencingSupport, LeaseScope, OrderId, OrderIntent, OrderManager, OrderResponse,
+    OrderSettings, OrderState,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span};
 use model_check::{
     Specification,
     authority::{
@@ -92,7 +92,7 @@
 struct UncheckedReceiver;
 
 impl GuardedSteps for UncheckedReceiver {
-    fn accepts(&self, _receiver: &OrderReceiver, _fencing: FencingNumber) -> bool {
+    fn accepts(&self, _receiver: &OrderReceiver, _fencing: FencingToken) -> bool {
         true
     }
 }
@@ -110,8 +110,8 @@
         false
     }
 
-    fn understand(&self, _answer: OrderAnswer) -> OrderAnswer {
-        OrderAnswer::NotFound
+    fn understand(&self, _answer: OrderResponse) -> OrderResponse {
+        OrderResponse::NotFound
     }
 }
 
@@ -124,13 +124,13 @@
 struct ForgetfulSuccessor;
 
 impl GuardedSteps for ForgetfulSuccessor {
-    fn take_over(&self, _desk: OrderDesk) -> OrderDesk {
-        let settings = DeskSettings {
+    fn take_over(&self, _desk: OrderManager) -> OrderManager {
+        let settings = OrderSettings {
             order_timeout: Span(1),
             ask_retry: Span(1),
             receiver: FencingSupport::Ignored,
         };
-        OrderDesk::new(settings, Scope::Fleet, Incarnation(99))
+        OrderManager::new(settings, LeaseScope::Fleet, Incarnation(99))
     }
 }
 
@@ -143,10 +143,10 @@
 struct HastyOutcome;
 
 impl GuardedSteps for HastyOutcome {
-    fn understand(&self, answer: OrderAnswer) -> OrderAnswer {
+    fn understand(&self, answer: OrderResponse) -> OrderResponse {
         match answer {
-            OrderAnswer::NotFound => {
-                OrderAnswer::State { state: OrderState::Refused, upstreams: Vec::new() }
+            OrderResponse::NotFound => {
+                OrderResponse::State { state: OrderState::Refused, upstreams: Vec::new() }
             }
             answer => answer,
         }
@@ -169,7 +169,7 @@
         now: Moment,
         process: &ProcessState,
         _id: OrderId,
-    ) -> Option<FencingNumber> {
+    ) -> Option<FencingToken> {
         process.keeper.held(now)
     }
 
@@ -192,7 +192,7 @@
         _now: Moment,
         process: &ProcessState,
         _id: OrderId,
-    ) -> Option<FencingNumber> {
+    ) -> Option<FencingToken> {
         process.keeper.claim_in_force()
     }
 }
@@ -233,7 +233,7 @@
             assert_eq!(broken, None, "seed {seed}, run {run}: {}", model.describe(&state));
             steps = model.steps(&state);
         }
-        takeovers += usize::from(state.receiver().highest > FencingNumber(0));
+        takeovers += usize::from(state.receiver().highest > FencingToken(0));
     }
     println!("seed {seed}, {bounds:?}: a successor gave orders in {takeovers} of 50 runs");
     assert!(takeovers > 0, "the schedules are too mild");
--- a/crates/model-check/tests/configuration.rs
+++ b/crates/model-check/tests/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use ::configuration::{ConfigHistory, ConfigOutcome, ConfigRecord, VersionedDocument};
+use ::configuration::{ConfigOutcome, ConfigRecord, ConfigRegistry, VersionedDocument};
 use base::LogOffset;
 use model_check::{
     Specification, check_invariants, check_noticed,
@@ -48,7 +48,7 @@
 
 impl ConfigGuards for AnyCopy {
     fn adopt(&self, history: &mut History, document: &VersionedDocument) {
-        *history = ConfigHistory::new(AcceptAll);
+        *history = ConfigRegistry::new(AcceptAll);
         history.adopt_peer(document);
     }
 }
@@ -111,7 +111,7 @@
         record: &ConfigRecord,
     ) -> ConfigOutcome {
         if let ConfigRecord::Carry(carry) = record {
-            *history = ConfigHistory::new(AcceptAll);
+            *history = ConfigRegistry::new(AcceptAll);
             history.note_retention(carry.snapshot.next);
         }
         history.apply(offset, record)
--- a/crates/model-check/tests/submissions.rs
+++ b/crates/model-check/tests/submissions.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use ::submissions::PartitionCopy;
+use ::submissions::PartitionCache;
 use model_check::{
     Specification, check_invariants, check_noticed,
     submissions::{
@@ -57,7 +57,7 @@
 struct PartlyLoaded;
 
 impl SubmissionGuards for PartlyLoaded {
-    fn append_offset(&self, copy: &PartitionCopy, submissions: &[&str]) -> Option<u64> {
+    fn append_offset(&self, copy: &PartitionCache, submissions: &[&str]) -> Option<u64> {
         let any = submissions.iter().any(|submission| copy.is_loaded(submission));
         copy.next().filter(|_| any)
     }
@@ -73,7 +73,7 @@
 struct Overtaken;
 
 impl SubmissionGuards for Overtaken {
-    fn read_end(&self, copy: &PartitionCopy, first_page: u64, _last_page: u64) -> u64 {
+    fn read_end(&self, copy: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
         copy.next().unwrap_or(first_page)
     }
 }
@@ -88,7 +88,7 @@
 struct LastPage;
 
 impl SubmissionGuards for LastPage {
-    fn read_end(&self, _copy: &PartitionCopy, _first_page: u64, last_page: u64) -> u64 {
+    fn read_end(&self, _copy: &PartitionCache, _first_page: u64, last_page: u64) -> u64 {
         last_page
     }
 }
--- a/crates/model-check/tests/usage.rs
+++ b/crates/model-check/tests/usage.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 
 use ::usage::{UsageBatch, UsageLedger, WindowReport};
-use authority::{FencingSupport, LeaseKeeper};
-use base::{FencingNumber, Incarnation, Moment, RecordId, Span};
+use authority::{FencingSupport, LeaseManager};
+use base::{FencingToken, Incarnation, Moment, RecordId, Span};
 use model_check::{
     Specification, check_invariants, check_noticed,
     usage::{
@@ -97,7 +97,7 @@
 struct OwnLeaseOnly;
 
 impl UsageGuards for OwnLeaseOnly {
-    fn valid_claim(&self, now: Moment, keeper: &LeaseKeeper) -> Option<FencingNumber> {
+    fn valid_claim(&self, now: Moment, keeper: &LeaseManager) -> Option<FencingToken> {
         keeper.held(now)
     }
 }
@@ -111,7 +111,7 @@
 struct UncheckedPlatform;
 
 impl UsageGuards for UncheckedPlatform {
-    fn accepts(&self, _sink: &ReportSink, _fencing: FencingNumber) -> bool {
+    fn accepts(&self, _sink: &ReportSink, _fencing: FencingToken) -> bool {
         true
     }
 }
--- a/crates/process-tests/src/call.rs
+++ b/crates/process-tests/src/call.rs
@@ -4,7 +4,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use serde_json::Value;
 
 /// A whole answer.
@@ -25,7 +25,7 @@
     headers: &[(&'static str, String)],
     body: &str,
 ) -> CallAnswer {
-    let mut outgoing = Outgoing::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
+    let mut outgoing = HttpRequest::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
         outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
@@ -39,7 +39,7 @@
     path: &str,
     headers: &[(&'static str, String)],
 ) -> CallAnswer {
-    let mut outgoing = Outgoing::get(address, path);
+    let mut outgoing = HttpRequest::get(address, path);
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
         outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
@@ -49,17 +49,17 @@
 
 /// Reads JSON, or `None` when no answer came.
 pub async fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = send(Outgoing::get(address, path)).await;
+    let answer = send(HttpRequest::get(address, path)).await;
     serde_json::from_str(&answer.body).ok()
 }
 
 /// Posts JSON and returns the status.
 pub async fn post_json(address: SocketAddr, path: &str, value: &Value) -> u16 {
     let body = Bytes::from(value.to_string());
-    send(Outgoing::post(address, path, body)).await.status
+    send(HttpRequest::post(address, path, body)).await.status
 }
 
-async fn send(outgoing: Outgoing) -> CallAnswer {
+async fn send(outgoing: HttpRequest) -> CallAnswer {
     match HttpClient::new(Span::from_secs(5)).stream_all(outgoing, LIMIT).await {
         Ok((status, body)) => CallAnswer { status, body: String::from_utf8_lossy(&body).into() },
         Err(error) => CallAnswer { status: 0, body: error.to_string() },
--- a/crates/process-tests/tests/authority.rs
+++ b/crates/process-tests/tests/authority.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use authority::{AuthorityRecord, OrderId, OrderIntent, OrderKind, PriceClass, Scope};
-use base::{FencingNumber, Incarnation, LogOffset, RecordId, Span};
+use authority::{AuthorityRecord, LeaseScope, OrderId, OrderIntent, OrderKind, PriceClass};
+use base::{FencingToken, Incarnation, LogOffset, RecordId, Span};
 use clients::{HttpClient, NewRecord, PlatformClient, PlatformLog as _, PlatformTimeouts};
 use process_tests::{
     CallAnswer, ORDERED_SERVICE, ORDERED_ZONE, TestFleet, call, caller_key, edit_pools, held_lease,
@@ -27,10 +27,10 @@
 async fn append_intent(fleet: &TestFleet, fencing: u64) {
     let record = AuthorityRecord::Intent(OrderIntent {
         id: INHERITED,
-        scope: Scope::Zone(String::from(ORDERED_ZONE)),
+        scope: LeaseScope::Zone(String::from(ORDERED_ZONE)),
         service: String::from(ORDERED_SERVICE),
         kind: OrderKind::Start { count: 1, price: PriceClass::Regular },
-        fencing: FencingNumber(fencing),
+        fencing: FencingToken(fencing),
     });
     let id = RecordId { writer: INHERITED.issuer, sequence: 1 };
     let data = encode_record(id, &record).into();
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -14,15 +14,15 @@
         encode_message, encode_record,
     },
     peer::{
-        PeerMessage, WireBatchHold, WireBeat, WireConfigCopy, WireHeartbeat, WireIdentity,
-        WireIsolation, WireLimitAsk, WireLimitGrant, WireNotice, WireSampleCopy, WireSuspicion,
+        PeerMessage, WireBatchHold, WireConfigCopy, WireHeartbeat, WireIdentity, WireIsolation,
+        WireLimitAsk, WireLimitGrant, WireLiveness, WirePeerUpdate, WireSampleCopy, WireSuspicion,
         WireUpstream, WireZoneSummary,
     },
     record::{
-        EXPIRING_PREFIX, OPEN_PREFIX, OpenedStep, SampleCarry, SampleEntry, UsageEntry, UsageKey,
-        WireAuthority, WireBatch, WireClaim, WireConfig, WireDemand, WireSample, WireSnapshot,
-        WireUsage, WireVerdict, decode_book_record, decode_usage_record, encode_book_record,
-        encode_usage_report, encode_usage_totals, submission_prefix, usage_report_key,
-        usage_totals_key,
+        EXPIRING_PREFIX, OPEN_PREFIX, SampleEntry, SampleSnapshot, StepPrompts, UsageEntry,
+        UsageKey, WireAuthority, WireBatch, WireClaim, WireConfig, WireConviction, WireDemand,
+        WireSample, WireSnapshot, WireUsage, decode_book_record, decode_usage_record,
+        encode_book_record, encode_usage_report, encode_usage_totals, submission_prefix,
+        usage_report_key, usage_totals_key,
     },
 };
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -3,13 +3,13 @@
 use base::{Incarnation, Span, WallTime, WeightVersion};
 use delivery::Fingerprint;
 use membership::{
-    Heartbeat, LeavingCause, LoadReport, NoticeState, PeerBeat, PeerNotice, UpstreamEntry,
+    Heartbeat, LeavingCause, LivenessMessage, LoadReport, LoadUpdate, PeerUpdate, ReportedState,
     UpstreamPhase, VmIdentity, ZoneSummary,
 };
 
 use crate::{
     codec::{WireId, wire},
-    record::{WireBatch, WireSnapshot, WireVerdict},
+    record::{WireBatch, WireConviction, WireSnapshot},
 };
 
 wire! {
@@ -40,7 +40,7 @@
             /// Suspected fingerprints.
             notes: Vec<WireSuspicion>,
             /// Convictions.
-            verdicts: Vec<WireVerdict>,
+            verdicts: Vec<WireConviction>,
             /// Upstreams kept free from now on.
             reserved: Vec<WireIsolation>,
             /// Upstreams no longer kept free.
@@ -55,7 +55,7 @@
     /// Sign of life inside a zone.
     pub struct WireHeartbeat {
         /// Liveness.
-        pub beat: WireBeat,
+        pub beat: WireLiveness,
         /// Configuration in force at the sender.
         pub config_version: u64,
         /// Time since the sender heard the platform or another zone.
@@ -67,7 +67,7 @@
     /// Exchange between the delegates of two zones.
     pub struct WireZoneSummary {
         /// Liveness.
-        pub beat: WireBeat,
+        pub beat: WireLiveness,
         /// Configuration in force at the sender.
         pub config_version: u64,
         /// States of the zone's upstreams.
@@ -75,7 +75,7 @@
     }
 
     /// Liveness part of a message.
-    pub struct WireBeat {
+    pub struct WireLiveness {
         /// The sender.
         pub from: WireIdentity,
         /// Number of the heartbeat.
@@ -83,7 +83,7 @@
         /// Number of accusations that the sender has refuted.
         pub refutation: u64,
         /// Changes that the receiver should know.
-        pub notices: Vec<WireNotice>,
+        pub notices: Vec<WirePeerUpdate>,
     }
 
     /// A process and its VM.
@@ -101,7 +101,7 @@
     }
 
     /// What a process knows about a VM.
-    pub struct WireNotice {
+    pub struct WirePeerUpdate {
         /// The VM.
         pub vm: WireIdentity,
         /// Number of accusations that the process has refuted.
@@ -226,7 +226,7 @@
             beat: wire.beat.into(),
             config_version: wire.config_version,
             contact_age: Span(wire.contact_age_us),
-            upstreams: wire.upstreams.into_iter().map(UpstreamEntry::from).collect(),
+            upstreams: wire.upstreams.into_iter().map(LoadUpdate::from).collect(),
         }
     }
 }
@@ -246,21 +246,21 @@
         Self {
             beat: wire.beat.into(),
             config_version: wire.config_version,
-            upstreams: wire.upstreams.into_iter().map(UpstreamEntry::from).collect(),
+            upstreams: wire.upstreams.into_iter().map(LoadUpdate::from).collect(),
         }
     }
 }
 
-impl From<&PeerBeat> for WireBeat {
-    fn from(beat: &PeerBeat) -> Self {
-        let notices = beat.notices.iter().map(|notice| WireNotice {
+impl From<&LivenessMessage> for WireLiveness {
+    fn from(beat: &LivenessMessage) -> Self {
+        let notices = beat.notices.iter().map(|notice| WirePeerUpdate {
             vm: (&notice.vm).into(),
             refutation: notice.refutation,
             age_us: notice.age.0,
             state: match notice.state {
-                NoticeState::Live => 0,
-                NoticeState::Suspect => 1,
-                NoticeState::Gone => 2,
+                ReportedState::Live => 0,
+                ReportedState::Suspect => 1,
+                ReportedState::Gone => 2,
             },
         });
         Self {
@@ -272,16 +272,16 @@
     }
 }
 
-impl From<WireBeat> for PeerBeat {
-    fn from(wire: WireBeat) -> Self {
-        let notices = wire.notices.into_iter().map(|notice| PeerNotice {
+impl From<WireLiveness> for LivenessMessage {
+    fn from(wire: WireLiveness) -> Self {
+        let notices = wire.notices.into_iter().map(|notice| PeerUpdate {
             vm: notice.vm.into(),
             refutation: notice.refutation,
             age: Span(notice.age_us),
             state: match notice.state {
-                0 => NoticeState::Live,
-                1 => NoticeState::Suspect,
-                _ => NoticeState::Gone,
+                0 => ReportedState::Live,
+                1 => ReportedState::Suspect,
+                _ => ReportedState::Gone,
             },
         });
         Self {
@@ -317,8 +317,8 @@
     }
 }
 
-impl From<&UpstreamEntry> for WireUpstream {
-    fn from(entry: &UpstreamEntry) -> Self {
+impl From<&LoadUpdate> for WireUpstream {
+    fn from(entry: &LoadUpdate) -> Self {
         Self {
             upstream: entry.upstream.clone(),
             watcher: entry.watcher.0,
@@ -339,7 +339,7 @@
     }
 }
 
-impl From<WireUpstream> for UpstreamEntry {
+impl From<WireUpstream> for LoadUpdate {
     fn from(wire: WireUpstream) -> Self {
         let phase = match wire.phase {
             0 => UpstreamPhase::Serving,
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -11,10 +11,10 @@
 
 pub use self::{
     authority::WireAuthority,
-    claims::{WireClaim, WireVerdict},
+    claims::{WireClaim, WireConviction},
     config::{WireConfig, WireSnapshot},
     demand::WireDemand,
-    samples::{OpenedStep, SampleCarry, SampleEntry, WireSample},
+    samples::{SampleEntry, SampleSnapshot, StepPrompts, WireSample},
     submissions::{
         EXPIRING_PREFIX, OPEN_PREFIX, decode_book_record, encode_book_record, submission_prefix,
     },
--- a/crates/protocol/src/record/authority.rs
+++ b/crates/protocol/src/record/authority.rs
@@ -4,10 +4,10 @@
 #![allow(missing_docs)]
 
 use authority::{
-    AuthorityRecord, LeaseClaim, LeaseRelease, LeaseRenewal, OrderId, OrderIntent, OrderKind,
-    OrderOutcome, OrderState, PriceClass, Scope,
+    AuthorityRecord, LeaseClaim, LeaseRelease, LeaseRenewal, LeaseScope, OrderId, OrderIntent,
+    OrderKind, OrderOutcome, OrderState, PriceClass,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Span};
+use base::{FencingToken, Incarnation, LogOffset, Span};
 
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
@@ -16,20 +16,20 @@
     pub enum WireAuthority {
         /// A process asks for the lease. Times are in microseconds.
         Claim {
-            scope: WireScope,
+            scope: WireLeaseScope,
             holder: u64,
             attempt: u32,
             term_us: u64,
             clear_from: u64,
         },
         /// The holder extends its lease.
-        Renewal { scope: WireScope, holder: u64, attempt: u32, claim: u64, term_us: u64 },
+        Renewal { scope: WireLeaseScope, holder: u64, attempt: u32, claim: u64, term_us: u64 },
         /// The holder gives its lease up.
-        Release { scope: WireScope, holder: u64, claim: u64 },
+        Release { scope: WireLeaseScope, holder: u64, claim: u64 },
         /// The holder announces an order.
         Intent {
             id: WireId,
-            scope: WireScope,
+            scope: WireLeaseScope,
             service: String,
             kind: WireOrderKind,
             /// Price class of the upstreams to start. Records without it are of regular ones.
@@ -40,7 +40,7 @@
         /// The holder states what became of an order.
         Outcome {
             id: WireId,
-            scope: WireScope,
+            scope: WireLeaseScope,
             fencing: u64,
             state: WireOrderState,
             upstreams: Vec<String>,
@@ -48,7 +48,7 @@
     }
 
     /// Scope of a lease.
-    pub enum WireScope {
+    pub enum WireLeaseScope {
         Zone(String),
         Usage,
         Fleet,
@@ -93,14 +93,14 @@
                     scope: scope.into(),
                     holder: Incarnation(holder),
                     attempt,
-                    claim: FencingNumber(claim),
+                    claim: FencingToken(claim),
                     term: Span(term_us),
                 })
             }
             WireAuthority::Release { scope, holder, claim } => Self::Release(LeaseRelease {
                 scope: scope.into(),
                 holder: Incarnation(holder),
-                claim: FencingNumber(claim),
+                claim: FencingToken(claim),
             }),
             WireAuthority::Intent { id, scope, service, kind, price, fencing } => {
                 Self::Intent(OrderIntent {
@@ -108,14 +108,14 @@
                     scope: scope.into(),
                     service,
                     kind: order_kind(kind, price)?,
-                    fencing: FencingNumber(fencing),
+                    fencing: FencingToken(fencing),
                 })
             }
             WireAuthority::Outcome { id, scope, fencing, state, upstreams } => {
                 Self::Outcome(OrderOutcome {
                     id: order_id(id),
                     scope: scope.into(),
-                    fencing: FencingNumber(fencing),
+                    fencing: FencingToken(fencing),
                     state: state.into(),
                     upstreams,
                 })
@@ -165,22 +165,22 @@
     }
 }
 
-impl From<WireScope> for Scope {
-    fn from(scope: WireScope) -> Self {
+impl From<WireLeaseScope> for LeaseScope {
+    fn from(scope: WireLeaseScope) -> Self {
         match scope {
-            WireScope::Zone(name) => Self::Zone(name),
-            WireScope::Usage => Self::Usage,
-            WireScope::Fleet => Self::Fleet,
+            WireLeaseScope::Zone(name) => Self::Zone(name),
+            WireLeaseScope::Usage => Self::Usage,
+            WireLeaseScope::Fleet => Self::Fleet,
         }
     }
 }
 
-impl From<&Scope> for WireScope {
-    fn from(scope: &Scope) -> Self {
+impl From<&LeaseScope> for WireLeaseScope {
+    fn from(scope: &LeaseScope) -> Self {
         match scope {
-            Scope::Zone(name) => Self::Zone(name.clone()),
-            Scope::Usage => Self::Usage,
-            Scope::Fleet => Self::Fleet,
+            LeaseScope::Zone(name) => Self::Zone(name.clone()),
+            LeaseScope::Usage => Self::Usage,
+            LeaseScope::Fleet => Self::Fleet,
         }
     }
 }
--- a/crates/protocol/src/record/claims.rs
+++ b/crates/protocol/src/record/claims.rs
@@ -5,7 +5,7 @@
 
 use base::{Incarnation, WallTime};
 use delivery::{
-    ClaimDone, ClaimEvent, ClaimKey, ClaimOutcome, ClaimTaken, Fingerprint, RequestId, Verdict,
+    ClaimDone, ClaimEvent, ClaimKey, ClaimOutcome, ClaimTaken, Conviction, Fingerprint, RequestId,
 };
 
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
@@ -34,7 +34,7 @@
 
     /// A record of the stream `verdicts`.
     #[derive(Copy)]
-    pub struct WireVerdict {
+    pub struct WireConviction {
         /// The blocked fingerprint.
         pub fingerprint: [u8; 16],
         /// When the block ends, in UTC milliseconds.
@@ -89,22 +89,22 @@
     }
 }
 
-impl StreamRecord for Verdict {
-    type Wire = WireVerdict;
+impl StreamRecord for Conviction {
+    type Wire = WireConviction;
 
-    fn from_wire(wire: WireVerdict) -> Result<Self, MalformedMessage> {
+    fn from_wire(wire: WireConviction) -> Result<Self, MalformedMessage> {
         Ok(wire.into())
     }
 }
 
-impl From<&Verdict> for WireVerdict {
-    fn from(verdict: &Verdict) -> Self {
+impl From<&Conviction> for WireConviction {
+    fn from(verdict: &Conviction) -> Self {
         Self { fingerprint: verdict.fingerprint.0, expires_at_ms: verdict.expires_at.0 }
     }
 }
 
-impl From<WireVerdict> for Verdict {
-    fn from(wire: WireVerdict) -> Self {
+impl From<WireConviction> for Conviction {
+    fn from(wire: WireConviction) -> Self {
         Self {
             fingerprint: Fingerprint(wire.fingerprint),
             expires_at: WallTime(wire.expires_at_ms),
--- a/crates/protocol/src/record/config.rs
+++ b/crates/protocol/src/record/config.rs
@@ -5,7 +5,7 @@
 
 use base::{LogOffset, RecordId};
 use configuration::{
-    ConfigCarry, ConfigEdit, ConfigPromote, ConfigRecord, ConfigSnapshot, ConfigVersion,
+    ConfigEdit, ConfigPromote, ConfigRecord, ConfigSnapshot, ConfigSnapshotRecord, ConfigVersion,
     EnvironmentName, VersionedDocument,
 };
 
@@ -64,7 +64,9 @@
                     target_base: ConfigVersion(target_base),
                 })
             }
-            WireConfig::Carry(snapshot) => Self::Carry(ConfigCarry { snapshot: snapshot.into() }),
+            WireConfig::Carry(snapshot) => {
+                Self::Carry(ConfigSnapshotRecord { snapshot: snapshot.into() })
+            }
         })
     }
 }
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -3,15 +3,15 @@
 // Wire fields mirror the fields of the domain types, which document them.
 #![allow(missing_docs)]
 
-mod carry;
+mod snapshot;
 
 use base::{Incarnation, RecordId, WeightVersion};
 use rollout::{
     DeliveryNumber, SampleBound, SampleFilled, SampleRecord, SampleVoided, Score, SlotKey,
-    StepShape, TrainerCarry, TrainerId, TrainerStated, VersionSpan, VoidReason,
+    StepShape, TrainerId, TrainerSnapshot, TrainerStated, VersionSpan, VoidReason,
 };
 
-use self::carry::WireCarry;
+use self::snapshot::WireTrainerSnapshot;
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
 /// Largest number of slots in a step. A larger one is refused before memory is spent on it.
@@ -37,7 +37,7 @@
         /// A sample that is not delivered.
         Voided { slot: WireSlot, sample: WireId, reason: WireVoidReason },
         /// Everything that the book knows of one trainer.
-        Carry(WireCarry),
+        Carry(WireTrainerSnapshot),
     }
 
     pub struct WireFilled {
@@ -72,7 +72,7 @@
     }
 
     /// What the nodes need to generate the samples of a step.
-    pub struct OpenedStep {
+    pub struct StepPrompts {
         /// One prompt for each group.
         pub prompts: Vec<String>,
         /// Bound on the tokens of a sample.
@@ -88,19 +88,19 @@
         /// The record.
         record: SampleRecord,
         /// Present when the record is a statement that opens a step.
-        opened: Option<OpenedStep>,
+        opened: Option<StepPrompts>,
     },
     /// A snapshot of one trainer.
-    Carry(Box<SampleCarry>),
+    Carry(Box<SampleSnapshot>),
 }
 
 /// Snapshot of one trainer with the prompts of its steps.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SampleCarry {
+pub struct SampleSnapshot {
     /// The snapshot.
-    pub carry: TrainerCarry,
+    pub carry: TrainerSnapshot,
     /// Prompts of the steps that are not completed, by number of the step.
-    pub opened: Vec<(u64, OpenedStep)>,
+    pub opened: Vec<(u64, StepPrompts)>,
 }
 
 impl StreamRecord for SampleEntry {
@@ -128,7 +128,7 @@
                     opened: shape,
                 };
                 let opened = opened
-                    .map(|step| OpenedStep { prompts: step.prompts, max_tokens: step.max_tokens });
+                    .map(|step| StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens });
                 return Ok(Self::Record { record: SampleRecord::Stated(stated), opened });
             }
             WireSample::Filled(filled) => SampleRecord::Filled(filled.into()),
--- a/crates/protocol/src/record/samples/carry.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -5,15 +5,15 @@
 
 use base::{LogOffset, WeightVersion};
 use rollout::{
-    Binding, BookSlot, BookStep, DeliveryNumber, Offer, Score, SlotState, StepShape, TrainerBook,
-    TrainerCarry, TrainerId,
+    Binding, DeliveryNumber, DeliveryRange, Score, SlotState, StepShape, StepSlot, StepState,
+    TrainerId, TrainerSnapshot, TrainerState,
 };
 
-use super::{MAX_SLOTS, OpenedStep, SampleCarry, WireFilled, WireVoidReason};
+use super::{MAX_SLOTS, SampleSnapshot, StepPrompts, WireFilled, WireVoidReason};
 use crate::codec::{MalformedMessage, wire};
 
 wire! {
-    pub struct WireCarry {
+    pub struct WireTrainerSnapshot {
         until: u64,
         trainer: u64,
         name: String,
@@ -25,7 +25,7 @@
         offer: Option<(u64, u64, u64)>,
         last_number: u64,
         bindings: Vec<WireBinding>,
-        steps: Vec<WireBookStep>,
+        steps: Vec<WireStepState>,
         retired_below: u64,
         retired_until: u64,
     }
@@ -39,18 +39,18 @@
         pending: bool,
     }
 
-    struct WireBookStep {
+    struct WireStepState {
         step: u64,
         groups: u32,
         samples_per_group: u32,
-        slots: Vec<WireBookSlot>,
+        slots: Vec<WireStepSlot>,
         completed: bool,
         max_tokens: u32,
         /// Empty for a completed step, of which nothing is generated any more.
         prompts: Vec<String>,
     }
 
-    struct WireBookSlot {
+    struct WireStepSlot {
         generation: u32,
         state: WireSlotState,
         replaces: Option<u64>,
@@ -63,8 +63,8 @@
     }
 }
 
-impl From<&SampleCarry> for WireCarry {
-    fn from(carry: &SampleCarry) -> Self {
+impl From<&SampleSnapshot> for WireTrainerSnapshot {
+    fn from(carry: &SampleSnapshot) -> Self {
         let book = &carry.carry.book;
         let bindings = book.bindings.iter().map(|(number, binding)| WireBinding {
             number: number.0,
@@ -77,11 +77,11 @@
         let steps = book.steps.values().map(|step| {
             let opened = carry.opened.iter().find(|(number, _)| *number == step.shape.step);
             let opened = opened.map(|(_, opened)| opened);
-            WireBookStep {
+            WireStepState {
                 step: step.shape.step,
                 groups: step.shape.groups,
                 samples_per_group: step.shape.samples_per_group,
-                slots: step.slots.iter().map(WireBookSlot::from).collect(),
+                slots: step.slots.iter().map(WireStepSlot::from).collect(),
                 completed: step.completed,
                 max_tokens: opened.map_or(0, |opened| opened.max_tokens),
                 prompts: opened.map_or_else(Vec::new, |opened| opened.prompts.clone()),
@@ -106,10 +106,10 @@
     }
 }
 
-impl TryFrom<WireCarry> for SampleCarry {
+impl TryFrom<WireTrainerSnapshot> for SampleSnapshot {
     type Error = MalformedMessage;
 
-    fn try_from(wire: WireCarry) -> Result<Self, MalformedMessage> {
+    fn try_from(wire: WireTrainerSnapshot) -> Result<Self, MalformedMessage> {
         let bindings = wire.bindings.into_iter().map(|binding| {
             let number = DeliveryNumber(binding.number);
             let binding = Binding {
@@ -131,7 +131,7 @@
                 return Err(MalformedMessage::new(reason));
             }
             if !step.prompts.is_empty() {
-                let prompts = OpenedStep { prompts: step.prompts, max_tokens: step.max_tokens };
+                let prompts = StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens };
                 opened.push((step.step, prompts));
             }
             let shape = StepShape {
@@ -139,15 +139,15 @@
                 groups: step.groups,
                 samples_per_group: step.samples_per_group,
             };
-            let slots = step.slots.into_iter().map(BookSlot::from).collect();
-            steps.insert(step.step, BookStep { shape, slots, completed: step.completed });
+            let slots = step.slots.into_iter().map(StepSlot::from).collect();
+            steps.insert(step.step, StepState { shape, slots, completed: step.completed });
         }
-        let offer = wire.offer.map(|(statement, after, until)| Offer {
+        let offer = wire.offer.map(|(statement, after, until)| DeliveryRange {
             statement,
             after: DeliveryNumber(after),
             until: DeliveryNumber(until),
         });
-        let book = TrainerBook {
+        let book = TrainerState {
             id: TrainerId(wire.trainer),
             name: wire.name,
             version: WeightVersion(wire.version),
@@ -162,12 +162,12 @@
             retired_below: wire.retired_below,
             retired_until: DeliveryNumber(wire.retired_until),
         };
-        Ok(Self { carry: TrainerCarry { until: LogOffset(wire.until), book }, opened })
+        Ok(Self { carry: TrainerSnapshot { until: LogOffset(wire.until), book }, opened })
     }
 }
 
-impl From<&BookSlot> for WireBookSlot {
-    fn from(slot: &BookSlot) -> Self {
+impl From<&StepSlot> for WireStepSlot {
+    fn from(slot: &StepSlot) -> Self {
         let state = match &slot.state {
             SlotState::Open => WireSlotState::Open,
             SlotState::Filled(filled) => WireSlotState::Filled(filled.into()),
@@ -178,8 +178,8 @@
     }
 }
 
-impl From<WireBookSlot> for BookSlot {
-    fn from(wire: WireBookSlot) -> Self {
+impl From<WireStepSlot> for StepSlot {
+    fn from(wire: WireStepSlot) -> Self {
         let state = match wire.state {
             WireSlotState::Open => SlotState::Open,
             WireSlotState::Filled(filled) => SlotState::Filled(filled.into()),
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -10,12 +10,14 @@
 
 use base::{WallTime, WeightVersion};
 use bytes::Bytes;
-use submissions::{BookRecord, ItemResult, ItemState, RewardCall, SubmissionHead, SubmissionItem};
+use submissions::{
+    ItemResult, ItemState, RewardCall, SubmissionItem, SubmissionMetadata, SubmissionRecord,
+};
 
 use crate::codec::{MalformedMessage, decode_message, encode_message, wire};
 
 wire! {
-    pub enum WireBookRecord {
+    pub enum WireSubmissionRecord {
         Opened {
             customer: String,
             host: String,
@@ -73,10 +75,10 @@
 
 /// Key and value of a record. Without a value the key is dropped.
 #[must_use]
-pub fn encode_book_record(record: &BookRecord) -> (String, Option<Vec<u8>>) {
+pub fn encode_book_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
-        BookRecord::Opened(head) => {
-            let value = WireBookRecord::Opened {
+        SubmissionRecord::Opened(head) => {
+            let value = WireSubmissionRecord::Opened {
                 customer: head.customer.clone(),
                 host: head.host.clone(),
                 path: head.path.clone(),
@@ -89,27 +91,30 @@
             };
             (format!("s/{}/o", head.id), Some(encode_message(&value)))
         }
-        BookRecord::Items { submission, first, items } => {
+        SubmissionRecord::Items { submission, first, items } => {
             let items = items.iter().map(WireItem::from).collect();
-            let value = encode_message(&WireBookRecord::Items { items });
+            let value = encode_message(&WireSubmissionRecord::Items { items });
             (format!("s/{submission}/i/{first}"), Some(value))
         }
-        BookRecord::Result { submission, position, result } => {
-            let value = encode_message(&WireBookRecord::from(result));
+        SubmissionRecord::Result { submission, position, result } => {
+            let value = encode_message(&WireSubmissionRecord::from(result));
             (format!("s/{submission}/r/{position}"), Some(value))
         }
-        BookRecord::Ended { submission } => {
-            (format!("s/{submission}/e"), Some(encode_message(&WireBookRecord::Ended)))
+        SubmissionRecord::Ended { submission } => {
+            (format!("s/{submission}/e"), Some(encode_message(&WireSubmissionRecord::Ended)))
         }
-        BookRecord::Marked { submission } => {
-            (format!("{OPEN_PREFIX}{submission}"), Some(encode_message(&WireBookRecord::Marked)))
-        }
-        BookRecord::Expiring { submission, accepted_at } => {
-            let value = WireBookRecord::Expiring { accepted_ms: accepted_at.0 };
+        SubmissionRecord::Marked { submission } => (
+            format!("{OPEN_PREFIX}{submission}"),
+            Some(encode_message(&WireSubmissionRecord::Marked)),
+        ),
+        SubmissionRecord::Expiring { submission, accepted_at } => {
+            let value = WireSubmissionRecord::Expiring { accepted_ms: accepted_at.0 };
             (format!("{EXPIRING_PREFIX}{submission}"), Some(encode_message(&value)))
         }
-        BookRecord::Dropped { submission } => (format!("{EXPIRING_PREFIX}{submission}"), None),
-        BookRecord::Unmarked { submission } => (format!("{OPEN_PREFIX}{submission}"), None),
+        SubmissionRecord::Dropped { submission } => {
+            (format!("{EXPIRING_PREFIX}{submission}"), None)
+        }
+        SubmissionRecord::Unmarked { submission } => (format!("{OPEN_PREFIX}{submission}"), None),
     }
 }
 
@@ -122,22 +127,22 @@
 pub fn decode_book_record(
     key: &str,
     value: Option<&[u8]>,
-) -> Result<Option<BookRecord>, MalformedMessage> {
+) -> Result<Option<SubmissionRecord>, MalformedMessage> {
     if let Some(submission) = key.strip_prefix(OPEN_PREFIX) {
         let submission = String::from(submission);
         return Ok(Some(match value {
-            Some(_) => BookRecord::Marked { submission },
-            None => BookRecord::Unmarked { submission },
+            Some(_) => SubmissionRecord::Marked { submission },
+            None => SubmissionRecord::Unmarked { submission },
         }));
     }
     if let Some(submission) = key.strip_prefix(EXPIRING_PREFIX) {
         let submission = String::from(submission);
-        let Some(value) = value else { return Ok(Some(BookRecord::Dropped { submission })) };
-        let WireBookRecord::Expiring { accepted_ms } = decode_message(value)? else {
+        let Some(value) = value else { return Ok(Some(SubmissionRecord::Dropped { submission })) };
+        let WireSubmissionRecord::Expiring { accepted_ms } = decode_message(value)? else {
             return Err(MalformedMessage::new(format!("key \"{key}\" does not fit its value")));
         };
         let accepted_at = WallTime(accepted_ms);
-        return Ok(Some(BookRecord::Expiring { submission, accepted_at }));
+        return Ok(Some(SubmissionRecord::Expiring { submission, accepted_at }));
     }
     let Some(value) = value else { return Ok(None) };
     let mut parts = key.split('/').skip(1);
@@ -150,22 +155,22 @@
     };
     let submission = String::from(submission);
     let record = match (kind, number, decode_message(value)?) {
-        ("o", None, opened @ WireBookRecord::Opened { .. }) => head(submission, opened)?,
-        ("i", Some(first), WireBookRecord::Items { items }) => {
+        ("o", None, opened @ WireSubmissionRecord::Opened { .. }) => head(submission, opened)?,
+        ("i", Some(first), WireSubmissionRecord::Items { items }) => {
             let items = items.into_iter().map(SubmissionItem::from).collect();
-            BookRecord::Items { submission, first, items }
+            SubmissionRecord::Items { submission, first, items }
         }
-        ("r", Some(position), result @ WireBookRecord::Result { .. }) => {
-            BookRecord::Result { submission, position, result: result.try_into()? }
+        ("r", Some(position), result @ WireSubmissionRecord::Result { .. }) => {
+            SubmissionRecord::Result { submission, position, result: result.try_into()? }
         }
-        ("e", None, WireBookRecord::Ended) => BookRecord::Ended { submission },
+        ("e", None, WireSubmissionRecord::Ended) => SubmissionRecord::Ended { submission },
         _ => return Err(MalformedMessage::new(format!("key \"{key}\" does not fit its value"))),
     };
     Ok(Some(record))
 }
 
-fn head(id: String, wire: WireBookRecord) -> Result<BookRecord, MalformedMessage> {
-    let WireBookRecord::Opened {
+fn head(id: String, wire: WireSubmissionRecord) -> Result<SubmissionRecord, MalformedMessage> {
+    let WireSubmissionRecord::Opened {
         customer,
         host,
         path,
@@ -179,7 +184,7 @@
     else {
         return Err(MalformedMessage::new("the record does not open a submission"));
     };
-    Ok(BookRecord::Opened(SubmissionHead {
+    Ok(SubmissionRecord::Opened(SubmissionMetadata {
         id,
         customer,
         host,
@@ -193,7 +198,7 @@
     }))
 }
 
-impl From<&ItemResult> for WireBookRecord {
+impl From<&ItemResult> for WireSubmissionRecord {
     fn from(result: &ItemResult) -> Self {
         Self::Result {
             item: result.item.clone(),
@@ -205,11 +210,11 @@
     }
 }
 
-impl TryFrom<WireBookRecord> for ItemResult {
+impl TryFrom<WireSubmissionRecord> for ItemResult {
     type Error = MalformedMessage;
 
-    fn try_from(wire: WireBookRecord) -> Result<Self, MalformedMessage> {
-        let WireBookRecord::Result { item, finished, output, versions, score } = wire else {
+    fn try_from(wire: WireSubmissionRecord) -> Result<Self, MalformedMessage> {
+        let WireSubmissionRecord::Result { item, finished, output, versions, score } = wire else {
             return Err(MalformedMessage::new("the record is no result"));
         };
         let state = if finished { ItemState::Finished } else { ItemState::Errored };
--- a/crates/protocol/src/record/totals.rs
+++ b/crates/protocol/src/record/totals.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, key};
+use base::{Incarnation, derive_copy};
 use usage::{CustomerCounts, TotalsPhase, WindowNumber};
 
 use crate::codec::{MalformedMessage, decode_message, encode_message, wire};
 
-key! {
+derive_copy! {
     /// What a record of the usage topic holds.
     pub enum UsageKey {
         /// Running totals of one process.
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -4,10 +4,10 @@
 #![allow(missing_docs)]
 
 use authority::AuthorityRecord;
-use base::{FencingNumber, Incarnation, LogOffset};
+use base::{FencingToken, Incarnation, LogOffset};
 use usage::{
     ClosedWindow, LedgerSnapshot, SeenRecords, SequenceRange, UsageAmount, UsageBatch,
-    UsageFigures, UsageRecord, WindowClose, WindowNumber, WindowReported,
+    UsageByCustomer, UsageRecord, WindowClose, WindowNumber, WindowReported,
 };
 
 use crate::{
@@ -113,15 +113,15 @@
             WireUsage::Batch(batch) => Self::Batch(batch.into()),
             WireUsage::Close { window, fencing } => Self::Close(WindowClose {
                 window: WindowNumber(window),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             }),
             WireUsage::Reported { window, fencing } => Self::Reported(WindowReported {
                 window: WindowNumber(window),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             }),
             WireUsage::Carry { snapshot, fencing } => Self::Carry {
                 snapshot: Box::new((*snapshot).try_into()?),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             },
         })
     }
@@ -184,7 +184,7 @@
             open: figures(wire.open),
             last_closed: wire.last_closed.map(WindowNumber),
             closes: wire.closes,
-            fencing: wire.fencing.map(FencingNumber),
+            fencing: wire.fencing.map(FencingToken),
             closed: closed.collect(),
             seen: seen.into_iter().collect::<SeenRecords>(),
         })
@@ -216,7 +216,7 @@
     }
 }
 
-fn figures(wire: Vec<WireFigure>) -> UsageFigures {
+fn figures(wire: Vec<WireFigure>) -> UsageByCustomer {
     let entries = wire.into_iter().map(|figure| {
         let amount = UsageAmount {
             requests: figure.requests,
@@ -225,10 +225,10 @@
         };
         (figure.customer, amount)
     });
-    UsageFigures(entries.collect())
+    UsageByCustomer(entries.collect())
 }
 
-fn wire_figures(figures: &UsageFigures) -> Vec<WireFigure> {
+fn wire_figures(figures: &UsageByCustomer) -> Vec<WireFigure> {
     let entries = figures.0.iter().map(|(customer, amount)| WireFigure {
         customer: customer.clone(),
         requests: amount.requests,
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,25 +1,27 @@
 //! Guards against records that do not survive the wire, and against malformed input that stops a
 //! reader.
 
-use authority::{AuthorityRecord, LeaseClaim, OrderId, OrderIntent, OrderKind, PriceClass, Scope};
-use base::{FencingNumber, Incarnation, LogOffset, RecordId, Span, WallTime, WeightVersion};
+use authority::{
+    AuthorityRecord, LeaseClaim, LeaseScope, OrderId, OrderIntent, OrderKind, PriceClass,
+};
+use base::{FencingToken, Incarnation, LogOffset, RecordId, Span, WallTime, WeightVersion};
 use configuration::{ConfigEdit, ConfigRecord, ConfigVersion, EnvironmentName};
-use delivery::{ClaimDone, ClaimEvent, ClaimKey, ClaimOutcome, Fingerprint, RequestId, Verdict};
+use delivery::{ClaimDone, ClaimEvent, ClaimKey, ClaimOutcome, Conviction, Fingerprint, RequestId};
 use fleet::{DemandKey, DemandSnapshot, SLOTS_PER_WEEK, WorkClass};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed, TestRunner},
 };
 use protocol::{
-    MAX_MESSAGE_BYTES, OpenedStep, SampleCarry, SampleEntry, StreamRecord, WireAuthority,
+    MAX_MESSAGE_BYTES, SampleEntry, SampleSnapshot, StepPrompts, StreamRecord, WireAuthority,
     decode_message, decode_record, encode_message, encode_record,
 };
 use rollout::{
-    DeliveryNumber, SampleBook, SampleBound, SampleFilled, SampleRecord, SampleVoided, Score,
+    DeliveryNumber, SampleBound, SampleFilled, SampleRecord, SampleTable, SampleVoided, Score,
     SlotKey, StepShape, TrainerId, TrainerStated, VersionSpan, VoidReason,
 };
 use serde_json::json;
-use usage::{UsageAmount, UsageBatch, UsageFigures, UsageRecord};
+use usage::{UsageAmount, UsageBatch, UsageByCustomer, UsageRecord};
 
 const ID: RecordId = RecordId { writer: Incarnation(u64::MAX), sequence: 7 };
 
@@ -33,7 +35,7 @@
 #[test]
 fn authority_records_survive_the_wire() {
     check(&AuthorityRecord::Claim(LeaseClaim {
-        scope: Scope::Zone(String::from("kingston-c")),
+        scope: LeaseScope::Zone(String::from("kingston-c")),
         holder: Incarnation(4),
         attempt: 2,
         term: Span::from_secs(10),
@@ -80,11 +82,11 @@
         base: ConfigVersion(7),
         text: String::from("environment = \"trial\"\n"),
     }));
-    let mut figures = UsageFigures::default();
+    let mut figures = UsageByCustomer::default();
     let amount = UsageAmount { requests: 1, prompt_tokens: u64::MAX, generated_tokens: 0 };
     figures.add("cordial", amount).expect("it fits");
     check(&UsageRecord::Batch(UsageBatch { id: ID, figures }));
-    check(&Verdict { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
+    check(&Conviction { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
     check(&ClaimEvent::DoneRead(ClaimDone {
         claim: ClaimKey([9; 16]),
         holder: RequestId { node: Incarnation(1), sequence: 2 },
@@ -134,10 +136,10 @@
 fn intent(kind: OrderKind) -> OrderIntent {
     OrderIntent {
         id: OrderId { issuer: Incarnation(3), number: 1 },
-        scope: Scope::Fleet,
+        scope: LeaseScope::Fleet,
         service: String::from("draft-models"),
         kind,
-        fencing: FencingNumber(41),
+        fencing: FencingToken(41),
     }
 }
 
@@ -165,7 +167,7 @@
         acknowledged: DeliveryNumber(0),
         opened: Some(shape),
     };
-    let opened = OpenedStep { prompts: vec![String::from("draft a sleeve")], max_tokens: 9 };
+    let opened = StepPrompts { prompts: vec![String::from("draft a sleeve")], max_tokens: 9 };
     let bound = SampleBound { slot: slot(0), sample: filled(0).sample, score: Some(Score(-7)) };
     let voided = SampleVoided { slot: slot(1), sample: filled(1).sample, reason: VoidReason::Lost };
     let records = [
@@ -175,7 +177,7 @@
         SampleRecord::Bound(bound),
         SampleRecord::Voided(voided),
     ];
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     for record in records {
         book.apply(&record);
         let opened = matches!(record, SampleRecord::Stated(_)).then(|| opened.clone());
@@ -183,5 +185,5 @@
     }
     book.apply(&SampleRecord::Filled(filled(2)));
     let carry = book.carry(trainer, LogOffset(6)).expect("the trainer is known");
-    check(&SampleEntry::Carry(Box::new(SampleCarry { carry, opened: vec![(3, opened)] })));
+    check(&SampleEntry::Carry(Box::new(SampleSnapshot { carry, opened: vec![(3, opened)] })));
 }
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! Both machines are pure: the driver performs the requests and passes in answers and the time.
 
-mod follower;
+mod reader;
 mod writer;
 
 pub use crate::{
-    follower::{FetchedRecord, FollowerAction, FollowerSettings, LogFollower, LogPage},
+    reader::{DecodedPage, DecodedRecord, LogReader, ReaderAction, ReaderSettings},
     writer::{BatchRecord, BatchTicket, BufferFull, LogWriter, WriterAction, WriterSettings},
 };
--- a/crates/record-log/src/follower.rs
+++ b/crates/record-log/src/reader.rs
@@ -2,18 +2,18 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use base::{LogOffset, RecordId, plain};
+use base::{LogOffset, RecordId, derive_value};
 use smallvec::SmallVec;
 
-plain! {
-    /// Bounds of a [`LogFollower`].
-    pub struct FollowerSettings {
+derive_value! {
+    /// Bounds of a [`LogReader`].
+    pub struct ReaderSettings {
         /// Ids that are remembered to drop repeats. The oldest is forgotten first.
         pub remembered_ids: usize,
     }
 
     /// One record of a page, as far as it could be decoded.
-    pub struct FetchedRecord<T> {
+    pub struct DecodedRecord<T> {
         /// Position in the stream.
         pub offset: LogOffset,
         /// Id and content, or why the record is malformed.
@@ -21,15 +21,15 @@
     }
 
     /// Answer to one read request.
-    pub struct LogPage<T> {
+    pub struct DecodedPage<T> {
         /// Oldest offset that the log retains.
         pub first_retained: LogOffset,
         /// Records in ascending order of offset.
-        pub records: Vec<FetchedRecord<T>>,
+        pub records: Vec<DecodedRecord<T>>,
     }
 
     /// What a page means to the reader, in log order.
-    pub enum FollowerAction<T> {
+    pub enum ReaderAction<T> {
         /// Records from `expected` up to, but without, `resumed` are lost to this reader. It must
         /// rebuild its state from a snapshot record or from a peer.
         Gap {
@@ -59,8 +59,8 @@
 
 /// Follows one stream.
 #[derive(Debug, Clone)]
-pub struct LogFollower {
-    settings: FollowerSettings,
+pub struct LogReader {
+    settings: ReaderSettings,
     next: LogOffset,
     ids: HashSet<RecordId>,
     id_order: VecDeque<RecordId>,
@@ -68,10 +68,10 @@
     repeated: u64,
 }
 
-impl LogFollower {
+impl LogReader {
     /// Creates a follower that reads from `start`.
     #[must_use]
-    pub fn new(settings: FollowerSettings, start: LogOffset) -> Self {
+    pub fn new(settings: ReaderSettings, start: LogOffset) -> Self {
         Self {
             settings,
             next: start,
@@ -102,7 +102,7 @@
 
     /// Takes the answer to a read. Records below the next offset are ignored, so an answer that
     /// arrives twice or late changes nothing.
-    pub fn handle<T>(&mut self, page: LogPage<T>) -> SmallVec<[FollowerAction<T>; 4]> {
+    pub fn handle<T>(&mut self, page: DecodedPage<T>) -> SmallVec<[ReaderAction<T>; 4]> {
         let mut actions = SmallVec::new();
         if page.first_retained > self.next {
             actions.push(self.skip_to(page.first_retained));
@@ -119,7 +119,7 @@
                 Ok(content) => content,
                 Err(problem) => {
                     self.malformed += 1;
-                    actions.push(FollowerAction::Malformed { offset: fetched.offset, problem });
+                    actions.push(ReaderAction::Malformed { offset: fetched.offset, problem });
                     continue;
                 }
             };
@@ -127,15 +127,15 @@
                 self.repeated += 1;
                 continue;
             }
-            actions.push(FollowerAction::Deliver { offset: fetched.offset, id, record });
+            actions.push(ReaderAction::Deliver { offset: fetched.offset, id, record });
         }
         actions
     }
 
-    fn skip_to<T>(&mut self, resumed: LogOffset) -> FollowerAction<T> {
+    fn skip_to<T>(&mut self, resumed: LogOffset) -> ReaderAction<T> {
         let expected = self.next;
         self.next = resumed;
-        FollowerAction::Gap { expected, resumed }
+        ReaderAction::Gap { expected, resumed }
     }
 
     /// Returns whether the id is new.
@@ -153,7 +153,7 @@
     }
 }
 
-impl Default for FollowerSettings {
+impl Default for ReaderSettings {
     fn default() -> Self {
         // At the budget of 300 appends a second this covers three minutes of repeats.
         Self { remembered_ids: 65_536 }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -6,7 +6,7 @@
     sync::Arc,
 };
 
-use base::{Incarnation, LogOffset, Moment, RecordId, Span, key, plain};
+use base::{Incarnation, LogOffset, Moment, RecordId, Span, derive_copy, derive_value};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
@@ -14,7 +14,7 @@
 /// Ids of acknowledged records that each stream remembers, so that a repeated append is dropped.
 const REMEMBERED_IDS: usize = 4_096;
 
-plain! {
+derive_value! {
     /// Bounds and times of a [`LogWriter`].
     pub struct WriterSettings {
         /// Most records in one batch.
@@ -64,7 +64,7 @@
     }
 }
 
-key! {
+derive_copy! {
     /// Identifies one attempt to append one batch.
     pub struct BatchTicket {
         /// Number of the batch within its writer. All attempts of a batch share it.
--- a/crates/record-log/tests/follower.rs
+++ b/crates/record-log/tests/follower.rs
@@ -1,27 +1,27 @@
-//! Checks of [`LogFollower`].
+//! Checks of [`LogReader`].
 
 use base::{Incarnation, LogOffset, RecordId};
-use record_log::{FetchedRecord, FollowerAction, FollowerSettings, LogFollower, LogPage};
+use record_log::{DecodedPage, DecodedRecord, LogReader, ReaderAction, ReaderSettings};
 use rstest::rstest;
 
 const MALFORMED: u64 = 0;
 
 /// Builds a page from the sequence numbers of its records.
-fn page(first_retained: u64, start: u64, sequences: &[u64]) -> LogPage<u64> {
+fn page(first_retained: u64, start: u64, sequences: &[u64]) -> DecodedPage<u64> {
     let mut records = Vec::new();
     for (offset, sequence) in (start..).map(LogOffset).zip(sequences) {
         let id = RecordId { writer: Incarnation(1), sequence: *sequence };
         let content = if *sequence == MALFORMED { Err("bad".into()) } else { Ok((id, *sequence)) };
-        records.push(FetchedRecord { offset, content });
+        records.push(DecodedRecord { offset, content });
     }
-    LogPage { first_retained: LogOffset(first_retained), records }
+    DecodedPage { first_retained: LogOffset(first_retained), records }
 }
 
-fn describe(action: &FollowerAction<u64>) -> String {
+fn describe(action: &ReaderAction<u64>) -> String {
     match action {
-        FollowerAction::Gap { expected, resumed } => format!("gap {}-{}", expected.0, resumed.0),
-        FollowerAction::Deliver { offset, record, .. } => format!("{record}@{}", offset.0),
-        FollowerAction::Malformed { offset, .. } => format!("bad@{}", offset.0),
+        ReaderAction::Gap { expected, resumed } => format!("gap {}-{}", expected.0, resumed.0),
+        ReaderAction::Deliver { offset, record, .. } => format!("{record}@{}", offset.0),
+        ReaderAction::Malformed { offset, .. } => format!("bad@{}", offset.0),
     }
 }
 
@@ -36,11 +36,11 @@
 #[case::empty_retention(vec![page(4, 4, &[])], "gap 0-4", 4)]
 #[case::missing_offset(vec![page(0, 0, &[1]), page(0, 3, &[4])], "1@0 gap 1-3 4@3", 4)]
 fn pages_become_records(
-    #[case] pages: Vec<LogPage<u64>>,
+    #[case] pages: Vec<DecodedPage<u64>>,
     #[case] expected: &str,
     #[case] next: u64,
 ) {
-    let mut follower = LogFollower::new(FollowerSettings::default(), LogOffset(0));
+    let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
     let mut seen = Vec::new();
     for page in pages {
         seen.extend(follower.handle(page).iter().map(describe));
@@ -53,7 +53,7 @@
 /// Guards against memory that grows with the stream.
 #[test]
 fn remembered_ids_are_bounded() {
-    let mut follower = LogFollower::new(FollowerSettings { remembered_ids: 2 }, LogOffset(0));
+    let mut follower = LogReader::new(ReaderSettings { remembered_ids: 2 }, LogOffset(0));
     let actions = follower.handle(page(0, 0, &[1, 2, 1, 3, 2, 1]));
     let seen: Vec<_> = actions.iter().map(describe).collect();
     assert_eq!(seen, ["1@0", "2@1", "3@3", "1@5"], "only the two newest ids are remembered");
--- a/crates/record-log/tests/schedules.rs
+++ b/crates/record-log/tests/schedules.rs
@@ -4,8 +4,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use record_log::{
-    BatchRecord, BatchTicket, FetchedRecord, FollowerAction, FollowerSettings, LogFollower,
-    LogPage, LogWriter, WriterAction, WriterSettings,
+    BatchRecord, BatchTicket, DecodedPage, DecodedRecord, LogReader, LogWriter, ReaderAction,
+    ReaderSettings, WriterAction, WriterSettings,
 };
 use rstest::rstest;
 
@@ -21,7 +21,7 @@
     /// Requests that the log has not yet carried out. Some take effect after later ones.
     delayed: Vec<Request>,
     writer: LogWriter,
-    follower: LogFollower,
+    follower: LogReader,
     taken: Vec<RecordId>,
     delivered: Vec<RecordId>,
     refused: u32,
@@ -37,7 +37,7 @@
             log: Vec::new(),
             delayed: Vec::new(),
             writer: LogWriter::new(settings, Incarnation(1), seed),
-            follower: LogFollower::new(FollowerSettings::default(), LogOffset(0)),
+            follower: LogReader::new(ReaderSettings::default(), LogOffset(0)),
             taken: Vec::new(),
             delivered: Vec::new(),
             refused: 0,
@@ -85,11 +85,11 @@
         let start = self.follower.next_offset().0 as usize;
         let mut records = Vec::new();
         for (offset, record) in (start as u64..).map(LogOffset).zip(&self.log[start..]) {
-            records.push(FetchedRecord { offset, content: Ok((record.id, ())) });
+            records.push(DecodedRecord { offset, content: Ok((record.id, ())) });
         }
-        let page = LogPage { first_retained: LogOffset(0), records };
+        let page = DecodedPage { first_retained: LogOffset(0), records };
         for action in self.follower.handle(page) {
-            let FollowerAction::Deliver { id, .. } = action else { panic!("{action:?}") };
+            let ReaderAction::Deliver { id, .. } = action else { panic!("{action:?}") };
             self.delivered.push(id);
         }
     }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,28 +2,29 @@
 //!
 //! Every type is a state machine driven by log records, events and times that the caller passes in.
 
-mod book;
 mod records;
+mod samples;
+mod scheduler;
 mod scoring;
-mod share;
 mod spans;
 mod straggler;
 mod weights;
 
 pub use crate::{
-    book::{
-        Binding, BookAction, BookSlot, BookStep, Delivery, FillRefusal, Offer, OpenSlot,
-        SampleBook, SlotState, TrainerBook, TrainerCarry,
-    },
     records::{
         DeliveryNumber, SampleBound, SampleFilled, SampleRecord, SampleVoided, Score, SlotKey,
         StepShape, TrainerId, TrainerStated, VoidReason,
     },
-    scoring::{ScoreAction, ScoreDesk},
-    share::TrainerShare,
+    samples::{
+        Binding, Delivery, DeliveryRange, FillRefusal, OpenSlot, SampleOutcome, SampleTable,
+        SlotState, StepSlot, StepState, TrainerSnapshot, TrainerState,
+    },
+    scheduler::TrainerScheduler,
+    scoring::{ScoreAction, ScoreQueue},
     spans::{PieceOutOfOrder, SpanTracker, VersionSpan},
     straggler::{
-        AttemptView, FixedLimit, GainOverCost, NoRerun, RerunRule, StragglerAction, StragglerPolicy,
+        AttemptView, CostBenefitRule, FixedTimeoutRule, NoRerun, RerunRule, StragglerAction,
+        StragglerDetector,
     },
-    weights::{EngineState, WeightAction, WeightPlan, WeightSettings},
+    weights::{EngineWeights, WeightAction, WeightScheduler, WeightSettings},
 };
--- a/crates/rollout/src/records.rs
+++ b/crates/rollout/src/records.rs
@@ -1,11 +1,11 @@
 //! Records of the log stream `samples` as the domain sees them.
 
-use base::{Incarnation, RecordId, WeightVersion, key, plain, stable_hash};
+use base::{Incarnation, RecordId, WeightVersion, derive_copy, derive_value, stable_hash};
 use smallvec::SmallVec;
 
 use crate::spans::VersionSpan;
 
-key! {
+derive_copy! {
     /// Identity of a trainer, the same on every node.
     pub struct TrainerId(pub u64);
 
@@ -46,7 +46,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// What a trainer said when it opened a step or fetched samples.
     pub struct TrainerStated {
         /// The trainer.
--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/samples.rs
@@ -1,26 +1,26 @@
 //! The book of samples: a function of the prefix of the log stream `samples`.
 
-mod carry;
+mod snapshot;
 mod trainer;
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, RecordId, WeightVersion, key, plain};
+use base::{Incarnation, RecordId, WeightVersion, derive_copy, derive_value};
 use smallvec::SmallVec;
 
-use self::carry::Gap;
+use self::snapshot::Gap;
 pub use self::{
-    carry::TrainerCarry,
-    trainer::{Binding, BookSlot, BookStep, SlotState, TrainerBook},
+    snapshot::TrainerSnapshot,
+    trainer::{Binding, SlotState, StepSlot, StepState, TrainerState},
 };
 use crate::records::{
     DeliveryNumber, SampleFilled, SampleRecord, SampleVoided, Score, SlotKey, TrainerId,
     TrainerStated, VoidReason,
 };
 
-plain! {
+derive_value! {
     /// What the book found when it applied a record.
-    pub enum BookAction {
+    pub enum SampleOutcome {
         /// A step was opened and its slots want samples.
         StepOpened {
             /// The trainer.
@@ -73,12 +73,12 @@
             /// Why it is void.
             reason: VoidReason,
         },
-        /// A statement is valid and its fetch can be answered with [`SampleBook::deliveries`].
+        /// A statement is valid and its fetch can be answered with [`SampleTable::deliveries`].
         Offered {
             /// The trainer.
             trainer: TrainerId,
             /// The offer.
-            offer: Offer,
+            offer: DeliveryRange,
         },
         /// A statement names a predecessor that is not the last one, or a number that was never
         /// offered, and has no effect. The node tells the trainer to ask again.
@@ -105,7 +105,7 @@
     }
 }
 
-key! {
+derive_copy! {
     /// Why a fill record has no effect.
     pub enum FillRefusal {
         /// The trainer has not opened this slot.
@@ -119,7 +119,7 @@
     }
 
     /// The delivery numbers that answer one valid statement.
-    pub struct Offer {
+    pub struct DeliveryRange {
         /// Number of the statement among those of its trainer, from 1.
         pub statement: u64,
         /// The number after which the trainer asks.
@@ -137,7 +137,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// One entry of an answer to a trainer.
     pub enum Delivery {
         /// A sample.
@@ -175,15 +175,15 @@
 /// given only for a statement that was read back from the log, so each is a function of the
 /// prefix up to that statement.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SampleBook {
-    trainers: BTreeMap<TrainerId, TrainerBook>,
+pub struct SampleTable {
+    trainers: BTreeMap<TrainerId, TrainerState>,
     /// Set in a book that started after the first record of the stream.
     gap: Option<Gap>,
 }
 
-impl SampleBook {
+impl SampleTable {
     /// Applies the next record of the stream.
-    pub fn apply(&mut self, record: &SampleRecord) -> SmallVec<[BookAction; 4]> {
+    pub fn apply(&mut self, record: &SampleRecord) -> SmallVec<[SampleOutcome; 4]> {
         let mut actions = SmallVec::new();
         match record {
             SampleRecord::Stated(stated) => self.apply_stated(stated, &mut actions),
@@ -202,34 +202,34 @@
         actions
     }
 
-    fn apply_stated(&mut self, stated: &TrainerStated, actions: &mut SmallVec<[BookAction; 4]>) {
+    fn apply_stated(&mut self, stated: &TrainerStated, actions: &mut SmallVec<[SampleOutcome; 4]>) {
         let trainer = self
             .trainers
             .entry(stated.trainer)
-            .or_insert_with(|| TrainerBook::new(stated.trainer, stated.name.clone()));
+            .or_insert_with(|| TrainerState::new(stated.trainer, stated.name.clone()));
         trainer.state(stated, actions);
     }
 
-    fn apply_filled(&mut self, filled: &SampleFilled, actions: &mut SmallVec<[BookAction; 4]>) {
+    fn apply_filled(&mut self, filled: &SampleFilled, actions: &mut SmallVec<[SampleOutcome; 4]>) {
         let (slot, sample) = (filled.slot, filled.sample);
         let result = match self.trainers.get_mut(&slot.trainer) {
             Some(trainer) => trainer.fill(filled),
             None => Err(FillRefusal::SlotUnknown),
         };
         actions.push(match result {
-            Ok(()) => BookAction::Filled { slot, sample },
-            Err(reason) => BookAction::FillRefused { slot, sample, reason },
+            Ok(()) => SampleOutcome::Filled { slot, sample },
+            Err(reason) => SampleOutcome::FillRefused { slot, sample, reason },
         });
     }
 
     /// Iterates over the slots that want a sample, oldest step first.
     pub fn open_slots(&self, trainer: TrainerId) -> impl Iterator<Item = OpenSlot> {
-        self.trainers.get(&trainer).into_iter().flat_map(TrainerBook::open_slots)
+        self.trainers.get(&trainer).into_iter().flat_map(TrainerState::open_slots)
     }
 
     /// Iterates over filled samples that wait for their score and delivery number.
     pub fn unbound(&self) -> impl Iterator<Item = &SampleFilled> {
-        self.trainers.values().flat_map(TrainerBook::unbound)
+        self.trainers.values().flat_map(TrainerState::unbound)
     }
 
     /// Returns what answers statement `statement` of `trainer`, in order of numbers.
@@ -245,7 +245,7 @@
     /// Returns the delivery number that `trainer`'s last bound sample got, or 0.
     #[must_use]
     pub fn last_number(&self, trainer: TrainerId) -> DeliveryNumber {
-        self.trainers.get(&trainer).map_or(DeliveryNumber(0), TrainerBook::last_number)
+        self.trainers.get(&trainer).map_or(DeliveryNumber(0), TrainerState::last_number)
     }
 
     /// Tells whether a number after `after` is bound, so that a new statement is worthwhile.
@@ -272,19 +272,19 @@
     /// effect after a later one, and samples in the trainer's hands would be made again.
     #[must_use]
     pub fn statements(&self, trainer: TrainerId) -> u64 {
-        self.trainers.get(&trainer).map_or(0, TrainerBook::statements)
+        self.trainers.get(&trainer).map_or(0, TrainerState::statements)
     }
 
     /// Returns the version that `trainer` stated last and its staleness bound.
     #[must_use]
     pub fn stated_version(&self, trainer: TrainerId) -> Option<(WeightVersion, u64)> {
-        self.trainers.get(&trainer).and_then(TrainerBook::stated_version)
+        self.trainers.get(&trainer).and_then(TrainerState::stated_version)
     }
 
     /// Returns the highest number that `trainer` stated to have, or 0.
     #[must_use]
     pub fn acknowledged(&self, trainer: TrainerId) -> DeliveryNumber {
-        self.trainers.get(&trainer).map_or(DeliveryNumber(0), TrainerBook::acknowledged)
+        self.trainers.get(&trainer).map_or(DeliveryNumber(0), TrainerState::acknowledged)
     }
 
     /// Iterates over the trainers and their names.
--- a/crates/rollout/src/book/carry.rs
+++ b/crates/rollout/src/samples/snapshot.rs
@@ -2,25 +2,25 @@
 
 use std::collections::VecDeque;
 
-use base::{LogOffset, plain};
+use base::{LogOffset, derive_value};
 use smallvec::SmallVec;
 
 use crate::{
-    book::{BookAction, SampleBook, TrainerBook},
     records::{SampleRecord, TrainerId},
+    samples::{SampleOutcome, SampleTable, TrainerState},
 };
 
 /// Records kept while no snapshot of their trainer was read: half an hour at two trainers of
 /// design section 8, whose steps of 2,048 samples write about 4,200 records each.
 const MAX_KEPT: usize = 32_768;
 
-plain! {
+derive_value! {
     /// Snapshot of one trainer, for the log.
-    pub struct TrainerCarry {
+    pub struct TrainerSnapshot {
         /// Offset of the first record that the snapshot does not reflect.
         pub until: LogOffset,
         /// The trainer's part of the book.
-        pub book: TrainerBook,
+        pub book: TrainerState,
     }
 
     /// Records of trainers that the book does not know yet.
@@ -31,10 +31,10 @@
     }
 }
 
-impl SampleBook {
+impl SampleTable {
     /// Creates a book whose first record is the one at `first` and not the first of the stream.
     ///
-    /// It knows a trainer only after [`SampleBook::adopt`].
+    /// It knows a trainer only after [`SampleTable::adopt`].
     #[must_use]
     pub fn after_gap(first: LogOffset) -> Self {
         Self { gap: Some(Gap { first, kept: VecDeque::new() }), ..Self::default() }
@@ -46,7 +46,7 @@
         &mut self,
         offset: LogOffset,
         record: &SampleRecord,
-    ) -> SmallVec<[BookAction; 4]> {
+    ) -> SmallVec<[SampleOutcome; 4]> {
         let is_known = self.trainers.contains_key(&trainer_of(record));
         let Some(gap) = self.gap.as_mut().filter(|_| !is_known) else { return self.apply(record) };
         gap.kept.push_back((offset, record.clone()));
@@ -60,14 +60,14 @@
 
     /// Returns the snapshot of `trainer` after the record before `until`.
     #[must_use]
-    pub fn carry(&self, trainer: TrainerId, until: LogOffset) -> Option<TrainerCarry> {
-        Some(TrainerCarry { until, book: self.trainers.get(&trainer)?.clone() })
+    pub fn carry(&self, trainer: TrainerId, until: LogOffset) -> Option<TrainerSnapshot> {
+        Some(TrainerSnapshot { until, book: self.trainers.get(&trainer)?.clone() })
     }
 
     /// Takes a snapshot that was read from the log and applies the kept records that follow it.
     ///
     /// A snapshot of a known trainer has no effect, nor has one with unread records after it.
-    pub fn adopt(&mut self, carry: &TrainerCarry) -> SmallVec<[BookAction; 4]> {
+    pub fn adopt(&mut self, carry: &TrainerSnapshot) -> SmallVec<[SampleOutcome; 4]> {
         let mut actions = SmallVec::new();
         let id = carry.book.id;
         let Some(gap) = self.gap.as_mut() else { return actions };
