--- a/crates/rollout/src/book/trainer.rs
+++ b/crates/rollout/src/samples/trainer.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, WeightVersion, plain};
+use base::{Incarnation, WeightVersion, derive_value};
 use smallvec::SmallVec;
 
 use crate::{
-    book::{BookAction, Delivery, FillRefusal, Offer, OpenSlot},
     records::{
         DeliveryNumber, SampleBound, SampleFilled, SampleVoided, Score, SlotKey, StepShape,
         TrainerId, TrainerStated, VoidReason,
     },
+    samples::{Delivery, DeliveryRange, FillRefusal, OpenSlot, SampleOutcome},
     spans,
 };
 
@@ -24,9 +24,9 @@
 /// Steps that one trainer may have unfinished.
 const MAX_OPEN_STEPS: usize = 8;
 
-type Actions = SmallVec<[BookAction; 4]>;
+type Outcomes = SmallVec<[SampleOutcome; 4]>;
 
-plain! {
+derive_value! {
     /// What a slot holds.
     pub enum SlotState {
         /// Nothing; it wants a sample.
@@ -38,7 +38,7 @@
     }
 
     /// A slot of a step.
-    pub struct BookSlot {
+    pub struct StepSlot {
         /// Number of samples of this slot that are void.
         pub generation: u32,
         /// What it holds.
@@ -48,11 +48,11 @@
     }
 
     /// A step that is open, or completed and not retired yet.
-    pub struct BookStep {
+    pub struct StepState {
         /// Its size.
         pub shape: StepShape,
         /// Its slots, group by group.
-        pub slots: Vec<BookSlot>,
+        pub slots: Vec<StepSlot>,
         /// Whether the trainer has every sample.
         pub completed: bool,
     }
@@ -72,7 +72,7 @@
     }
 
     /// Everything that the book knows of one trainer.
-    pub struct TrainerBook {
+    pub struct TrainerState {
         /// The trainer.
         pub id: TrainerId,
         /// Its name.
@@ -88,13 +88,13 @@
         /// Highest number offered in answer to any statement.
         pub offered: DeliveryNumber,
         /// The offer of the last statement.
-        pub offer: Option<Offer>,
+        pub offer: Option<DeliveryRange>,
         /// Highest number bound.
         pub last_number: DeliveryNumber,
         /// Samples by number, without those of retired steps.
         pub bindings: BTreeMap<DeliveryNumber, Binding>,
         /// Steps by number.
-        pub steps: BTreeMap<u64, BookStep>,
+        pub steps: BTreeMap<u64, StepState>,
         /// Steps below this one are retired.
         pub retired_below: u64,
         /// Highest number of a retired step.
@@ -102,7 +102,7 @@
     }
 }
 
-impl TrainerBook {
+impl TrainerState {
     pub(crate) fn new(id: TrainerId, name: String) -> Self {
         Self {
             id,
@@ -121,11 +121,11 @@
         }
     }
 
-    pub(crate) fn state(&mut self, stated: &TrainerStated, actions: &mut Actions) {
+    pub(crate) fn state(&mut self, stated: &TrainerStated, actions: &mut Outcomes) {
         let is_next = stated.follows == self.statements && stated.name == self.name;
         if !is_next || stated.acknowledged > self.offered {
             let statements = self.statements;
-            actions.push(BookAction::StatementRefused { trainer: self.id, statements });
+            actions.push(SampleOutcome::StatementRefused { trainer: self.id, statements });
             return;
         }
         self.statements += 1;
@@ -136,7 +136,7 @@
             self.open(shape, actions);
         }
         self.void_undeliverable(actions);
-        let offer = Offer {
+        let offer = DeliveryRange {
             statement: self.statements,
             after: stated.acknowledged,
             until: self.last_number,
@@ -144,10 +144,10 @@
         self.offered = self.last_number;
         self.offer = Some(offer);
         self.complete_steps(actions);
-        actions.push(BookAction::Offered { trainer: self.id, offer });
+        actions.push(SampleOutcome::Offered { trainer: self.id, offer });
     }
 
-    fn open(&mut self, shape: StepShape, actions: &mut Actions) {
+    fn open(&mut self, shape: StepShape, actions: &mut Outcomes) {
         if self.steps.contains_key(&shape.step) {
             return;
         }
@@ -155,17 +155,17 @@
         let unfinished = self.steps.values().filter(|step| !step.completed).count();
         let fits = (1..=MAX_SLOTS).contains(&shape.slots()) && unfinished < MAX_OPEN_STEPS;
         if !fits || step < self.retired_below {
-            actions.push(BookAction::StepRefused { trainer, step });
+            actions.push(SampleOutcome::StepRefused { trainer, step });
             return;
         }
-        let slot = BookSlot { generation: 0, state: SlotState::Open, replaces: None };
+        let slot = StepSlot { generation: 0, state: SlotState::Open, replaces: None };
         let slots = vec![slot; shape.slots()];
-        self.steps.insert(shape.step, BookStep { shape, slots, completed: false });
-        actions.push(BookAction::StepOpened { trainer, step, slots: shape.slots() });
+        self.steps.insert(shape.step, StepState { shape, slots, completed: false });
+        actions.push(SampleOutcome::StepOpened { trainer, step, slots: shape.slots() });
     }
 
     /// Voids the numbers that the trainer asks for and that are stale now or whose bytes are gone.
-    fn void_undeliverable(&mut self, actions: &mut Actions) {
+    fn void_undeliverable(&mut self, actions: &mut Outcomes) {
         let asked = DeliveryNumber(self.acknowledged.0 + 1)..;
         let mut found: SmallVec<[(DeliveryNumber, VoidReason); 4]> = SmallVec::new();
         for (&number, binding) in self.bindings.range(asked) {
@@ -185,7 +185,7 @@
     }
 
     /// Reopens filled slots whose sample became stale before it was scored.
-    fn void_unbound(&mut self, actions: &mut Actions) {
+    fn void_unbound(&mut self, actions: &mut Outcomes) {
         let unbound = self.unbound().filter(|filled| self.is_stale(filled));
         let stale: Vec<_> = unbound.map(|filled| (filled.slot, filled.sample)).collect();
         for (slot, sample) in stale {
@@ -198,7 +198,7 @@
         self.version.0.saturating_sub(oldest.0) > self.staleness_bound
     }
 
-    fn slot_mut(&mut self, slot: SlotKey) -> Option<&mut BookSlot> {
+    fn slot_mut(&mut self, slot: SlotKey) -> Option<&mut StepSlot> {
         let step = self.steps.get_mut(&slot.step)?;
         step.slots.get_mut(step.shape.position(slot)?)
     }
@@ -219,7 +219,7 @@
         Ok(())
     }
 
-    pub(crate) fn bind(&mut self, bound: &SampleBound, actions: &mut Actions) {
+    pub(crate) fn bind(&mut self, bound: &SampleBound, actions: &mut Outcomes) {
         let number = DeliveryNumber(self.last_number.0 + 1);
         let Some(slot) = self.slot_mut(bound.slot) else { return };
         let SlotState::Filled(filled) = &slot.state else { return };
@@ -236,17 +236,17 @@
         slot.state = SlotState::Bound(number);
         self.bindings.insert(number, binding);
         self.last_number = number;
-        actions.push(BookAction::Bound { slot: bound.slot, sample: bound.sample, number });
+        actions.push(SampleOutcome::Bound { slot: bound.slot, sample: bound.sample, number });
     }
 
-    pub(crate) fn void(&mut self, voided: &SampleVoided, actions: &mut Actions) {
+    pub(crate) fn void(&mut self, voided: &SampleVoided, actions: &mut Outcomes) {
         let Some(slot) = self.slot_mut(voided.slot) else { return };
         match &slot.state {
             SlotState::Filled(filled) if filled.sample == voided.sample => {
                 slot.state = SlotState::Open;
                 slot.generation += 1;
                 let (slot, sample, reason) = (voided.slot, voided.sample, voided.reason);
-                actions.push(BookAction::Voided { slot, sample, number: None, reason });
+                actions.push(SampleOutcome::Voided { slot, sample, number: None, reason });
             }
             &SlotState::Bound(number) => {
                 let offered = self.offered;
@@ -264,7 +264,7 @@
         }
     }
 
-    fn void_number(&mut self, number: DeliveryNumber, reason: VoidReason, actions: &mut Actions) {
+    fn void_number(&mut self, number: DeliveryNumber, reason: VoidReason, actions: &mut Outcomes) {
         let Some(binding) = self.bindings.get_mut(&number) else { return };
         binding.void = Some(reason);
         let (key, sample) = (binding.filled.slot, binding.filled.sample);
@@ -276,19 +276,19 @@
             slot.generation += 1;
             slot.replaces = Some(number);
         }
-        actions.push(BookAction::Voided { slot: key, sample, number: Some(number), reason });
+        actions.push(SampleOutcome::Voided { slot: key, sample, number: Some(number), reason });
     }
 
-    fn complete_steps(&mut self, actions: &mut Actions) {
+    fn complete_steps(&mut self, actions: &mut Outcomes) {
         let acknowledged = self.acknowledged;
         for (&step, state) in &mut self.steps {
             let has =
-                |slot: &BookSlot| matches!(slot.state, SlotState::Bound(n) if n <= acknowledged);
+                |slot: &StepSlot| matches!(slot.state, SlotState::Bound(n) if n <= acknowledged);
             if state.completed || !state.slots.iter().all(has) {
                 continue;
             }
             state.completed = true;
-            actions.push(BookAction::StepCompleted { trainer: self.id, step });
+            actions.push(SampleOutcome::StepCompleted { trainer: self.id, step });
         }
         while self.steps.values().filter(|step| step.completed).count() > RETAINED_STEPS {
             // Only the oldest step is retired, so that an unfinished one keeps its successors.
@@ -302,7 +302,7 @@
             let last = self.bindings.iter().rev().find(|(_, b)| of_step(b)).map(|(&n, _)| n);
             self.retired_until = self.retired_until.max(last.unwrap_or(DeliveryNumber(0)));
             self.bindings.retain(|_, binding| !of_step(binding));
-            actions.push(BookAction::StepRetired { trainer: self.id, step });
+            actions.push(SampleOutcome::StepRetired { trainer: self.id, step });
         }
     }
 
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/scheduler.rs
@@ -17,12 +17,12 @@
 /// Chooses the trainer whose slot is placed next, by start-time fair queueing (Goyal, Vin and Cheng,
 /// 1996) on estimated tokens.
 #[derive(Debug, Clone, Default)]
-pub struct TrainerShare {
+pub struct TrainerScheduler {
     accounts: BTreeMap<TrainerId, Account>,
     virtual_now: u64,
 }
 
-impl TrainerShare {
+impl TrainerScheduler {
     /// Sets the weight of a trainer; 0 counts as 1.
     pub fn set_weight(&mut self, trainer: TrainerId, weight: u32) {
         self.accounts.entry(trainer).or_default().weight = weight.max(1);
--- a/crates/rollout/src/scoring.rs
+++ b/crates/rollout/src/scoring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use base::{Moment, RecordId, Span, plain};
+use base::{Moment, RecordId, Span, derive_value};
 use smallvec::SmallVec;
 
 use crate::records::{SampleBound, Score, SlotKey};
@@ -13,7 +13,7 @@
 /// How long one scoring call may take before it counts as failed.
 const CALL_TIMEOUT: Span = Span::from_secs(30);
 
-plain! {
+derive_value! {
     /// What the caller must do.
     pub enum ScoreAction {
         /// Send the sample to the scoring service.
@@ -44,11 +44,11 @@
 /// Several nodes may score one sample after a failure; the first `SampleBound` in log order counts.
 /// A failure keeps the sample queued, so it is delayed and neither lost nor bound twice.
 #[derive(Debug, Clone, Default)]
-pub struct ScoreDesk {
+pub struct ScoreQueue {
     jobs: BTreeMap<RecordId, ScoreJob>,
 }
 
-impl ScoreDesk {
+impl ScoreQueue {
     /// Queues a filled sample. A sample that is queued already stays as it is.
     pub fn enqueue(&mut self, now: Moment, slot: SlotKey, sample: RecordId) {
         let job = ScoreJob { slot, state: JobState::Waiting(now), failures: 0 };
@@ -90,7 +90,7 @@
         self.jobs.remove(&sample);
     }
 
-    /// Returns when [`ScoreDesk::poll`] has work next.
+    /// Returns when [`ScoreQueue::poll`] has work next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let times = self.jobs.values().map(|job| match job.state {
--- a/crates/rollout/src/spans.rs
+++ b/crates/rollout/src/spans.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-use base::{WeightVersion, key};
+use base::{WeightVersion, derive_copy};
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// A run of tokens that one weight version produced.
     pub struct VersionSpan {
         /// The version that the engine reported.
--- a/crates/rollout/src/straggler.rs
+++ b/crates/rollout/src/straggler.rs
@@ -4,10 +4,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use base::{Moment, Span, UpstreamKey, plain};
+use base::{Moment, Span, UpstreamKey, derive_value};
 use smallvec::SmallVec;
 
-pub use self::rules::{AttemptView, FixedLimit, GainOverCost, NoRerun, RerunRule};
+pub use self::rules::{AttemptView, CostBenefitRule, FixedTimeoutRule, NoRerun, RerunRule};
 use crate::records::{SlotKey, TrainerId};
 
 /// How often running attempts are judged.
@@ -22,7 +22,7 @@
 /// An attempt longer than the mean is expected to need this multiple of what it has.
 const OVERRUN: f64 = 1.25;
 
-plain! {
+derive_value! {
     /// What the caller must do.
     pub enum StragglerAction {
         /// Start the slot on an engine other than `avoid`.
@@ -50,7 +50,7 @@
 
 /// Running attempts at sample slots of this node.
 #[derive(Debug, Clone)]
-pub struct StragglerPolicy<R> {
+pub struct StragglerDetector<R> {
     rule: R,
     slots: BTreeMap<SlotKey, SmallVec<[Attempt; 2]>>,
     /// Tokens per second of one stream on each engine.
@@ -62,7 +62,7 @@
     next_check: Option<Moment>,
 }
 
-impl<R: RerunRule> StragglerPolicy<R> {
+impl<R: RerunRule> StragglerDetector<R> {
     /// Creates a policy that judges attempts by `rule`.
     #[must_use]
     pub fn new(rule: R) -> Self {
@@ -165,7 +165,7 @@
         actions
     }
 
-    /// Returns when [`StragglerPolicy::poll`] has work next.
+    /// Returns when [`StragglerDetector::poll`] has work next.
     #[must_use]
     pub const fn next_deadline(&self) -> Option<Moment> {
         self.next_check
--- a/crates/rollout/src/straggler/rules.rs
+++ b/crates/rollout/src/straggler/rules.rs
@@ -43,12 +43,12 @@
 
 /// Baseline: a slot is run again after a fixed time.
 #[derive(Debug, Clone, Copy)]
-pub struct FixedLimit {
+pub struct FixedTimeoutRule {
     /// The time.
     pub limit: Span,
 }
 
-impl RerunRule for FixedLimit {
+impl RerunRule for FixedTimeoutRule {
     fn gain(&self, attempt: &AttemptView) -> Option<Span> {
         (attempt.elapsed >= self.limit).then(|| attempt.elapsed.saturating_sub(self.limit))
     }
@@ -56,18 +56,18 @@
 
 /// Runs a slot again when the expected gain in time, valued in tokens, exceeds the expected cost.
 #[derive(Debug, Clone, Copy)]
-pub struct GainOverCost {
+pub struct CostBenefitRule {
     /// Tokens that one second of an earlier step is worth.
     pub tokens_per_second: f64,
 }
 
-impl Default for GainOverCost {
+impl Default for CostBenefitRule {
     fn default() -> Self {
         Self { tokens_per_second: 50.0 }
     }
 }
 
-impl RerunRule for GainOverCost {
+impl RerunRule for CostBenefitRule {
     fn gain(&self, attempt: &AttemptView) -> Option<Span> {
         let done = f64::from(attempt.tokens);
         let stay = (attempt.expected_tokens - done).max(0.0) / attempt.rate;
--- a/crates/rollout/src/weights.rs
+++ b/crates/rollout/src/weights.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey, plain};
+use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_value};
 use smallvec::SmallVec;
 
 const FIRST_RETRY: Span = Span::from_millis(500);
 const LONGEST_RETRY: Span = Span::from_secs(60);
 
-/// Settings of a [`WeightPlan`]. The public fields have the defaults of the design.
+/// Settings of a [`WeightScheduler`]. The public fields have the defaults of the design.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightSettings {
     /// Largest share of the engines of one service and zone that swap at once.
@@ -32,7 +32,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// What the caller must do.
     pub enum WeightAction {
         /// Tell the engine to load a version.
@@ -52,7 +52,7 @@
     }
 
     /// An engine as the plan knows it.
-    pub struct EngineState {
+    pub struct EngineWeights {
         /// Service of the engine.
         pub service: String,
         /// Zone of the engine.
@@ -70,16 +70,16 @@
 
 /// Decides which engine loads the announced version next.
 #[derive(Debug, Clone)]
-pub struct WeightPlan {
+pub struct WeightScheduler {
     settings: WeightSettings,
-    engines: BTreeMap<UpstreamKey, EngineState>,
+    engines: BTreeMap<UpstreamKey, EngineWeights>,
     targets: BTreeMap<String, WeightVersion>,
     tokens: f64,
     refilled: Moment,
     paused_until: Moment,
 }
 
-impl WeightPlan {
+impl WeightScheduler {
     /// Creates a plan without engines.
     #[must_use]
     pub fn new(now: Moment, settings: WeightSettings) -> Self {
@@ -99,7 +99,7 @@
         if known.is_some_and(|engine| engine.service == service && engine.zone == zone) {
             return;
         }
-        let engine = EngineState {
+        let engine = EngineWeights {
             service: String::from(service),
             zone,
             reported: None,
@@ -179,7 +179,7 @@
         actions
     }
 
-    /// Returns when [`WeightPlan::poll`] has work next, or `None` when it waits for an event.
+    /// Returns when [`WeightScheduler::poll`] has work next, or `None` when it waits for an event.
     #[must_use]
     pub fn next_deadline(&self, now: Moment) -> Option<Moment> {
         let deadlines = self.engines.values().filter_map(|engine| Some(engine.loading?.1));
@@ -212,11 +212,11 @@
 
     /// Returns the state of an engine.
     #[must_use]
-    pub fn engine(&self, upstream: UpstreamKey) -> Option<&EngineState> {
+    pub fn engine(&self, upstream: UpstreamKey) -> Option<&EngineWeights> {
         self.engines.get(&upstream)
     }
 
-    fn wants_load(&self, engine: &EngineState) -> bool {
+    fn wants_load(&self, engine: &EngineWeights) -> bool {
         let target = self.targets.get(&engine.service);
         let behind = target.is_some_and(|&target| engine.reported < Some(target));
         behind && engine.loading.is_none()
@@ -265,7 +265,7 @@
     }
 }
 
-impl EngineState {
+impl EngineWeights {
     fn fail(&mut self, now: Moment) {
         let wait = Span(FIRST_RETRY.0 << self.failures.min(7)).min(LONGEST_RETRY);
         self.loading = None;
--- a/crates/rollout/tests/book.rs
+++ b/crates/rollout/tests/book.rs
@@ -5,19 +5,19 @@
 use base::{Incarnation, LogOffset, RecordId, WeightVersion};
 use common::{Trainer, filled, slot};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, FillRefusal, SampleBook, SampleBound, SampleRecord,
+    Delivery, DeliveryNumber, FillRefusal, SampleBound, SampleOutcome, SampleRecord, SampleTable,
     SampleVoided, SlotKey, VoidReason,
 };
 
-fn bind(book: &mut SampleBook, slot: SlotKey, sample: RecordId) -> Option<DeliveryNumber> {
+fn bind(book: &mut SampleTable, slot: SlotKey, sample: RecordId) -> Option<DeliveryNumber> {
     let record = SampleRecord::Bound(SampleBound { slot, sample, score: None });
     book.apply(&record).into_iter().find_map(|action| match action {
-        BookAction::Bound { number, .. } => Some(number),
+        SampleOutcome::Bound { number, .. } => Some(number),
         _ => None,
     })
 }
 
-fn fill_and_bind(book: &mut SampleBook, index: u32, generation: u32, sequence: u64) -> RecordId {
+fn fill_and_bind(book: &mut SampleTable, index: u32, generation: u32, sequence: u64) -> RecordId {
     let record = filled(index, generation, sequence, &[(10, 4)]);
     let sample = record.sample;
     book.apply(&SampleRecord::Filled(record));
@@ -25,7 +25,7 @@
     sample
 }
 
-fn void(book: &mut SampleBook, index: u32, sample: RecordId) {
+fn void(book: &mut SampleTable, index: u32, sample: RecordId) {
     let voided = SampleVoided { slot: slot(index), sample, reason: VoidReason::Lost };
     book.apply(&SampleRecord::Voided(voided));
 }
@@ -42,12 +42,12 @@
 
 #[test]
 fn first_fill_in_log_order_wins() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     Trainer::default().open(&mut book, 2);
     let (first, second) = (filled(0, 0, 1, &[(10, 4)]), filled(0, 0, 2, &[(10, 4)]));
     book.apply(&SampleRecord::Filled(first.clone()));
     let refused = book.apply(&SampleRecord::Filled(second.clone()));
-    let expected = BookAction::FillRefused {
+    let expected = SampleOutcome::FillRefused {
         slot: slot(0),
         sample: second.sample,
         reason: FillRefusal::SlotTaken,
@@ -61,13 +61,13 @@
 #[test]
 fn fill_that_does_not_account_for_every_token_is_refused() {
     fn check(spans: &[(u64, u32)], tokens: u32, expected: FillRefusal) {
-        let mut book = SampleBook::default();
+        let mut book = SampleTable::default();
         Trainer::default().open(&mut book, 1);
         let mut record = filled(0, 0, 1, spans);
         record.tokens = tokens;
         let actions = book.apply(&SampleRecord::Filled(record));
         assert!(
-            matches!(&actions[0], BookAction::FillRefused { reason, .. } if *reason == expected)
+            matches!(&actions[0], SampleOutcome::FillRefused { reason, .. } if *reason == expected)
         );
     }
     check(&[(10, 4)], 5, FillRefusal::Malformed);
@@ -77,7 +77,7 @@
 
 #[test]
 fn asking_again_gives_the_same_samples() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 2);
     fill_and_bind(&mut book, 0, 0, 1);
@@ -91,7 +91,7 @@
 
 #[test]
 fn stale_sample_is_void_at_delivery_and_replaced_under_a_new_number() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     let record = filled(0, 0, 1, &[(10, 2), (11, 2)]);
@@ -115,7 +115,7 @@
 
 #[test]
 fn unscored_sample_that_became_stale_is_generated_again() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     book.apply(&SampleRecord::Filled(filled(0, 0, 1, &[(10, 4)])));
@@ -127,7 +127,7 @@
 fn sample_void_after_it_was_offered_counts_if_the_trainer_has_it() {
     // A holder may be cut off rather than dead and deliver the sample that others void as lost. If
     // the void counted, the trainer would get the slot twice.
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     let sample = fill_and_bind(&mut book, 0, 0, 1);
@@ -140,7 +140,7 @@
 
 #[test]
 fn sample_void_after_it_was_offered_is_replaced_if_the_trainer_lacks_it() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     let sample = fill_and_bind(&mut book, 0, 0, 1);
@@ -154,7 +154,7 @@
 #[test]
 fn sample_is_lost_only_when_all_its_holders_are_gone() {
     fn check(gone: &[u64], expected: usize) {
-        let mut book = SampleBook::default();
+        let mut book = SampleTable::default();
         Trainer::default().open(&mut book, 1);
         fill_and_bind(&mut book, 0, 0, 1);
         let lost = book.lost(|holder| gone.contains(&holder.0));
@@ -167,7 +167,7 @@
 
 #[test]
 fn statement_appended_late_has_no_effect() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     fill_and_bind(&mut book, 0, 0, 1);
@@ -176,14 +176,14 @@
     trainer.fetch(&mut book, 1, 12);
     let before = book.clone();
     let actions = book.apply(&SampleRecord::Stated(late));
-    assert!(matches!(actions.as_slice(), [BookAction::StatementRefused { statements: 3, .. }]));
+    assert!(matches!(actions.as_slice(), [SampleOutcome::StatementRefused { statements: 3, .. }]));
     assert_eq!(book, before);
     assert_eq!(book.stated_version(trainer.id), Some((WeightVersion(12), 2)));
 }
 
 #[test]
 fn answer_to_a_statement_that_was_overtaken_is_withheld() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     trainer.open(&mut book, 1);
     trainer.fetch(&mut book, 0, 10);
@@ -193,7 +193,7 @@
 
 #[test]
 fn completed_steps_are_retired_and_said_to_be() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let mut trainer = Trainer::default();
     for step in 1..=6 {
         trainer.open_step(&mut book, step, 1);
@@ -212,9 +212,9 @@
 
 #[test]
 fn step_that_would_exhaust_memory_is_refused() {
-    let mut book = SampleBook::default();
+    let mut book = SampleTable::default();
     let actions = Trainer::default().open(&mut book, u32::MAX);
-    assert!(matches!(actions[0], BookAction::StepRefused { step: 1, .. }));
+    assert!(matches!(actions[0], SampleOutcome::StepRefused { step: 1, .. }));
     assert_eq!(book.lost(|_: Incarnation| true), []);
 }
 
@@ -223,11 +223,11 @@
     // The log keeps records for a limited time, and nodes are replaced all day.
     fn check(first: u64, until: u64, expected: bool) {
         let mut trainer = Trainer::default();
-        let mut full = SampleBook::default();
+        let mut full = SampleTable::default();
         trainer.open(&mut full, 2);
         fill_and_bind(&mut full, 0, 0, 1);
         trainer.fetch(&mut full, 0, 10);
-        let mut late = SampleBook::after_gap(LogOffset(first));
+        let mut late = SampleTable::after_gap(LogOffset(first));
         let second = filled(1, 0, 2, &[(10, 4)]);
         let bound = SampleBound { slot: slot(1), sample: second.sample, score: None };
         let records = [
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use base::{Incarnation, RecordId, WeightVersion};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, SampleBook, SampleFilled, SampleRecord, SlotKey,
+    Delivery, DeliveryNumber, SampleFilled, SampleOutcome, SampleRecord, SampleTable, SlotKey,
     SpanTracker, StepShape, TrainerId, TrainerStated,
 };
 
@@ -64,16 +64,16 @@
         }
     }
 
-    pub(crate) fn open(&mut self, book: &mut SampleBook, samples: u32) -> Vec<BookAction> {
+    pub(crate) fn open(&mut self, book: &mut SampleTable, samples: u32) -> Vec<SampleOutcome> {
         self.open_step(book, 1, samples)
     }
 
     pub(crate) fn open_step(
         &mut self,
-        book: &mut SampleBook,
+        book: &mut SampleTable,
         step: u64,
         samples: u32,
-    ) -> Vec<BookAction> {
+    ) -> Vec<SampleOutcome> {
         let shape = StepShape { step, groups: 1, samples_per_group: samples };
         let stated = self.statement(step - 1, 10, Some(shape));
         self.statements += 1;
@@ -82,7 +82,7 @@
 
     pub(crate) fn fetch(
         &mut self,
-        book: &mut SampleBook,
+        book: &mut SampleTable,
         after: u64,
         version: u64,
     ) -> Vec<Delivery> {
--- a/crates/rollout/tests/policies.rs
+++ b/crates/rollout/tests/policies.rs
@@ -2,9 +2,9 @@
 
 use base::{Incarnation, Moment, RecordId, Span, UpstreamKey, WeightVersion, ZoneKey};
 use rollout::{
-    FixedLimit, GainOverCost, NoRerun, PieceOutOfOrder, RerunRule, ScoreAction, ScoreDesk, SlotKey,
-    SpanTracker, StragglerAction, StragglerPolicy, TrainerId, TrainerShare, WeightAction,
-    WeightPlan, WeightSettings,
+    CostBenefitRule, FixedTimeoutRule, NoRerun, PieceOutOfOrder, RerunRule, ScoreAction,
+    ScoreQueue, SlotKey, SpanTracker, StragglerAction, StragglerDetector, TrainerId,
+    TrainerScheduler, WeightAction, WeightScheduler, WeightSettings,
 };
 
 const SAMPLE: RecordId = RecordId { writer: Incarnation(1), sequence: 1 };
@@ -32,7 +32,7 @@
 
 #[test]
 fn failed_and_silent_scoring_calls_are_repeated_until_one_succeeds() {
-    let mut desk = ScoreDesk::default();
+    let mut desk = ScoreQueue::default();
     desk.enqueue(at(0), slot(0), SAMPLE);
     assert_eq!(desk.poll(at(0), 8).len(), 1);
     desk.failed(at(10), SAMPLE);
@@ -49,7 +49,7 @@
 #[test]
 fn trainers_share_by_weight_and_idle_ones_save_nothing_up() {
     let (a, b) = (TrainerId(1), TrainerId(2));
-    let mut share = TrainerShare::default();
+    let mut share = TrainerScheduler::default();
     share.set_weight(a, 3);
     share.set_weight(b, 1);
     let mut serve = |wants: &[TrainerId], rounds: usize| {
@@ -69,7 +69,7 @@
 
 /// Runs ten slots; engine 9 has a quarter of the speed of the others. Returns the slots run again.
 fn run_again(rule: impl RerunRule, free: usize, until_millis: u64) -> Vec<u32> {
-    let mut policy = StragglerPolicy::new(rule);
+    let mut policy = StragglerDetector::new(rule);
     for index in 0..10 {
         policy.started(at(0), slot(index), UpstreamKey(index));
     }
@@ -94,16 +94,16 @@
 
 #[test]
 fn only_the_late_slot_runs_again() {
-    assert_eq!(run_again(GainOverCost { tokens_per_second: 50.0 }, 4, 8_000), [9]);
-    assert_eq!(run_again(GainOverCost { tokens_per_second: 50.0 }, 0, 8_000), [0; 0]);
-    assert_eq!(run_again(GainOverCost { tokens_per_second: 1.0 }, 4, 8_000), [0; 0]);
-    assert_eq!(run_again(FixedLimit { limit: Span::from_secs(6) }, 4, 8_000), [9]);
+    assert_eq!(run_again(CostBenefitRule { tokens_per_second: 50.0 }, 4, 8_000), [9]);
+    assert_eq!(run_again(CostBenefitRule { tokens_per_second: 50.0 }, 0, 8_000), [0; 0]);
+    assert_eq!(run_again(CostBenefitRule { tokens_per_second: 1.0 }, 4, 8_000), [0; 0]);
+    assert_eq!(run_again(FixedTimeoutRule { limit: Span::from_secs(6) }, 4, 8_000), [9]);
     assert_eq!(run_again(NoRerun, 4, 8_000), [0; 0]);
 }
 
 #[test]
 fn loser_is_cancelled_and_counted() {
-    let mut policy = StragglerPolicy::new(NoRerun);
+    let mut policy = StragglerDetector::new(NoRerun);
     policy.started(at(0), slot(0), UpstreamKey(1));
     policy.started(at(0), slot(0), UpstreamKey(2));
     policy.progress(slot(0), UpstreamKey(1), 7);
@@ -114,8 +114,8 @@
     assert!(policy.finished(at(100), slot(0), UpstreamKey(1), 40).is_empty());
 }
 
-fn plan(engines: u32, settings: WeightSettings) -> WeightPlan {
-    let mut plan = WeightPlan::new(at(0), settings);
+fn plan(engines: u32, settings: WeightSettings) -> WeightScheduler {
+    let mut plan = WeightScheduler::new(at(0), settings);
     for engine in 0..engines {
         plan.engine_joined(UpstreamKey(engine), "draft-models", ZoneKey(engine % 2));
         plan.reported(UpstreamKey(engine), WeightVersion(1));
@@ -124,7 +124,7 @@
     plan
 }
 
-fn loads(plan: &mut WeightPlan, now: Moment) -> Vec<u32> {
+fn loads(plan: &mut WeightScheduler, now: Moment) -> Vec<u32> {
     let actions = plan.poll(now).into_iter();
     let load = |action| match action {
         WeightAction::Load { upstream, .. } => Some(upstream.0),
--- a/crates/routebook/src/history.rs
+++ b/crates/routebook/src/active.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use base::key;
+use base::derive_copy;
 
-use crate::{RouteBook, SiteConfig};
+use crate::{ConfigIndex, SiteConfig};
 
-key! {
+derive_copy! {
     /// What became of a configuration that was read.
-    pub enum BookOutcome {
+    pub enum ApplyOutcome {
         /// It is in force now.
         Applied,
         /// It is not newer than the one in force.
@@ -18,23 +18,23 @@
 
 /// Keeps the newest configuration. Within one process the version only rises.
 #[derive(Debug, Default)]
-pub struct BookHistory {
-    newest: Option<Arc<RouteBook>>,
+pub struct ActiveConfig {
+    newest: Option<Arc<ConfigIndex>>,
 }
 
-impl BookHistory {
+impl ActiveConfig {
     /// Takes a configuration that was read from the store.
-    pub fn offer(&mut self, config: SiteConfig) -> BookOutcome {
+    pub fn offer(&mut self, config: SiteConfig) -> ApplyOutcome {
         if self.newest.as_ref().is_some_and(|newest| newest.version() >= config.version) {
-            return BookOutcome::NotNewer;
+            return ApplyOutcome::NotNewer;
         }
-        self.newest = Some(Arc::new(RouteBook::new(config)));
-        BookOutcome::Applied
+        self.newest = Some(Arc::new(ConfigIndex::new(config)));
+        ApplyOutcome::Applied
     }
 
     /// Returns the configuration in force.
     #[must_use]
-    pub const fn newest(&self) -> Option<&Arc<RouteBook>> {
+    pub const fn newest(&self) -> Option<&Arc<ConfigIndex>> {
         self.newest.as_ref()
     }
 }
--- a/crates/routebook/src/book.rs
+++ b/crates/routebook/src/index.rs
@@ -4,27 +4,27 @@
 
 use base::{Arena, KeyDigest, RouteKey};
 
-use crate::{CallerLimits, CustomerRule, RouteRule, ServiceRule, SiteConfig};
+use crate::{CallerLimits, CustomerSpec, RouteSpec, ServiceSpec, SiteConfig};
 
 /// One version of the configuration with its indexes.
 #[derive(Debug)]
-pub struct RouteBook {
+pub struct ConfigIndex {
     version: u64,
-    routes: Arena<RouteKey, RouteRule>,
+    routes: Arena<RouteKey, RouteSpec>,
     /// Routes of a host, longest prefix first.
     hosts: HashMap<String, Vec<RouteKey>>,
-    services: HashMap<String, ServiceRule>,
+    services: HashMap<String, ServiceSpec>,
     limits: CallerLimits,
     customers: Option<CustomerIndex>,
 }
 
 #[derive(Debug)]
 struct CustomerIndex {
-    rules: Vec<CustomerRule>,
+    rules: Vec<CustomerSpec>,
     keys: HashMap<KeyDigest, usize>,
 }
 
-impl RouteBook {
+impl ConfigIndex {
     /// Builds the indexes of a configuration.
     #[must_use]
     pub fn new(config: SiteConfig) -> Self {
@@ -63,7 +63,7 @@
 
     /// Finds the route of a request: the one of its host with the longest prefix of `path`.
     #[must_use]
-    pub fn route(&self, host: &str, path: &str) -> Option<&RouteRule> {
+    pub fn route(&self, host: &str, path: &str) -> Option<&RouteSpec> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
         let keys = self.hosts.get(&host.to_ascii_lowercase())?;
         let found = keys.iter().find(|route| path.starts_with(&self.routes[**route].prefix))?;
@@ -71,18 +71,18 @@
     }
 
     /// Iterates over the routes.
-    pub fn routes(&self) -> impl Iterator<Item = &RouteRule> {
+    pub fn routes(&self) -> impl Iterator<Item = &RouteSpec> {
         self.routes.iter().map(|(_, route)| route)
     }
 
     /// Returns a service.
     #[must_use]
-    pub fn service(&self, name: &str) -> Option<&ServiceRule> {
+    pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
     /// Iterates over the services.
-    pub fn services(&self) -> impl Iterator<Item = &ServiceRule> {
+    pub fn services(&self) -> impl Iterator<Item = &ServiceSpec> {
         self.services.values()
     }
 
@@ -94,14 +94,14 @@
 
     /// Finds the customer that holds a key.
     #[must_use]
-    pub fn customer(&self, key: KeyDigest) -> Option<&CustomerRule> {
+    pub fn customer(&self, key: KeyDigest) -> Option<&CustomerSpec> {
         let index = self.customers.as_ref()?;
         index.keys.get(&key).map(|at| &index.rules[*at])
     }
 }
 
 impl CustomerIndex {
-    fn new(rules: Vec<CustomerRule>) -> Self {
+    fn new(rules: Vec<CustomerSpec>) -> Self {
         let mut keys = HashMap::new();
         for (at, rule) in rules.iter().enumerate() {
             for key in &rule.keys {
--- a/crates/routebook/src/rule.rs
+++ b/crates/routebook/src/spec.rs
@@ -1,9 +1,9 @@
 //! Parts of a configuration.
 
-use base::{KeyDigest, Span, key, plain};
+use base::{KeyDigest, Span, derive_copy, derive_value};
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// What may be repeated on a route.
     pub enum RequestKind {
         /// A request may run more than once.
@@ -29,9 +29,9 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A service and its share of a route's requests.
-    pub struct TargetShare {
+    pub struct WeightedTarget {
         /// Name of the service.
         pub service: String,
         /// Weight relative to the other targets of the route.
@@ -39,7 +39,7 @@
     }
 
     /// Requests of one host below one path prefix.
-    pub struct RouteRule {
+    pub struct RouteSpec {
         /// Name of the route.
         pub name: String,
         /// Host header that the route matches, in lower case.
@@ -47,7 +47,7 @@
         /// Path prefix that the route matches. It begins and ends with a slash.
         pub prefix: String,
         /// Services that run the requests.
-        pub targets: SmallVec<[TargetShare; 2]>,
+        pub targets: SmallVec<[WeightedTarget; 2]>,
         /// What may be repeated.
         pub kind: RequestKind,
         /// Longest time that a request may wait for its answer.
@@ -71,7 +71,7 @@
     }
 
     /// Engines of a service.
-    pub struct EngineRule {
+    pub struct EngineSpec {
         /// Names of the models that every engine of the service runs.
         pub models: Vec<String>,
         /// Requests that one engine runs at once.
@@ -79,7 +79,7 @@
     }
 
     /// How many upstreams of a service may be ordered.
-    pub struct ScaleRule {
+    pub struct ScalingSpec {
         /// Least number in an availability zone.
         pub min: u32,
         /// Greatest number in an availability zone.
@@ -89,7 +89,7 @@
     }
 
     /// A service.
-    pub struct ServiceRule {
+    pub struct ServiceSpec {
         /// Name of the service.
         pub name: String,
         /// Path of the health check.
@@ -97,13 +97,13 @@
         /// Connections that one upstream accepts from all nodes together.
         pub connections: u32,
         /// Present when the upstreams are model engines.
-        pub engine: Option<EngineRule>,
+        pub engine: Option<EngineSpec>,
         /// Present when upstreams can be ordered.
-        pub scale: Option<ScaleRule>,
+        pub scale: Option<ScalingSpec>,
     }
 
     /// A customer and its keys.
-    pub struct CustomerRule {
+    pub struct CustomerSpec {
         /// Name of the customer.
         pub name: String,
         /// Digests of the keys in force.
@@ -117,17 +117,17 @@
         /// Version. Later configurations have higher ones.
         pub version: u64,
         /// Routes.
-        pub routes: Vec<RouteRule>,
+        pub routes: Vec<RouteSpec>,
         /// Services.
-        pub services: Vec<ServiceRule>,
+        pub services: Vec<ServiceSpec>,
         /// What callers may send.
         pub limits: CallerLimits,
         /// Customers, or `None` when requests need no keys.
-        pub customers: Option<Vec<CustomerRule>>,
+        pub customers: Option<Vec<CustomerSpec>>,
     }
 }
 
-impl RouteRule {
+impl RouteSpec {
     /// Tells whether a request may be sent to a second upstream after the first may have run it.
     #[must_use]
     pub const fn repeatable(&self) -> bool {
--- a/crates/routebook/tests/book.rs
+++ b/crates/routebook/tests/book.rs
@@ -2,18 +2,18 @@
 
 use base::{KeyDigest, Span};
 use routebook::{
-    BookHistory, BookOutcome, CallerLimits, CustomerRule, RequestKind, RouteBook, RouteRule,
-    SiteConfig, TargetShare,
+    ActiveConfig, ApplyOutcome, CallerLimits, ConfigIndex, CustomerSpec, RequestKind, RouteSpec,
+    SiteConfig, WeightedTarget,
 };
 use rstest::rstest;
 use smallvec::smallvec;
 
-fn route(name: &str, prefix: &str) -> RouteRule {
-    RouteRule {
+fn route(name: &str, prefix: &str) -> RouteSpec {
+    RouteSpec {
         name: String::from(name),
         host: String::from("shop.example"),
         prefix: String::from(prefix),
-        targets: smallvec![TargetShare { service: String::from(name), weight: 1 }],
+        targets: smallvec![WeightedTarget { service: String::from(name), weight: 1 }],
         kind: RequestKind::Safe,
         timeout: Span::from_millis(800),
         objective: Span::from_millis(150),
@@ -38,7 +38,7 @@
             header_timeout: Span::ZERO,
             idle_timeout: Span::ZERO,
         },
-        customers: Some(vec![CustomerRule {
+        customers: Some(vec![CustomerSpec {
             name: String::from("brewer"),
             keys: vec![KeyDigest::of("k1"), KeyDigest::of("k2")],
             priority: None,
@@ -53,7 +53,7 @@
 #[case("shop.example", "/ab", None)]
 #[case("other.example", "/a/b/c", None)]
 fn check_longest_prefix(#[case] host: &str, #[case] path: &str, #[case] expected: Option<&str>) {
-    let book = RouteBook::new(config(1));
+    let book = ConfigIndex::new(config(1));
     assert_eq!(book.route(host, path).map(|route| route.name.as_str()), expected);
 }
 
@@ -63,7 +63,7 @@
 #[case("k2", Some("brewer"))]
 #[case("k3", None)]
 fn check_customer(#[case] key: &str, #[case] expected: Option<&str>) {
-    let book = RouteBook::new(config(1));
+    let book = ConfigIndex::new(config(1));
     let found = book.customer(KeyDigest::of(key)).map(|customer| customer.name.as_str());
     assert_eq!(found, expected);
 }
@@ -71,11 +71,11 @@
 /// Guards against a reread of the store that brings an older configuration back into force.
 #[test]
 fn version_only_rises() {
-    let mut history = BookHistory::default();
-    assert_eq!(history.offer(config(4)), BookOutcome::Applied);
-    assert_eq!(history.offer(config(3)), BookOutcome::NotNewer);
-    assert_eq!(history.offer(config(4)), BookOutcome::NotNewer);
-    assert_eq!(history.offer(config(9)), BookOutcome::Applied);
+    let mut history = ActiveConfig::default();
+    assert_eq!(history.offer(config(4)), ApplyOutcome::Applied);
+    assert_eq!(history.offer(config(3)), ApplyOutcome::NotNewer);
+    assert_eq!(history.offer(config(4)), ApplyOutcome::NotNewer);
+    assert_eq!(history.offer(config(9)), ApplyOutcome::Applied);
     assert_eq!(history.newest().map(|book| book.version()), Some(9));
 }
 
@@ -87,9 +87,9 @@
 fn check_split(#[case] draw: u32, #[case] expected: &str) {
     let mut rule = route("a", "/");
     rule.targets = smallvec![
-        TargetShare { service: String::from("a"), weight: 90 },
-        TargetShare { service: String::from("none"), weight: 0 },
-        TargetShare { service: String::from("b"), weight: 10 },
+        WeightedTarget { service: String::from("a"), weight: 90 },
+        WeightedTarget { service: String::from("none"), weight: 0 },
+        WeightedTarget { service: String::from("b"), weight: 10 },
     ];
     assert_eq!(rule.target(draw), Some(expected));
 }
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 
 use crate::{
-    PickChoice, PickPolicy, PickReason, PickRequest, RouteMembers, UpstreamTable, policy::below,
+    PickPolicy, PickReason, PickRequest, PickResult, RouteUpstreams, UpstreamTable, policy::below,
 };
 
 /// Chooses any upstream that takes work.
@@ -26,10 +26,10 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         let usable = usable_from(table, members, request, 0).count();
         if usable == 0 {
             return None;
@@ -44,10 +44,10 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         _rng: &mut impl Rng,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         let (position, upstream) = usable_from(table, members, request, self.next).next()?;
         self.next = position + 1;
         Some(choice(upstream))
@@ -59,10 +59,10 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         // The scan starts anywhere and keeps the first minimum, so that ties are spread.
         let start = below(rng, members.keys().len().max(1));
         usable_from(table, members, request, start)
@@ -74,7 +74,7 @@
 /// Iterates once over the upstreams that accept the request, from position `start` on.
 fn usable_from<'a>(
     table: &'a UpstreamTable,
-    members: &'a RouteMembers,
+    members: &'a RouteUpstreams,
     request: &'a PickRequest<'_>,
     start: usize,
 ) -> impl Iterator<Item = (usize, UpstreamKey)> + 'a {
@@ -85,8 +85,8 @@
     })
 }
 
-const fn choice(upstream: UpstreamKey) -> PickChoice {
-    PickChoice {
+const fn choice(upstream: UpstreamKey) -> PickResult {
+    PickResult {
         upstream,
         reason: PickReason::Baseline,
         expected: Span::ZERO,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,23 +1,26 @@
 //! Choice of an upstream by expected completion time.
 //!
 //! [`UpstreamTable`] holds what the node knows about each upstream: learned speed, the node's own
-//! outstanding work and the last load report. [`RouteMembers`] lists the upstreams of one route.
-//! [`RoutePicker`] chooses among them; it and the baselines implement [`PickPolicy`].
+//! outstanding work and the last load report. [`RouteUpstreams`] lists the upstreams of one route.
+//! [`UpstreamPicker`] chooses among them; it and the baselines implement [`PickPolicy`].
 //!
 //! Nothing here reads a clock or a global generator. A choice does not allocate.
 
 mod baseline;
-mod members;
 mod picker;
 mod policy;
+mod route_upstreams;
 mod table;
 mod upstream;
 
 pub use crate::{
     baseline::{LeastOutstanding, RandomPick, RoundRobin},
-    members::RouteMembers,
-    picker::{PickerSettings, RoutePicker},
-    policy::{PickChoice, PickPolicy, PickReason, PickRequest},
+    picker::{PickerSettings, UpstreamPicker},
+    policy::{PickPolicy, PickReason, PickRequest, PickResult},
+    route_upstreams::RouteUpstreams,
     table::{TableSettings, UpstreamTable},
-    upstream::{LoadSample, StartedWork, UpstreamInfo, UpstreamPrice, UpstreamState, WorkEnd},
+    upstream::{
+        InFlightRequest, LoadMeasurement, PriceClass, RequestOutcome, UpstreamProperties,
+        UpstreamState,
+    },
 };
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -1,14 +1,14 @@
 //! Choice by expected completion time over sampled candidates.
 
-use base::{Moment, Span, UpstreamKey, key};
+use base::{Moment, Span, UpstreamKey, derive_copy};
 use rand::Rng;
 
 use crate::{
-    PickChoice, PickPolicy, PickReason, PickRequest, RouteMembers, UpstreamState, UpstreamTable,
+    PickPolicy, PickReason, PickRequest, PickResult, RouteUpstreams, UpstreamState, UpstreamTable,
     policy::below, upstream::UpstreamRow,
 };
 
-key! {
+derive_copy! {
     /// Settings of the picker.
     pub struct PickerSettings {
         /// Candidates sampled from the own zone.
@@ -30,7 +30,7 @@
 /// uniform samples of mixed speeds hold only slow upstreams too often. The bound on the load of a
 /// prefix owner follows Mirrokni et al., "Consistent hashing with bounded loads" (2018).
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RoutePicker {
+pub struct UpstreamPicker {
     settings: PickerSettings,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl RoutePicker {
+impl UpstreamPicker {
     /// Creates a picker.
     #[must_use]
     pub const fn new(settings: PickerSettings) -> Self {
@@ -95,7 +95,7 @@
     fn owner(
         &self,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         best: f32,
     ) -> Option<(UpstreamKey, f32)> {
@@ -117,7 +117,7 @@
     fn scan(
         &self,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         accepts: impl Fn(UpstreamKey, &UpstreamRow) -> bool,
     ) -> BestCandidates {
@@ -133,15 +133,15 @@
     }
 }
 
-impl PickPolicy for RoutePicker {
+impl PickPolicy for UpstreamPicker {
     fn pick(
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         let PickerSettings { own_zone_samples, other_zone_samples, .. } = self.settings;
         let mut found = BestCandidates::new();
         self.sample(&mut found, table, members.own_zone(), own_zone_samples, request, rng);
@@ -160,7 +160,7 @@
             return found.choice(PickReason::EarliestCompletion);
         };
         let compared = found.compared + 1;
-        Some(PickChoice {
+        Some(PickResult {
             upstream: owner,
             reason: PickReason::PrefixOwner,
             expected: span(time),
@@ -190,11 +190,11 @@
         }
     }
 
-    fn choice(&self, reason: PickReason) -> Option<PickChoice> {
+    fn choice(&self, reason: PickReason) -> Option<PickResult> {
         let (upstream, time) = self.best?;
         let runner_up = self.runner_up.map(span);
         let compared = self.compared;
-        Some(PickChoice { upstream, reason, expected: span(time), runner_up, compared })
+        Some(PickResult { upstream, reason, expected: span(time), runner_up, compared })
     }
 }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,9 +1,9 @@
 //! The interface that the picker and the baselines share.
 
-use base::{Moment, Span, UpstreamKey, WeightVersion, key};
+use base::{Moment, Span, UpstreamKey, WeightVersion, derive_copy};
 use rand::Rng;
 
-use crate::{RouteMembers, UpstreamTable, upstream::UpstreamRow};
+use crate::{RouteUpstreams, UpstreamTable, upstream::UpstreamRow};
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     pub avoid: &'a [UpstreamKey],
 }
 
-key! {
+derive_copy! {
     /// Why an upstream was chosen.
     pub enum PickReason {
         /// It has the earliest expected completion among the sampled ones.
@@ -36,7 +36,7 @@
     }
 
     /// A choice with what explains it in the log line.
-    pub struct PickChoice {
+    pub struct PickResult {
         /// The chosen upstream.
         pub upstream: UpstreamKey,
         /// Why it was chosen.
@@ -58,10 +58,10 @@
         &mut self,
         now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        members: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
-    ) -> Option<PickChoice>;
+    ) -> Option<PickResult>;
 }
 
 impl PickRequest<'_> {
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/route_upstreams.rs
@@ -13,13 +13,13 @@
 
 /// Upstreams of one route, those of the node's own zone first.
 #[derive(Debug, Clone)]
-pub struct RouteMembers {
+pub struct RouteUpstreams {
     keys: Vec<UpstreamKey>,
     own_zone: usize,
     owners: Vec<[UpstreamKey; OWNERS]>,
 }
 
-impl RouteMembers {
+impl RouteUpstreams {
     /// Sorts the upstreams of a route as seen from `own_zone` and assigns the prefix groups.
     /// Keys that are not in `table` are left out.
     #[must_use]
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,13 +1,13 @@
 //! What the node knows about each upstream.
 
-use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, ZoneKey, key};
+use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_copy};
 
 use crate::{
-    LoadSample, StartedWork, UpstreamInfo, UpstreamPrice, UpstreamState, WorkEnd,
-    upstream::UpstreamRow,
+    InFlightRequest, LoadMeasurement, PriceClass, RequestOutcome, UpstreamProperties,
+    UpstreamState, upstream::UpstreamRow,
 };
 
-key! {
+derive_copy! {
     /// Starting values of the table.
     pub struct TableSettings {
         /// Speed assumed before an upstream has completed a request, in tokens per second.
@@ -66,13 +66,13 @@
     }
 
     /// Adds an upstream that takes work.
-    pub fn add(&mut self, info: UpstreamInfo) -> UpstreamKey {
+    pub fn add(&mut self, info: UpstreamProperties) -> UpstreamKey {
         self.add_expecting(info, self.settings.initial_speed)
     }
 
     /// Adds an upstream that takes work at an expected speed in tokens per second, which holds until
     /// completed requests show its true one.
-    pub fn add_expecting(&mut self, info: UpstreamInfo, speed: u32) -> UpstreamKey {
+    pub fn add_expecting(&mut self, info: UpstreamProperties, speed: u32) -> UpstreamKey {
         self.rows.push(UpstreamRow::new(info, speed.max(1) as f32))
     }
 
@@ -104,7 +104,7 @@
     /// What the report holds beyond the node's own work at the time of measurement belongs to
     /// other nodes and counts unchanged until the next report. Their arrivals make up for what the
     /// upstream completes meanwhile, and the node's own work is known exactly.
-    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, load: LoadSample) {
+    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, load: LoadMeasurement) {
         let mean_request = self.mean_request;
         let Some(row) = self.rows.get_mut(upstream) else { return };
         if row.measured_at.is_some_and(|last| load.measured_at <= last) {
@@ -122,7 +122,7 @@
     }
 
     /// Counts a request of `tokens` estimated work that is given to `upstream`.
-    pub fn start(&mut self, now: Moment, upstream: UpstreamKey, tokens: u32) -> StartedWork {
+    pub fn start(&mut self, now: Moment, upstream: UpstreamKey, tokens: u32) -> InFlightRequest {
         let mut backlog = 0;
         if let Some(row) = self.rows.get_mut(upstream) {
             row.keep_history(now);
@@ -130,16 +130,16 @@
             row.outstanding = row.outstanding.saturating_add(tokens);
             row.own_requests += 1;
         }
-        StartedWork { upstream, started_at: now, tokens, backlog }
+        InFlightRequest { upstream, started_at: now, tokens, backlog }
     }
 
     /// Ends a request and learns from it.
-    pub fn finish(&mut self, now: Moment, work: StartedWork, end: WorkEnd) {
+    pub fn finish(&mut self, now: Moment, work: InFlightRequest, end: RequestOutcome) {
         let Some(row) = self.rows.get_mut(work.upstream) else { return };
         row.keep_history(now);
         row.outstanding = row.outstanding.saturating_sub(work.tokens);
         row.own_requests = row.own_requests.saturating_sub(1);
-        let WorkEnd::Completed { tokens } = end else { return };
+        let RequestOutcome::Completed { tokens } = end else { return };
         self.mean_request += (tokens as f32 - self.mean_request) * MEAN_WEIGHT;
         let took = now.since(work.started_at).0.max(1) as f32 / 1e6;
         let backlog = (work.backlog as f32 + row.backlog() as f32) / 2.0;
@@ -207,7 +207,7 @@
 
     /// Returns whether an upstream can be reclaimed.
     #[must_use]
-    pub fn price(&self, upstream: UpstreamKey) -> Option<UpstreamPrice> {
+    pub fn price(&self, upstream: UpstreamKey) -> Option<PriceClass> {
         self.rows.get(upstream).map(|row| row.info.price)
     }
 
@@ -240,7 +240,7 @@
         self.max_speed
     }
 
-    pub(crate) fn info(&self, upstream: UpstreamKey) -> Option<UpstreamInfo> {
+    pub(crate) fn info(&self, upstream: UpstreamKey) -> Option<UpstreamProperties> {
         self.rows.get(upstream).map(|row| row.info)
     }
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,8 +1,8 @@
 //! What is known about one upstream.
 
-use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey, key};
+use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_copy};
 
-key! {
+derive_copy! {
     /// Whether an upstream may be chosen.
     pub enum UpstreamState {
         /// It takes work.
@@ -16,7 +16,7 @@
     }
 
     /// Whether the platform may reclaim an upstream.
-    pub enum UpstreamPrice {
+    pub enum PriceClass {
         /// It stays until it is ordered to stop.
         Regular,
         /// It costs less and can be reclaimed with seconds of notice.
@@ -24,17 +24,17 @@
     }
 
     /// What stays the same while an upstream lives.
-    pub struct UpstreamInfo {
+    pub struct UpstreamProperties {
         /// Number that is the same on every node, for rendezvous hashing.
         pub node_hash: u64,
         /// Where it runs.
         pub zone: ZoneKey,
         /// Whether it can be reclaimed.
-        pub price: UpstreamPrice,
+        pub price: PriceClass,
     }
 
     /// A load report.
-    pub struct LoadSample {
+    pub struct LoadMeasurement {
         /// Requests in the batch.
         pub running: u32,
         /// Requests that wait for the batch.
@@ -46,7 +46,7 @@
     }
 
     /// A request that was given to an upstream. It is handed back when the request ends.
-    pub struct StartedWork {
+    pub struct InFlightRequest {
         /// The upstream.
         pub upstream: UpstreamKey,
         /// When it started.
@@ -58,7 +58,7 @@
     }
 
     /// How a request left its upstream.
-    pub enum WorkEnd {
+    pub enum RequestOutcome {
         /// The answer is whole.
         Completed {
             /// True work in tokens.
@@ -94,7 +94,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamRow {
-    pub(crate) info: UpstreamInfo,
+    pub(crate) info: UpstreamProperties,
     pub(crate) state: UpstreamState,
     pub(crate) reserved: bool,
     pub(crate) version: Option<WeightVersion>,
@@ -116,7 +116,7 @@
 }
 
 impl UpstreamRow {
-    pub(crate) const fn new(info: UpstreamInfo, speed: f32) -> Self {
+    pub(crate) const fn new(info: UpstreamProperties, speed: f32) -> Self {
         Self {
             info,
             state: UpstreamState::Up,
--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -4,8 +4,8 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    PickPolicy as _, PickRequest, RouteMembers, RoutePicker, TableSettings, UpstreamInfo,
-    UpstreamPrice, UpstreamState, UpstreamTable, WorkEnd,
+    PickPolicy as _, PickRequest, PriceClass, RequestOutcome, RouteUpstreams, TableSettings,
+    UpstreamPicker, UpstreamProperties, UpstreamState, UpstreamTable,
 };
 
 #[test]
@@ -14,11 +14,11 @@
     let mut table = UpstreamTable::new(TableSettings::default(), distances);
     for index in 0..600 {
         let zone = ZoneKey(index % 11);
-        let price = UpstreamPrice::Regular;
-        table.add(UpstreamInfo { node_hash: u64::from(index), zone, price });
+        let price = PriceClass::Regular;
+        table.add(UpstreamProperties { node_hash: u64::from(index), zone, price });
     }
-    let members = RouteMembers::new(&table, ZoneKey(0), (0..600).map(UpstreamKey));
-    let mut picker = RoutePicker::default();
+    let members = RouteUpstreams::new(&table, ZoneKey(0), (0..600).map(UpstreamKey));
+    let mut picker = UpstreamPicker::default();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut now = Moment(0);
     let mut picked = 0;
@@ -38,7 +38,11 @@
             };
             picked += 1;
             let work = table.start(now, choice.upstream, request.tokens);
-            table.finish(now + Span::from_millis(300), work, WorkEnd::Completed { tokens: 300 });
+            table.finish(
+                now + Span::from_millis(300),
+                work,
+                RequestOutcome::Completed { tokens: 300 },
+            );
             if number == 10_000 {
                 // What follows takes the path of the full scan.
                 for index in 1..600 {
--- a/crates/routing/tests/picker.rs
+++ b/crates/routing/tests/picker.rs
@@ -4,9 +4,9 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LeastOutstanding, LoadSample, PickChoice, PickPolicy, PickReason, PickRequest, RandomPick,
-    RoundRobin, RouteMembers, RoutePicker, TableSettings, UpstreamInfo, UpstreamPrice,
-    UpstreamState, UpstreamTable, WorkEnd,
+    LeastOutstanding, LoadMeasurement, PickPolicy, PickReason, PickRequest, PickResult, PriceClass,
+    RandomPick, RequestOutcome, RoundRobin, RouteUpstreams, TableSettings, UpstreamPicker,
+    UpstreamProperties, UpstreamState, UpstreamTable,
 };
 use rstest::rstest;
 
@@ -18,18 +18,18 @@
     let mut table = UpstreamTable::new(TableSettings::default(), vec![Span::ZERO, distance]);
     for (index, zone) in zones.iter().enumerate() {
         let zone = ZoneKey(*zone);
-        let price = UpstreamPrice::Regular;
-        table.add(UpstreamInfo { node_hash: index as u64 + 1, zone, price });
+        let price = PriceClass::Regular;
+        table.add(UpstreamProperties { node_hash: index as u64 + 1, zone, price });
     }
     table
 }
 
-fn members(table: &UpstreamTable) -> RouteMembers {
-    RouteMembers::new(table, ZoneKey(0), (0..table.len() as u32).map(UpstreamKey))
+fn members(table: &UpstreamTable) -> RouteUpstreams {
+    RouteUpstreams::new(table, ZoneKey(0), (0..table.len() as u32).map(UpstreamKey))
 }
 
-fn load(queued: u32, measured_at: Moment) -> LoadSample {
-    LoadSample { running: 0, queued, version: Some(WeightVersion(5)), measured_at }
+fn load(queued: u32, measured_at: Moment) -> LoadMeasurement {
+    LoadMeasurement { running: 0, queued, version: Some(WeightVersion(5)), measured_at }
 }
 
 /// Teaches the table a speed by completions of 100 tokens.
@@ -37,7 +37,7 @@
     for _ in 0..100 {
         let work = table.start(NOW, UpstreamKey(upstream), 100);
         let took = Span::from_micros(100_000_000 / tokens_per_second);
-        table.finish(NOW + took, work, WorkEnd::Completed { tokens: 100 });
+        table.finish(NOW + took, work, RequestOutcome::Completed { tokens: 100 });
     }
 }
 
@@ -65,14 +65,14 @@
     let mut table = table(&[0, 0, 1], Span::from_millis(1));
     table.set_state(UpstreamKey(1), state);
     let unused = |counts: &[usize]| counts[1] == 0 && counts.iter().sum::<usize>() == 1_000;
-    check(&mut RoutePicker::default(), &table, &PLAIN, unused);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, unused);
     check(&mut RandomPick, &table, &PLAIN, unused);
     check(&mut RoundRobin::default(), &table, &PLAIN, unused);
     check(&mut LeastOutstanding, &table, &PLAIN, unused);
     for upstream in [0, 2] {
         table.set_state(UpstreamKey(upstream), state);
     }
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts == [0, 0, 0]);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts == [0, 0, 0]);
 }
 
 #[test]
@@ -88,9 +88,9 @@
     let mut table = table(&[0, 0, 0], Span::ZERO);
     table.set_state(UpstreamKey(0), UpstreamState::Suspect);
     table.reserve(UpstreamKey(1));
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts == [0, 0, 1_000]);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts == [0, 0, 1_000]);
     table.set_state(UpstreamKey(2), UpstreamState::Leaving);
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts == [1_000, 0, 0]);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts == [1_000, 0, 0]);
 }
 
 #[rstest]
@@ -109,13 +109,13 @@
         let remote = counts[2] + counts[3];
         remote >= least && (least > 0 || remote == 0)
     };
-    check(&mut RoutePicker::default(), &table, &PLAIN, remote);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, remote);
 }
 
 #[test]
 fn own_zone_is_used_when_work_is_equal() {
     let table = table(&[0, 0, 1, 1], Span::from_millis(1));
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts[2] + counts[3] == 0);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[2] + counts[3] == 0);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     table.refresh();
     let learned = table.speed(UpstreamKey(0)).unwrap_or_default();
     assert!((3_800.0..4_200.0).contains(&learned), "learned {learned}");
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts[0] > 900);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[0] > 900);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     // Three waiting requests of 200 tokens, one of them this node's own.
     table.report(heard_at, upstream, load(3, measured_at));
     assert_eq!(table.backlog(upstream), Some(400 + 400));
-    table.finish(heard_at, early, WorkEnd::Failed);
+    table.finish(heard_at, early, RequestOutcome::Failed);
     assert_eq!(table.backlog(upstream), Some(400 + 200));
     table.report(heard_at, upstream, load(9, measured_at));
     assert_eq!(table.backlog(upstream), Some(600), "a report that is not newer is ignored");
@@ -152,9 +152,9 @@
     let mut table = table(&[0; 8], Span::ZERO);
     let request = PickRequest { prompt_tokens: 1_000, prefix: Some(77), ..PLAIN };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let mut pick = |table: &UpstreamTable| -> PickChoice {
+    let mut pick = |table: &UpstreamTable| -> PickResult {
         let members = members(table);
-        let choice = RoutePicker::default().pick(NOW, table, &members, &request, &mut rng);
+        let choice = UpstreamPicker::default().pick(NOW, table, &members, &request, &mut rng);
         choice.expect("an upstream is free")
     };
     let owner = pick(&table);
@@ -173,18 +173,18 @@
     let mut table = table(&[0, 0], Span::ZERO);
     table.report(NOW, UpstreamKey(1), load(0, NOW));
     let request = PickRequest { min_version: Some(WeightVersion(5)), ..PLAIN };
-    check(&mut RoutePicker::default(), &table, &request, |counts| counts == [0, 1_000]);
+    check(&mut UpstreamPicker::default(), &table, &request, |counts| counts == [0, 1_000]);
     let request = PickRequest { min_version: Some(WeightVersion(6)), ..PLAIN };
-    check(&mut RoutePicker::default(), &table, &request, |counts| counts == [0, 0]);
+    check(&mut UpstreamPicker::default(), &table, &request, |counts| counts == [0, 0]);
 }
 
 #[test]
 fn tried_upstream_is_avoided_while_another_is_left() {
     let mut table = table(&[0, 0], Span::ZERO);
     let request = PickRequest { avoid: &[UpstreamKey(0)], ..PLAIN };
-    check(&mut RoutePicker::default(), &table, &request, |counts| counts == [0, 1_000]);
+    check(&mut UpstreamPicker::default(), &table, &request, |counts| counts == [0, 1_000]);
     table.set_state(UpstreamKey(1), UpstreamState::Down);
-    check(&mut RoutePicker::default(), &table, &request, |counts| counts == [1_000, 0]);
+    check(&mut UpstreamPicker::default(), &table, &request, |counts| counts == [1_000, 0]);
 }
 
 #[test]
@@ -196,9 +196,9 @@
         let work = table.start(NOW, upstream, 200);
         // Eight requests of 200 tokens share 4,000 tokens a second.
         let end = NOW + Span::from_millis(400);
-        table.finish(end, work, WorkEnd::Completed { tokens: 200 });
+        table.finish(end, work, RequestOutcome::Completed { tokens: 200 });
         for other in others {
-            table.finish(end, other, WorkEnd::Failed);
+            table.finish(end, other, RequestOutcome::Failed);
         }
     }
     let under_load = table.speed(upstream).unwrap_or_default();
@@ -214,8 +214,8 @@
     let mut table = table(&[0, 0], Span::ZERO);
     // Alone on the upstream, a token takes 40 ms; nothing is known of the other one.
     let work = table.start(NOW, UpstreamKey(0), 10);
-    table.finish(NOW + Span::from_millis(400), work, WorkEnd::Completed { tokens: 10 });
-    let mut picker = RoutePicker::default();
+    table.finish(NOW + Span::from_millis(400), work, RequestOutcome::Completed { tokens: 10 });
+    let mut picker = UpstreamPicker::default();
     check(&mut picker, &table, &PLAIN, |counts| counts.iter().all(|count| *count > 200));
 }
 
@@ -224,9 +224,9 @@
     let mut table = table(&[0, 0], Span::ZERO);
     table.report(NOW, UpstreamKey(0), load(4, NOW));
     table.start(NOW, UpstreamKey(1), 200);
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts[1] > 500);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[1] > 500);
     table.set_nodes(10);
-    check(&mut RoutePicker::default(), &table, &PLAIN, |counts| counts[0] > 500);
+    check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[0] > 500);
 }
 
 #[test]
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -4,7 +4,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use process_tests::SiteFleet;
 use serde_json::Value;
 
@@ -33,7 +33,7 @@
         let path = if safe { "/fetch/x" } else { "/once/x" };
         let node = (caller + number) % world.options.gateways;
         let address = world.nodes.borrow()[node].process.callers();
-        let mut outgoing = Outgoing::post(address, path, Bytes::from(id.clone().into_bytes()));
+        let mut outgoing = HttpRequest::post(address, path, Bytes::from(id.clone().into_bytes()));
         for (name, value) in SiteFleet::headers(&id) {
             let name = name.parse().expect("names are valid");
             outgoing = outgoing.with_header(name, value.parse().expect("values are valid"));
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -123,7 +123,7 @@
 }
 
 async fn delete(address: std::net::SocketAddr, path: &str) -> u16 {
-    let mut outgoing = clients::Outgoing::get(address, path);
+    let mut outgoing = clients::HttpRequest::get(address, path);
     outgoing.method = "DELETE".parse().expect("the method is valid");
     for (name, value) in SiteFleet::headers("end") {
         let name = name.parse().expect("names are valid");
--- a/crates/stand-ins/src/engine/generation.rs
+++ b/crates/stand-ins/src/engine/generation.rs
@@ -111,13 +111,16 @@
             let token = text_of(self.digest, self.request.seed, self.next);
             let id = self.request.id.clone();
             let version = state.produce(self.number);
-            push(&mut lines, &wire::Line::Token { id, index: self.next, token, version });
+            push(&mut lines, &wire::TokenLine::Token { id, index: self.next, token, version });
             self.next += 1;
         }
         if self.next >= self.request.max_tokens {
             let id = self.request.id.clone();
             let prompt_tokens = prompt_tokens(&self.request.prompt);
-            push(&mut lines, &wire::Line::End { id, end: true, tokens: self.next, prompt_tokens });
+            push(
+                &mut lines,
+                &wire::TokenLine::End { id, end: true, tokens: self.next, prompt_tokens },
+            );
             self.phase = Phase::Ended;
         }
         Some(lines.freeze())
@@ -160,7 +163,7 @@
     }
 }
 
-fn push(lines: &mut BytesMut, line: &wire::Line) {
+fn push(lines: &mut BytesMut, line: &wire::TokenLine) {
     serde_json::to_writer(lines.writer(), line).expect("plain data serializes");
     lines.put_u8(b'\n');
 }
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 pub(crate) struct EngineState {
-    pub(crate) load: LaggingValue<wire::Load>,
+    pub(crate) load: LaggingValue<wire::EngineLoadReport>,
     pub(crate) tokens_per_second: u32,
     pub(crate) failing_swaps: u32,
     pub(crate) imported: BTreeSet<String>,
@@ -47,7 +47,7 @@
 
 impl EngineState {
     pub(crate) fn new(options: &EngineOptions, now: Instant) -> Self {
-        let load = wire::Load {
+        let load = wire::EngineLoadReport {
             running: 0,
             queued: 0,
             tokens_per_second: 0,
@@ -217,7 +217,7 @@
     fn measure(&mut self, now: Instant) {
         let running = self.running();
         let speed = running as f64 / self.token_time().as_secs_f64();
-        let load = wire::Load {
+        let load = wire::EngineLoadReport {
             running: running as u32,
             queued: (self.entries.len() - running) as u32,
             tokens_per_second: speed as u32,
--- a/crates/stand-ins/src/platform/upstreams.rs
+++ b/crates/stand-ins/src/platform/upstreams.rs
@@ -184,7 +184,7 @@
 async fn tell_reclaim(address: SocketAddr, after: Duration) {
     let http = clients::HttpClient::new(base::Span::from_millis(500));
     let body = format!("{{\"after_ms\":{}}}", after.as_millis()).into();
-    let outgoing = clients::Outgoing::post(address, "/reclaim", body);
+    let outgoing = clients::HttpRequest::post(address, "/reclaim", body);
     let _ = http.exchange(outgoing, base::Span::from_secs(1), 1_024).await;
 }
 
--- a/crates/stand-ins/tests/binary.rs
+++ b/crates/stand-ins/tests/binary.rs
@@ -8,7 +8,7 @@
 
 use base::Span;
 use clients::{
-    EngineClient, EngineControl as _, EnginePriority, GenerateRequest, HttpClient, Outgoing,
+    EngineClient, EngineControl as _, EnginePriority, GenerateRequest, HttpClient, HttpRequest,
     TokenSource as _,
 };
 use rstest::rstest;
@@ -42,7 +42,7 @@
 async fn printed_address_serves(#[case] kind: &str) {
     let (_process, address) = start(&[kind]);
     let long = Span::from_secs(30);
-    let outgoing = Outgoing::get(address, "/inspect");
+    let outgoing = HttpRequest::get(address, "/inspect");
     let answer = HttpClient::new(long).exchange(outgoing, long, 1 << 20).await.unwrap();
     assert!(answer.status.is_success());
 }
--- a/crates/stand-ins/tests/engine.rs
+++ b/crates/stand-ins/tests/engine.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use base::{FencingNumber, Span, WeightVersion};
+use base::{FencingToken, Span, WeightVersion};
 use clients::{
     CallError, CallFailure, EngineClient, EngineControl as _, EnginePriority, GenerateRequest,
-    HttpClient, TokenEvent, TokenSource as _, WeightOrder,
+    HttpClient, TokenEvent, TokenSource as _, WeightLoadOrder,
 };
 use serde_json::Value;
 use stand_ins::{CrashAction, Engine, EngineOptions, Platform, PlatformOptions, token_text};
@@ -84,7 +84,7 @@
     let engine = Engine::start(options).unwrap();
     let client = client();
     let (model, version) = (String::from("drafts"), WeightVersion(2));
-    let order = WeightOrder { model, version, fencing: FencingNumber(5) };
+    let order = WeightLoadOrder { model, version, fencing: FencingToken(5) };
     client.load_version(engine.address(), &order).await.unwrap();
     until(|| engine.inspect()["failed_swaps"] == 1).await;
     assert_eq!(client.report(engine.address()).await.unwrap().version, WeightVersion(1));
@@ -103,7 +103,7 @@
     assert!(versions.is_sorted() && versions[0] == 1, "{versions:?}");
     assert_eq!(platform.inspect()["weight_reads"]["drafts/2"], 2);
 
-    let old = WeightOrder { fencing: FencingNumber(4), ..order };
+    let old = WeightLoadOrder { fencing: FencingToken(4), ..order };
     let error = client.load_version(engine.address(), &old).await.unwrap_err();
     assert_eq!(error.failure, CallFailure::Status(409));
 }
--- a/crates/stand-ins/tests/platform.rs
+++ b/crates/stand-ins/tests/platform.rs
@@ -2,10 +2,10 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use base::{FencingNumber, Incarnation, LogOffset, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, RecordId, Span};
 use bytes::Bytes;
 use clients::{
-    CallFailure, CustomerFigures, HttpClient, NewRecord, OrderKind, OrderState, Outgoing,
+    CallFailure, CustomerUsage, HttpClient, HttpRequest, NewRecord, OrderKind, OrderState,
     PlatformClient, PlatformLog as _, PlatformTimeouts, ReportOutcome, UpstreamOrder,
     UpstreamOrders as _, UpstreamState, UsageReport, UsageSink as _,
 };
@@ -25,7 +25,7 @@
 }
 
 async fn post(address: std::net::SocketAddr, path: &str, body: String) {
-    let outgoing = Outgoing::post(address, path, body.into());
+    let outgoing = HttpRequest::post(address, path, body.into());
     HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await.unwrap().success().unwrap();
 }
 
@@ -100,7 +100,7 @@
         zone: String::from("hobart-a"),
         service: String::from("drafts"),
         kind: OrderKind::Start { count: 2, cheap: true },
-        fencing: FencingNumber(fencing),
+        fencing: FencingToken(fencing),
     }
 }
 
@@ -126,7 +126,7 @@
     assert_eq!(upstreams.len(), 2);
     for upstream in upstreams {
         assert_eq!((upstream.state, upstream.cheap), (UpstreamState::Running, true));
-        let outgoing = Outgoing::get(upstream.address, "/load");
+        let outgoing = HttpRequest::get(upstream.address, "/load");
         let answer = HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await.unwrap();
         assert!(answer.status.is_success());
     }
@@ -143,9 +143,9 @@
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     let client = client(&platform, LONG);
     let report = |window, fencing, requests| {
-        let figures = CustomerFigures { requests, prompt_tokens: 1, generated_tokens: 2 };
+        let figures = CustomerUsage { requests, prompt_tokens: 1, generated_tokens: 2 };
         let figures = BTreeMap::from([(String::from("brewers"), figures)]);
-        UsageReport { window, fencing: FencingNumber(fencing), figures }
+        UsageReport { window, fencing: FencingToken(fencing), figures }
     };
     let mut outcomes = Vec::new();
     for report in [report(1, 5, 10), report(1, 5, 10), report(1, 5, 11), report(2, 4, 1)] {
@@ -165,7 +165,7 @@
     let service = PlainService::start(PlainOptions::default()).unwrap();
     post(service.address(), "/faults", String::from(fault)).await;
     let (name, value) = ("x-request-id".try_into().unwrap(), "r1".try_into().unwrap());
-    let outgoing = Outgoing::post(service.address(), "/sheets", "ink".into());
+    let outgoing = HttpRequest::post(service.address(), "/sheets", "ink".into());
     let outgoing = outgoing.with_header(name, value);
     let answer = HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await;
     match &answer {
--- a/crates/submissions/src/copy.rs
+++ b/crates/submissions/src/cache.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeSet;
 
-use base::{Moment, Span, plain};
+use base::{Moment, Span, derive_value};
 
-use crate::{BookRecord, SubmissionBook, SubmissionState};
+use crate::{SubmissionRecord, SubmissionState, SubmissionTable};
 
-plain! {
+derive_value! {
     /// The newest records of the keys of one submission.
-    pub struct SubmissionRead {
+    pub struct SubmissionSnapshot {
         /// Identifier of the submission.
         pub submission: String,
         /// When the read began.
@@ -16,11 +16,11 @@
         /// End of the partition as of the first page. Records from there on may be missing.
         pub end: u64,
         /// Records, in any order.
-        pub records: Vec<BookRecord>,
+        pub records: Vec<SubmissionRecord>,
     }
 
     /// Records of the log from an offset on.
-    pub struct LogPart {
+    pub struct LogBatch {
         /// When the read began.
         pub sent_at: Moment,
         /// Offset from which was read.
@@ -30,18 +30,18 @@
         /// End of the partition. One answer holds a bounded number of bytes, so it may lie further.
         pub end: u64,
         /// Records with their offsets.
-        pub records: Vec<(u64, BookRecord)>,
+        pub records: Vec<(u64, SubmissionRecord)>,
     }
 }
 
 /// A node's copy of one partition.
 ///
 /// It holds the submissions that the node was asked for, and what has been appended since. Up to the
-/// offset [`PartitionCopy::next`] it misses nothing of the loaded submissions, so an append at this
+/// offset [`PartitionCache::next`] it misses nothing of the loaded submissions, so an append at this
 /// offset is decided with full knowledge of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct PartitionCopy {
-    book: SubmissionBook,
+pub struct PartitionCache {
+    book: SubmissionTable,
     next: Option<u64>,
     /// Offset from which on every record was taken.
     begun: u64,
@@ -50,10 +50,10 @@
     confirmed_at: Option<Moment>,
 }
 
-impl PartitionCopy {
+impl PartitionCache {
     /// Returns the submissions.
     #[must_use]
-    pub const fn book(&self) -> &SubmissionBook {
+    pub const fn book(&self) -> &SubmissionTable {
         &self.book
     }
 
@@ -93,7 +93,7 @@
 
     /// Takes the records of a submission. Returns `false` when they must be read again: the copy began
     /// at a later offset while they were read, and what lies between is in neither of the two.
-    pub fn load(&mut self, read: SubmissionRead) -> bool {
+    pub fn load(&mut self, read: SubmissionSnapshot) -> bool {
         if self.next.is_some() && read.end < self.begun {
             return false;
         }
@@ -106,7 +106,7 @@
     }
 
     /// Takes a part of the log, and tells whether the copy was complete when the read began.
-    pub fn read(&mut self, part: LogPart) -> bool {
+    pub fn read(&mut self, part: LogBatch) -> bool {
         let Some(known) = self.next.filter(|known| part.from <= *known) else { return true };
         for (offset, record) in part.records {
             if offset >= known {
@@ -123,7 +123,7 @@
     }
 
     /// Takes records that this node has appended itself.
-    pub fn appended(&mut self, offset: u64, end: u64, records: Vec<BookRecord>) {
+    pub fn appended(&mut self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
         if self.next != Some(offset) {
             return;
         }
@@ -145,7 +145,7 @@
     /// Forgets everything, when the partition is no longer needed.
     pub fn clear(&mut self) {
         self.reset();
-        self.book = SubmissionBook::default();
+        self.book = SubmissionTable::default();
     }
 
     /// Tells whether this node knows all open submissions and the ends of the others, so that it may run
@@ -173,13 +173,13 @@
         open.filter(|state| self.scanned && self.is_loaded(&state.head().id))
     }
 
-    fn take(&mut self, record: BookRecord) {
+    fn take(&mut self, record: SubmissionRecord) {
         match &record {
             // Everything about it comes later in the log.
-            BookRecord::Opened(head) => {
+            SubmissionRecord::Opened(head) => {
                 self.loaded.insert(head.id.clone());
             }
-            BookRecord::Dropped { submission } => {
+            SubmissionRecord::Dropped { submission } => {
                 self.loaded.remove(submission);
             }
             _ => {}
--- a/crates/submissions/src/check.rs
+++ b/crates/submissions/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, fmt};
 
-use base::plain;
+use base::derive_value;
 
 use crate::{SubmissionItem, SubmissionState};
 
@@ -10,9 +10,9 @@
 /// parts of a key take up to 14.
 const MAX_ID: usize = 200;
 
-plain! {
+derive_value! {
     /// Why a submission cannot be accepted.
-    pub enum SubmissionFault {
+    pub enum SubmissionError {
         /// The identifier cannot be part of a key and of the path under which results are read.
         UnusableId,
         /// Two items have the same identifier, so their results could not be told apart.
@@ -27,15 +27,15 @@
 /// # Errors
 ///
 /// Returns a fault that sending the submission again does not mend.
-pub fn check_submission(id: &str, items: &[SubmissionItem]) -> Result<(), SubmissionFault> {
+pub fn check_submission(id: &str, items: &[SubmissionItem]) -> Result<(), SubmissionError> {
     let usable = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'?' | b'#' | b'%');
     if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(usable) {
-        return Err(SubmissionFault::UnusableId);
+        return Err(SubmissionError::UnusableId);
     }
     let mut seen = HashSet::with_capacity(items.len());
     for item in items {
         if !seen.insert(item.id.as_str()) {
-            return Err(SubmissionFault::RepeatedItem(item.id.clone()));
+            return Err(SubmissionError::RepeatedItem(item.id.clone()));
         }
     }
     Ok(())
@@ -46,11 +46,11 @@
 /// # Errors
 ///
 /// Returns a fault when it belongs to another customer.
-pub fn check_owner(known: &SubmissionState, customer: &str) -> Result<(), SubmissionFault> {
-    if known.head().customer == customer { Ok(()) } else { Err(SubmissionFault::TakenId) }
+pub fn check_owner(known: &SubmissionState, customer: &str) -> Result<(), SubmissionError> {
+    if known.head().customer == customer { Ok(()) } else { Err(SubmissionError::TakenId) }
 }
 
-impl fmt::Display for SubmissionFault {
+impl fmt::Display for SubmissionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnusableId => write!(
@@ -64,4 +64,4 @@
     }
 }
 
-impl std::error::Error for SubmissionFault {}
+impl std::error::Error for SubmissionError {}
--- a/crates/submissions/src/item.rs
+++ b/crates/submissions/src/item.rs
@@ -1,10 +1,10 @@
 //! Submissions, their items and results.
 
-use base::{WallTime, WeightVersion, key, plain};
+use base::{WallTime, WeightVersion, derive_copy, derive_value};
 use bytes::Bytes;
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// Final state of an item.
     pub enum ItemState {
         /// The text is whole.
@@ -14,7 +14,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A call whose answer scores the text of an item.
     pub struct RewardCall {
         /// Identifier of the call.
@@ -48,7 +48,7 @@
     }
 
     /// What holds for all items of a submission.
-    pub struct SubmissionHead {
+    pub struct SubmissionMetadata {
         /// Identifier of the submission.
         pub id: String,
         /// Customer whose key came with it.
--- a/crates/submissions/src/lib.rs
+++ b/crates/submissions/src/lib.rs
@@ -1,24 +1,24 @@
 //! Submissions of many items that run later: what was accepted, the results in their order, and which
 //! item runs next.
 //!
-//! [`SubmissionBook`] is a function of one partition's records in log order, and [`PartitionCopy`] what
+//! [`SubmissionTable`] is a function of one partition's records in log order, and [`PartitionCache`] what
 //! a node knows of them. A writer appends only at the end of what it has read, so a position of a
 //! submission is given away once and never changes.
 
-mod book;
+mod cache;
 mod check;
-mod copy;
 mod item;
 mod plan;
 mod queue;
+mod table;
 mod text;
 
 pub use crate::{
-    book::{BookRecord, SubmissionBook, SubmissionState},
-    check::{SubmissionFault, check_owner, check_submission},
-    copy::{LogPart, PartitionCopy, SubmissionRead},
-    item::{ItemResult, ItemState, RewardCall, SubmissionHead, SubmissionItem},
+    cache::{LogBatch, PartitionCache, SubmissionSnapshot},
+    check::{SubmissionError, check_owner, check_submission},
+    item::{ItemResult, ItemState, RewardCall, SubmissionItem, SubmissionMetadata},
     plan::{ending_records, opening_records, result_records},
     queue::{ItemQueue, WaitingItem},
-    text::{ItemText, TextEvent, TextFault},
+    table::{SubmissionRecord, SubmissionState, SubmissionTable},
+    text::{GeneratedText, GenerationEvent, TextError},
 };
--- a/crates/submissions/src/plan.rs
+++ b/crates/submissions/src/plan.rs
@@ -6,27 +6,27 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::{BookRecord, ItemResult, SubmissionBook};
+use crate::{ItemResult, SubmissionRecord, SubmissionTable};
 
 /// Returns the records that accept a submission, unless it is accepted already.
 #[must_use]
 pub fn opening_records(
-    book: &SubmissionBook,
+    book: &SubmissionTable,
     submission: &str,
-    records: &[BookRecord],
-) -> Option<Vec<BookRecord>> {
+    records: &[SubmissionRecord],
+) -> Option<Vec<SubmissionRecord>> {
     book.get(submission).is_none().then(|| records.to_vec())
 }
 
 /// Returns the records that end a submission, unless it does not exist or has ended.
 #[must_use]
-pub fn ending_records(book: &SubmissionBook, submission: &str) -> Option<Vec<BookRecord>> {
+pub fn ending_records(book: &SubmissionTable, submission: &str) -> Option<Vec<SubmissionRecord>> {
     let state = book.get(submission).filter(|state| !state.is_ended())?;
     let id = || String::from(submission);
     Some(vec![
-        BookRecord::Ended { submission: id() },
-        BookRecord::Unmarked { submission: id() },
-        BookRecord::Expiring { submission: id(), accepted_at: state.head().accepted_at },
+        SubmissionRecord::Ended { submission: id() },
+        SubmissionRecord::Unmarked { submission: id() },
+        SubmissionRecord::Expiring { submission: id(), accepted_at: state.head().accepted_at },
     ])
 }
 
@@ -34,9 +34,9 @@
 /// submissions are left out.
 #[must_use]
 pub fn result_records(
-    book: &SubmissionBook,
+    book: &SubmissionTable,
     results: &[(String, ItemResult)],
-) -> Option<Vec<BookRecord>> {
+) -> Option<Vec<SubmissionRecord>> {
     let mut positions: HashMap<&str, u32> = HashMap::new();
     let mut given: HashSet<(&str, &str)> = HashSet::new();
     let mut records = Vec::new();
@@ -47,7 +47,7 @@
             continue;
         }
         let position = positions.entry(submission).or_insert_with(|| state.listed());
-        records.push(BookRecord::Result {
+        records.push(SubmissionRecord::Result {
             submission: submission.clone(),
             position: *position,
             result: result.clone(),
--- a/crates/submissions/src/queue.rs
+++ b/crates/submissions/src/queue.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use base::{Moment, key};
+use base::{Moment, derive_copy};
 
-key! {
+derive_copy! {
     /// Rank of a waiting item. Lower ones run first.
     pub struct WaitingItem {
         /// When the results of the submission are due.
--- a/crates/submissions/src/book.rs
+++ b/crates/submissions/src/table.rs
@@ -2,15 +2,15 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use base::{WallTime, plain};
+use base::{WallTime, derive_value};
 
-use crate::{ItemResult, SubmissionHead, SubmissionItem};
+use crate::{ItemResult, SubmissionItem, SubmissionMetadata};
 
-plain! {
+derive_value! {
     /// A record of a partition.
-    pub enum BookRecord {
+    pub enum SubmissionRecord {
         /// A submission was accepted. Its items follow in the same append.
-        Opened(SubmissionHead),
+        Opened(SubmissionMetadata),
         /// Some items of a submission, starting at an index.
         Items {
             /// Identifier of the submission.
@@ -62,7 +62,7 @@
 /// One submission.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubmissionState {
-    head: Option<Arc<SubmissionHead>>,
+    head: Option<Arc<SubmissionMetadata>>,
     items: Vec<Option<Arc<SubmissionItem>>>,
     index: HashMap<String, u32>,
     results: Vec<Option<Arc<ItemResult>>>,
@@ -78,15 +78,15 @@
 /// a kind and position wins. Both happen when a node reads the newest records of all keys and then
 /// follows the partition from an earlier offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SubmissionBook {
+pub struct SubmissionTable {
     submissions: HashMap<String, SubmissionState>,
 }
 
-impl SubmissionBook {
+impl SubmissionTable {
     /// Takes a record and returns the submission that it changed.
-    pub fn apply(&mut self, record: BookRecord) -> Option<String> {
+    pub fn apply(&mut self, record: SubmissionRecord) -> Option<String> {
         match record {
-            BookRecord::Opened(head) => {
+            SubmissionRecord::Opened(head) => {
                 let id = head.id.clone();
                 let state = self.submissions.entry(id.clone()).or_default();
                 if state.head.is_some() {
@@ -96,30 +96,30 @@
                 state.head = Some(Arc::new(head));
                 Some(id)
             }
-            BookRecord::Items { submission, first, items } => {
+            SubmissionRecord::Items { submission, first, items } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 for (index, item) in (first..).zip(items) {
                     state.add_item(index, item);
                 }
                 Some(submission)
             }
-            BookRecord::Result { submission, position, result } => {
+            SubmissionRecord::Result { submission, position, result } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 state.add_result(position, result).then_some(submission)
             }
-            BookRecord::Ended { submission } => {
+            SubmissionRecord::Ended { submission } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 if std::mem::replace(&mut state.ended, true) {
                     return None;
                 }
                 Some(submission)
             }
-            BookRecord::Dropped { submission } => {
+            SubmissionRecord::Dropped { submission } => {
                 self.submissions.remove(&submission).map(|_| submission)
             }
-            BookRecord::Marked { .. }
-            | BookRecord::Unmarked { .. }
-            | BookRecord::Expiring { .. } => None,
+            SubmissionRecord::Marked { .. }
+            | SubmissionRecord::Unmarked { .. }
+            | SubmissionRecord::Expiring { .. } => None,
         }
     }
 
@@ -171,9 +171,9 @@
     ///
     /// # Panics
     ///
-    /// Panics when the submission is not complete, which [`SubmissionBook::get`] rules out.
+    /// Panics when the submission is not complete, which [`SubmissionTable::get`] rules out.
     #[must_use]
-    pub fn head(&self) -> &Arc<SubmissionHead> {
+    pub fn head(&self) -> &Arc<SubmissionMetadata> {
         self.head.as_ref().expect("only complete submissions are handed out")
     }
 
--- a/crates/submissions/src/text.rs
+++ b/crates/submissions/src/text.rs
@@ -2,12 +2,12 @@
 
 use std::fmt;
 
-use base::{WeightVersion, plain};
+use base::{WeightVersion, derive_value};
 use smallvec::SmallVec;
 
-plain! {
+derive_value! {
     /// One event of a generation.
-    pub struct TextEvent {
+    pub struct GenerationEvent {
         /// Number of the event, counted from 1.
         pub id: u64,
         /// Data.
@@ -17,7 +17,7 @@
     }
 
     /// Why an event cannot be added.
-    pub enum TextFault {
+    pub enum TextError {
         /// The event does not follow the last one.
         Order {
             /// Number that was due.
@@ -34,7 +34,7 @@
 
 /// Text of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ItemText {
+pub struct GeneratedText {
     least: WeightVersion,
     one_version: bool,
     running: WeightVersion,
@@ -43,7 +43,7 @@
     last_id: u64,
 }
 
-impl ItemText {
+impl GeneratedText {
     /// Starts an empty text that only versions from `least` on may generate.
     #[must_use]
     pub fn new(least: WeightVersion, one_version: bool) -> Self {
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Returns a fault when the version may not go on with the text.
-    pub fn begin_run(&mut self, version: WeightVersion) -> Result<(), TextFault> {
+    pub fn begin_run(&mut self, version: WeightVersion) -> Result<(), TextError> {
         self.check(version)?;
         self.running = version;
         Ok(())
@@ -74,10 +74,10 @@
     ///
     /// Returns a fault when the event does not follow the last one or its version is not allowed.
     /// The text stays as it was.
-    pub fn push(&mut self, event: &TextEvent) -> Result<(), TextFault> {
+    pub fn push(&mut self, event: &GenerationEvent) -> Result<(), TextError> {
         let expected = self.last_id + 1;
         if event.id != expected {
-            return Err(TextFault::Order { expected, found: event.id });
+            return Err(TextError::Order { expected, found: event.id });
         }
         let version = event.version.unwrap_or(self.running);
         self.check(version)?;
@@ -94,12 +94,12 @@
         Ok(())
     }
 
-    fn check(&self, version: WeightVersion) -> Result<(), TextFault> {
+    fn check(&self, version: WeightVersion) -> Result<(), TextError> {
         if version < self.least {
-            return Err(TextFault::Stale(version));
+            return Err(TextError::Stale(version));
         }
         if self.one_version && self.versions.iter().any(|known| *known != version) {
-            return Err(TextFault::Mixed(version));
+            return Err(TextError::Mixed(version));
         }
         Ok(())
     }
@@ -109,10 +109,10 @@
     /// # Errors
     ///
     /// Returns the first version of the text that is too old.
-    pub fn require(&mut self, least: WeightVersion) -> Result<(), TextFault> {
+    pub fn require(&mut self, least: WeightVersion) -> Result<(), TextError> {
         let stale = self.versions.iter().find(|version| **version < least);
         if let Some(version) = stale {
-            return Err(TextFault::Stale(*version));
+            return Err(TextError::Stale(*version));
         }
         self.least = least;
         Ok(())
@@ -137,7 +137,7 @@
     }
 }
 
-impl fmt::Display for TextFault {
+impl fmt::Display for TextError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Order { expected, found } => {
@@ -149,4 +149,4 @@
     }
 }
 
-impl std::error::Error for TextFault {}
+impl std::error::Error for TextError {}
--- a/crates/submissions/tests/book.rs
+++ b/crates/submissions/tests/book.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use submissions::{
-    BookRecord, ItemQueue, ItemResult, ItemText, SubmissionBook, SubmissionItem, TextEvent,
-    TextFault,
+    GeneratedText, GenerationEvent, ItemQueue, ItemResult, SubmissionItem, SubmissionRecord,
+    SubmissionTable, TextError,
 };
 
 const ITEMS: u32 = 6;
@@ -16,18 +16,22 @@
     common::item(&format!("i{index}"))
 }
 
-fn records() -> Vec<BookRecord> {
+fn records() -> Vec<SubmissionRecord> {
     let submission = || String::from("s");
     let mut records = vec![
-        BookRecord::Opened(common::head("s", ITEMS)),
-        BookRecord::Items { submission: submission(), first: 0, items: (0..4).map(item).collect() },
-        BookRecord::Items {
+        SubmissionRecord::Opened(common::head("s", ITEMS)),
+        SubmissionRecord::Items {
+            submission: submission(),
+            first: 0,
+            items: (0..4).map(item).collect(),
+        },
+        SubmissionRecord::Items {
             submission: submission(),
             first: 4,
             items: (4..ITEMS).map(item).collect(),
         },
     ];
-    records.extend((0..3).map(|position| BookRecord::Result {
+    records.extend((0..3).map(|position| SubmissionRecord::Result {
         submission: submission(),
         position,
         result: ItemResult::errored(format!("i{}", 5 - position)),
@@ -35,7 +39,7 @@
     records
 }
 
-fn summary(book: &SubmissionBook) -> (u32, Vec<String>, bool) {
+fn summary(book: &SubmissionTable) -> (u32, Vec<String>, bool) {
     let state = book.get("s").unwrap();
     let results = state.results(0).map(|result| result.item.clone()).collect();
     (state.listed(), results, state.is_open())
@@ -50,11 +54,11 @@
         repeats in prop::collection::vec(0usize..6, 0..6),
     ) {
         let records = records();
-        let mut expected = SubmissionBook::default();
+        let mut expected = SubmissionTable::default();
         for record in &records {
             expected.apply(record.clone());
         }
-        let mut book = SubmissionBook::default();
+        let mut book = SubmissionTable::default();
         for index in order.into_iter().chain(repeats) {
             book.apply(records[index].clone());
         }
@@ -65,7 +69,7 @@
 /// Guards against a submission that is handed out before all of its items are known.
 #[test]
 fn incomplete_submission_is_not_known() {
-    let mut book = SubmissionBook::default();
+    let mut book = SubmissionTable::default();
     for record in &records()[..2] {
         book.apply(record.clone());
     }
@@ -77,12 +81,12 @@
 /// Guards against a second result that replaces the one at a position which was read.
 #[test]
 fn first_result_of_a_position_stays() {
-    let mut book = SubmissionBook::default();
+    let mut book = SubmissionTable::default();
     for record in records() {
         book.apply(record);
     }
     let result = ItemResult::errored("other");
-    let second = BookRecord::Result { submission: String::from("s"), position: 0, result };
+    let second = SubmissionRecord::Result { submission: String::from("s"), position: 0, result };
     assert_eq!(book.apply(second), None);
     assert_eq!(summary(&book).1[0], "i5");
 }
@@ -90,27 +94,27 @@
 /// Guards against results beyond a gap, which would change their positions when it closes.
 #[test]
 fn results_are_listed_up_to_a_gap() {
-    let mut book = SubmissionBook::default();
+    let mut book = SubmissionTable::default();
     for record in records() {
-        if !matches!(record, BookRecord::Result { position: 1, .. }) {
+        if !matches!(record, SubmissionRecord::Result { position: 1, .. }) {
             book.apply(record);
         }
     }
     assert_eq!(book.get("s").unwrap().listed(), 1);
 }
 
-fn event(id: u64, version: Option<u64>) -> TextEvent {
-    TextEvent { id, data: format!("e{id}"), version: version.map(WeightVersion) }
+fn event(id: u64, version: Option<u64>) -> GenerationEvent {
+    GenerationEvent { id, data: format!("e{id}"), version: version.map(WeightVersion) }
 }
 
 /// Guards against a text with a missing or doubled event after a run went on elsewhere.
 #[test]
 fn events_must_follow_each_other() {
-    let mut text = ItemText::new(WeightVersion(1), false);
+    let mut text = GeneratedText::new(WeightVersion(1), false);
     text.begin_run(WeightVersion(1)).unwrap();
     text.push(&event(1, None)).unwrap();
-    assert_eq!(text.push(&event(3, None)), Err(TextFault::Order { expected: 2, found: 3 }));
-    assert_eq!(text.push(&event(1, None)), Err(TextFault::Order { expected: 2, found: 1 }));
+    assert_eq!(text.push(&event(3, None)), Err(TextError::Order { expected: 2, found: 3 }));
+    assert_eq!(text.push(&event(1, None)), Err(TextError::Order { expected: 2, found: 1 }));
     text.begin_run(WeightVersion(2)).unwrap();
     text.push(&event(2, None)).unwrap();
     text.push(&event(3, Some(3))).unwrap();
@@ -132,7 +136,7 @@
     #[case] change: Option<u64>,
     #[case] accepted: bool,
 ) {
-    let mut text = ItemText::new(WeightVersion(least), one_version);
+    let mut text = GeneratedText::new(WeightVersion(least), one_version);
     let begun = start.map_or(Ok(()), |version| text.begin_run(WeightVersion(version)));
     let pushed =
         begun.and_then(|()| text.push(&event(1, None))).and_then(|()| text.push(&event(2, change)));
@@ -142,11 +146,11 @@
 /// Guards against a kept text that goes on in a later step which does not accept its versions.
 #[test]
 fn kept_text_must_fit_the_later_step() {
-    let mut text = ItemText::new(WeightVersion(1), false);
+    let mut text = GeneratedText::new(WeightVersion(1), false);
     text.begin_run(WeightVersion(2)).unwrap();
     text.push(&event(1, None)).unwrap();
     assert!(text.clone().require(WeightVersion(2)).is_ok());
-    assert_eq!(text.require(WeightVersion(3)), Err(TextFault::Stale(WeightVersion(2))));
+    assert_eq!(text.require(WeightVersion(3)), Err(TextError::Stale(WeightVersion(2))));
 }
 
 /// Pattern: two submissions wait for engines, and one model has none.
--- a/crates/submissions/tests/check.rs
+++ b/crates/submissions/tests/check.rs
@@ -4,7 +4,9 @@
 
 use common::{head, item};
 use rstest::rstest;
-use submissions::{BookRecord, SubmissionBook, SubmissionFault, check_owner, check_submission};
+use submissions::{
+    SubmissionError, SubmissionRecord, SubmissionTable, check_owner, check_submission,
+};
 
 /// Guards against an identifier that writes into the keys of another submission, or that no path can
 /// name: a submission "x/i/0" would have added its items to the submission "x".
@@ -19,7 +21,7 @@
 #[case::longest(&"x".repeat(200), true)]
 #[case::too_long(&"x".repeat(201), false)]
 fn check_id(#[case] id: &str, #[case] usable: bool) {
-    let expected = if usable { Ok(()) } else { Err(SubmissionFault::UnusableId) };
+    let expected = if usable { Ok(()) } else { Err(SubmissionError::UnusableId) };
     assert_eq!(check_submission(id, &[item("a"), item("b")]), expected);
 }
 
@@ -27,7 +29,7 @@
 #[test]
 fn repeated_item_is_refused() {
     let items = [item("a"), item("b"), item("a")];
-    let expected = Err(SubmissionFault::RepeatedItem(String::from("a")));
+    let expected = Err(SubmissionError::RepeatedItem(String::from("a")));
     assert_eq!(check_submission("s", &items), expected);
 }
 
@@ -35,11 +37,11 @@
 /// items never ran.
 #[rstest]
 #[case::own("brewer", Ok(()))]
-#[case::other("maltster", Err(SubmissionFault::TakenId))]
-fn check_repeated(#[case] customer: &str, #[case] expected: Result<(), SubmissionFault>) {
-    let mut book = SubmissionBook::default();
-    book.apply(BookRecord::Opened(head("s", 1)));
+#[case::other("maltster", Err(SubmissionError::TakenId))]
+fn check_repeated(#[case] customer: &str, #[case] expected: Result<(), SubmissionError>) {
+    let mut book = SubmissionTable::default();
+    book.apply(SubmissionRecord::Opened(head("s", 1)));
     let items = vec![item("a")];
-    book.apply(BookRecord::Items { submission: String::from("s"), first: 0, items });
+    book.apply(SubmissionRecord::Items { submission: String::from("s"), first: 0, items });
     assert_eq!(check_owner(book.get("s").unwrap(), customer), expected);
 }
--- a/crates/submissions/tests/common/mod.rs
+++ b/crates/submissions/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! Submissions of tests.
 
 use base::{WallTime, WeightVersion};
-use submissions::{SubmissionHead, SubmissionItem};
+use submissions::{SubmissionItem, SubmissionMetadata};
 
 /// Builds what holds for all items of a submission.
-pub(crate) fn head(submission: &str, items: u32) -> SubmissionHead {
-    SubmissionHead {
+pub(crate) fn head(submission: &str, items: u32) -> SubmissionMetadata {
+    SubmissionMetadata {
         id: String::from(submission),
         customer: String::from("brewer"),
         host: String::from("h"),
--- a/crates/submissions/tests/copy.rs
+++ b/crates/submissions/tests/copy.rs
@@ -4,18 +4,20 @@
 
 use base::Moment;
 use common::{head, item};
-use submissions::{BookRecord, ItemResult, LogPart, PartitionCopy, SubmissionRead, result_records};
+use submissions::{
+    ItemResult, LogBatch, PartitionCache, SubmissionRecord, SubmissionSnapshot, result_records,
+};
 
 const NOW: Moment = Moment(0);
 
-fn opened(submission: &str) -> Vec<BookRecord> {
+fn opened(submission: &str) -> Vec<SubmissionRecord> {
     let items = vec![item("i")];
-    let items = BookRecord::Items { submission: String::from(submission), first: 0, items };
-    vec![BookRecord::Opened(head(submission, 1)), items]
+    let items = SubmissionRecord::Items { submission: String::from(submission), first: 0, items };
+    vec![SubmissionRecord::Opened(head(submission, 1)), items]
 }
 
-fn read(submission: &str, end: u64, records: Vec<BookRecord>) -> SubmissionRead {
-    SubmissionRead { submission: String::from(submission), sent_at: NOW, end, records }
+fn read(submission: &str, end: u64, records: Vec<SubmissionRecord>) -> SubmissionSnapshot {
+    SubmissionSnapshot { submission: String::from(submission), sent_at: NOW, end, records }
 }
 
 /// Pattern: a node that knows nothing yet is asked for two submissions, and the read that began first is
@@ -25,7 +27,7 @@
 /// 404 for it, and its positions were given away again (found by the model check).
 #[test]
 fn overtaken_read_is_repeated() {
-    let mut copy = PartitionCopy::default();
+    let mut copy = PartitionCache::default();
     assert!(copy.load(read("b", 2, Vec::new())));
     assert!(!copy.load(read("a", 0, Vec::new())));
     assert!(!copy.is_loaded("a"));
@@ -39,14 +41,17 @@
 /// had given away meanwhile was given away again (found by the model check).
 #[test]
 fn append_waits_for_all_of_its_submissions() {
-    let mut copy = PartitionCopy::default();
+    let mut copy = PartitionCache::default();
     copy.load(read("a", 2, opened("a")));
     assert_eq!(copy.append_offset(&["a", "b"]), None);
     copy.reset();
     copy.load(read("b", 5, opened("b")));
     assert_eq!(copy.append_offset(&["a", "b"]), None);
-    let taken =
-        BookRecord::Result { submission: String::from("a"), position: 0, result: result("i") };
+    let taken = SubmissionRecord::Result {
+        submission: String::from("a"),
+        position: 0,
+        result: result("i"),
+    };
     copy.load(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
     assert_eq!(copy.append_offset(&["a", "b"]), Some(5));
     let results = [(String::from("a"), result("i"))];
@@ -59,8 +64,8 @@
 /// never runs a submission which was accepted meanwhile.
 #[test]
 fn scan_counts_only_without_a_gap() {
-    let open = |copy: &PartitionCopy| copy.open_submissions().count();
-    let mut copy = PartitionCopy::default();
+    let open = |copy: &PartitionCache| copy.open_submissions().count();
+    let mut copy = PartitionCache::default();
     copy.load(read("a", 2, opened("a")));
     copy.begin_scan();
     copy.reset();
@@ -87,10 +92,10 @@
 /// against records that are skipped then.
 #[test]
 fn part_of_the_log_leaves_the_copy_incomplete() {
-    let mut copy = PartitionCopy::default();
+    let mut copy = PartitionCache::default();
     copy.load(read("a", 0, Vec::new()));
     let records = (0..).zip(opened("a")).collect::<Vec<_>>();
-    let part = |from: u64, read_to: u64| LogPart {
+    let part = |from: u64, read_to: u64| LogBatch {
         sent_at: Moment(5),
         from,
         read_to,
--- a/crates/usage/src/amount.rs
+++ b/crates/usage/src/amount.rs
@@ -2,9 +2,9 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::plain;
+use base::derive_value;
 
-plain! {
+derive_value! {
     /// What a customer used. Counters are exact; a sum that does not fit is refused.
     #[derive(Copy, Default, Hash)]
     pub struct UsageAmount {
@@ -18,7 +18,7 @@
 
     /// Usage per customer name, in the order of the names.
     #[derive(Default)]
-    pub struct UsageFigures(pub BTreeMap<String, UsageAmount>);
+    pub struct UsageByCustomer(pub BTreeMap<String, UsageAmount>);
 
     /// A sum of usage counters does not fit in 64 bits.
     #[derive(Copy)]
@@ -37,7 +37,7 @@
     }
 }
 
-impl UsageFigures {
+impl UsageByCustomer {
     /// Adds `amount` to the customer's figures.
     ///
     /// # Errors
--- a/crates/usage/src/batch.rs
+++ b/crates/usage/src/batch.rs
@@ -1,10 +1,10 @@
 //! Records of the log stream `usage`.
 
-use base::{FencingNumber, RecordId, key, plain};
+use base::{FencingToken, RecordId, derive_copy, derive_value};
 
-use crate::{LedgerSnapshot, UsageFigures};
+use crate::{LedgerSnapshot, UsageByCustomer};
 
-key! {
+derive_copy! {
     /// Number of a usage window: the index of its period since 1970.
     pub struct WindowNumber(pub u64);
 
@@ -13,7 +13,7 @@
         /// The window that ends here.
         pub window: WindowNumber,
         /// Fencing number of the writer's `usage` lease.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
     }
 
     /// States that the platform accepted the report of a window.
@@ -21,17 +21,17 @@
         /// The window whose report was accepted.
         pub window: WindowNumber,
         /// Fencing number of the writer's `usage` lease.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
     }
 }
 
-plain! {
+derive_value! {
     /// Usage that one process metered. Readers count each id once.
     pub struct UsageBatch {
         /// Id that the metering process chose. A replica holder appends the batch under the same id.
         pub id: RecordId,
         /// Usage of each customer.
-        pub figures: UsageFigures,
+        pub figures: UsageByCustomer,
     }
 
     /// A record of the stream `usage`.
@@ -47,7 +47,7 @@
             /// State of the log prefix that ends before `snapshot.next`.
             snapshot: Box<LedgerSnapshot>,
             /// Fencing number of the writer's `usage` lease.
-            fencing: FencingNumber,
+            fencing: FencingToken,
         },
     }
 }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use base::{FencingNumber, LogOffset, plain};
+use base::{FencingToken, LogOffset, derive_value};
 
 use crate::{
-    SeenRecords, UsageBatch, UsageFigures, UsageRecord, WindowClose, WindowNumber, WindowReport,
+    SeenRecords, UsageBatch, UsageByCustomer, UsageRecord, WindowClose, WindowNumber, WindowReport,
     WindowReported,
 };
 
@@ -16,13 +16,13 @@
 /// Reported windows that stay readable for operators.
 const REPORTED_WINDOWS_KEPT: usize = 48;
 
-plain! {
+derive_value! {
     /// A window whose figures are fixed.
     pub struct ClosedWindow {
         /// Position of the record that closed the window.
         pub closed_at: LogOffset,
         /// Usage of each customer in the window.
-        pub figures: UsageFigures,
+        pub figures: UsageByCustomer,
         /// Whether the log states that the platform accepted the report.
         pub reported: bool,
     }
@@ -32,13 +32,13 @@
         /// Offset of the first record that the state does not contain.
         pub next: LogOffset,
         /// Usage that belongs to the window still open.
-        pub open: UsageFigures,
+        pub open: UsageByCustomer,
         /// The window closed last.
         pub last_closed: Option<WindowNumber>,
         /// Number of windows closed since the stream began.
         pub closes: u64,
         /// Highest fencing number that closed, reported or carried.
-        pub fencing: Option<FencingNumber>,
+        pub fencing: Option<FencingToken>,
         /// Closed windows, among them all that are not reported.
         pub closed: BTreeMap<WindowNumber, ClosedWindow>,
         /// Ids of the counted batches.
@@ -103,7 +103,7 @@
     pub fn empty(next: LogOffset) -> Self {
         Self {
             next,
-            open: UsageFigures::default(),
+            open: UsageByCustomer::default(),
             last_closed: None,
             closes: 0,
             fencing: None,
@@ -132,7 +132,7 @@
         &mut self,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> LedgerOutcome {
         if let Some(oldest) = self.awaits_from {
             return self.apply_awaiting(oldest, offset, record, valid);
@@ -201,7 +201,7 @@
 
     /// Returns usage of the open window.
     #[must_use]
-    pub fn open_figures(&self) -> &UsageFigures {
+    pub fn open_figures(&self) -> &UsageByCustomer {
         &self.state.open
     }
 
@@ -218,7 +218,7 @@
 
     /// Builds the report of the oldest closed window that is not reported.
     #[must_use]
-    pub fn pending_report(&self, fencing: FencingNumber) -> Option<WindowReport> {
+    pub fn pending_report(&self, fencing: FencingToken) -> Option<WindowReport> {
         if self.awaits_from.is_some() {
             return None;
         }
@@ -231,7 +231,7 @@
         oldest: LogOffset,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> LedgerOutcome {
         let UsageRecord::Carry { snapshot, fencing } = record else {
             return LedgerOutcome::Ignored(IgnoredReason::AwaitsSnapshot);
@@ -260,7 +260,7 @@
         &mut self,
         offset: LogOffset,
         close: WindowClose,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(close.fencing, valid)?;
         if self.state.last_closed.is_some_and(|last| close.window != last.next()) {
@@ -280,7 +280,7 @@
     fn reported(
         &mut self,
         reported: WindowReported,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(reported.fencing, valid)?;
         match self.state.closed.get_mut(&reported.window) {
@@ -304,8 +304,8 @@
     fn carry(
         &mut self,
         offset: LogOffset,
-        fencing: FencingNumber,
-        valid: Option<FencingNumber>,
+        fencing: FencingToken,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(fencing, valid)?;
         self.last_carry = Some(offset);
@@ -315,8 +315,8 @@
     /// Refuses a writer that does not hold the lease, and one below the highest number seen here.
     fn check_holder(
         &mut self,
-        fencing: FencingNumber,
-        valid: Option<FencingNumber>,
+        fencing: FencingToken,
+        valid: Option<FencingToken>,
     ) -> Result<(), IgnoredReason> {
         if valid != Some(fencing) || self.state.fencing.is_some_and(|highest| fencing < highest) {
             return Err(IgnoredReason::NotHolder);
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -8,18 +8,19 @@
 mod replica;
 mod report;
 mod seen;
-mod tally;
+mod totals;
 
 pub use crate::{
-    amount::{UsageAmount, UsageFigures, UsageOverflow},
+    amount::{UsageAmount, UsageByCustomer, UsageOverflow},
     batch::{UsageBatch, UsageRecord, WindowClose, WindowNumber, WindowReported},
     ledger::{ClosedWindow, IgnoredReason, LedgerOutcome, LedgerSnapshot, UsageLedger},
     meter::UsageMeter,
     pending::PendingBatches,
     replica::{HoldOutcome, OriginState, ReplicaStore},
-    report::{ReportAnswer, ReportDesk, WindowReport},
+    report::{ReportAnswer, WindowReport, WindowReporter},
     seen::{SeenRecords, SequenceRange},
-    tally::{
-        CustomerCounts, TotalsPhase, WindowBoard, WindowTally, sum_counts, window_end, window_of,
+    totals::{
+        CustomerCounts, TotalsPhase, WindowAggregator, WindowTotals, sum_counts, window_end,
+        window_of,
     },
 };
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -2,13 +2,13 @@
 
 use base::{Moment, RecordId, Span};
 
-use crate::{UsageAmount, UsageBatch, UsageFigures, UsageOverflow};
+use crate::{UsageAmount, UsageBatch, UsageByCustomer, UsageOverflow};
 
 /// Sums usage per customer between batches.
 #[derive(Debug, Clone)]
 pub struct UsageMeter {
     period: Span,
-    figures: UsageFigures,
+    figures: UsageByCustomer,
     first_recorded: Option<Moment>,
 }
 
@@ -19,7 +19,7 @@
     /// Creates a meter that cuts a batch `period` after the first usage in it.
     #[must_use]
     pub fn new(period: Span) -> Self {
-        Self { period, figures: UsageFigures::default(), first_recorded: None }
+        Self { period, figures: UsageByCustomer::default(), first_recorded: None }
     }
 
     /// Adds usage of a customer.
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, Moment, RecordId, Span, key};
+use base::{Incarnation, Moment, RecordId, Span, derive_copy};
 
 use crate::UsageBatch;
 
-key! {
+derive_copy! {
     /// Whether the process that metered a batch is known to be gone.
     pub enum OriginState {
         /// The process appends its batches itself, unless it takes too long.
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -1,22 +1,22 @@
 //! Reports of closed windows to the platform.
 
-use base::{FencingNumber, Moment, Span, key, plain};
+use base::{FencingToken, Moment, Span, derive_copy, derive_value};
 
-use crate::{UsageFigures, UsageLedger, WindowNumber, WindowReported};
+use crate::{UsageByCustomer, UsageLedger, WindowNumber, WindowReported};
 
-plain! {
+derive_value! {
     /// Figures of a closed window for the platform, which accepts a repeat with equal figures.
     pub struct WindowReport {
         /// The window. Reports are idempotent by it.
         pub window: WindowNumber,
         /// Fencing number of the sender's `usage` lease.
-        pub fencing: FencingNumber,
+        pub fencing: FencingToken,
         /// Usage of each customer.
-        pub figures: UsageFigures,
+        pub figures: UsageByCustomer,
     }
 }
 
-key! {
+derive_copy! {
     /// Answer of the platform to a report.
     pub enum ReportAnswer {
         /// The platform has the figures.
@@ -30,13 +30,13 @@
 
 /// Sends one report at a time while this node holds the `usage` lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReportDesk {
+pub struct WindowReporter {
     retry: Span,
     in_flight: Option<WindowReported>,
     not_before: Option<Moment>,
 }
 
-impl ReportDesk {
+impl WindowReporter {
     /// Creates a desk that waits `retry` after a failed report.
     #[must_use]
     pub fn new(retry: Span) -> Self {
@@ -49,7 +49,7 @@
         &mut self,
         now: Moment,
         ledger: &UsageLedger,
-        fencing: FencingNumber,
+        fencing: FencingToken,
     ) -> Option<WindowReport> {
         if self.in_flight.is_some() || self.not_before.is_some_and(|at| at > now) {
             return None;
--- a/crates/usage/src/seen.rs
+++ b/crates/usage/src/seen.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use base::{Incarnation, RecordId, key, plain};
+use base::{Incarnation, RecordId, derive_copy, derive_value};
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// Sequence numbers from `first` to `last`, both included.
     pub struct SequenceRange {
         /// Lowest number of the range.
@@ -15,7 +15,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Ids of records that were counted, as ranges per writer.
     #[derive(Default)]
     pub struct SeenRecords {
--- a/crates/usage/src/tally.rs
+++ b/crates/usage/src/totals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use base::{Span, WallTime, key};
+use base::{Span, WallTime, derive_copy};
 
 use crate::WindowNumber;
 
@@ -12,12 +12,12 @@
 /// Running totals of one process. Each change marks its window for the next write, which replaces
 /// the totals written before, so a repeated write changes nothing.
 #[derive(Debug, Default)]
-pub struct WindowTally {
+pub struct WindowTotals {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
     changed: BTreeSet<WindowNumber>,
 }
 
-impl WindowTally {
+impl WindowTotals {
     /// Counts a request that began to run.
     pub fn add(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
@@ -96,7 +96,7 @@
     sum
 }
 
-key! {
+derive_copy! {
     /// Whether a process may still count in a window.
     pub enum TotalsPhase {
         /// It may.
@@ -110,7 +110,7 @@
 
 /// Totals of all processes, for the one that reports a window.
 #[derive(Debug, Default)]
-pub struct WindowBoard {
+pub struct WindowAggregator {
     totals: BTreeMap<WindowNumber, BTreeMap<u64, ProcessTotals>>,
 }
 
@@ -120,7 +120,7 @@
     phase: TotalsPhase,
 }
 
-impl WindowBoard {
+impl WindowAggregator {
     /// Takes the totals of a process. Later ones replace earlier ones.
     pub fn take(
         &mut self,
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -11,7 +11,7 @@
     UsageBatch, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
 };
 
-type LogEntry = (UsageRecord, Option<FencingNumber>);
+type LogEntry = (UsageRecord, Option<FencingToken>);
 
 struct Node {
     incarnation: Incarnation,
@@ -66,7 +66,7 @@
     fn append(&mut self, record: UsageRecord) {
         let fate = self.rng.random_range(0..4);
         if fate <= 1 {
-            self.log.push((record.clone(), Some(FencingNumber(self.lease))));
+            self.log.push((record.clone(), Some(FencingToken(self.lease))));
         }
         if (1..=2).contains(&fate) {
             self.late.push(record);
@@ -114,7 +114,7 @@
             }
             8 if !self.late.is_empty() => {
                 let record = self.late.swap_remove(self.rng.random_range(0..self.late.len()));
-                self.log.push((record, Some(FencingNumber(self.lease))));
+                self.log.push((record, Some(FencingToken(self.lease))));
             }
             9 => self.follow(index),
             _ => self.close(),
@@ -145,7 +145,7 @@
         let next = ledger.windows().last().map_or(WindowNumber(100), |(window, _)| window.next());
         // Some closes come from an earlier holder, or repeat a window.
         let window = WindowNumber(next.0 - u64::from(self.rng.random_bool(0.2)));
-        let fencing = FencingNumber(self.lease - u64::from(self.rng.random_bool(0.2)));
+        let fencing = FencingToken(self.lease - u64::from(self.rng.random_bool(0.2)));
         self.append(UsageRecord::Close(WindowClose { window, fencing }));
     }
 
@@ -171,7 +171,7 @@
 
     /// The log takes every append, and each live node does all the work that is due.
     fn settle(&mut self) {
-        let lease = Some(FencingNumber(self.lease));
+        let lease = Some(FencingToken(self.lease));
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
             let mut batches = node.store.poll(Moment(0));
@@ -225,7 +225,7 @@
         let mut prefix = UsageLedger::new();
         replay(&mut prefix, &trial.log[..cut], 0);
         let snapshot = prefix.snapshot().unwrap();
-        let fencing = FencingNumber(trial.lease);
+        let fencing = FencingToken(trial.lease);
         let carry = UsageRecord::Carry { snapshot: Box::new(snapshot.clone()), fencing };
 
         // Retention drops the prefix; the carry stands at the end of the log.
@@ -248,9 +248,9 @@
         close: (u64, u64),
         valid: u64,
     ) -> LedgerOutcome {
-        let (window, fencing) = (WindowNumber(close.0), FencingNumber(close.1));
+        let (window, fencing) = (WindowNumber(close.0), FencingToken(close.1));
         let record = UsageRecord::Close(WindowClose { window, fencing });
-        ledger.apply(LogOffset(offset), &record, Some(FencingNumber(valid)))
+        ledger.apply(LogOffset(offset), &record, Some(FencingToken(valid)))
     }
     let ignored = LedgerOutcome::Ignored;
     let mut ledger = UsageLedger::new();
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -1,9 +1,10 @@
 //! Metering, replica holding and reporting on one node.
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use usage::{
-    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, ReportDesk, UsageAmount,
-    UsageBatch, UsageFigures, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
+    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount, UsageBatch,
+    UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
+    WindowReporter,
 };
 
 const SECOND: Span = Span::from_secs(1);
@@ -17,7 +18,7 @@
 }
 
 fn batch(sequence: u64) -> UsageBatch {
-    let mut figures = UsageFigures::default();
+    let mut figures = UsageByCustomer::default();
     figures.add("portal", amount(sequence)).unwrap();
     UsageBatch { id: id(sequence), figures }
 }
@@ -81,14 +82,14 @@
 /// Guards against a window that is skipped or reported with other figures after a lost answer.
 #[test]
 fn lost_report_is_repeated_with_equal_figures() {
-    let fencing = FencingNumber(4);
+    let fencing = FencingToken(4);
     let mut ledger = UsageLedger::new();
     ledger.apply(LogOffset(5), &UsageRecord::Batch(batch(1)), None);
     let close = WindowClose { window: WindowNumber(7), fencing };
     ledger.apply(LogOffset(6), &UsageRecord::Close(close), Some(fencing));
     ledger.apply(LogOffset(7), &UsageRecord::Batch(batch(2)), None);
 
-    let mut desk = ReportDesk::new(SECOND);
+    let mut desk = WindowReporter::new(SECOND);
     let first = desk.poll(Moment(0), &ledger, fencing).unwrap();
     assert_eq!(desk.poll(Moment(0), &ledger, fencing), None);
     assert_eq!(desk.answer(Moment(1), ReportAnswer::Lost), None);
--- a/crates/usage/tests/tally.rs
+++ b/crates/usage/tests/tally.rs
@@ -3,7 +3,8 @@
 use base::{Span, WallTime};
 use rstest::rstest;
 use usage::{
-    CustomerCounts, TotalsPhase, WindowBoard, WindowNumber, WindowTally, window_end, window_of,
+    CustomerCounts, TotalsPhase, WindowAggregator, WindowNumber, WindowTotals, window_end,
+    window_of,
 };
 
 const WINDOW: Span = Span::from_secs(5);
@@ -16,7 +17,7 @@
 /// run.
 #[test]
 fn totals_are_written_again_only_when_they_change() {
-    let mut tally = WindowTally::default();
+    let mut tally = WindowTotals::default();
     tally.add(WindowNumber(7), "brewer");
     tally.add(WindowNumber(7), "brewer");
     tally.add(WindowNumber(8), "studio");
@@ -50,7 +51,7 @@
 /// derwent-sleeves missed the window before an outage).
 #[test]
 fn window_is_closed_once_every_known_process_has_closed_it() {
-    let mut board = WindowBoard::default();
+    let mut board = WindowAggregator::default();
     for process in [1, 2] {
         board.take(WindowNumber(6), process, counts(&[]), TotalsPhase::Closed);
     }
@@ -70,7 +71,7 @@
 /// the window before an outage).
 #[test]
 fn ended_process_is_not_waited_for() {
-    let mut board = WindowBoard::default();
+    let mut board = WindowAggregator::default();
     for process in [1, 2] {
         board.take(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
     }
@@ -86,7 +87,7 @@
 /// Guards against a window that counts as closed before any process is known.
 #[test]
 fn unknown_window_is_not_closed() {
-    let mut board = WindowBoard::default();
+    let mut board = WindowAggregator::default();
     assert!(!board.is_closed(WindowNumber(0)));
     board.take(WindowNumber(7), 1, counts(&[]), TotalsPhase::Closed);
     assert!(!board.is_closed(WindowNumber(7)));
@@ -95,7 +96,7 @@
 /// Guards against totals that are kept, here and in the store, for windows long reported.
 #[test]
 fn old_windows_are_named_for_deletion() {
-    let mut board = WindowBoard::default();
+    let mut board = WindowAggregator::default();
     board.take(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
     board.take(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
     board.take(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
