--- a/crates/admission/src/allocator.rs
+++ b/crates/admission/src/allocator.rs
@@ -13,13 +13,13 @@
         pub rate: u32,
         /// Tokens per second that each node of the zone may always use. The delegate grants the
         /// rest.
-        pub reserve: u32,
+        pub guaranteed_rate: u32,
     }
 
     /// Settings of the desk.
     pub struct AllocatorSettings {
         /// How long a grant lasts. A new delegate waits as long before it grants.
-        pub grant_period: Span,
+        pub grant_duration: Span,
         /// Entry VMs of the zone in the document.
         pub zone_vms: u32,
     }
@@ -50,7 +50,7 @@
 pub struct LimitAllocator {
     me: Incarnation,
     settings: AllocatorSettings,
-    parts: BTreeMap<CustomerKey, ZoneLimit>,
+    limits: BTreeMap<CustomerKey, ZoneLimit>,
     accounts: BTreeMap<(CustomerKey, Incarnation), NodeAccount>,
     live_vms: u32,
     /// Number of VMs that counts until [`LimitAllocator::raise_at`], when `live_vms` replaces it.
@@ -61,15 +61,15 @@
 
 impl ZoneLimit {
     /// Part of the zone's rate that its nodes own without a grant.
-    const RESERVE_PERCENT: u64 = 20;
+    const GUARANTEED_PERCENT: u64 = 20;
 
     /// Builds a part of which each of at most `zone_vms` nodes owns an equal reserve, so that none
     /// refuses everything while a new delegate waits. With more nodes alive than `zone_vms`, their
     /// reserves together exceed what the delegate leaves for them.
     #[must_use]
-    pub fn with_reserve(rate: u32, zone_vms: u32) -> Self {
-        let reserve = u64::from(rate) * Self::RESERVE_PERCENT / 100 / u64::from(zone_vms.max(1));
-        Self { rate, reserve: reserve as u32 }
+    pub fn with_guaranteed_rate(rate: u32, zone_vms: u32) -> Self {
+        let reserve = u64::from(rate) * Self::GUARANTEED_PERCENT / 100 / u64::from(zone_vms.max(1));
+        Self { rate, guaranteed_rate: reserve as u32 }
     }
 }
 
@@ -77,7 +77,7 @@
     /// Settings with the usual grant period of 10 s.
     #[must_use]
     pub const fn new(zone_vms: u32) -> Self {
-        Self { grant_period: Span::from_secs(10), zone_vms }
+        Self { grant_duration: Span::from_secs(10), zone_vms }
     }
 }
 
@@ -95,18 +95,18 @@
         Self {
             me,
             settings,
-            parts: BTreeMap::new(),
+            limits: BTreeMap::new(),
             accounts: BTreeMap::new(),
             live_vms,
             counted_vms: 0,
-            raise_at: Moment(now.0.saturating_add(settings.grant_period.0)),
+            raise_at: Moment(now.0.saturating_add(settings.grant_duration.0)),
             next_number: 1,
         }
     }
 
     /// Sets the zone's part of a customer's limit. Grants above a lowered part run out.
-    pub fn set_part(&mut self, customer: CustomerKey, part: ZoneLimit) {
-        self.parts.insert(customer, part);
+    pub fn set_zone_limit(&mut self, customer: CustomerKey, part: ZoneLimit) {
+        self.limits.insert(customer, part);
     }
 
     /// Notes how many VMs of the zone are alive as the delegate sees it.
@@ -116,7 +116,7 @@
     pub fn set_live_vms(&mut self, now: Moment, live_vms: u32) {
         self.settle(now);
         if live_vms > self.live_vms {
-            self.raise_at = now + self.settings.grant_period;
+            self.raise_at = now + self.settings.grant_duration;
         }
         self.live_vms = live_vms;
         self.counted_vms = self.counted_vms.min(live_vms);
@@ -124,10 +124,10 @@
 
     /// Answers the ask of a node, or returns none for a customer without a limit and for an ask
     /// that is older than one answered before.
-    pub fn ask(&mut self, now: Moment, ask: GrantRequest) -> Option<LimitGrant> {
+    pub fn grant(&mut self, now: Moment, ask: GrantRequest) -> Option<LimitGrant> {
         self.settle(now);
-        let part = *self.parts.get(&ask.customer)?;
-        let period = self.settings.grant_period;
+        let part = *self.limits.get(&ask.customer)?;
+        let period = self.settings.grant_duration;
         let account = self.accounts.entry((ask.customer, ask.node)).or_default();
         if ask.sequence <= account.sequence {
             return None;
@@ -137,7 +137,7 @@
         account.heard_at = Some(now);
         // The node never goes back to a grant older than the one it holds. One that it holds from
         // another delegate says nothing about the grants of this one.
-        let held = ask.held.filter(|id| id.desk == self.me).map_or(0, |id| id.number);
+        let held = ask.held.filter(|id| id.delegate == self.me).map_or(0, |id| id.number);
         account.open.retain(|grant| grant.number >= held && grant.expires_at > now);
         let usable = self.usable(part);
         let others = self.charged(now, ask.customer, Some(ask.node));
@@ -148,13 +148,13 @@
         let account = self.accounts.entry((ask.customer, ask.node)).or_default();
         account.open.push(OpenGrant { number, rate, expires_at: now + period });
         let GrantRequest { node, customer, sequence, .. } = ask;
-        let id = GrantId { desk: self.me, number };
-        Some(LimitGrant { node, customer, sequence, id, rate, period })
+        let id = GrantId { delegate: self.me, number };
+        Some(LimitGrant { node, customer, sequence, id, rate, duration: period })
     }
 
     /// Returns the rate that nodes may be using now beside their reserves, in tokens per second.
     #[must_use]
-    pub fn granted(&self, now: Moment, customer: CustomerKey) -> u32 {
+    pub fn granted_rate(&self, now: Moment, customer: CustomerKey) -> u32 {
         self.charged(now, customer, None)
     }
 
@@ -162,7 +162,7 @@
         if now >= self.raise_at {
             self.counted_vms = self.live_vms;
         }
-        let period = self.settings.grant_period;
+        let period = self.settings.grant_duration;
         self.accounts.retain(|_, account| {
             account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
         });
@@ -171,7 +171,7 @@
     fn usable(&self, part: ZoneLimit) -> u32 {
         let zone_vms = self.settings.zone_vms.max(1);
         let counted = self.counted_vms.min(zone_vms);
-        let reserves = u64::from(part.reserve) * u64::from(zone_vms);
+        let reserves = u64::from(part.guaranteed_rate) * u64::from(zone_vms);
         let granted = u64::from(part.rate).saturating_sub(reserves);
         (granted * u64::from(counted) / u64::from(zone_vms)) as u32
     }
@@ -191,7 +191,7 @@
     /// Max-min fair share of the demands, plus an equal part of what is left over, so that a node
     /// with little demand can admit a sudden request.
     fn target(&self, now: Moment, ask: GrantRequest, usable: u32) -> u32 {
-        let period = self.settings.grant_period;
+        let period = self.settings.grant_duration;
         let recent = |account: &&NodeAccount| {
             account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
         };
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -10,7 +10,7 @@
     /// Identifier of a grant.
     pub struct GrantId {
         /// The delegate that granted.
-        pub desk: Incarnation,
+        pub delegate: Incarnation,
         /// Number of the grant among those of its delegate, starting at 1.
         pub number: u64,
     }
@@ -42,13 +42,13 @@
         /// Tokens per second.
         pub rate: u32,
         /// How long the grant lasts, counted from the moment before its ask was sent.
-        pub period: Span,
+        pub duration: Span,
     }
 
     /// Settings of a node's shares.
     pub struct LimiterSettings {
         /// Time between two asks for a customer with demand.
-        pub ask_period: Span,
+        pub request_interval: Span,
         /// A full bucket holds this much time's worth of the rate.
         pub burst: Span,
         /// A customer without demand for this long is no longer asked for.
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone)]
 struct CustomerBucket {
     /// Rate that needs no grant.
-    reserve: u32,
+    guaranteed_rate: u32,
     rate: u32,
     expires_at: Moment,
     held: Option<GrantId>,
@@ -94,8 +94,8 @@
 pub struct RateLimiter {
     me: Incarnation,
     settings: LimiterSettings,
-    reserves: BTreeMap<CustomerKey, u32>,
-    shares: BTreeMap<CustomerKey, CustomerBucket>,
+    guaranteed_rates: BTreeMap<CustomerKey, u32>,
+    buckets: BTreeMap<CustomerKey, CustomerBucket>,
 }
 
 const MICRO: i64 = 1_000_000;
@@ -103,7 +103,7 @@
 impl Default for LimiterSettings {
     fn default() -> Self {
         Self {
-            ask_period: Span::from_secs(3),
+            request_interval: Span::from_secs(3),
             // A node's share of a small customer is less than one request a second. A bucket of one
             // second refused 23% of the requests of customers that were below their limit.
             burst: Span::from_secs(10),
@@ -117,15 +117,15 @@
     /// Creates the shares of the node `me`.
     #[must_use]
     pub const fn new(me: Incarnation, settings: LimiterSettings) -> Self {
-        Self { me, settings, reserves: BTreeMap::new(), shares: BTreeMap::new() }
+        Self { me, settings, guaranteed_rates: BTreeMap::new(), buckets: BTreeMap::new() }
     }
 
     /// Sets the rate of a customer that this node may use without a grant, in tokens per second.
-    pub fn set_reserve(&mut self, now: Moment, customer: CustomerKey, reserve: u32) {
-        self.reserves.insert(customer, reserve);
-        let Some(share) = self.shares.get_mut(&customer) else { return };
+    pub fn set_guaranteed_rate(&mut self, now: Moment, customer: CustomerKey, reserve: u32) {
+        self.guaranteed_rates.insert(customer, reserve);
+        let Some(share) = self.buckets.get_mut(&customer) else { return };
         share.fill(now, self.settings.burst);
-        share.reserve = reserve;
+        share.guaranteed_rate = reserve;
     }
 
     /// Takes `tokens` from the bucket of a customer that has a limit.
@@ -133,9 +133,9 @@
     /// A request may overdraw a bucket that holds anything, so that one larger than the bucket can
     /// run at all. The debt is paid before the next request.
     pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitDecision {
-        let reserve = self.reserves.get(&customer).copied().unwrap_or(0);
+        let reserve = self.guaranteed_rates.get(&customer).copied().unwrap_or(0);
         let new_share = || CustomerBucket::new(now, reserve);
-        let share = self.shares.entry(customer).or_insert_with(new_share);
+        let share = self.buckets.entry(customer).or_insert_with(new_share);
         share.wanted = share.wanted.saturating_add(u64::from(tokens));
         share.wanted_at = now;
         share.fill(now, self.settings.burst);
@@ -147,7 +147,7 @@
             return LimitDecision::AwaitGrant;
         }
         let retry_after = match u64::from(share.rate_at(now)) {
-            0 => self.settings.ask_period,
+            0 => self.settings.request_interval,
             rate => Span(share.level.unsigned_abs() / rate + 1),
         };
         let message = "the customer's limit is reached";
@@ -156,24 +156,24 @@
     }
 
     /// Charges the difference between the true and the estimated cost of an admitted request.
-    pub fn correct(&mut self, customer: CustomerKey, difference: i64) {
-        let Some(share) = self.shares.get_mut(&customer) else { return };
+    pub fn reconcile(&mut self, customer: CustomerKey, difference: i64) {
+        let Some(share) = self.buckets.get_mut(&customer) else { return };
         let burst = i64::try_from(self.settings.burst.0).unwrap_or(i64::MAX);
-        let rate = i64::from(share.rate) + i64::from(share.reserve);
+        let rate = i64::from(share.rate) + i64::from(share.guaranteed_rate);
         let full = rate.saturating_mul(burst);
         share.level = share.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
     }
 
     /// Returns the asks that are due at `now`, to be sent to the zone's delegate.
-    pub fn asks(&mut self, now: Moment) -> Vec<GrantRequest> {
+    pub fn due_requests(&mut self, now: Moment) -> Vec<GrantRequest> {
         let settings = self.settings;
-        self.shares.retain(|_, share| now.since(share.wanted_at) < settings.idle_after);
+        self.buckets.retain(|_, share| now.since(share.wanted_at) < settings.idle_after);
         let mut asks = Vec::new();
-        for (customer, share) in &mut self.shares {
-            if share.asked_at.is_some_and(|at| now.since(at) < settings.ask_period) {
+        for (customer, share) in &mut self.buckets {
+            if share.asked_at.is_some_and(|at| now.since(at) < settings.request_interval) {
                 continue;
             }
-            let passed = share.asked_at.map_or(settings.ask_period, |at| now.since(at));
+            let passed = share.asked_at.map_or(settings.request_interval, |at| now.since(at));
             let demand = share.wanted.saturating_mul(1_000_000) / passed.0.max(1);
             share.wanted = 0;
             share.asked_at = Some(now);
@@ -190,8 +190,8 @@
     }
 
     /// Takes in a grant. One that answers an ask other than the last is ignored.
-    pub fn granted(&mut self, now: Moment, grant: LimitGrant) {
-        let Some(share) = self.shares.get_mut(&grant.customer) else { return };
+    pub fn apply_grant(&mut self, now: Moment, grant: LimitGrant) {
+        let Some(share) = self.buckets.get_mut(&grant.customer) else { return };
         let Some(asked_at) = share.asked_at else { return };
         let is_last = grant.sequence == share.sequence && grant.sequence > share.answered;
         if grant.node != self.me || !is_last {
@@ -201,33 +201,33 @@
         share.answered = grant.sequence;
         share.held = Some(grant.id);
         share.rate = grant.rate;
-        share.expires_at = asked_at + grant.period;
+        share.expires_at = asked_at + grant.duration;
         share.fill(now, self.settings.burst);
     }
 
     /// Returns the rate in force, in tokens per second.
     #[must_use]
     pub fn rate(&self, now: Moment, customer: CustomerKey) -> u32 {
-        match self.shares.get(&customer) {
+        match self.buckets.get(&customer) {
             Some(share) => share.rate_at(now),
-            None => self.reserves.get(&customer).copied().unwrap_or(0),
+            None => self.guaranteed_rates.get(&customer).copied().unwrap_or(0),
         }
     }
 
-    /// Returns when [`RateLimiter::asks`] is due, or `None` when no customer has demand.
+    /// Returns when [`RateLimiter::due_requests`] is due, or `None` when no customer has demand.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let due = |share: &CustomerBucket| {
-            share.asked_at.map_or(Moment(0), |at| at + self.settings.ask_period)
+            share.asked_at.map_or(Moment(0), |at| at + self.settings.request_interval)
         };
-        self.shares.values().map(due).min()
+        self.buckets.values().map(due).min()
     }
 }
 
 impl CustomerBucket {
     const fn new(now: Moment, reserve: u32) -> Self {
         Self {
-            reserve,
+            guaranteed_rate: reserve,
             rate: 0,
             expires_at: Moment(0),
             held: None,
@@ -244,7 +244,7 @@
 
     fn rate_at(&self, now: Moment) -> u32 {
         let granted = if now < self.expires_at { self.rate } else { 0 };
-        self.reserve.saturating_add(granted)
+        self.guaranteed_rate.saturating_add(granted)
     }
 
     /// Fills the bucket by the reserve, and by the grant for the time that it was in force, up to
@@ -255,7 +255,7 @@
         };
         let granted_until = now.min(self.expires_at);
         let granted = gain(self.rate, granted_until.since(self.filled_at));
-        let gained = granted.saturating_add(gain(self.reserve, now.since(self.filled_at)));
+        let gained = granted.saturating_add(gain(self.guaranteed_rate, now.since(self.filled_at)));
         self.filled_at = self.filled_at.max(now);
         let full = gain(self.rate_at(now), burst);
         self.level = self.level.saturating_add(gained).min(full);
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -35,7 +35,7 @@
         /// Tokens per second that this node can expect to be served.
         pub tokens_per_second: u32,
         /// Estimated tokens that may be in service at once.
-        pub max_in_service: u32,
+        pub max_in_service_tokens: u32,
     }
 
     /// Settings of the queue.
@@ -61,9 +61,9 @@
             tokens: u32,
         },
         /// The caller of a waiting request has disconnected.
-        CallerGone(TicketNumber),
+        CallerDisconnected(TicketNumber),
         /// The service rate has changed.
-        RateChanged(ServiceCapacity),
+        CapacityChanged(ServiceCapacity),
         /// A customer's weight has changed. Customers have weight 1 until stated otherwise.
         WeightChanged {
             /// The customer.
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     settings: QueueSettings,
-    rate: ServiceCapacity,
+    capacity: ServiceCapacity,
     weights: BTreeMap<CustomerKey, u32>,
     live: FlowRing,
     samples: FlowRing,
@@ -128,7 +128,7 @@
 /// What the estimate of a wait depends on.
 #[derive(Debug, Clone, Copy)]
 struct WaitEstimate {
-    rate: ServiceCapacity,
+    capacity: ServiceCapacity,
     sample_share: f64,
     in_service_tokens: u64,
     times: ServiceTimes,
@@ -153,7 +153,7 @@
     pub fn new(settings: QueueSettings, rate: ServiceCapacity, rng: ChaCha8Rng) -> Self {
         Self {
             settings,
-            rate,
+            capacity: rate,
             weights: BTreeMap::new(),
             live: FlowRing::default(),
             samples: FlowRing::default(),
@@ -181,12 +181,12 @@
                 self.ring(item.class).push(flow_key, weight, item);
             }
             QueueEvent::Done { ticket, tokens } => self.done(now, ticket, tokens),
-            QueueEvent::CallerGone(ticket) => {
+            QueueEvent::CallerDisconnected(ticket) => {
                 self.live.retain(|item, _, _| item.ticket != ticket);
                 self.samples.retain(|item, _, _| item.ticket != ticket);
             }
-            QueueEvent::RateChanged(rate) => {
-                self.rate = rate;
+            QueueEvent::CapacityChanged(rate) => {
+                self.capacity = rate;
                 self.check(now, &mut actions);
             }
             QueueEvent::WeightChanged { customer, weight } => {
@@ -248,7 +248,7 @@
 
     fn estimate(&self) -> WaitEstimate {
         WaitEstimate {
-            rate: self.rate,
+            capacity: self.capacity,
             sample_share: f64::from(self.settings.sample_share) / 100.0,
             in_service_tokens: self.in_service_tokens,
             times: self.times,
@@ -261,14 +261,14 @@
         let Some(served) = self.in_service.remove(&ticket) else { return };
         self.in_service_tokens -= u64::from(served.tokens);
         let difference = i64::from(tokens) - i64::from(served.tokens);
-        self.ring(served.flow_key.class).correct(served.flow_key, difference);
+        self.ring(served.flow_key.class).reconcile(served.flow_key, difference);
         if tokens > 0 {
             self.times.learn(now.since(served.started_at));
         }
     }
 
     fn dispatch(&mut self, now: Moment, actions: &mut QueueActions) {
-        while self.in_service_tokens < u64::from(self.rate.max_in_service) {
+        while self.in_service_tokens < u64::from(self.capacity.max_in_service_tokens) {
             let Some(item) = self.next_item() else { break };
             if now + self.estimate().run_time(item.tokens) > item.deadline {
                 let wait = self.expected_wait(item.customer, item.class);
@@ -357,7 +357,7 @@
     /// The service is shared, so requests take longer than the rate alone says. An idle service
     /// takes every request that can end in time by its rate.
     fn run_time(&self, tokens: u32) -> Span {
-        let ahead = self.in_service_tokens.min(u64::from(self.rate.max_in_service));
+        let ahead = self.in_service_tokens.min(u64::from(self.capacity.max_in_service_tokens));
         let by_rate = self.time_for(ahead as f64 + f64::from(tokens));
         if self.in_service_tokens == 0 {
             return by_rate;
@@ -366,7 +366,7 @@
     }
 
     fn time_for(&self, tokens: f64) -> Span {
-        let rate = f64::from(self.rate.tokens_per_second.max(1));
+        let rate = f64::from(self.capacity.tokens_per_second.max(1));
         Span::from_micros((tokens / rate * 1e6) as u64)
     }
 }
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -24,12 +24,12 @@
     }
 
     /// Counts a request that succeeded.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.saved = (self.saved + 1).min(MAX_SAVED * SUCCESSES_PER_RETRY);
     }
 
     /// Takes one retry from the budget, or returns false when it is used up.
-    pub const fn take(&mut self) -> bool {
+    pub const fn try_withdraw(&mut self) -> bool {
         if self.saved < SUCCESSES_PER_RETRY {
             return false;
         }
--- a/crates/admission/src/ring.rs
+++ b/crates/admission/src/ring.rs
@@ -114,7 +114,7 @@
     }
 
     /// Charges a flow the difference between true and estimated cost.
-    pub(crate) fn correct(&mut self, flow_key: FlowKey, difference: i64) {
+    pub(crate) fn reconcile(&mut self, flow_key: FlowKey, difference: i64) {
         let Some(flow) = self.flows.get_mut(&flow_key) else { return };
         let bound = MAX_DEBT_ROUNDS * QUANTUM * i64::from(flow.weight);
         flow.deficit = (flow.deficit - difference).clamp(-bound, bound);
--- a/crates/admission/tests/limit.rs
+++ b/crates/admission/tests/limit.rs
@@ -29,23 +29,23 @@
     messages: Vec<Message>,
     /// Side of the partition of each node, all 0 when there is none.
     sides: [usize; VMS],
-    part: ZoneLimit,
+    limit: ZoneLimit,
     restarts: u64,
 }
 
 impl Zone {
     fn new() -> Self {
-        Self::with_part(ZoneLimit { rate: PART, reserve: 0 })
+        Self::with_limit(ZoneLimit { rate: PART, guaranteed_rate: 0 })
     }
 
     fn share(now: Moment, incarnation: u64, part: ZoneLimit) -> RateLimiter {
         let settings = LimiterSettings { burst: Span::from_secs(1), ..LimiterSettings::default() };
         let mut share = RateLimiter::new(Incarnation(incarnation), settings);
-        share.set_reserve(now, CUSTOMER, part.reserve);
+        share.set_guaranteed_rate(now, CUSTOMER, part.guaranteed_rate);
         share
     }
 
-    fn with_part(part: ZoneLimit) -> Self {
+    fn with_limit(part: ZoneLimit) -> Self {
         let nodes = 0..VMS as u64;
         let share = |node| Self::share(Moment(0), node, part);
         let mut zone = Self {
@@ -54,7 +54,7 @@
             desks: vec![None; VMS],
             messages: Vec::new(),
             sides: [0; VMS],
-            part,
+            limit: part,
             restarts: 0,
         };
         zone.elect();
@@ -76,7 +76,7 @@
             }
             let settings = AllocatorSettings::new(VMS as u32);
             let mut desk = LimitAllocator::new(self.incarnation(node), settings, self.now, live);
-            desk.set_part(CUSTOMER, self.part);
+            desk.set_zone_limit(CUSTOMER, self.limit);
             self.desks[node] = Some(desk);
         }
     }
@@ -94,7 +94,7 @@
     /// Replaces a process by a new one that keeps nothing.
     fn restart(&mut self, node: usize) {
         self.restarts += 1;
-        self.shares[node] = Self::share(self.now, self.incarnation(node).0, self.part);
+        self.shares[node] = Self::share(self.now, self.incarnation(node).0, self.limit);
         self.desks[node] = None;
         self.elect();
     }
@@ -106,7 +106,7 @@
 
     fn send_asks(&mut self, node: usize) {
         let delegate = self.delegate(node);
-        for ask in self.shares[node].asks(self.now) {
+        for ask in self.shares[node].due_requests(self.now) {
             self.messages.push(Message::Ask(ask, delegate));
         }
     }
@@ -118,10 +118,10 @@
         match self.messages.remove(position % self.messages.len()) {
             Message::Ask(ask, delegate) => {
                 let Some(desk) = &mut self.desks[delegate] else { return };
-                self.messages.extend(desk.ask(self.now, ask).map(Message::Grant));
+                self.messages.extend(desk.grant(self.now, ask).map(Message::Grant));
             }
             Message::Grant(grant) => {
-                self.shares[grant.node.0 as usize % VMS].granted(self.now, grant);
+                self.shares[grant.node.0 as usize % VMS].apply_grant(self.now, grant);
             }
         }
     }
@@ -195,7 +195,7 @@
 /// Returns the share of requests refused in the 30 s after the delegate has left for good.
 fn refused_after_delegate_change(part: ZoneLimit, seed: u64) -> f64 {
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    let mut zone = Zone::with_part(part);
+    let mut zone = Zone::with_limit(part);
     zone.run(40 + generator.random_range(0..3), [200; VMS]);
     zone.sides[0] = 1;
     let left_at = zone.now;
@@ -229,8 +229,8 @@
 fn reserve_serves_customers_during_a_delegate_change() {
     let mean =
         |part| (1..=20).map(|seed| refused_after_delegate_change(part, seed)).sum::<f64>() / 20.0;
-    let before = mean(ZoneLimit { rate: PART, reserve: 0 });
-    let after = mean(ZoneLimit::with_reserve(PART, VMS as u32));
+    let before = mean(ZoneLimit { rate: PART, guaranteed_rate: 0 });
+    let after = mean(ZoneLimit::with_guaranteed_rate(PART, VMS as u32));
     println!(
         "refused in 30 s after a delegate change: {before:.3} before, {after:.3} with a reserve"
     );
@@ -246,7 +246,7 @@
         steps in prop::collection::vec((0..13_u8, 0..VMS, 1..3_000_u32), 1..300),
         reserve in prop::sample::select(vec![0, 1, 50, PART / VMS as u32]),
     ) {
-        let mut zone = Zone::with_part(ZoneLimit { rate: PART, reserve });
+        let mut zone = Zone::with_limit(ZoneLimit { rate: PART, guaranteed_rate: reserve });
         for (step, node, amount) in steps {
             match step {
                 0..4 => zone.want(node, amount),
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -10,7 +10,8 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-const RATE: ServiceCapacity = ServiceCapacity { tokens_per_second: 1_000, max_in_service: 100 };
+const RATE: ServiceCapacity =
+    ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: 100 };
 const FAR: Moment = Moment(1_000_000_000_000);
 
 fn queue() -> FairQueue {
@@ -133,7 +134,7 @@
         assert_eq!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(item))), None);
     }
     let rate = ServiceCapacity { tokens_per_second: 300, ..RATE };
-    let actions = queue.handle(Moment(0), QueueEvent::RateChanged(rate));
+    let actions = queue.handle(Moment(0), QueueEvent::CapacityChanged(rate));
     // The service does 600 tokens until the deadline. Ticket 0 runs and 1 to 5 follow in time.
     let refused = actions.iter().map(|action| match action {
         QueueAction::Refuse { ticket, .. } => ticket.0,
@@ -166,7 +167,7 @@
     for ticket in 0..3 {
         queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100)));
     }
-    queue.handle(Moment(0), QueueEvent::CallerGone(TicketNumber(1)));
+    queue.handle(Moment(0), QueueEvent::CallerDisconnected(TicketNumber(1)));
     let done = QueueEvent::Done { ticket: TicketNumber(0), tokens: 100 };
     let actions = queue.handle(Moment(0), done);
     assert_eq!(actions.as_slice(), [QueueAction::Dispatch(TicketNumber(2))]);
@@ -176,13 +177,13 @@
 #[test]
 fn retries_are_a_tenth_of_successes() {
     let mut budget = RetryBudget::new();
-    while budget.take() {}
+    while budget.try_withdraw() {}
     for _ in 0..1_000 {
-        budget.succeeded();
+        budget.record_success();
     }
     assert_eq!(budget.left(), 100);
     for _ in 0..1_000 {
-        budget.succeeded();
+        budget.record_success();
     }
     assert_eq!(budget.left(), 100, "a long quiet time saves up no larger burst");
 }
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -28,9 +28,9 @@
     /// Whether a process claims a lease that is free.
     pub enum LeaseRole {
         /// Claims when it may.
-        Standing,
+        Candidate,
         /// Only follows the stream, for example while it drains.
-        Abstaining,
+        Observer,
     }
 
     /// What a receiver does with fencing numbers.
@@ -102,7 +102,7 @@
     settings: LeaseSettings,
     scope: LeaseScope,
     incarnation: Incarnation,
-    candidacy: LeaseRole,
+    role: LeaseRole,
     claim_delay: Span,
     last_attempt: u32,
     chain: Option<ClaimChain>,
@@ -111,7 +111,7 @@
 }
 
 impl LeaseManager {
-    /// Creates a keeper that does nothing until [`LeaseManager::reading_from`].
+    /// Creates a keeper that does nothing until [`LeaseManager::restart_from`].
     #[must_use]
     pub const fn new(
         settings: LeaseSettings,
@@ -123,7 +123,7 @@
             settings,
             scope,
             incarnation,
-            candidacy,
+            role: candidacy,
             claim_delay: Span::ZERO,
             last_attempt: 0,
             chain: None,
@@ -133,8 +133,8 @@
     }
 
     /// Sets whether this process claims a free lease. A lease that it holds is kept.
-    pub const fn set_candidacy(&mut self, candidacy: LeaseRole) {
-        self.candidacy = candidacy;
+    pub const fn set_role(&mut self, candidacy: LeaseRole) {
+        self.role = candidacy;
     }
 
     /// Sets how long this process waits after the earliest moment at which it may claim. Different
@@ -145,7 +145,7 @@
 
     /// Starts reading at the oldest retained offset, or continues there after a gap. A lease is
     /// given up, since the gap may hide a claim.
-    pub fn reading_from(&mut self, now: Moment, first: LogOffset) -> SmallVec<[LeaseAction; 4]> {
+    pub fn restart_from(&mut self, now: Moment, first: LogOffset) -> SmallVec<[LeaseAction; 4]> {
         self.chain = Some(ClaimChain::new(first, now));
         self.pending = None;
         self.lose(LossCause::GapInLog).into_iter().collect()
@@ -184,7 +184,7 @@
     pub fn tick(&mut self, now: Moment) -> SmallVec<[LeaseAction; 4]> {
         let Some(chain) = &self.chain else { return SmallVec::new() };
         let Some(tenure) = self.tenure else {
-            if self.candidacy == LeaseRole::Abstaining
+            if self.role == LeaseRole::Observer
                 || self.pending.is_some()
                 || now < self.claim_at(chain)
             {
@@ -219,7 +219,7 @@
     /// Gives up the lease and claims no more, as in a planned stop. The driver calls this when its
     /// orders have been answered.
     pub fn resign(&mut self) -> SmallVec<[LeaseAction; 4]> {
-        self.candidacy = LeaseRole::Abstaining;
+        self.role = LeaseRole::Observer;
         let Some(tenure) = self.tenure else { return SmallVec::new() };
         let mut actions = smallvec![self.release_record(tenure.fencing)];
         actions.extend(self.lose(LossCause::Released));
@@ -256,7 +256,7 @@
 
     /// Returns the number of the lease while this process holds it by its own clock.
     #[must_use]
-    pub fn held(&self, now: Moment) -> Option<FencingToken> {
+    pub fn held_token(&self, now: Moment) -> Option<FencingToken> {
         self.permit(now, FencingSupport::Checked).ok()
     }
 
@@ -283,7 +283,7 @@
         match self.tenure {
             Some(tenure) if self.pending.is_some() => Some(tenure.until),
             Some(tenure) => Some(tenure.until.min(tenure.sent_at + self.settings.renewal)),
-            None if self.candidacy == LeaseRole::Abstaining || self.pending.is_some() => None,
+            None if self.role == LeaseRole::Observer || self.pending.is_some() => None,
             None => Some(self.claim_at(chain)),
         }
     }
@@ -319,7 +319,7 @@
         }
         let mut actions: SmallVec<_> = self.lose(LossCause::Succeeded).into_iter().collect();
         let Some(own) = own else { return actions };
-        if self.candidacy == LeaseRole::Abstaining {
+        if self.role == LeaseRole::Observer {
             actions.push(self.release_record(fencing));
             return actions;
         }
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -16,9 +16,9 @@
         /// Time without an answer after which the outcome of a request is unknown.
         pub order_timeout: Span,
         /// Wait before the platform is asked again after it could not tell the state of an order.
-        pub ask_retry: Span,
+        pub query_retry_delay: Span,
         /// What the platform does with fencing numbers.
-        pub receiver: FencingSupport,
+        pub fencing_support: FencingSupport,
     }
 
     /// Why a new order was not taken.
@@ -37,9 +37,9 @@
         /// Handed to the driver to be written.
         Sent { deadline: Moment },
         /// The platform is to be asked for the order.
-        AskDue { at: Moment },
+        QueryDue { at: Moment },
         /// The platform was asked for the order.
-        Asked { deadline: Moment },
+        Querying { deadline: Moment },
         /// The outcome is known, and its record is not read back.
         OutcomePending,
     }
@@ -69,7 +69,7 @@
         /// at once with the number that it returned.
         Send(OrderIntent),
         /// Ask the platform for the state of the order.
-        Ask(OrderId),
+        Query(OrderId),
         /// The outcome of an order is in the log.
         Settled(OrderOutcome),
         /// The intent of an own order took effect under a later lease. The order was never sent and
@@ -86,7 +86,7 @@
             /// Names of the upstreams concerned.
             upstreams: Vec<String>,
         },
-        /// The platform has no order of this id. Only an answer to [`OrderAction::Ask`].
+        /// The platform has no order of this id. Only an answer to [`OrderAction::Query`].
         NotFound,
         /// The platform has seen a higher fencing number.
         FencingTooLow,
@@ -133,13 +133,13 @@
     /// # Errors
     ///
     /// Refuses while this process does not hold the lease or the outcome of any order is unknown.
-    pub fn order(
+    pub fn submit(
         &mut self,
         now: Moment,
         keeper: &LeaseManager,
         request: OrderRequest,
     ) -> Result<(OrderId, OrderAction), OrderRefusal> {
-        let Some(fencing) = keeper.held(now) else { return Err(OrderRefusal::NotHeld) };
+        let Some(fencing) = keeper.held_token(now) else { return Err(OrderRefusal::NotHeld) };
         self.examine(now, fencing);
         if let Some(id) = self.unknown_outcome() {
             return Err(OrderRefusal::OutcomeUnknown(id));
@@ -190,13 +190,13 @@
     /// Sends and asks what is due, while this process holds the lease.
     pub fn tick(&mut self, now: Moment, keeper: &LeaseManager) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
-        let Some(fencing) = keeper.held(now) else { return actions };
+        let Some(fencing) = keeper.held_token(now) else { return actions };
         self.examine(now, fencing);
         let settings = self.settings;
-        let may_send = keeper.permit(now, settings.receiver).is_ok();
+        let may_send = keeper.permit(now, settings.fencing_support).is_ok();
         for (id, open) in &mut self.open {
             match open.stage {
-                OrderStage::Sent { deadline } | OrderStage::Asked { deadline }
+                OrderStage::Sent { deadline } | OrderStage::Querying { deadline }
                     if deadline <= now =>
                 {
                     open.lose_track(now);
@@ -208,9 +208,9 @@
                     open.stage = OrderStage::Sent { deadline: now + settings.order_timeout };
                     actions.push(OrderAction::Send(open.intent.clone()));
                 }
-                OrderStage::AskDue { at } if at <= now => {
-                    open.stage = OrderStage::Asked { deadline: now + settings.order_timeout };
-                    actions.push(OrderAction::Ask(*id));
+                OrderStage::QueryDue { at } if at <= now => {
+                    open.stage = OrderStage::Querying { deadline: now + settings.order_timeout };
+                    actions.push(OrderAction::Query(*id));
                 }
                 OrderStage::OutcomePending => actions.extend(open.unappended_outcome()),
                 _ => {}
@@ -231,7 +231,7 @@
         keeper: &LeaseManager,
         id: OrderId,
     ) -> Result<FencingToken, PermitDenial> {
-        let fencing = keeper.permit(now, self.settings.receiver)?;
+        let fencing = keeper.permit(now, self.settings.fencing_support)?;
         match self.open.get(&id) {
             Some(OpenOrder { stage: OrderStage::Sent { deadline }, .. })
                 if now < *deadline && self.tenure == Some(fencing) =>
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Takes the answer to [`OrderAction::Send`] or [`OrderAction::Ask`].
+    /// Takes the answer to [`OrderAction::Send`] or [`OrderAction::Query`].
     pub fn answer(
         &mut self,
         now: Moment,
@@ -250,7 +250,7 @@
         id: OrderId,
         answer: OrderResponse,
     ) -> SmallVec<[OrderAction; 4]> {
-        let Some(fencing) = keeper.held(now) else { return SmallVec::new() };
+        let Some(fencing) = keeper.held_token(now) else { return SmallVec::new() };
         self.examine(now, fencing);
         let Some(open) = self.open.get_mut(&id) else { return SmallVec::new() };
         if matches!(open.stage, OrderStage::IntentPending | OrderStage::OutcomePending) {
@@ -265,12 +265,12 @@
                 open.outcome = None;
                 return smallvec![OrderAction::Append(AuthorityRecord::Outcome(outcome))];
             }
-            OrderResponse::NotFound if matches!(open.stage, OrderStage::Asked { .. }) => {
+            OrderResponse::NotFound if matches!(open.stage, OrderStage::Querying { .. }) => {
                 open.stage = OrderStage::SendDue;
             }
             OrderResponse::NotFound => {}
             OrderResponse::FencingTooLow | OrderResponse::Lost => {
-                open.lose_track(now + self.settings.ask_retry);
+                open.lose_track(now + self.settings.query_retry_delay);
             }
         }
         self.tick(now, keeper)
@@ -310,16 +310,16 @@
     /// not hold the lease or waits only for the log.
     #[must_use]
     pub fn next_deadline(&self, now: Moment, keeper: &LeaseManager) -> Option<Moment> {
-        let fencing = keeper.held(now)?;
+        let fencing = keeper.held_token(now)?;
         if self.tenure != Some(fencing) && !self.open.is_empty() {
             return Some(now);
         }
         let mut earliest: Option<Moment> = None;
         for open in self.open.values() {
             let deadline = match open.stage {
-                OrderStage::Sent { deadline } | OrderStage::Asked { deadline } => deadline,
-                OrderStage::AskDue { at } => at,
-                OrderStage::SendDue => match keeper.permit(now, self.settings.receiver) {
+                OrderStage::Sent { deadline } | OrderStage::Querying { deadline } => deadline,
+                OrderStage::QueryDue { at } => at,
+                OrderStage::SendDue => match keeper.permit(now, self.settings.fencing_support) {
                     Err(PermitDenial::ExtraWait(until)) => until,
                     _ => now,
                 },
@@ -358,10 +358,10 @@
             self.open.remove(&intent.id);
             return Some(OrderAction::Voided(intent.id));
         }
-        let held = keeper.held(now);
+        let held = keeper.held_token(now);
         let open = self.open.entry(intent.id).or_insert_with(|| OpenOrder {
             intent: intent.clone(),
-            stage: OrderStage::AskDue { at: now },
+            stage: OrderStage::QueryDue { at: now },
             effect: Effect::Untraced,
             outcome: None,
         });
@@ -379,7 +379,7 @@
 
 impl OpenOrder {
     fn lose_track(&mut self, ask_at: Moment) {
-        self.stage = OrderStage::AskDue { at: ask_at };
+        self.stage = OrderStage::QueryDue { at: ask_at };
         self.effect = Effect::Untraced;
     }
 
@@ -393,8 +393,8 @@
     fn default() -> Self {
         Self {
             order_timeout: Span::from_secs(3),
-            ask_retry: Span::from_secs(1),
-            receiver: FencingSupport::Checked,
+            query_retry_delay: Span::from_secs(1),
+            fencing_support: FencingSupport::Checked,
         }
     }
 }
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -22,48 +22,52 @@
 
 /// One process with the records that it has read.
 struct Process {
-    keeper: LeaseManager,
-    desk: OrderManager,
+    lease_manager: LeaseManager,
+    order_manager: OrderManager,
     next: LogOffset,
 }
 
 impl Process {
     fn new(receiver: FencingSupport) -> Self {
         let settings = LeaseSettings::default();
-        let mut keeper = LeaseManager::new(settings, scope(), OWN, LeaseRole::Standing);
-        keeper.reading_from(at(0), LogOffset(0));
-        let settings = OrderSettings { receiver, ..OrderSettings::default() };
-        Self { keeper, desk: OrderManager::new(settings, scope(), OWN), next: LogOffset(0) }
+        let mut keeper = LeaseManager::new(settings, scope(), OWN, LeaseRole::Candidate);
+        keeper.restart_from(at(0), LogOffset(0));
+        let settings = OrderSettings { fencing_support: receiver, ..OrderSettings::default() };
+        Self {
+            lease_manager: keeper,
+            order_manager: OrderManager::new(settings, scope(), OWN),
+            next: LogOffset(0),
+        }
     }
 
     fn read(&mut self, now: Moment, record: &AuthorityRecord) -> Vec<OrderAction> {
-        self.keeper.read(now, self.next, record);
+        self.lease_manager.read(now, self.next, record);
         self.next = self.next.next();
-        self.desk.read(now, &self.keeper, record).to_vec()
+        self.order_manager.read(now, &self.lease_manager, record).to_vec()
     }
 
     fn acquire(&mut self, now: Moment) -> FencingToken {
-        let actions = self.keeper.tick(now);
+        let actions = self.lease_manager.tick(now);
         let [LeaseAction::Append(claim)] = actions.as_slice() else { panic!("{actions:?}") };
         self.read(now, claim);
-        self.keeper.held(now).expect("the claim is valid")
+        self.lease_manager.held_token(now).expect("the claim is valid")
     }
 
     fn order(&mut self, now: Moment) -> Result<(OrderId, AuthorityRecord), OrderRefusal> {
         let kind = OrderKind::Start { count: 1, price: PriceClass::Regular };
         let request = OrderRequest { service: "draft-models".to_owned(), kind };
-        match self.desk.order(now, &self.keeper, request)? {
+        match self.order_manager.submit(now, &self.lease_manager, request)? {
             (id, OrderAction::Append(record)) => Ok((id, record)),
             (_, action) => panic!("unexpected {action:?}"),
         }
     }
 
     fn tick(&mut self, now: Moment) -> Vec<OrderAction> {
-        self.desk.tick(now, &self.keeper).to_vec()
+        self.order_manager.tick(now, &self.lease_manager).to_vec()
     }
 
     fn answer(&mut self, now: Moment, id: OrderId, answer: OrderResponse) -> Vec<OrderAction> {
-        self.desk.answer(now, &self.keeper, id, answer).to_vec()
+        self.order_manager.answer(now, &self.lease_manager, id, answer).to_vec()
     }
 }
 
@@ -104,17 +108,17 @@
     let fencing = process.acquire(at(0));
     let (id, intent) = process.order(at(1)).expect("the lease is held");
     assert!(process.tick(at(1)).is_empty());
-    let early = process.desk.permit(at(1), &process.keeper, id);
+    let early = process.order_manager.permit(at(1), &process.lease_manager, id);
     assert_eq!(early, Err(PermitDenial::NotWaiting), "the intent is not read back");
     let actions = process.read(at(2), &intent);
     assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
-    assert_eq!(process.desk.permit(at(2), &process.keeper, id), Ok(fencing));
+    assert_eq!(process.order_manager.permit(at(2), &process.lease_manager, id), Ok(fencing));
     let actions = process.answer(at(3), id, state(OrderState::Accepted));
     let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
-    assert_eq!(process.desk.open_orders(), 1);
+    assert_eq!(process.order_manager.open_orders(), 1);
     let actions = process.read(at(3), outcome);
     assert!(matches!(actions.as_slice(), [OrderAction::Settled(_)]));
-    assert_eq!(process.desk.open_orders(), 0);
+    assert_eq!(process.order_manager.open_orders(), 0);
 }
 
 /// Guards against a second order while the fate of the first is open, after a lost answer.
@@ -124,11 +128,11 @@
     process.acquire(at(0));
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
-    assert_eq!(process.desk.next_deadline(at(0), &process.keeper), Some(at(3)));
-    assert_eq!(process.tick(at(3)), [OrderAction::Ask(id)]);
+    assert_eq!(process.order_manager.next_deadline(at(0), &process.lease_manager), Some(at(3)));
+    assert_eq!(process.tick(at(3)), [OrderAction::Query(id)]);
     assert_eq!(process.order(at(3)), Err(OrderRefusal::OutcomeUnknown(id)));
     assert!(process.answer(at(4), id, OrderResponse::Lost).is_empty());
-    assert_eq!(process.tick(at(5)), [OrderAction::Ask(id)], "asked again after 1 s");
+    assert_eq!(process.tick(at(5)), [OrderAction::Query(id)], "asked again after 1 s");
     let actions = process.answer(at(5), id, OrderResponse::NotFound);
     assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
     assert_eq!(process.order(at(5)), Err(OrderRefusal::OutcomeUnknown(id)));
@@ -145,17 +149,20 @@
 fn a_successor_reconciles(#[case] receiver: FencingSupport, #[case] known: Option<OrderState>) {
     let (mut process, now, intent) = successor(receiver);
     assert_eq!(process.order(now), Err(OrderRefusal::OutcomeUnknown(INHERITED)));
-    assert_eq!(process.desk.open_orders(), 1);
+    assert_eq!(process.order_manager.open_orders(), 1);
     let actions = match known {
         Some(known) => process.answer(now, INHERITED, state(known)),
         None => {
             let mut sent = process.answer(now, INHERITED, OrderResponse::NotFound);
             if receiver == FencingSupport::Ignored {
                 assert!(sent.is_empty(), "sent within the extra wait");
-                let from = process.desk.next_deadline(now, &process.keeper).expect("a wait");
+                let from = process
+                    .order_manager
+                    .next_deadline(now, &process.lease_manager)
+                    .expect("a wait");
                 assert_eq!(from, at(45), "30 s after the acquisition");
-                let (keeper, _) = renewed(&process.keeper, process.next, from);
-                process.keeper = keeper;
+                let (keeper, _) = renewed(&process.lease_manager, process.next, from);
+                process.lease_manager = keeper;
                 sent = process.tick(from);
             }
             assert_eq!(sent, [OrderAction::Send(intent)], "the same order under the same id");
@@ -167,13 +174,13 @@
         panic!("{actions:?}")
     };
     assert_eq!((outcome.id, outcome.fencing), (INHERITED, FencingToken(2)));
-    assert_eq!(process.desk.unknown_outcome(), None);
+    assert_eq!(process.order_manager.unknown_outcome(), None);
 }
 
 /// Renews until the lease covers `until`.
 fn renewed(keeper: &LeaseManager, next: LogOffset, until: Moment) -> (LeaseManager, LogOffset) {
     let (mut keeper, mut next) = (keeper.clone(), next);
-    while keeper.held(until).is_none() {
+    while keeper.held_token(until).is_none() {
         let now = keeper.next_deadline().expect("a renewal is due");
         for action in keeper.tick(now) {
             let LeaseAction::Append(record) = action else { panic!("{action:?}") };
@@ -190,7 +197,7 @@
     let (mut process, now, intent) = successor(FencingSupport::Checked);
     let late = OrderId { issuer: OTHER, number: 2 };
     process.read(now, &AuthorityRecord::Intent(OrderIntent { id: late, ..intent }));
-    assert_eq!(process.desk.open_orders(), 1, "the late intent was never sent");
+    assert_eq!(process.order_manager.open_orders(), 1, "the late intent was never sent");
     let outcome = OrderOutcome {
         id: INHERITED,
         scope: scope(),
@@ -199,7 +206,7 @@
         upstreams: Vec::new(),
     };
     process.read(now, &AuthorityRecord::Outcome(outcome));
-    assert_eq!(process.desk.unknown_outcome(), Some(INHERITED));
+    assert_eq!(process.order_manager.unknown_outcome(), Some(INHERITED));
 }
 
 /// Guards against an own intent that is sent although it took effect after another claim.
@@ -217,7 +224,7 @@
     };
     process.read(at(2), &AuthorityRecord::Claim(claim));
     assert_eq!(process.read(at(2), &intent), [OrderAction::Voided(id)]);
-    assert_eq!(process.desk.open_orders(), 0);
+    assert_eq!(process.order_manager.open_orders(), 0);
 }
 
 /// Guards against loss when the writer's buffer is full.
@@ -226,13 +233,13 @@
     let mut process = Process::new(FencingSupport::Checked);
     process.acquire(at(0));
     let (_, dropped) = process.order(at(0)).expect("the lease is held");
-    process.desk.append_refused(&dropped);
-    assert_eq!(process.desk.open_orders(), 0);
+    process.order_manager.append_refused(&dropped);
+    assert_eq!(process.order_manager.open_orders(), 0);
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
     let actions = process.answer(at(1), id, state(OrderState::Done));
     let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
-    process.desk.append_refused(outcome);
+    process.order_manager.append_refused(outcome);
     assert_eq!(process.tick(at(1)), actions, "the outcome is appended again");
     assert!(process.tick(at(1)).is_empty());
 }
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -17,8 +17,8 @@
 
 fn keeper(first: u64) -> LeaseManager {
     let settings = LeaseSettings::default();
-    let mut keeper = LeaseManager::new(settings, LeaseScope::Usage, OWN, LeaseRole::Standing);
-    keeper.reading_from(at(0), LogOffset(first));
+    let mut keeper = LeaseManager::new(settings, LeaseScope::Usage, OWN, LeaseRole::Candidate);
+    keeper.restart_from(at(0), LogOffset(first));
     keeper
 }
 
@@ -117,12 +117,12 @@
     assert!(keeper.tick(at(2)).is_empty(), "a second claim while the first is pending");
     let actions = keeper.read(at(6), LogOffset(0), &own);
     assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(0))]);
-    assert_eq!(keeper.held(at(9) - Span(1)), Some(FencingToken(0)));
-    assert_eq!(keeper.held(at(9)), None, "8 s after sending the margin begins");
+    assert_eq!(keeper.held_token(at(9) - Span(1)), Some(FencingToken(0)));
+    assert_eq!(keeper.held_token(at(9)), None, "8 s after sending the margin begins");
 
     let renewal = appended(&keeper.tick(at(6))).expect("a renewal is due 3 s after sending");
     keeper.read(at(8), LogOffset(1), &renewal);
-    assert_eq!(keeper.held(at(14) - Span(1)), Some(FencingToken(0)));
+    assert_eq!(keeper.held_token(at(14) - Span(1)), Some(FencingToken(0)));
     assert_eq!(
         keeper.permit(at(13), FencingSupport::Ignored),
         Err(PermitDenial::ExtraWait(at(36))),
@@ -139,14 +139,14 @@
     let mut keeper = keeper(0);
     let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
     assert!(keeper.read(at(8), LogOffset(0), &own).is_empty());
-    assert_eq!(keeper.held(at(8)), None);
+    assert_eq!(keeper.held_token(at(8)), None);
     assert_eq!(keeper.next_deadline(), Some(at(23)), "it waits like any successor");
 }
 
 /// Guards against a former holder that goes on after another claim or an unseen part of the log.
 #[rstest]
 #[case::succeeded(|keeper: &mut LeaseManager| keeper.read(at(2), LogOffset(1), &claim(OTHER, 1, 1)), LossCause::Succeeded)]
-#[case::gap(|keeper: &mut LeaseManager| keeper.reading_from(at(2), LogOffset(9)), LossCause::GapInLog)]
+#[case::gap(|keeper: &mut LeaseManager| keeper.restart_from(at(2), LogOffset(9)), LossCause::GapInLog)]
 fn a_holder_gives_way(
     #[case] event: fn(&mut LeaseManager) -> smallvec::SmallVec<[LeaseAction; 4]>,
     #[case] cause: LossCause,
@@ -156,7 +156,7 @@
     keeper.read(at(1), LogOffset(0), &own);
     let lost = LeaseAction::Lost { fencing: FencingToken(0), cause };
     assert_eq!(event(&mut keeper).as_slice(), [lost]);
-    assert_eq!(keeper.held(at(2)), None);
+    assert_eq!(keeper.held_token(at(2)), None);
 }
 
 /// Guards against a reader without the beginning of the stream that takes the lease although a
@@ -167,7 +167,7 @@
     let own = appended(&keeper.tick(at(15))).expect("the wait is over");
     keeper.read(at(16), LogOffset(7), &renewal(OTHER, 4, 2));
     assert!(keeper.read(at(16), LogOffset(8), &own).is_empty());
-    assert_eq!(keeper.held(at(16)), None);
+    assert_eq!(keeper.held_token(at(16)), None);
 
     let own = appended(&keeper.tick(at(31))).expect("the wait is over");
     let actions = keeper.read(at(32), LogOffset(9), &own);
@@ -183,7 +183,7 @@
     keeper.read(at(1), LogOffset(0), &own);
     let lost = LeaseAction::Lost { fencing: FencingToken(0), cause: LossCause::Released };
     assert_eq!(keeper.resign().as_slice(), [LeaseAction::Append(release(OWN, 0)), lost]);
-    assert_eq!((keeper.held(at(1)), keeper.next_deadline()), (None, None));
+    assert_eq!((keeper.held_token(at(1)), keeper.next_deadline()), (None, None));
 
     assert!(pending.resign().is_empty());
     let actions = pending.read(at(1), LogOffset(0), &own);
--- a/crates/base/src/event.rs
+++ b/crates/base/src/event.rs
@@ -1,11 +1,11 @@
 //! Catalogue of numbered log events. `docs/events.md` lists the same events, and CI compares both.
 
 macro_rules! events {
-    ($($number:literal $name:ident $meaning:literal)*) => {
+    ($($number:literal $name:ident $description:literal)*) => {
         crate::derive_copy! {
             /// Number of a structured log line. Numbers are never reused.
             pub enum EventCode {
-                $(#[doc = $meaning] $name = $number,)*
+                $(#[doc = $description] $name = $number,)*
             }
         }
 
@@ -29,9 +29,9 @@
 
             /// Returns what the event reports, as one sentence.
             #[must_use]
-            pub const fn meaning(self) -> &'static str {
+            pub const fn description(self) -> &'static str {
                 match self {
-                    $(Self::$name => $meaning,)*
+                    $(Self::$name => $description,)*
                 }
             }
         }
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -43,7 +43,7 @@
         body: &T,
     ) -> Result<HttpResponse, CallError> {
         let outgoing = HttpRequest::post(engine, path, encode(body)?);
-        self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?.success()
+        self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?.error_for_status()
     }
 }
 
@@ -73,7 +73,7 @@
     async fn report(&self, engine: SocketAddr) -> Result<EngineReport, CallError> {
         let outgoing = HttpRequest::get(engine, "/load");
         let answer = self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?;
-        decode::<wire::EngineLoadReport>(&answer.success()?.body).map(EngineReport::from)
+        decode::<wire::EngineLoadReport>(&answer.error_for_status()?.body).map(EngineReport::from)
     }
 
     async fn load_version(
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -17,7 +17,7 @@
 use crate::{
     CallError, CallFailure,
     guard::{SendGuard, SendPermit},
-    transfer::{DATE_BYTES, TransferCounter, head_bytes, header_bytes},
+    transfer::{HTTP_DATE_LEN, TransferCounter, head_len, header_len},
 };
 
 /// Longest answer accepted from the platform and from control calls of engines.
@@ -86,9 +86,9 @@
     /// Builds a client whose connections end with a reset, and are used again until they were idle for
     /// `idle`. Receivers must keep them open for longer.
     #[must_use]
-    pub fn resetting(connect_timeout: Span, idle: Span) -> Self {
+    pub fn with_reset_on_close(connect_timeout: Span, idle: Span) -> Self {
         let connector = Connector::new()
-            .connector(resetting_connector())
+            .connector(reset_on_close_connector())
             .timeout(duration(connect_timeout))
             .conn_keep_alive(duration(idle))
             .limit(0);
@@ -147,8 +147,8 @@
             let body = read_body(response, max_body).await?;
             if let Some(counter) = &self.transfer {
                 let reason = status.canonical_reason().unwrap_or_default().len();
-                let head = head_bytes("HTTP/1.1 200 ".len() + reason, &headers);
-                counter.add(0, head + body.len());
+                let head = head_len("HTTP/1.1 200 ".len() + reason, &headers);
+                counter.count_bytes(0, head + body.len());
             }
             Ok(HttpResponse { status, headers, body })
         })
@@ -190,13 +190,13 @@
         if let Some(counter) = &self.transfer {
             // awc adds these headers when it writes the head.
             let body = outgoing.body.len();
-            let added = header_bytes("host", host.len())
-                + header_bytes("content-length", body.to_string().len())
-                + header_bytes("accept-encoding", "identity".len())
-                + header_bytes("date", DATE_BYTES);
+            let added = header_len("host", host.len())
+                + header_len("content-length", body.to_string().len())
+                + header_len("accept-encoding", "identity".len())
+                + header_len("date", HTTP_DATE_LEN);
             let first_line = request.get_method().as_str().len() + outgoing.path.len();
-            let head = head_bytes(first_line + "  HTTP/1.1".len(), request.headers());
-            counter.begin(head + added + body, 0);
+            let head = head_len(first_line + "  HTTP/1.1".len(), request.headers());
+            counter.count_exchange(head + added + body, 0);
         }
         let sent = match &self.guard {
             Some(guard) => request.send_body(guard.body(outgoing.body)),
@@ -236,7 +236,7 @@
     /// # Errors
     ///
     /// Returns [`CallFailure::Status`] for any status but 2xx.
-    pub fn success(self) -> Result<Self, CallError> {
+    pub fn error_for_status(self) -> Result<Self, CallError> {
         if self.status.is_success() {
             return Ok(self);
         }
@@ -253,7 +253,7 @@
 /// Connects so that a connection which is given up ends with a reset. The network then discards what it
 /// still holds up. After a close, an order that timed out would arrive once the path is free again, when
 /// a successor of its sender may have acted.
-fn resetting_connector() -> impl Service<
+fn reset_on_close_connector() -> impl Service<
     ConnectInfo<Uri>,
     Response = Connection<Uri, TcpStream>,
     Error = ConnectError,
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -27,7 +27,7 @@
     traits::{
         EngineControl, PlatformLog, TokenSource, UpstreamOrders, UsageSink, VmList, WeightStore,
     },
-    transfer::{DATE_BYTES, TransferCounter, TransferTotals, head_bytes, header_bytes},
+    transfer::{HTTP_DATE_LEN, TransferCounter, TransferTotals, head_len, header_len},
     types::{
         CustomerUsage, EnginePriority, EngineReport, GenerateRequest, KvCache, LogPage, NewRecord,
         OrderInfo, OrderKind, OrderState, ReclaimNotice, ReportOutcome, StoredRecord, TokenEvent,
--- a/crates/clients/src/platform.rs
+++ b/crates/clients/src/platform.rs
@@ -78,7 +78,7 @@
     }
 
     async fn list<T: DeserializeOwned, U: From<T>>(&self, path: &str) -> Result<Vec<U>, CallError> {
-        let answer = self.get(path, self.timeouts.other).await?.success()?;
+        let answer = self.get(path, self.timeouts.other).await?.error_for_status()?;
         Ok(decode::<Vec<T>>(&answer.body)?.into_iter().map(U::from).collect())
     }
 }
@@ -87,12 +87,12 @@
     async fn append(&self, stream: &str, records: &[NewRecord]) -> Result<LogOffset, CallError> {
         let records = records.iter().map(wire::AppendRecord::from).collect::<Vec<_>>();
         let answer = self.post(&format!("/log/{stream}"), &records, self.timeouts.log).await?;
-        Ok(LogOffset(decode::<wire::Appended>(&answer.success()?.body)?.first))
+        Ok(LogOffset(decode::<wire::Appended>(&answer.error_for_status()?.body)?.first))
     }
 
     async fn read(&self, stream: &str, from: LogOffset, max: u32) -> Result<LogPage, CallError> {
         let path = format!("/log/{stream}?from={}&max={max}", from.0);
-        let answer = self.get(path, self.timeouts.log).await?.success()?;
+        let answer = self.get(path, self.timeouts.log).await?.error_for_status()?;
         decode::<wire::Page>(&answer.body).map(LogPage::from)
     }
 }
@@ -100,7 +100,7 @@
 impl UpstreamOrders for PlatformClient {
     async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderInfo, CallError> {
         let answer = self.post("/orders", &wire::Order::from(order), self.timeouts.order).await?;
-        decode::<wire::OrderReply>(&answer.success()?.body).map(OrderInfo::from)
+        decode::<wire::OrderReply>(&answer.error_for_status()?.body).map(OrderInfo::from)
     }
 
     async fn find_order(&self, id: &str) -> Result<Option<OrderInfo>, CallError> {
@@ -108,7 +108,7 @@
         if answer.status.as_u16() == 404 {
             return Ok(None);
         }
-        decode::<wire::OrderReply>(&answer.success()?.body).map(|reply| Some(reply.into()))
+        decode::<wire::OrderReply>(&answer.error_for_status()?.body).map(|reply| Some(reply.into()))
     }
 
     async fn upstreams(&self) -> Result<Vec<UpstreamInfo>, CallError> {
@@ -127,7 +127,7 @@
         if answer.status.as_u16() == 409 {
             return Ok(ReportOutcome::Conflict);
         }
-        answer.success().map(|_| ReportOutcome::Accepted)
+        answer.error_for_status().map(|_| ReportOutcome::Accepted)
     }
 }
 
@@ -145,10 +145,10 @@
     ) -> Result<WeightFetch, CallError> {
         let path = format!("/weights/{model}/{}", version.0);
         let answer = self.get(path, self.timeouts.weights).await?;
-        match answer.success() {
-            Ok(answer) => Ok(WeightFetch::Ready(answer.body.len() as u64)),
+        match answer.error_for_status() {
+            Ok(answer) => Ok(WeightFetch::Fetched(answer.body.len() as u64)),
             Err(error) if error.failure == CallFailure::Status(429) => {
-                Ok(WeightFetch::Later(error.retry_after.unwrap_or(WEIGHT_PAUSE)))
+                Ok(WeightFetch::RateLimited(error.retry_after.unwrap_or(WEIGHT_PAUSE)))
             }
             Err(error) => Err(error),
         }
--- a/crates/clients/src/transfer.rs
+++ b/crates/clients/src/transfer.rs
@@ -6,7 +6,7 @@
 use base::derive_copy;
 
 /// Bytes of an HTTP date, which has a fixed form.
-pub const DATE_BYTES: usize = "Fri, 04 Dec 2026 03:39:09 GMT".len();
+pub const HTTP_DATE_LEN: usize = "Fri, 04 Dec 2026 03:39:09 GMT".len();
 
 derive_copy! {
     /// Exchanges and their bytes. Heads of requests and answers are included, TCP and IP headers
@@ -28,14 +28,14 @@
 
 impl TransferCounter {
     /// Counts an exchange with the bytes that begin it.
-    pub fn begin(&self, sent: usize, received: usize) {
+    pub fn count_exchange(&self, sent: usize, received: usize) {
         let figures = self.0.get();
         self.0.set(TransferTotals { exchanges: figures.exchanges + 1, ..figures });
-        self.add(sent, received);
+        self.count_bytes(sent, received);
     }
 
     /// Counts further bytes of an exchange.
-    pub fn add(&self, sent: usize, received: usize) {
+    pub fn count_bytes(&self, sent: usize, received: usize) {
         let figures = self.0.get();
         self.0.set(TransferTotals {
             sent: figures.sent + sent as u64,
@@ -46,20 +46,20 @@
 
     /// Returns the figures since the start.
     #[must_use]
-    pub fn figures(&self) -> TransferTotals {
+    pub fn totals(&self) -> TransferTotals {
         self.0.get()
     }
 }
 
 /// Returns the bytes of a message head with this first line, its line ends included.
 #[must_use]
-pub fn head_bytes(first_line: usize, headers: &HeaderMap) -> usize {
-    let lines = headers.iter().map(|(name, value)| header_bytes(name.as_str(), value.len()));
+pub fn head_len(first_line: usize, headers: &HeaderMap) -> usize {
+    let lines = headers.iter().map(|(name, value)| header_len(name.as_str(), value.len()));
     first_line + 2 + lines.sum::<usize>() + 2
 }
 
 /// Returns the bytes of one header with its separator and line end.
 #[must_use]
-pub const fn header_bytes(name: &str, value: usize) -> usize {
+pub const fn header_len(name: &str, value: usize) -> usize {
     name.len() + 2 + value + 2
 }
--- a/crates/clients/src/types.rs
+++ b/crates/clients/src/types.rs
@@ -241,9 +241,9 @@
     /// Answer of the weight store.
     pub enum WeightFetch {
         /// The weights were read; the number of bytes.
-        Ready(u64),
+        Fetched(u64),
         /// The store is at its rate limit and asks for this pause.
-        Later(Span),
+        RateLimited(Span),
     }
 
     /// Priority of a generation on an engine.
--- a/crates/clients/tests/transfer.rs
+++ b/crates/clients/tests/transfer.rs
@@ -40,7 +40,7 @@
     };
     http.exchange(outgoing, Span::from_secs(20), 100).await.expect("the answer is whole");
     let received = server.join().expect("the server ends");
-    let figures = counter.figures();
+    let figures = counter.totals();
     assert_eq!(figures.sent, received.len() as u64, "{received}");
     assert_eq!((figures.exchanges, figures.received), (1, ANSWER.len() as u64));
 }
--- a/crates/configuration/src/isolation.rs
+++ b/crates/configuration/src/isolation.rs
@@ -46,7 +46,7 @@
 
     /// Added to the age of a contact that a peer reports. Transit time is unknown; without this
     /// allowance two isolated peers would keep each other's contact young.
-    pub const RELAY_ALLOWANCE: Span = Span::from_secs(1);
+    pub const PEER_CONTACT_ALLOWANCE: Span = Span::from_secs(1);
 
     /// Creates the state of a node that starts at `now`.
     #[must_use]
@@ -65,8 +65,8 @@
     }
 
     /// Notes that a peer of the own zone reports its last contact as `age` old.
-    pub fn note_relayed(&mut self, now: Moment, age: Span) {
-        self.note_contact(now - (age + Self::RELAY_ALLOWANCE));
+    pub fn note_peer_contact(&mut self, now: Moment, age: Span) {
+        self.note_contact(now - (age + Self::PEER_CONTACT_ALLOWANCE));
     }
 
     /// Returns the time since the last contact, for the node's own heartbeats.
@@ -77,7 +77,7 @@
 
     /// Returns what the node does with keys at `now`.
     #[must_use]
-    pub fn service(&self, now: Moment) -> IsolationStatus {
+    pub fn status(&self, now: Moment) -> IsolationStatus {
         if self.contact_age(now) < Self::SILENCE {
             return IsolationStatus::Connected;
         }
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Returns when [`IsolationTracker::service`] changes next without a contact.
+    /// Returns when [`IsolationTracker::status`] changes next without a contact.
     #[must_use]
     pub fn next_deadline(&self, now: Moment) -> Option<Moment> {
-        match self.service(now) {
+        match self.status(now) {
             IsolationStatus::Connected => Some(self.contact + Self::SILENCE),
             IsolationStatus::ServingUntil(until) => Some(until),
             IsolationStatus::Refusing => None,
--- a/crates/configuration/src/keys.rs
+++ b/crates/configuration/src/keys.rs
@@ -11,7 +11,7 @@
     /// Answer to a running stream that asks for its key.
     pub enum KeyCheck {
         /// The key still belongs to the customer.
-        Stands,
+        Valid,
         /// The key is withdrawn or belongs to another customer.
         Withdrawn,
     }
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn check(&self, digest: &KeyDigest, customer: &str) -> KeyCheck {
         if self.customer(digest) == Some(customer) {
-            return KeyCheck::Stands;
+            return KeyCheck::Valid;
         }
         KeyCheck::Withdrawn
     }
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -66,7 +66,7 @@
         /// A promotion.
         Promote(ConfigPromote),
         /// A snapshot.
-        Carry(ConfigSnapshotRecord),
+        Snapshot(ConfigSnapshotRecord),
     }
 }
 
--- a/crates/configuration/src/registry.rs
+++ b/crates/configuration/src/registry.rs
@@ -71,7 +71,7 @@
     /// What became of a peer's copy.
     pub enum PeerOutcome {
         /// The copy is in force.
-        Raised(ConfigVersion),
+        Adopted(ConfigVersion),
         /// The version in force is at least as high.
         NotNewer,
         /// The document is invalid, with the reason.
@@ -85,7 +85,7 @@
     /// The document.
     pub document: &'history VersionedDocument,
     /// Whether the log has confirmed it.
-    pub currency: Freshness,
+    pub freshness: Freshness,
 }
 
 /// Accepted configuration of every environment.
@@ -117,7 +117,7 @@
     /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: LogOffset, record: &ConfigRecord) -> ConfigOutcome {
         if let Some(oldest) = self.awaits_from {
-            let ConfigRecord::Carry(carry) = record else {
+            let ConfigRecord::Snapshot(carry) = record else {
                 return ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
             };
             if carry.snapshot.next > offset {
@@ -133,7 +133,7 @@
             ConfigRecord::Edit(edit) => self.decide_edit(edit),
             ConfigRecord::Promote(promote) => self.decide_promote(promote),
             // The log prefix already determines the state, so a snapshot can never supersede it.
-            ConfigRecord::Carry(_) => Err(ConfigOutcome::Refused(RefusedReason::NotNeeded)),
+            ConfigRecord::Snapshot(_) => Err(ConfigOutcome::Refused(RefusedReason::NotNeeded)),
         };
         match decided {
             Err(outcome) => outcome,
@@ -158,7 +158,7 @@
     /// retained record; documents that are newer come into force in any case.
     pub fn adopt_snapshot(&mut self, snapshot: &ConfigSnapshot) -> ConfigOutcome {
         for document in &snapshot.documents {
-            self.adopt_peer(document);
+            self.adopt_peer_document(document);
         }
         let Some(oldest) = self.awaits_from else {
             return ConfigOutcome::Refused(RefusedReason::NotNeeded);
@@ -167,7 +167,7 @@
     }
 
     /// Takes a peer's copy of a document that is in force there.
-    pub fn adopt_peer(&mut self, document: &VersionedDocument) -> PeerOutcome {
+    pub fn adopt_peer_document(&mut self, document: &VersionedDocument) -> PeerOutcome {
         if document.version <= self.version(&document.environment) {
             return PeerOutcome::NotNewer;
         }
@@ -175,7 +175,7 @@
             return PeerOutcome::Invalid(problem);
         }
         self.ahead.put(document.clone());
-        PeerOutcome::Raised(document.version)
+        PeerOutcome::Adopted(document.version)
     }
 
     /// Returns the document in force, or `None` when the environment has none.
@@ -183,10 +183,10 @@
     pub fn in_force(&self, environment: &EnvironmentName) -> Option<ConfigState<'_>> {
         if self.ahead.version(environment) > self.log.version(environment) {
             let document = self.ahead.document(environment)?;
-            return Some(ConfigState { document, currency: Freshness::PossiblyStale });
+            return Some(ConfigState { document, freshness: Freshness::PossiblyStale });
         }
         let document = self.log.document(environment)?;
-        Some(ConfigState { document, currency: Freshness::Confirmed })
+        Some(ConfigState { document, freshness: Freshness::Confirmed })
     }
 
     /// Returns the version in force, which is zero when the environment has no document.
--- a/crates/configuration/src/snapshot_schedule.rs
+++ b/crates/configuration/src/snapshot_schedule.rs
@@ -23,7 +23,7 @@
     period: Span,
     retry: Span,
     age: SnapshotAge,
-    carried_at: Option<LogOffset>,
+    snapshot_at: Option<LogOffset>,
     tried_at: Option<Moment>,
 }
 
@@ -32,7 +32,7 @@
     /// `retry` is the wait before an append that has not shown up in the log is repeated.
     #[must_use]
     pub fn new(period: Span, retry: Span) -> Self {
-        Self { period, retry, age: SnapshotAge::Nothing, carried_at: None, tried_at: None }
+        Self { period, retry, age: SnapshotAge::Nothing, snapshot_at: None, tried_at: None }
     }
 
     /// Notes a record that changed the state. `read_at` is `None` while catching up.
@@ -43,17 +43,17 @@
     }
 
     /// Notes a snapshot record at `offset`. `read_at` is `None` while catching up.
-    pub fn note_carry(&mut self, offset: LogOffset, read_at: Option<Moment>) {
+    pub fn note_snapshot(&mut self, offset: LogOffset, read_at: Option<Moment>) {
         self.age = SnapshotAge::from(read_at);
-        self.carried_at = Some(offset);
+        self.snapshot_at = Some(offset);
         self.tried_at = None;
     }
 
     /// Notes the oldest retained offset. A snapshot below it is lost and due again at once.
     pub fn note_retention(&mut self, oldest: LogOffset) {
-        if self.carried_at.is_some_and(|offset| offset < oldest) {
+        if self.snapshot_at.is_some_and(|offset| offset < oldest) {
             self.age = SnapshotAge::Unknown;
-            self.carried_at = None;
+            self.snapshot_at = None;
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Tells the lease holder to append a snapshot now. It answers `true` again after the retry
-    /// time unless [`SnapshotSchedule::note_carry`] was called.
+    /// time unless [`SnapshotSchedule::note_snapshot`] was called.
     pub fn poll(&mut self, now: Moment) -> bool {
         if self.next_deadline().is_none_or(|due| due > now) {
             return false;
--- a/crates/configuration/tests/history.rs
+++ b/crates/configuration/tests/history.rs
@@ -67,7 +67,9 @@
             _ => {
                 let newest = snapshots.len() - 1;
                 let snapshot = newest.saturating_sub(rng.random_range(0..4));
-                ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshots[snapshot].clone() })
+                ConfigRecord::Snapshot(ConfigSnapshotRecord {
+                    snapshot: snapshots[snapshot].clone(),
+                })
             }
         };
         reader.apply(LogOffset(log.len() as u64), &record);
@@ -104,7 +106,7 @@
             2..=4 => {
                 let peer = nodes[rng.random_range(0..nodes.len())].clone();
                 for document in peer.documents() {
-                    nodes[index].adopt_peer(document);
+                    nodes[index].adopt_peer_document(document);
                 }
             }
             5 => {
@@ -185,13 +187,13 @@
     }
     let copy = peer.in_force(&trial).unwrap().document;
     let mut node = history();
-    assert_eq!(node.adopt_peer(copy), PeerOutcome::Raised(ConfigVersion(2)));
-    assert_eq!(node.adopt_peer(copy), PeerOutcome::NotNewer);
+    assert_eq!(node.adopt_peer_document(copy), PeerOutcome::Adopted(ConfigVersion(2)));
+    assert_eq!(node.adopt_peer_document(copy), PeerOutcome::NotNewer);
     node.apply(LogOffset(0), &log[0]);
     let state = node.in_force(&trial).unwrap();
-    assert_eq!((state.document, state.currency), (copy, Freshness::PossiblyStale));
+    assert_eq!((state.document, state.freshness), (copy, Freshness::PossiblyStale));
     node.apply(LogOffset(1), &log[1]);
-    assert_eq!(node.in_force(&trial).unwrap().currency, Freshness::Confirmed);
+    assert_eq!(node.in_force(&trial).unwrap().freshness, Freshness::Confirmed);
 }
 
 /// Guards against a state that lacks a record: a snapshot may be older than an accepted edit that
@@ -207,7 +209,7 @@
         whole.snapshot().unwrap().clone()
     });
     let carry = |index: usize| {
-        ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshots[index].clone() })
+        ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: snapshots[index].clone() })
     };
     let mut node = history();
     node.note_retention(LogOffset(2));
@@ -236,9 +238,9 @@
     }
     let rebuilt = holder.rebuilt_snapshot().unwrap();
     assert_eq!((rebuilt.next, rebuilt.version(&trial)), (LogOffset(8), ConfigVersion(1)));
-    let carry = ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: rebuilt });
+    let carry = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: rebuilt });
     assert_eq!(informed.apply(LogOffset(9), &carry), ConfigOutcome::Restored(LogOffset(8)));
     let state = informed.in_force(&trial).unwrap();
-    assert_eq!((state.document.text.as_str(), state.currency), ("two", Freshness::PossiblyStale));
+    assert_eq!((state.document.text.as_str(), state.freshness), ("two", Freshness::PossiblyStale));
     assert_eq!(informed.rebuilt_snapshot(), None);
 }
--- a/crates/configuration/tests/keys.rs
+++ b/crates/configuration/tests/keys.rs
@@ -20,7 +20,7 @@
     let after = KeySet::build(ConfigVersion(2), [(kept, "portal"), (moved, "trainer")]).unwrap();
     assert!(after.supersedes(before.version()) && !before.supersedes(after.version()));
     assert_eq!((before.len(), before.customer(&gone)), (3, Some("portal")));
-    assert_eq!(after.check(&kept, "portal"), KeyCheck::Stands);
+    assert_eq!(after.check(&kept, "portal"), KeyCheck::Valid);
     assert_eq!(after.check(&moved, "portal"), KeyCheck::Withdrawn);
     assert_eq!(after.check(&gone, "portal"), KeyCheck::Withdrawn);
     assert!(KeySet::build(ConfigVersion(3), [(kept, "portal"), (kept, "trainer")]).is_err());
@@ -39,7 +39,7 @@
     #[case] expected: IsolationStatus,
 ) {
     let state = IsolationTracker::new(policy, Moment(0));
-    assert_eq!(state.service(secs(silence)), expected);
+    assert_eq!(state.status(secs(silence)), expected);
 }
 
 /// Guards against two peers in a cut-off zone that keep each other's contact young.
@@ -49,10 +49,10 @@
     for second in 1..=300 {
         let ages = nodes.clone().map(|node| node.contact_age(secs(second)));
         let received = secs(second) + Span::from_millis(400);
-        nodes[0].note_relayed(received, ages[1]);
-        nodes[1].note_relayed(received, ages[0]);
+        nodes[0].note_peer_contact(received, ages[1]);
+        nodes[1].note_peer_contact(received, ages[0]);
     }
-    assert_eq!(nodes[0].service(secs(300)), IsolationStatus::Refusing);
+    assert_eq!(nodes[0].status(secs(300)), IsolationStatus::Refusing);
 }
 
 /// Guards against an idle stream that loses its last snapshot, and against needless appends.
@@ -64,11 +64,11 @@
     schedule.note_change(Some(secs(90)));
     assert!(!schedule.poll(secs(100)));
     assert!(schedule.poll(secs(101)) && !schedule.poll(secs(102)) && schedule.poll(secs(106)));
-    schedule.note_carry(LogOffset(7), Some(secs(107)));
+    schedule.note_snapshot(LogOffset(7), Some(secs(107)));
     assert_eq!(schedule.next_deadline(), Some(secs(207)));
-    schedule.note_carry(LogOffset(9), None);
+    schedule.note_snapshot(LogOffset(9), None);
     assert!(schedule.poll(secs(110)), "a snapshot read while catching up has an unknown age");
-    schedule.note_carry(LogOffset(11), Some(secs(111)));
+    schedule.note_snapshot(LogOffset(11), Some(secs(111)));
     schedule.note_retention(LogOffset(12));
     assert!(schedule.poll(secs(112)));
 }
--- a/crates/delivery/src/attempt.rs
+++ b/crates/delivery/src/attempt.rs
@@ -9,7 +9,7 @@
         /// Running it twice has the effect of running it once.
         Idempotent,
         /// It runs at most once.
-        OnceOnly,
+        NonIdempotent,
     }
 
     /// How far a request has come.
@@ -61,7 +61,7 @@
         /// The current attempt failed.
         Failed(FailureCause),
         /// The caller has disconnected.
-        CallerGone,
+        CallerDisconnected,
         /// The daemon gives the request up, for example because no upstream is free.
         GivenUp {
             /// Stable reason.
@@ -94,7 +94,7 @@
 /// State of one request.
 #[derive(Debug, Clone)]
 pub struct AttemptTracker {
-    kind: RequestIdempotency,
+    idempotency: RequestIdempotency,
     policy: RetryPolicy,
     deadline: Moment,
     state: AttemptState,
@@ -117,7 +117,7 @@
     #[must_use]
     pub fn new(kind: RequestIdempotency, deadline: Moment, policy: RetryPolicy) -> Self {
         Self {
-            kind,
+            idempotency: kind,
             policy,
             deadline,
             state: AttemptState::Waiting,
@@ -143,7 +143,7 @@
                 AttemptActions::new()
             }
             AttemptEvent::Failed(cause) => self.failed(now, cause),
-            AttemptEvent::CallerGone => self.abandon(),
+            AttemptEvent::CallerDisconnected => self.abandon(),
             AttemptEvent::GivenUp { code, retry_after, message } => {
                 self.refuse(code, retry_after, message)
             }
@@ -178,8 +178,8 @@
     /// Tells whether the first byte may be sent now.
     #[must_use]
     pub fn may_send(&self, now: Moment) -> bool {
-        let blocked =
-            self.kind == RequestIdempotency::OnceOnly && self.execution == Execution::MayHaveRun;
+        let blocked = self.idempotency == RequestIdempotency::NonIdempotent
+            && self.execution == Execution::MayHaveRun;
         matches!(self.state, AttemptState::Connecting(_)) && !blocked && now < self.deadline
     }
 
@@ -214,8 +214,8 @@
             }
             FailureCause::UpstreamBusy => (RefusalCode::Overloaded, "the upstream is busy"),
         };
-        let repeatable =
-            self.kind == RequestIdempotency::Idempotent || self.execution == Execution::NotRun;
+        let repeatable = self.idempotency == RequestIdempotency::Idempotent
+            || self.execution == Execution::NotRun;
         let attempts_left = self.tried.len() < usize::from(self.policy.max_attempts);
         let time_left = now + self.policy.min_attempt_time < self.deadline;
         if repeatable && attempts_left && time_left {
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -76,7 +76,7 @@
     /// Something that concerns claims.
     pub enum ClaimEvent {
         /// A caller's request with an idempotency key wants to run.
-        Asked {
+        Requested {
             /// The claimed key.
             claim: ClaimKey,
             /// Fingerprint of the request.
@@ -98,9 +98,9 @@
             outcome: ClaimOutcome,
         },
         /// The caller of a waiting request has disconnected.
-        CallerGone(RequestId),
+        CallerDisconnected(RequestId),
         /// The log became reachable or unreachable.
-        LogChanged(LogAvailability),
+        LogAvailabilityChanged(LogAvailability),
         /// Time has passed.
         Tick,
     }
@@ -191,7 +191,7 @@
     /// Applies one event. `wall` is the civil time of this node.
     pub fn handle(&mut self, now: Moment, wall: WallTime, event: ClaimEvent) -> ClaimActions {
         match event {
-            ClaimEvent::Asked { claim, fingerprint, request, deadline } => {
+            ClaimEvent::Requested { claim, fingerprint, request, deadline } => {
                 let taken = ClaimTaken {
                     claim,
                     fingerprint,
@@ -199,7 +199,7 @@
                     taken_at: wall,
                     expires_at: later(wall, self.policy.lifetime),
                 };
-                self.asked(taken, deadline)
+                self.requested(taken, deadline)
             }
             ClaimEvent::TakenRead(taken) => self.taken_read(wall, taken),
             ClaimEvent::DoneRead(done) => {
@@ -207,11 +207,11 @@
                 ClaimActions::new()
             }
             ClaimEvent::Ended { request, outcome } => self.ended(request, outcome),
-            ClaimEvent::CallerGone(request) => {
+            ClaimEvent::CallerDisconnected(request) => {
                 self.withdraw(request);
                 ClaimActions::new()
             }
-            ClaimEvent::LogChanged(reach) => self.log_changed(reach),
+            ClaimEvent::LogAvailabilityChanged(reach) => self.log_changed(reach),
             ClaimEvent::Tick => self.tick(now, wall),
         }
     }
@@ -241,7 +241,7 @@
         self.held.is_empty()
     }
 
-    fn asked(&mut self, taken: ClaimTaken, deadline: Moment) -> ClaimActions {
+    fn requested(&mut self, taken: ClaimTaken, deadline: Moment) -> ClaimActions {
         if let Some(held) = self.held.get(&taken.claim)
             && taken.taken_at < held.taken.expires_at
         {
--- a/crates/delivery/src/stream.rs
+++ b/crates/delivery/src/stream.rs
@@ -26,11 +26,11 @@
             upstream: UpstreamKey,
         },
         /// A piece arrived.
-        Piece {
+        Token {
             /// The exchange that carried it.
             exchange: ExchangeNumber,
             /// The piece.
-            piece: AnswerToken,
+            token: AnswerToken,
         },
         /// An end marker arrived.
         End {
@@ -163,7 +163,7 @@
                 self.current = Some((ExchangeNumber(self.exchanges), upstream));
                 StreamActions::new()
             }
-            StreamEvent::Piece { exchange, piece } => self.piece(exchange, piece),
+            StreamEvent::Token { exchange, token: piece } => self.token(exchange, piece),
             StreamEvent::End { exchange, marker } => self.end(exchange, marker),
             StreamEvent::Closed { exchange } if self.is_current(exchange) => self.broken(),
             StreamEvent::Closed { .. } => StreamActions::new(),
@@ -213,7 +213,7 @@
         self.current.is_some_and(|(current, _)| current == exchange)
     }
 
-    fn piece(&mut self, exchange: ExchangeNumber, piece: AnswerToken) -> StreamActions {
+    fn token(&mut self, exchange: ExchangeNumber, piece: AnswerToken) -> StreamActions {
         let is_repeat = piece.index < self.next_index;
         if !self.is_current(exchange) || piece.request != self.request || is_repeat {
             self.dropped += 1;
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -107,11 +107,11 @@
         /// An upstream crashed.
         Crashed(UpstreamKey),
         /// A suspect wants to run.
-        Asked(IsolationRequest),
+        Requested(IsolationRequest),
         /// The caller of a suspect has disconnected.
-        CallerGone(RequestId),
+        CallerDisconnected(RequestId),
         /// A load report was measured.
-        LoadSeen {
+        LoadReported {
             /// The upstream.
             upstream: UpstreamKey,
             /// Requests that run or wait there, of all nodes.
@@ -120,11 +120,11 @@
             measured_at: Moment,
         },
         /// Another node spread a suspicion.
-        NoteHeard(Suspicion),
+        SuspicionReceived(Suspicion),
         /// A conviction was read from the log or heard from another node.
-        VerdictHeard(Conviction),
+        ConvictionReceived(Conviction),
         /// Another node keeps an upstream free.
-        IsolationHeard(IsolationNotice),
+        IsolationReceived(IsolationNotice),
         /// Another node no longer keeps an upstream free.
         IsolationEnded(IsolationNotice),
         /// Time has passed.
@@ -134,7 +134,7 @@
     /// What the driver must do.
     pub enum SuspectAction {
         /// Spread a suspicion to the other nodes at once.
-        SpreadNote(Suspicion),
+        BroadcastSuspicion(Suspicion),
         /// Append a conviction to the stream `verdicts` and spread it.
         Convict(Conviction),
         /// Choose this upstream for no request and announce that to the other nodes.
@@ -212,23 +212,25 @@
                 self.finished(now, upstream, fingerprint)
             }
             SuspectEvent::Crashed(upstream) => self.crashed(now, wall, upstream),
-            SuspectEvent::Asked(ask) => match self.judge(wall, ask.fingerprint) {
+            SuspectEvent::Requested(ask) => match self.fingerprint_status(wall, ask.fingerprint) {
                 FingerprintStatus::Convicted { retry_after } => {
                     SuspectActions::from_iter([refuse_convicted(&ask, retry_after)])
                 }
                 _ => {
                     let crashed = self.suspicions.get(&ask.fingerprint);
                     let crashed = crashed.map(|found| found.crashed.clone()).unwrap_or_default();
-                    self.isolation.ask(now, ask, &crashed)
+                    self.isolation.enqueue(now, ask, &crashed)
                 }
             },
-            SuspectEvent::CallerGone(request) => self.isolation.caller_gone(now, request),
-            SuspectEvent::LoadSeen { upstream, requests, measured_at } => {
-                self.isolation.load_seen(now, upstream, requests, measured_at)
+            SuspectEvent::CallerDisconnected(request) => self.isolation.caller_gone(now, request),
+            SuspectEvent::LoadReported { upstream, requests, measured_at } => {
+                self.isolation.load_reported(now, upstream, requests, measured_at)
             }
-            SuspectEvent::NoteHeard(note) => self.note_heard(now, wall, note),
-            SuspectEvent::VerdictHeard(verdict) => self.verdict_heard(now, wall, verdict),
-            SuspectEvent::IsolationHeard(notice) => self.isolation.heard(now, notice),
+            SuspectEvent::SuspicionReceived(note) => self.suspicion_received(now, wall, note),
+            SuspectEvent::ConvictionReceived(verdict) => {
+                self.conviction_received(now, wall, verdict)
+            }
+            SuspectEvent::IsolationReceived(notice) => self.isolation.heard(now, notice),
             SuspectEvent::IsolationEnded(notice) => self.isolation.forget(now, notice),
             SuspectEvent::Tick => {
                 self.suspicions.retain(|_, suspicion| wall < suspicion.expires_at);
@@ -240,7 +242,11 @@
 
     /// Tells how a request with this fingerprint must be treated.
     #[must_use]
-    pub fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> FingerprintStatus {
+    pub fn fingerprint_status(
+        &self,
+        wall: WallTime,
+        fingerprint: Fingerprint,
+    ) -> FingerprintStatus {
         if let Some(expires_at) = self.convictions.get(&fingerprint)
             && wall < *expires_at
         {
@@ -259,7 +265,7 @@
     }
 
     /// Returns the suspicions that are in force, for a peer that joins.
-    pub fn notes(&self) -> impl Iterator<Item = Suspicion> {
+    pub fn suspicions(&self) -> impl Iterator<Item = Suspicion> {
         self.suspicions.iter().map(|(fingerprint, suspicion)| Suspicion {
             fingerprint: *fingerprint,
             crashed: suspicion.crashed.clone(),
@@ -268,7 +274,7 @@
     }
 
     /// Returns the convictions that are in force, for digests.
-    pub fn verdicts(&self) -> impl Iterator<Item = Conviction> {
+    pub fn convictions(&self) -> impl Iterator<Item = Conviction> {
         let convictions = self.convictions.iter();
         convictions.map(|(fingerprint, expires_at)| Conviction {
             fingerprint: *fingerprint,
@@ -341,7 +347,7 @@
             let expires_at = later(wall, self.policy.lifetime);
             let verdict = Conviction { fingerprint, expires_at };
             let mut actions = SuspectActions::from_iter([SuspectAction::Convict(verdict)]);
-            actions.extend(self.verdict_heard(now, wall, verdict));
+            actions.extend(self.conviction_received(now, wall, verdict));
             return actions;
         }
         if !is_new {
@@ -350,17 +356,22 @@
         let crashed = known.crashed.clone();
         let expires_at = known.expires_at;
         let note = Suspicion { fingerprint, crashed, expires_at };
-        SuspectActions::from_iter([SuspectAction::SpreadNote(note)])
+        SuspectActions::from_iter([SuspectAction::BroadcastSuspicion(note)])
     }
 
-    fn note_heard(&mut self, now: Moment, wall: WallTime, note: Suspicion) -> SuspectActions {
+    fn suspicion_received(
+        &mut self,
+        now: Moment,
+        wall: WallTime,
+        note: Suspicion,
+    ) -> SuspectActions {
         let mut actions = self.suspect(now, wall, note);
         // The node that saw the crash spreads the note, so a hearer does not repeat it.
-        actions.retain(|action| !matches!(action, SuspectAction::SpreadNote(_)));
+        actions.retain(|action| !matches!(action, SuspectAction::BroadcastSuspicion(_)));
         actions
     }
 
-    fn verdict_heard(
+    fn conviction_received(
         &mut self,
         now: Moment,
         wall: WallTime,
--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -17,7 +17,7 @@
 
 #[derive(Debug, Clone)]
 struct WaitingRequest {
-    ask: IsolationRequest,
+    request: IsolationRequest,
     crashed: SmallVec<[UpstreamKey; 2]>,
     announced_at: Moment,
 }
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn enqueue(
         &mut self,
         now: Moment,
         ask: IsolationRequest,
@@ -101,7 +101,7 @@
             waiting: VecDeque::new(),
         });
         let crashed = SmallVec::from_slice(crashed);
-        slot.waiting.push_back(WaitingRequest { ask, crashed, announced_at: now });
+        slot.waiting.push_back(WaitingRequest { request: ask, crashed, announced_at: now });
         SuspectActions::from_iter([SuspectAction::Reserve(notice)])
     }
 
@@ -114,11 +114,11 @@
             {
                 run.caller_present = false;
             }
-            let found = slot.waiting.iter().position(|waiting| waiting.ask.request == request);
+            let found = slot.waiting.iter().position(|waiting| waiting.request.request == request);
             let Some(waiting) = found.and_then(|position| slot.waiting.remove(position)) else {
                 continue;
             };
-            let fingerprint = waiting.ask.fingerprint;
+            let fingerprint = waiting.request.fingerprint;
             let node = self.me;
             let notice = IsolationNotice { node, upstream: *upstream, fingerprint };
             release(&mut actions, slot, notice);
@@ -127,7 +127,7 @@
         actions
     }
 
-    pub(super) fn load_seen(
+    pub(super) fn load_reported(
         &mut self,
         now: Moment,
         upstream: UpstreamKey,
@@ -155,7 +155,7 @@
             && slot.running.is_none()
         {
             let slot = self.slots.remove(&notice.upstream).expect("the slot was just found");
-            actions.extend(self.ask_again(now, notice.upstream, slot.waiting));
+            actions.extend(self.requeue(now, notice.upstream, slot.waiting));
         }
         for ask in self.take_waiting(notice.fingerprint, &mut actions) {
             let message = "another node is testing the same request";
@@ -198,7 +198,7 @@
         if let Some(run) = slot.running {
             actions.push(SuspectAction::Release(self.notice(upstream, run.fingerprint)));
         }
-        actions.extend(self.ask_again(now, upstream, slot.waiting));
+        actions.extend(self.requeue(now, upstream, slot.waiting));
         actions
     }
 
@@ -214,9 +214,9 @@
         for (upstream, slot) in &mut self.slots {
             let before = taken.len();
             slot.waiting.retain(|waiting| {
-                let matches = waiting.ask.fingerprint == fingerprint;
+                let matches = waiting.request.fingerprint == fingerprint;
                 if matches {
-                    taken.push(waiting.ask.clone());
+                    taken.push(waiting.request.clone());
                 }
                 !matches
             });
@@ -236,14 +236,14 @@
             let (node, upstream) = (self.me, *upstream);
             let mut position = 0;
             while let Some(waiting) = slot.waiting.get(position) {
-                if now + self.run_time <= waiting.ask.deadline {
+                if now + self.run_time <= waiting.request.deadline {
                     position += 1;
                     continue;
                 }
                 let waiting = slot.waiting.remove(position).expect("the position was just read");
                 let message = "no upstream became free for an isolated run in time";
-                actions.push(refuse(&waiting.ask, self.run_time, message));
-                let fingerprint = waiting.ask.fingerprint;
+                actions.push(refuse(&waiting.request, self.run_time, message));
+                let fingerprint = waiting.request.fingerprint;
                 release(&mut actions, slot, IsolationNotice { node, upstream, fingerprint });
             }
             let Some(head) = slot.waiting.front() else { continue };
@@ -251,7 +251,7 @@
             if slot.running.is_some() || !slot.seen_empty || !settled {
                 continue;
             }
-            let (request, fingerprint) = (head.ask.request, head.ask.fingerprint);
+            let (request, fingerprint) = (head.request.request, head.request.fingerprint);
             slot.waiting.pop_front();
             let run = IsolatedRun { request, fingerprint, started_at: now, caller_present: true };
             slot.running = Some(run);
@@ -259,7 +259,7 @@
         }
         self.slots.retain(|_, slot| slot.running.is_some() || !slot.waiting.is_empty());
         for (ask, crashed) in std::mem::take(&mut self.parked) {
-            actions.extend(self.ask(now, ask, &crashed));
+            actions.extend(self.enqueue(now, ask, &crashed));
         }
         actions
     }
@@ -275,7 +275,7 @@
 
     pub(super) fn own_notices(&self) -> impl Iterator<Item = IsolationNotice> {
         self.slots.iter().flat_map(|(upstream, slot)| {
-            let waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+            let waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
             let running = slot.running.iter().map(|run| run.fingerprint);
             running.chain(waiting).map(|fingerprint| self.notice(*upstream, fingerprint))
         })
@@ -285,7 +285,8 @@
         let slots = self.slots.values();
         let due = slots.flat_map(|slot| {
             let refusals = slot.waiting.iter();
-            let refusals = refusals.map(|waiting| waiting.ask.deadline - self.run_time + Span(1));
+            let refusals =
+                refusals.map(|waiting| waiting.request.deadline - self.run_time + Span(1));
             let head = slot.waiting.front();
             let head = head.filter(|_| slot.seen_empty && slot.running.is_none());
             let start = head.map(|head| head.announced_at + self.policy.settle_time);
@@ -312,7 +313,7 @@
             ask.upstreams.contains(upstream) && !crashed.contains(upstream)
         };
         let same = self.slots.iter().find(|(_, slot)| {
-            let waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+            let waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
             let running = slot.running.iter().map(|run| run.fingerprint);
             running.chain(waiting).any(|fingerprint| fingerprint == ask.fingerprint)
         });
@@ -333,18 +334,18 @@
         own.min_by_key(|(_, slot)| slot.waiting.len()).map(|(upstream, _)| *upstream)
     }
 
-    fn ask_again(
+    fn requeue(
         &mut self,
         now: Moment,
         upstream: UpstreamKey,
         waiting: VecDeque<WaitingRequest>,
     ) -> SuspectActions {
         let mut actions = SuspectActions::new();
-        for WaitingRequest { mut ask, crashed, .. } in waiting {
+        for WaitingRequest { request: mut ask, crashed, .. } in waiting {
             let notice = self.notice(upstream, ask.fingerprint);
             actions.push(SuspectAction::Release(notice));
             ask.upstreams.retain(|found| *found != upstream);
-            actions.extend(self.ask(now, ask, &crashed));
+            actions.extend(self.enqueue(now, ask, &crashed));
         }
         actions
     }
@@ -352,7 +353,7 @@
 
 /// Withdraws a notice unless another request with the same fingerprint still needs it.
 fn release(actions: &mut SuspectActions, slot: &IsolationSlot, notice: IsolationNotice) {
-    let mut waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+    let mut waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
     if !waiting.any(|fingerprint| fingerprint == notice.fingerprint) {
         actions.push(SuspectAction::Release(notice));
     }
--- a/crates/delivery/tests/attempt.rs
+++ b/crates/delivery/tests/attempt.rs
@@ -37,8 +37,8 @@
 }
 
 #[rstest]
-#[case::no_byte_sent(RequestIdempotency::OnceOnly, false, &["retry"])]
-#[case::once_only_sent(RequestIdempotency::OnceOnly, true, &["close", "upstream-failed may-have-run"])]
+#[case::no_byte_sent(RequestIdempotency::NonIdempotent, false, &["retry"])]
+#[case::once_only_sent(RequestIdempotency::NonIdempotent, true, &["close", "upstream-failed may-have-run"])]
 #[case::idempotent_sent(RequestIdempotency::Idempotent, true, &["close", "retry"])]
 fn failure_is_retried_only_when_truthful(
     #[case] kind: RequestIdempotency,
@@ -58,14 +58,18 @@
         retry_after: Span::from_secs(1),
         message: String::from("no upstream"),
     };
-    check(RequestIdempotency::OnceOnly, std::slice::from_ref(&given_up), &["no-upstream not-run"]);
+    check(
+        RequestIdempotency::NonIdempotent,
+        std::slice::from_ref(&given_up),
+        &["no-upstream not-run"],
+    );
     let sent = [AttemptEvent::Chosen(U), AttemptEvent::Sending, given_up];
-    check(RequestIdempotency::OnceOnly, &sent, &["cancel", "no-upstream may-have-run"]);
+    check(RequestIdempotency::NonIdempotent, &sent, &["cancel", "no-upstream may-have-run"]);
 }
 
 #[test]
 fn disconnected_caller_cancels_the_upstream_request() {
-    let events = [AttemptEvent::Chosen(U), AttemptEvent::Sending, AttemptEvent::CallerGone];
+    let events = [AttemptEvent::Chosen(U), AttemptEvent::Sending, AttemptEvent::CallerDisconnected];
     check(RequestIdempotency::Idempotent, &events, &["cancel"]);
 }
 
@@ -81,7 +85,7 @@
 
 #[test]
 fn no_byte_is_sent_after_the_deadline() {
-    let mut tracker = tracker(RequestIdempotency::OnceOnly);
+    let mut tracker = tracker(RequestIdempotency::NonIdempotent);
     tracker.handle(Moment(0), AttemptEvent::Chosen(U));
     let actions = tracker.handle(DEADLINE, AttemptEvent::Sending);
     let actions = actions.iter().map(describe).collect::<Vec<_>>();
--- a/crates/delivery/tests/claim.rs
+++ b/crates/delivery/tests/claim.rs
@@ -21,7 +21,7 @@
 fn asked(request: RequestId) -> ClaimEvent {
     let claim = ClaimKey::of("derwent", "proof-7");
     let fingerprint = Fingerprint::of("derwent", "proofs", b"print");
-    ClaimEvent::Asked { claim, fingerprint, request, deadline: DEADLINE }
+    ClaimEvent::Requested { claim, fingerprint, request, deadline: DEADLINE }
 }
 
 /// A few nodes on one log.
@@ -97,11 +97,11 @@
     let mut nodes = Nodes::new(1);
     nodes.apply(0, 0, asked(request(0, 1)));
     nodes.read_all(0);
-    let ClaimEvent::Asked { claim, request, deadline, .. } = asked(request(0, 2)) else {
+    let ClaimEvent::Requested { claim, request, deadline, .. } = asked(request(0, 2)) else {
         unreachable!()
     };
     let fingerprint = Fingerprint::of("derwent", "proofs", b"another");
-    nodes.apply(0, 1, ClaimEvent::Asked { claim, fingerprint, request, deadline });
+    nodes.apply(0, 1, ClaimEvent::Requested { claim, fingerprint, request, deadline });
     assert_eq!(nodes.refusals, [(request, RefusalCode::RequestInvalid, Execution::NotRun)]);
 }
 
@@ -109,11 +109,11 @@
 fn log_outage_refuses_truthfully_and_a_late_win_is_released() {
     let mut nodes = Nodes::new(2);
     nodes.apply(0, 0, asked(request(0, 1)));
-    nodes.apply(0, 1, ClaimEvent::LogChanged(LogAvailability::Down));
+    nodes.apply(0, 1, ClaimEvent::LogAvailabilityChanged(LogAvailability::Down));
     nodes.apply(0, 2, asked(request(0, 2)));
     let refused = |sequence| (request(0, sequence), RefusalCode::LogUnavailable, Execution::NotRun);
     assert_eq!(nodes.refusals, [refused(1), refused(2)]);
-    nodes.apply(0, 3, ClaimEvent::LogChanged(LogAvailability::Up));
+    nodes.apply(0, 3, ClaimEvent::LogAvailabilityChanged(LogAvailability::Up));
     nodes.read_all(3);
     assert_eq!(nodes.runs, [], "a refused request never runs");
     nodes.apply(1, 4, asked(request(1, 1)));
@@ -156,8 +156,8 @@
             sequence += 1;
             match step {
                 0 => nodes.apply(node, 0, asked(request(node as u64, sequence))),
-                1 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogAvailability::Down)),
-                2 => nodes.apply(node, 0, ClaimEvent::LogChanged(LogAvailability::Up)),
+                1 => nodes.apply(node, 0, ClaimEvent::LogAvailabilityChanged(LogAvailability::Down)),
+                2 => nodes.apply(node, 0, ClaimEvent::LogAvailabilityChanged(LogAvailability::Up)),
                 3 => {
                     if let Some(event) = nodes.log.first().cloned() {
                         nodes.log.push(event);
--- a/crates/delivery/tests/stream.rs
+++ b/crates/delivery/tests/stream.rs
@@ -19,7 +19,7 @@
     let token = format!("t{index}");
     let version = WeightVersion(u64::from(exchange));
     let piece = AnswerToken { request, index, token, version };
-    StreamEvent::Piece { exchange: ExchangeNumber(exchange), piece }
+    StreamEvent::Token { exchange: ExchangeNumber(exchange), token: piece }
 }
 
 fn end(exchange: u32, tokens: u64) -> StreamEvent {
--- a/crates/delivery/tests/suspect.rs
+++ b/crates/delivery/tests/suspect.rs
@@ -64,9 +64,9 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::SpreadNote(note) => SuspectEvent::NoteHeard(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::VerdictHeard(verdict),
-                SuspectAction::Reserve(notice) => SuspectEvent::IsolationHeard(notice),
+                SuspectAction::BroadcastSuspicion(note) => SuspectEvent::SuspicionReceived(note),
+                SuspectAction::Convict(verdict) => SuspectEvent::ConvictionReceived(verdict),
+                SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
                     let fingerprint = self.asked[&request];
@@ -94,7 +94,8 @@
 
     fn send(&mut self, node: usize, fingerprint: Fingerprint) {
         let live = self.upstreams.keys().copied().collect::<Vec<_>>();
-        if self.nodes[node].judge(self.wall(), fingerprint) == FingerprintStatus::Clear {
+        if self.nodes[node].fingerprint_status(self.wall(), fingerprint) == FingerprintStatus::Clear
+        {
             let free = live.into_iter().filter(|key| !self.nodes[node].is_reserved(*key));
             let free = free.collect::<Vec<_>>();
             assert!(!free.is_empty(), "other requests always find an upstream");
@@ -113,7 +114,7 @@
             execution: Execution::NotRun,
             upstreams: live.into(),
         };
-        self.apply(node, SuspectEvent::Asked(ask));
+        self.apply(node, SuspectEvent::Requested(ask));
     }
 
     fn advance(&mut self, killers: &[Fingerprint]) {
@@ -140,7 +141,7 @@
             let requests = self.upstreams[&upstream].len() as u32;
             let measured_at = self.now();
             for node in 0..self.nodes.len() {
-                let seen = SuspectEvent::LoadSeen { upstream, requests, measured_at };
+                let seen = SuspectEvent::LoadReported { upstream, requests, measured_at };
                 self.apply(node, seen);
             }
         }
@@ -180,7 +181,7 @@
     }
     assert!(cluster.lost <= 2 * killers.len(), "{} upstreams lost", cluster.lost);
     for killer in &killers {
-        let judgement = cluster.nodes[0].judge(cluster.wall(), *killer);
+        let judgement = cluster.nodes[0].fingerprint_status(cluster.wall(), *killer);
         assert!(matches!(judgement, FingerprintStatus::Convicted { .. }), "{judgement:?}");
     }
     cluster.refused.retain(|refused, _| !killers.contains(refused));
@@ -197,8 +198,11 @@
         cluster.apply(0, SuspectEvent::Crashed(UpstreamKey(upstream)));
     }
     let convicted = FingerprintStatus::Convicted { retry_after: Span::from_secs(600) };
-    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), convicted);
-    assert_eq!(cluster.nodes[0].judge(WallTime(600_000), suspect), FingerprintStatus::Clear);
+    assert_eq!(cluster.nodes[0].fingerprint_status(WallTime(0), suspect), convicted);
+    assert_eq!(
+        cluster.nodes[0].fingerprint_status(WallTime(600_000), suspect),
+        FingerprintStatus::Clear
+    );
 }
 
 #[test]
@@ -212,7 +216,10 @@
     for (node, message) in std::mem::take(&mut cluster.messages) {
         cluster.apply(node, message);
     }
-    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), FingerprintStatus::Suspect);
+    assert_eq!(
+        cluster.nodes[0].fingerprint_status(WallTime(0), suspect),
+        FingerprintStatus::Suspect
+    );
 }
 
 #[test]
--- a/crates/dispatch/src/balancer.rs
+++ b/crates/dispatch/src/balancer.rs
@@ -35,7 +35,7 @@
 /// Upstreams by key, id and service.
 #[derive(Debug, Default)]
 pub struct UpstreamBalancer {
-    pub(crate) rows: Arena<UpstreamKey, UpstreamStats>,
+    pub(crate) upstreams: Arena<UpstreamKey, UpstreamStats>,
     ids: HashMap<String, UpstreamKey>,
     services: HashMap<String, Vec<UpstreamKey>>,
 }
@@ -45,13 +45,13 @@
     pub fn update(&mut self, entry: UpstreamEntry) -> (UpstreamKey, UpstreamChange) {
         let Some(upstream) = self.ids.get(&entry.id).copied() else {
             let (id, service) = (entry.id.clone(), entry.service.clone());
-            let upstream = self.rows.push(UpstreamStats::new(entry));
+            let upstream = self.upstreams.push(UpstreamStats::new(entry));
             self.ids.insert(id, upstream);
             self.services.entry(service).or_default().push(upstream);
             return (upstream, UpstreamChange::Updated);
         };
-        let row = &mut self.rows[upstream];
-        let restarted = row.entry.born != entry.born;
+        let row = &mut self.upstreams[upstream];
+        let restarted = row.entry.started_at_ms != entry.started_at_ms;
         if restarted {
             row.restart();
         }
@@ -74,7 +74,7 @@
     /// Takes the loss of an entry.
     pub fn remove(&mut self, now: Moment, id: &str, cause: RemovalCause) -> Option<UpstreamKey> {
         let upstream = *self.ids.get(id)?;
-        let row = &mut self.rows[upstream];
+        let row = &mut self.upstreams[upstream];
         if row.removed_until.is_none() {
             let grace = match cause {
                 RemovalCause::Left => Span::ZERO,
@@ -88,7 +88,7 @@
     /// Returns the entry of an upstream. It stays known after it has left the store.
     #[must_use]
     pub fn entry(&self, upstream: UpstreamKey) -> &UpstreamEntry {
-        &self.rows[upstream].entry
+        &self.upstreams[upstream].entry
     }
 
     pub(crate) fn members(&self, service: &str) -> &[UpstreamKey] {
@@ -98,42 +98,42 @@
     /// Tells whether an upstream may still be given requests.
     #[must_use]
     pub fn is_usable(&self, now: Moment, upstream: UpstreamKey) -> bool {
-        let row = &self.rows[upstream];
+        let row = &self.upstreams[upstream];
         row.entry.state == EntryState::Ready && row.removed_until.is_none_or(|until| now < until)
     }
 
     /// Records that a request was given to an upstream. Each call is paired with one of
-    /// [`UpstreamBalancer::finish`].
-    pub fn begin(&mut self, upstream: UpstreamKey) {
-        self.rows[upstream].own += 1;
+    /// [`UpstreamBalancer::finish_request`].
+    pub fn begin_request(&mut self, upstream: UpstreamKey) {
+        self.upstreams[upstream].own += 1;
     }
 
     /// Records how a request left its upstream.
-    pub fn finish(&mut self, now: Moment, upstream: UpstreamKey, end: ExchangeOutcome) {
-        let row = &mut self.rows[upstream];
+    pub fn finish_request(&mut self, now: Moment, upstream: UpstreamKey, end: ExchangeOutcome) {
+        let row = &mut self.upstreams[upstream];
         row.own = row.own.saturating_sub(1);
         row.finish(now, end);
     }
 
     /// Records that an engine refused a generation, as it does while it loads the model.
-    pub fn refused_generation(&mut self, now: Moment, upstream: UpstreamKey, model: &str) {
-        self.rows[upstream].pause_model(now, model);
+    pub fn record_generation_refusal(&mut self, now: Moment, upstream: UpstreamKey, model: &str) {
+        self.upstreams[upstream].pause_model(now, model);
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, report: UpstreamLoad) {
-        self.rows[upstream].report(now, report);
+    pub fn record_load_report(&mut self, now: Moment, upstream: UpstreamKey, report: UpstreamLoad) {
+        self.upstreams[upstream].record_load_report(now, report);
     }
 
     /// Learns from the time between two events of a generation.
-    pub fn learn_event(&mut self, upstream: UpstreamKey, interval: Span) {
-        self.rows[upstream].learn_event(interval);
+    pub fn record_event_interval(&mut self, upstream: UpstreamKey, interval: Span) {
+        self.upstreams[upstream].record_event_interval(interval);
     }
 
     /// Records the version that an answer of an upstream was made with, which may be newer than its
     /// entry.
-    pub fn learn_version(&mut self, upstream: UpstreamKey, model: &str, version: WeightVersion) {
-        let versions = &mut self.rows[upstream].entry.versions;
+    pub fn record_version(&mut self, upstream: UpstreamKey, model: &str, version: WeightVersion) {
+        let versions = &mut self.upstreams[upstream].entry.versions;
         if let Some((_, known)) = versions.iter_mut().find(|(name, _)| name == model) {
             *known = (*known).max(version);
         }
@@ -148,7 +148,7 @@
             if !self.is_usable(now, *upstream) {
                 continue;
             }
-            let row = &self.rows[*upstream];
+            let row = &self.upstreams[*upstream];
             slots += row.entry.slots;
             load += row.load(now);
         }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -35,11 +35,11 @@
         pub versions: Vec<(String, WeightVersion)>,
         /// Start of the upstream in Unix milliseconds. A later start under the same id has lost all
         /// state.
-        pub born: Option<u64>,
+        pub started_at_ms: Option<u64>,
         /// Whether it can be reclaimed.
         pub cheap: bool,
         /// Time left until it is reclaimed, once that is known.
-        pub leaves_in: Option<Span>,
+        pub time_to_reclaim: Option<Span>,
     }
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,7 @@
 //! Choice of upstreams for plain requests and generations, and the plan of weight loads.
 //!
 //! All decisions are pure: events and times go in, choices come out. [`UpstreamBalancer`] holds what one
-//! node knows about each upstream, and [`plan_loads`] says which engines load which weights.
+//! node knows about each upstream, and [`plan_weight_loads`] says which engines load which weights.
 
 mod balancer;
 mod entry;
@@ -14,5 +14,5 @@
     entry::{EntryState, UpstreamEntry},
     pick::{GenerationPickRequest, ModelRequirement, PlainPickRequest},
     stats::{ExchangeOutcome, UpstreamLoad},
-    weight_loads::{EngineWeights, WeightLoad, WeightLoadLimits, plan_loads},
+    weight_loads::{EngineWeights, WeightLoad, WeightLoadLimits, plan_weight_loads},
 };
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -12,7 +12,7 @@
         /// Name of the model.
         pub model: &'a str,
         /// Oldest version that may be used.
-        pub least: WeightVersion,
+        pub min_version: WeightVersion,
     }
 
     /// A plain request that needs an upstream.
@@ -26,7 +26,7 @@
         /// Upstreams to which an idle connection is open.
         pub connected: &'a [UpstreamKey],
         /// Random number that spreads equal choices of several nodes.
-        pub draw: u64,
+        pub jitter_seed: u64,
     }
 
     /// A generation that needs an engine.
@@ -34,15 +34,15 @@
         /// Service that runs the generation.
         pub service: &'a str,
         /// Model and version.
-        pub need: ModelRequirement<'a>,
+        pub requirement: ModelRequirement<'a>,
         /// Engines that failed the generation. They are used only when no other is left.
         pub tried: &'a [UpstreamKey],
         /// Engine that has read the shared part of the prompt, if any.
-        pub warm: Option<UpstreamKey>,
+        pub warm_engine: Option<UpstreamKey>,
         /// Engines to which an idle connection is open.
         pub connected: &'a [UpstreamKey],
         /// Random number that spreads equal choices of several nodes.
-        pub draw: u64,
+        pub jitter_seed: u64,
     }
 }
 
@@ -87,17 +87,17 @@
     /// then those that failed the request, are used only when no other is left.
     #[must_use]
     pub fn pick_plain(&self, now: Moment, ask: &PlainPickRequest<'_>) -> Option<UpstreamKey> {
-        let tried = ask.tried.iter().map(|key| self.rows[*key].entry.zone.as_str());
+        let tried = ask.tried.iter().map(|key| self.upstreams[*key].entry.zone.as_str());
         let tried: SmallVec<[&str; 4]> = tried.collect();
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
         for upstream in self.members(ask.service) {
             if !self.is_usable(now, *upstream) {
                 continue;
             }
-            let row = &self.rows[*upstream];
+            let row = &self.upstreams[*upstream];
             let rank = self.rank(now, *upstream, ask.tried);
             let cost = plain_cost(now, row, &tried, ask)
-                * jitter(ask.draw, *upstream)
+                * jitter(ask.jitter_seed, *upstream)
                 * connected_factor(ask.connected, *upstream);
             if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
                 best = Some((rank, cost, *upstream));
@@ -116,18 +116,22 @@
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
         let mut warm = None;
         for upstream in self.members(ask.service) {
-            let row = &self.rows[*upstream];
-            let paused = row.is_model_paused(now, ask.need.model);
+            let row = &self.upstreams[*upstream];
+            let paused = row.is_model_paused(now, ask.requirement.model);
             let full = row.load(now) >= row.entry.slots;
             // Waiting for a suspension to end is better than a run that cannot begin.
-            if paused || full || row.is_suspended(now) || !self.accepts(now, *upstream, ask.need) {
+            if paused
+                || full
+                || row.is_suspended(now)
+                || !self.accepts(now, *upstream, ask.requirement)
+            {
                 continue;
             }
             let rank = self.rank(now, *upstream, ask.tried);
             let cost = generation_cost(now, row)
-                * jitter(ask.draw, *upstream)
+                * jitter(ask.jitter_seed, *upstream)
                 * connected_factor(ask.connected, *upstream);
-            if ask.warm == Some(*upstream) {
+            if ask.warm_engine == Some(*upstream) {
                 warm = Some((rank, cost, *upstream));
             }
             if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
@@ -148,22 +152,22 @@
     /// Tells whether an engine may run a generation now, whatever its load.
     #[must_use]
     pub fn accepts(&self, now: Moment, upstream: UpstreamKey, need: ModelRequirement<'_>) -> bool {
-        let version = self.rows[upstream].entry.version(need.model);
-        self.is_usable(now, upstream) && version.is_some_and(|version| version >= need.least)
+        let version = self.upstreams[upstream].entry.version(need.model);
+        self.is_usable(now, upstream) && version.is_some_and(|version| version >= need.min_version)
     }
 
     /// Tells whether a generation that runs on an engine should go on at another one, which is known to
     /// be much faster.
     #[must_use]
-    pub fn is_worth_moving(&self, now: Moment, from: UpstreamKey, to: UpstreamKey) -> bool {
-        let (from, to) = (&self.rows[from], &self.rows[to]);
+    pub fn should_migrate(&self, now: Moment, from: UpstreamKey, to: UpstreamKey) -> bool {
+        let (from, to) = (&self.upstreams[from], &self.upstreams[to]);
         let (Some(slow), Some(fast)) = (from.event_time, to.event_time) else { return false };
         let added = 1.0 + SLOT_SLOWDOWN * f64::from(to.load(now));
         fast * added * to.failure_factor() < slow * MOVE_BOUND
     }
 
     fn rank(&self, now: Moment, upstream: UpstreamKey, tried: &[UpstreamKey]) -> u8 {
-        let row = &self.rows[upstream];
+        let row = &self.upstreams[upstream];
         let mut rank = 0;
         if row.is_suspended(now) {
             rank += 1;
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -21,15 +21,15 @@
         /// The whole answer arrived after this time.
         Answered(Span),
         /// The upstream answered with an error of its own.
-        Failed,
+        ServerError,
         /// The upstream refused the request because it is full.
-        Full,
+        Overloaded,
         /// Another upstream has the address.
         Misdirected,
         /// The connection failed or the answer was broken.
-        Broken,
+        TransportError,
         /// No answer came in time.
-        Silent,
+        TimedOut,
         /// The caller left or the work was moved, which tells nothing about the upstream.
         Cancelled,
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(crate) fn report(&mut self, now: Moment, report: UpstreamLoad) {
+    pub(crate) fn record_load_report(&mut self, now: Moment, report: UpstreamLoad) {
         self.others = (report.running + report.queued).saturating_sub(self.own);
         self.others_at = now;
     }
@@ -108,13 +108,15 @@
                 self.failure_share *= 1.0 - OUTCOME_WEIGHT;
                 blend(&mut self.answer_time, took.0 as f64);
             }
-            ExchangeOutcome::Failed => {
+            ExchangeOutcome::ServerError => {
                 self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
             }
-            ExchangeOutcome::Full => {
+            ExchangeOutcome::Overloaded => {
                 self.suspended_until = self.suspended_until.max(now + FULL_PAUSE);
             }
-            ExchangeOutcome::Broken | ExchangeOutcome::Silent | ExchangeOutcome::Misdirected => {
+            ExchangeOutcome::TransportError
+            | ExchangeOutcome::TimedOut
+            | ExchangeOutcome::Misdirected => {
                 self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
                 self.suspend(now);
             }
@@ -157,7 +159,7 @@
         self.others = 0;
     }
 
-    pub(crate) fn learn_event(&mut self, interval: Span) {
+    pub(crate) fn record_event_interval(&mut self, interval: Span) {
         blend(&mut self.event_time, interval.0 as f64);
     }
 
--- a/crates/dispatch/src/weight_loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -34,18 +34,18 @@
     /// Bounds of a plan.
     pub struct WeightLoadLimits {
         /// Engines that may load at once. The weight store slows down beyond.
-        pub at_once: usize,
+        pub max_concurrent: usize,
         /// Engines that each model keeps at the newest version.
-        pub current: usize,
+        pub engines_per_model: usize,
     }
 }
 
 /// Part of the engines that may load at once. On the sheets the store slows down beyond about a fifth
 /// of them.
-const AT_ONCE_SHARE: f64 = 0.21;
+const CONCURRENT_SHARE: f64 = 0.21;
 
 /// Least number of engines that may load at once, also when few are left.
-const LEAST_AT_ONCE: usize = 2;
+const MIN_CONCURRENT: usize = 2;
 
 /// Versions behind the newest one that a step still accepts.
 const ACCEPTED_LAG: u64 = 1;
@@ -56,9 +56,12 @@
 impl WeightLoadLimits {
     /// Returns the bounds for a service with so many engines and models.
     #[must_use]
-    pub fn of(engines: usize, models: usize) -> Self {
-        let at_once = (engines as f64 * AT_ONCE_SHARE).round() as usize;
-        Self { at_once: at_once.max(LEAST_AT_ONCE), current: engines.div_ceil(models.max(1)) }
+    pub fn for_service(engines: usize, models: usize) -> Self {
+        let at_once = (engines as f64 * CONCURRENT_SHARE).round() as usize;
+        Self {
+            max_concurrent: at_once.max(MIN_CONCURRENT),
+            engines_per_model: engines.div_ceil(models.max(1)),
+        }
     }
 }
 
@@ -75,14 +78,14 @@
 
 /// Says which loads to order now. `named` holds the newest version of each model.
 #[must_use]
-pub fn plan_loads(
+pub fn plan_weight_loads(
     now: Moment,
     engines: &[EngineWeights],
     named: &[(String, WeightVersion)],
     plan: WeightLoadLimits,
 ) -> Vec<WeightLoad> {
     let loading = |engine: &&EngineWeights| engine.is_loading(now);
-    let free = plan.at_once.saturating_sub(engines.iter().filter(loading).count());
+    let free = plan.max_concurrent.saturating_sub(engines.iter().filter(loading).count());
     let mut models: Vec<ModelState<'_>> =
         named.iter().map(|(model, version)| ModelState::of(engines, model, *version)).collect();
     let mut taken: HashSet<&str> = HashSet::new();
@@ -137,7 +140,7 @@
         let mut best: Option<((bool, usize, &str), &EngineWeights)> = None;
         for engine in engines {
             let lag = engine.lag(self.model, self.version);
-            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= plan.current) {
+            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= plan.engines_per_model) {
                 continue;
             }
             let rank = (lag <= ACCEPTED_LAG, engine.usable_models(named), engine.id.as_str());
--- a/crates/dispatch/tests/loads.rs
+++ b/crates/dispatch/tests/loads.rs
@@ -1,7 +1,7 @@
 //! Plans of weight loads.
 
 use base::{Moment, WeightVersion};
-use dispatch::{EngineWeights, WeightLoadLimits, plan_loads};
+use dispatch::{EngineWeights, WeightLoadLimits, plan_weight_loads};
 
 const MODELS: [&str; 3] = ["a", "b", "c"];
 
@@ -40,8 +40,12 @@
         let before = usable(&engines, version);
         assert!(before.iter().all(|count| *count >= 2), "version {version}: {before:?}");
         for _ in 0..4 {
-            let orders =
-                plan_loads(Moment(1), &engines, &named(version), WeightLoadLimits::of(8, 3));
+            let orders = plan_weight_loads(
+                Moment(1),
+                &engines,
+                &named(version),
+                WeightLoadLimits::for_service(8, 3),
+            );
             assert!(orders.len() <= 2);
             for order in orders {
                 let engine = engines.iter_mut().find(|e| e.id == order.engine).unwrap();
@@ -61,7 +65,8 @@
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
     }
-    let orders = plan_loads(Moment(2), &engines, &named(3), WeightLoadLimits::of(8, 3));
+    let orders =
+        plan_weight_loads(Moment(2), &engines, &named(3), WeightLoadLimits::for_service(8, 3));
     assert!(orders.is_empty(), "{orders:?}");
 }
 
@@ -72,6 +77,11 @@
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
     }
-    let orders = plan_loads(Moment(10_000_000), &engines, &named(3), WeightLoadLimits::of(8, 3));
+    let orders = plan_weight_loads(
+        Moment(10_000_000),
+        &engines,
+        &named(3),
+        WeightLoadLimits::for_service(8, 3),
+    );
     assert_eq!(orders.len(), 2);
 }
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -19,9 +19,9 @@
         state: EntryState::Ready,
         warmup: Span::ZERO,
         versions: vec![(String::from("m"), WeightVersion(2))],
-        born: Some(1),
+        started_at_ms: Some(1),
         cheap: false,
-        leaves_in: None,
+        time_to_reclaim: None,
     }
 }
 
@@ -33,12 +33,19 @@
 }
 
 fn generation<'a>(draw: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
-    let need = ModelRequirement { model: "m", least: WeightVersion(2) };
-    GenerationPickRequest { service: "s", need, tried, warm: None, connected: &[], draw }
+    let need = ModelRequirement { model: "m", min_version: WeightVersion(2) };
+    GenerationPickRequest {
+        service: "s",
+        requirement: need,
+        tried,
+        warm_engine: None,
+        connected: &[],
+        jitter_seed: draw,
+    }
 }
 
 fn plain<'a>(draw: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
-    PlainPickRequest { service: "s", zone: "a", tried, connected: &[], draw }
+    PlainPickRequest { service: "s", zone: "a", tried, connected: &[], jitter_seed: draw }
 }
 
 /// Pattern: a submission of 72 items arrives at nine engines with 8 slots, one at half the speed.
@@ -50,12 +57,12 @@
     let (mut board, keys) = board(9, 8);
     for key in &keys {
         let time = if *key == keys[0] { 60 } else { 30 };
-        board.learn_event(*key, Span::from_millis(time));
+        board.record_event_interval(*key, Span::from_millis(time));
     }
     let mut loads = vec![0; 9];
     for draw in 0..72 {
         let picked = board.pick_generation(NOW, &generation(draw, &[])).unwrap();
-        board.begin(picked);
+        board.begin_request(picked);
         loads[picked.0 as usize] += 1;
         if draw == 63 {
             assert_eq!(loads[0], 0, "the slow engine waits until the others are full: {loads:?}");
@@ -76,8 +83,8 @@
     for step in 0..400 {
         let now = NOW + Span::from_millis(step * 25);
         if let Some(picked) = board.pick_generation(now, &generation(step, &[])) {
-            board.begin(picked);
-            board.finish(now, picked, ExchangeOutcome::Broken);
+            board.begin_request(picked);
+            board.finish_request(now, picked, ExchangeOutcome::TransportError);
             runs += 1;
         }
     }
@@ -94,10 +101,10 @@
     engine.versions.push((String::from("other"), WeightVersion(2)));
     let mut board = UpstreamBalancer::default();
     let (key, _) = board.update(engine);
-    board.refused_generation(NOW, key, "m");
+    board.record_generation_refusal(NOW, key, "m");
     assert_eq!(board.pick_generation(NOW, &generation(1, &[])), None);
-    let need = ModelRequirement { model: "other", least: WeightVersion(2) };
-    let ask = GenerationPickRequest { need, ..generation(1, &[]) };
+    let need = ModelRequirement { model: "other", min_version: WeightVersion(2) };
+    let ask = GenerationPickRequest { requirement: need, ..generation(1, &[]) };
     assert_eq!(board.pick_generation(NOW, &ask), Some(key));
 }
 
@@ -107,7 +114,7 @@
 #[case(3, false)]
 fn check_version(#[case] least: u64, #[case] accepted: bool) {
     let (board, keys) = board(1, 8);
-    let need = ModelRequirement { model: "m", least: WeightVersion(least) };
+    let need = ModelRequirement { model: "m", min_version: WeightVersion(least) };
     assert_eq!(board.accepts(NOW, keys[0], need), accepted);
 }
 
@@ -118,7 +125,7 @@
 fn loaded_upstream_is_passed_over() {
     let (mut board, keys) = board(3, 6);
     for key in &keys[..2] {
-        board.report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
+        board.record_load_report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
     }
     for draw in 0..50 {
         assert_eq!(board.pick_plain(NOW, &plain(draw, &[])), Some(keys[2]));
@@ -133,10 +140,14 @@
     let (mut board, keys) = board(3, 6);
     for key in &keys {
         for turn in 0..20 {
-            board.begin(*key);
+            board.begin_request(*key);
             let failed = *key == keys[0] && turn % 5 < 2;
             let answered = ExchangeOutcome::Answered(Span::from_millis(25));
-            board.finish(NOW, *key, if failed { ExchangeOutcome::Failed } else { answered });
+            board.finish_request(
+                NOW,
+                *key,
+                if failed { ExchangeOutcome::ServerError } else { answered },
+            );
         }
     }
     let picked = (0..300).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(keys[0]));
@@ -163,7 +174,7 @@
     for (id, zone) in [("a1", "a"), ("b1", "b"), ("b2", "b"), ("b3", "b")] {
         keys.push(board.update(UpstreamEntry { zone: String::from(zone), ..entry(id, 6) }).0);
     }
-    board.report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
+    board.record_load_report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
     for draw in 0..50 {
         assert_eq!(board.pick_plain(NOW, &plain(draw, &[keys[1]])), Some(keys[0]));
     }
@@ -178,7 +189,7 @@
     let mut board = UpstreamBalancer::default();
     let (own, _) = board.update(entry("a1", 6));
     board.update(UpstreamEntry { zone: String::from("b"), ..entry("b1", 6) });
-    board.report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
+    board.record_load_report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
     let picked = (0..100).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(own));
     let own_share = picked.count();
     assert!(if stays { own_share > 90 } else { own_share < 40 }, "{own_share} of 100");
@@ -216,7 +227,7 @@
 #[case(66, false)]
 fn check_move(#[case] slow_ms: u64, #[case] moves: bool) {
     let (mut board, keys) = board(2, 8);
-    board.learn_event(keys[0], Span::from_millis(slow_ms));
-    board.learn_event(keys[1], Span::from_millis(30));
-    assert_eq!(board.is_worth_moving(NOW, keys[0], keys[1]), moves);
+    board.record_event_interval(keys[0], Span::from_millis(slow_ms));
+    board.record_event_interval(keys[1], Span::from_millis(30));
+    assert_eq!(board.should_migrate(NOW, keys[0], keys[1]), moves);
 }
--- a/crates/document/src/environment.rs
+++ b/crates/document/src/environment.rs
@@ -50,7 +50,7 @@
     /// What a node does with keys while it reaches neither platform nor peers.
     pub enum IsolatedKeyPolicy {
         /// Known keys work for this long, then requests are refused.
-        Serve(Span),
+        ServeFor(Span),
         /// Requests are refused as soon as the node counts as isolated.
         Refuse,
     }
@@ -282,7 +282,7 @@
 
 fn read_isolated(section: &Section<'_>) -> IsolatedKeyPolicy {
     const LIMIT: Span = Span::from_secs(300);
-    let serve = IsolatedKeyPolicy::Serve(LIMIT);
+    let serve = IsolatedKeyPolicy::ServeFor(LIMIT);
     let choices = [("serve", serve), ("refuse", IsolatedKeyPolicy::Refuse)];
     if section.choice_or("action", &choices, serve) == IsolatedKeyPolicy::Refuse {
         if section.has("after") {
@@ -290,7 +290,7 @@
         }
         return IsolatedKeyPolicy::Refuse;
     }
-    IsolatedKeyPolicy::Serve(section.duration_or("after", Span::ZERO..=MAX_LENGTH, LIMIT))
+    IsolatedKeyPolicy::ServeFor(section.duration_or("after", Span::ZERO..=MAX_LENGTH, LIMIT))
 }
 
 fn read_pool(section: &Section<'_>, services: &[String], zones: &[String]) -> PoolEntry {
--- a/crates/document/tests/checks.rs
+++ b/crates/document/tests/checks.rs
@@ -84,7 +84,7 @@
 #[test]
 fn small_document_and_settings_load_with_defaults() {
     let document = EnvironmentDocument::parse("trial.toml", SMALL).unwrap();
-    assert_eq!(document.keys_when_isolated, IsolatedKeyPolicy::Serve(Span::from_secs(300)));
+    assert_eq!(document.keys_when_isolated, IsolatedKeyPolicy::ServeFor(Span::from_secs(300)));
     assert_eq!(document.max_swapping_share, 0.34);
     assert_eq!(document.pools[0].startup, Span::from_secs(90));
     assert!(!document.routes[0].idempotent && !document.routes[0].open);
--- a/crates/experiments/src/fleet/week.rs
+++ b/crates/experiments/src/fleet/week.rs
@@ -94,7 +94,7 @@
         let learn_from =
             WallTime(start.0 - self.scenario.learn_weeks * 7 * DAY_MINUTES * MINUTE_MILLIS);
         let clock = match kind {
-            FleetKind::PlanWithoutClockChange => self.clock.frozen_at(learn_from),
+            FleetKind::PlanWithoutClockChange => self.clock.with_fixed_offset(learn_from),
             _ => self.clock.clone(),
         };
         let mut model = DemandModel::new(clock);
@@ -135,8 +135,14 @@
         let cheap_max = if kind == FleetKind::RegularPlan { 0 } else { POOL_MAX };
         let start_up = Span::from_secs(scenario.start_up_seconds);
         let pools = (0..).map(ZoneKey).take(self.pools.len()).flat_map(|zone| {
-            let pool =
-                |kind, min, max, price| PoolSettings { zone, kind, min, max, price, start_up };
+            let pool = |kind, min, max, price| PoolSettings {
+                zone,
+                price_class: kind,
+                min,
+                max,
+                price,
+                startup: start_up,
+            };
             [
                 pool(PriceClass::Regular, 1, POOL_MAX, scenario.regular_price),
                 pool(PriceClass::Cheap, 0, cheap_max, scenario.cheap_price),
@@ -245,7 +251,7 @@
         }
         self.outcome.reclaims += 1;
         self.replacing_until = now + Span::from_secs(self.scenario.start_up_seconds);
-        plan.reclaimed(now, ZoneKey(zone as u32));
+        plan.record_reclaim(now, ZoneKey(zone as u32));
     }
 
     /// Carries the plan's orders out. Returns whether an order for cheap upstreams was refused.
@@ -255,10 +261,10 @@
         for action in plan.plan(now, forecasts, &counts) {
             self.outcome.orders += 1;
             match action {
-                FleetAction::Start { zone, kind, count, .. } => {
+                FleetAction::Start { zone, price_class: kind, count, .. } => {
                     let index = zone.0 as usize;
                     if kind == PriceClass::Cheap && now < self.unavailable[index] {
-                        plan.cheap_refused(now, zone);
+                        plan.record_cheap_refusal(now, zone);
                         was_refused = true;
                         continue;
                     }
@@ -266,7 +272,7 @@
                     let pool = &mut self.pools[index][kind as usize];
                     pool.starting.extend(std::iter::repeat_n(at, count as usize));
                 }
-                FleetAction::Stop { zone, kind, count, .. } => {
+                FleetAction::Stop { zone, price_class: kind, count, .. } => {
                     let pool = &mut self.pools[zone.0 as usize][kind as usize];
                     let from_starting = pool.starting.len().min(count as usize);
                     pool.starting.truncate(pool.starting.len() - from_starting);
@@ -282,7 +288,12 @@
         for (zone, pools) in (0..).map(ZoneKey).zip(&self.pools) {
             for (kind, pool) in [PriceClass::Regular, PriceClass::Cheap].into_iter().zip(pools) {
                 let count = pool.running + pool.starting.len() as u32;
-                counts.push(UpstreamCount { service: String::from(SERVICE), zone, kind, count });
+                counts.push(UpstreamCount {
+                    service: String::from(SERVICE),
+                    zone,
+                    price_class: kind,
+                    count,
+                });
             }
         }
         counts
--- a/crates/experiments/src/kills/node.rs
+++ b/crates/experiments/src/kills/node.rs
@@ -78,16 +78,16 @@
 
     pub(crate) fn append(&mut self, batch: &UsageBatch) -> bool {
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
-        self.writer.append_as(STREAM, batch.id, encode_record(batch.id, &entry)).is_ok()
+        self.writer.append_with_id(STREAM, batch.id, encode_record(batch.id, &entry)).is_ok()
     }
 
-    pub(crate) fn seen_in_log(&mut self, id: RecordId) {
-        self.pending.seen_in_log(id);
-        self.replicas.seen_in_log(id);
+    pub(crate) fn mark_committed(&mut self, id: RecordId) {
+        self.pending.mark_committed(id);
+        self.replicas.mark_committed(id);
         self.copies.remove(&id);
     }
 }
 
 pub(crate) fn requests(batch: &UsageBatch) -> u64 {
-    batch.figures.0.values().map(|amount| amount.requests).sum()
+    batch.usage.0.values().map(|amount| amount.requests).sum()
 }
--- a/crates/experiments/src/kills/world.rs
+++ b/crates/experiments/src/kills/world.rs
@@ -232,7 +232,7 @@
         if reads {
             for record in &self.log[node.read..] {
                 if let UsageRecord::Batch(batch) = record {
-                    node.seen_in_log(batch.id);
+                    node.mark_committed(batch.id);
                 }
             }
             node.read = self.log.len();
@@ -288,7 +288,7 @@
                 if let Some(node) = &mut self.nodes[to]
                     && node.incarnation == origin
                 {
-                    node.pending.held(id, holder);
+                    node.pending.mark_held(id, holder);
                 }
             }
             Message::Append { from, origin, ticket, records } => {
@@ -342,8 +342,8 @@
         };
         for (incarnation, answered) in &self.answered {
             let customer = UsageNode::customer(*incarnation);
-            let closed = ledger.windows().map(|(_, closed)| &closed.figures);
-            let figures = closed.chain([ledger.open_figures()]);
+            let closed = ledger.windows().map(|(_, closed)| &closed.usage);
+            let figures = closed.chain([ledger.open_usage()]);
             let billed = figures.map(|figures| figures.get(&customer).requests).sum::<u64>();
             let batches = in_batches.iter().filter(|(id, _)| id.writer == *incarnation);
             let batched = batches.map(|(_, requests)| requests).sum::<u64>();
--- a/crates/experiments/src/pick_cost.rs
+++ b/crates/experiments/src/pick_cost.rs
@@ -46,10 +46,11 @@
     for index in 0..upstreams {
         let zone = ZoneKey(index % ZONES);
         let price = PriceClass::Regular;
-        let key = table.add(UpstreamProperties { node_hash: u64::from(index), zone, price });
+        let key =
+            table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class: price });
         let running = index * 7 % 13;
         let load = LoadMeasurement { running, queued: 0, version: None, measured_at: Moment(1) };
-        table.report(Moment(1), key, load);
+        table.record_load(Moment(1), key, load);
     }
     let members = RouteUpstreams::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -71,7 +71,7 @@
     let rule = CostBenefitRule { tokens_per_second: scenario.tokens_per_second_gained };
     let no_rerun = run_steps(scenario, seed, NoRerun);
     push("no re-run", &no_rerun);
-    push("fixed time limit", &run_steps(scenario, seed, FixedTimeoutRule { limit }));
+    push("fixed time limit", &run_steps(scenario, seed, FixedTimeoutRule { timeout: limit }));
     let gain = run_steps(scenario, seed, rule);
     push("gain over cost", &gain);
     report.tables.push(table);
--- a/crates/experiments/src/rollout/faults/node.rs
+++ b/crates/experiments/src/rollout/faults/node.rs
@@ -32,10 +32,10 @@
 pub(crate) struct Node {
     pub(crate) incarnation: Incarnation,
     pub(crate) cut_until: Moment,
-    pub(crate) book: SampleTable,
+    pub(crate) table: SampleTable,
     pub(crate) offset: usize,
     pub(crate) bytes: BTreeSet<RecordId>,
-    pub(crate) desk: ScoreQueue,
+    pub(crate) scores: ScoreQueue,
     pub(crate) outgoing: Vec<Outgoing>,
     pub(crate) running: BTreeMap<SlotKey, u32>,
     pub(crate) fetch: Option<Fetch>,
@@ -48,10 +48,10 @@
         Self {
             incarnation,
             cut_until: Moment(0),
-            book: SampleTable::default(),
+            table: SampleTable::default(),
             offset: 0,
             bytes: BTreeSet::new(),
-            desk: ScoreQueue::default(),
+            scores: ScoreQueue::default(),
             outgoing: Vec::new(),
             running: BTreeMap::new(),
             fetch: None,
@@ -95,15 +95,15 @@
         self.offset += 1;
         self.outgoing.retain(|outgoing| outgoing.id != id);
         let mut answer = None;
-        for action in self.book.apply(record) {
+        for action in self.table.apply(record) {
             match action {
                 SampleOutcome::Filled { slot, sample } => {
                     self.running.remove(&slot);
                     if self.bytes.contains(&sample) {
-                        self.desk.enqueue(now, slot, sample);
+                        self.scores.enqueue(now, slot, sample);
                     }
                 }
-                SampleOutcome::Bound { sample, .. } => self.desk.forget(sample),
+                SampleOutcome::Bound { sample, .. } => self.scores.remove(sample),
                 SampleOutcome::FillRefused { slot, sample, .. } => {
                     self.bytes.remove(&sample);
                     if sample.writer == self.incarnation {
@@ -111,14 +111,14 @@
                     }
                 }
                 SampleOutcome::Voided { sample, .. } => {
-                    self.desk.forget(sample);
+                    self.scores.remove(sample);
                     self.bytes.remove(&sample);
                 }
-                SampleOutcome::Offered { trainer, offer } => {
+                SampleOutcome::DeliveriesReady { trainer, range: offer } => {
                     let Some(fetch) = self.fetch.take_if(|fetch| fetch.record == Some(id)) else {
                         continue;
                     };
-                    answer = Some((fetch.request, self.book.deliveries(trainer, offer.statement)));
+                    answer = Some((fetch.request, self.table.deliveries(trainer, offer.statement)));
                 }
                 SampleOutcome::StatementRefused { .. } => {
                     // The trainer asks again. This node must not state again for it, as it cannot
@@ -140,7 +140,8 @@
     pub(crate) fn state(&mut self, now: Moment) {
         let Some(mut fetch) = self.fetch.take() else { return };
         let (trainer, after) = (fetch.stated.trainer, fetch.stated.acknowledged);
-        let is_news = fetch.stated.opened.is_some() || self.book.has_after(trainer, after);
+        let is_news =
+            fetch.stated.opened.is_some() || self.table.has_deliveries_after(trainer, after);
         if fetch.record.is_none() && is_news {
             let id = self.next_id();
             fetch.record = Some(id);
@@ -151,7 +152,7 @@
 
     pub(crate) fn bind(&mut self, now: Moment, sample: RecordId) {
         if let Some(ScoreAction::Bind(SampleBound { slot, sample, score })) =
-            self.desk.scored(sample, None)
+            self.scores.scored(sample, None)
         {
             let id = self.next_id();
             self.append(now, id, SampleRecord::Bound(SampleBound { slot, sample, score }));
@@ -160,7 +161,7 @@
 
     /// Voids samples whose holders this node believes gone.
     pub(crate) fn void_lost(&mut self, now: Moment, is_gone: impl Fn(Incarnation) -> bool) {
-        for voided in self.book.lost(is_gone) {
+        for voided in self.table.lost_samples(is_gone) {
             let SampleVoided { sample, .. } = voided;
             if self.voiding.insert(sample) {
                 let id = self.next_id();
--- a/crates/experiments/src/rollout/faults/world.rs
+++ b/crates/experiments/src/rollout/faults/world.rs
@@ -58,7 +58,7 @@
     revive: Vec<Moment>,
     incarnations: u64,
     engines: Vec<Engine>,
-    plan: WeightScheduler,
+    weights: WeightScheduler,
     scoring: Vec<(Moment, Incarnation, RecordId)>,
     replies: Vec<(Moment, u64, Vec<Delivery>)>,
     trainer: FaultTrainer,
@@ -117,7 +117,7 @@
             revive: Vec::new(),
             incarnations: count,
             engines,
-            plan,
+            weights: plan,
             scoring: Vec::new(),
             replies: Vec::new(),
             trainer: FaultTrainer::new(TrainerId::from_name("trainer")),
@@ -153,7 +153,7 @@
             let lost = self.engines[index].streams.drain(..).collect::<Vec<_>>();
             self.engines[index].away_until = self.after(2_000..10_000);
             self.engines[index].loading = None;
-            self.plan.engine_left(UpstreamKey(index as u32));
+            self.weights.engine_left(UpstreamKey(index as u32));
             self.outcome.engines_reclaimed += 1;
             for stream in lost {
                 self.forget_attempt(stream.node, stream.slot);
@@ -193,23 +193,23 @@
         }
         for (index, engine) in (0..).zip(&mut self.engines) {
             let upstream = UpstreamKey(index);
-            if engine.away_until <= now && self.plan.engine(upstream).is_none() {
+            if engine.away_until <= now && self.weights.engine(upstream).is_none() {
                 // The replacement starts with the first version and must load.
                 engine.version = WeightVersion(1);
-                self.plan.engine_joined(upstream, SERVICE, ZoneKey(0));
-                self.plan.reported(upstream, WeightVersion(1));
+                self.weights.engine_joined(upstream, SERVICE, ZoneKey(0));
+                self.weights.reported(upstream, WeightVersion(1));
             }
         }
     }
 
     fn load_weights(&mut self) {
-        self.plan.announce(SERVICE, self.trainer.weight_version());
-        for action in self.plan.poll(self.now) {
+        self.weights.set_target(SERVICE, self.trainer.weight_version());
+        for action in self.weights.poll(self.now) {
             let WeightAction::Load { upstream, version } = action else { continue };
             if self.now < self.store_down_until || self.rng.random_bool(0.1) {
                 // Half of the failed loads are never reported as failed.
                 if self.rng.random_bool(0.5) {
-                    self.plan.load_failed(self.now, upstream);
+                    self.weights.load_failed(self.now, upstream);
                 }
                 continue;
             }
@@ -223,7 +223,7 @@
                 engine.version = version;
                 let busy = engine.streams.iter().filter(|stream| stream.tokens >= 1.0);
                 self.outcome.swaps_in_stream += busy.count() as u64;
-                self.plan.reported(UpstreamKey(index), version);
+                self.weights.reported(UpstreamKey(index), version);
             }
         }
     }
@@ -237,7 +237,7 @@
                 let from = stream.spans.tokens();
                 let to = (stream.tokens as u32).min(stream.length);
                 let version = engine.version;
-                stream.spans.report(from, to - from, version).expect("pieces are in order");
+                stream.spans.append(from, to - from, version).expect("pieces are in order");
                 match stream.real.last_mut() {
                     Some(last) if last.version == version => last.to = to,
                     _ if to > from => stream.real.push(VersionSpan { version, from, to }),
@@ -368,12 +368,12 @@
     fn score(&mut self) {
         let now = self.now;
         for index in 0..self.nodes.len() {
-            for action in self.nodes[index].desk.poll(now, 64) {
+            for action in self.nodes[index].scores.poll(now, 64) {
                 let ScoreAction::Call { sample, .. } = action else { continue };
                 let node = self.nodes[index].incarnation;
                 match self.rng.random_range(0..100) {
                     0..20 => {
-                        self.nodes[index].desk.failed(now, sample);
+                        self.nodes[index].scores.failed(now, sample);
                         self.outcome.scoring_failures += 1;
                     }
                     // The call never ends and runs into its timeout.
@@ -396,7 +396,7 @@
     fn place(&mut self) {
         let live: Vec<Incarnation> = self.nodes.iter().map(|node| node.incarnation).collect();
         for index in 0..self.nodes.len() {
-            let open: Vec<_> = self.nodes[index].book.open_slots(self.trainer.id).collect();
+            let open: Vec<_> = self.nodes[index].table.open_slots(self.trainer.id).collect();
             for open in open {
                 let slot = open.slot;
                 let item = slot.step << 32 | u64::from(slot.group) << 16 | u64::from(slot.index);
@@ -418,7 +418,8 @@
         let (version, bound) = (self.trainer.weight_version(), self.scenario.staleness_bound);
         let room = self.scenario.streams_per_engine;
         let free = (0u32..).zip(&self.engines).find(|(key, engine)| {
-            engine.streams.len() < room && self.plan.may_take(UpstreamKey(*key), version, bound, 0)
+            engine.streams.len() < room
+                && self.weights.may_take(UpstreamKey(*key), version, bound, 0)
         });
         let Some((engine, _)) = free else { return };
         let mean = self.scenario.mean_tokens;
@@ -476,7 +477,7 @@
             self.scenario.staleness_bound,
             self.trainer.acknowledged,
             opened,
-            self.nodes[index].book.statements(self.trainer.id),
+            self.nodes[index].table.statements(self.trainer.id),
         );
         let request = self.trainer.request;
         self.nodes[index].fetch = Some(Fetch { request, stated, record: None });
@@ -493,8 +494,8 @@
                 node.follow(self.now, *id, record);
             }
         }
-        let first = &self.nodes[0].book;
-        let different = self.nodes.iter().filter(|node| node.book != *first).count();
+        let first = &self.nodes[0].table;
+        let different = self.nodes.iter().filter(|node| node.table != *first).count();
         self.outcome.different_books = different as u64;
         self.outcome
     }
--- a/crates/experiments/src/rollout/steps.rs
+++ b/crates/experiments/src/rollout/steps.rs
@@ -94,10 +94,10 @@
     scenario: &'a StepScenario,
     rng: ChaCha8Rng,
     now: Moment,
-    book: SampleTable,
-    share: TrainerScheduler,
-    policy: StragglerDetector<R>,
-    plan: WeightScheduler,
+    table: SampleTable,
+    trainer_scheduler: TrainerScheduler,
+    stragglers: StragglerDetector<R>,
+    weights: WeightScheduler,
     engines: Vec<Engine>,
     trainers: Vec<Trainer>,
     scoring: Vec<(Moment, SampleBound)>,
@@ -154,10 +154,10 @@
             scenario,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
-            book: SampleTable::default(),
-            share,
-            policy: StragglerDetector::new(rule),
-            plan,
+            table: SampleTable::default(),
+            trainer_scheduler: share,
+            stragglers: StragglerDetector::new(rule),
+            weights: plan,
             engines,
             trainers,
             scoring: Vec::new(),
@@ -169,7 +169,7 @@
     }
 
     fn load_weights(&mut self) {
-        for action in self.plan.poll(self.now) {
+        for action in self.weights.poll(self.now) {
             let WeightAction::Load { upstream, version } = action else { continue };
             let done = self.now + span(self.scenario.load_seconds);
             self.engines[upstream.0 as usize].loading = Some((done, version));
@@ -179,7 +179,7 @@
             if done <= self.now {
                 engine.loading = None;
                 engine.version = version;
-                self.plan.reported(UpstreamKey(index), version);
+                self.weights.reported(UpstreamKey(index), version);
             }
         }
     }
@@ -195,8 +195,8 @@
                 stream.tokens += rate * TICK.as_secs_f64();
                 let tokens = (stream.tokens as u32).min(stream.length);
                 let from = stream.spans.tokens();
-                stream.spans.report(from, tokens - from, version).expect("pieces are in order");
-                self.policy.progress(stream.slot, UpstreamKey(index), tokens);
+                stream.spans.append(from, tokens - from, version).expect("pieces are in order");
+                self.stragglers.progress(stream.slot, UpstreamKey(index), tokens);
                 if tokens == stream.length {
                     finished.push((UpstreamKey(index), stream.slot));
                 }
@@ -210,14 +210,14 @@
     fn finish_stream(&mut self, upstream: UpstreamKey, slot: SlotKey) {
         // Another attempt may have finished in the same tick and cancelled this one.
         let Some(stream) = self.take_stream(upstream, slot) else { return };
-        for action in self.policy.finished(self.now, slot, upstream, stream.length) {
+        for action in self.stragglers.finished(self.now, slot, upstream, stream.length) {
             let StragglerAction::Cancel { slot, upstream } = action else { continue };
             self.take_stream(upstream, slot);
         }
         self.running.remove(&slot);
         self.sequence += 1;
         let sample = RecordId { writer: Incarnation(1), sequence: self.sequence };
-        self.book.apply(&SampleRecord::Filled(SampleFilled {
+        self.table.apply(&SampleRecord::Filled(SampleFilled {
             slot,
             generation: stream.generation,
             sample,
@@ -242,7 +242,7 @@
         self.scoring = waiting;
         let due: Vec<(Moment, SampleBound)> = due;
         for (_, bound) in due {
-            self.book.apply(&SampleRecord::Bound(bound));
+            self.table.apply(&SampleRecord::Bound(bound));
         }
     }
 
@@ -258,7 +258,7 @@
             trainer.version += 1;
             trainer.step += 1;
             trainer.phase = Phase::Waiting(self.now);
-            self.plan.announce(SERVICE, WeightVersion(trainer.version));
+            self.weights.set_target(SERVICE, WeightVersion(trainer.version));
         }
         let trainer = &mut self.trainers[index];
         let is_training = matches!(trainer.phase, Phase::Training(_));
@@ -272,7 +272,7 @@
             trainer.opened = wanted;
             trainer.opened_at.insert(wanted, self.now);
         }
-        if opened.is_some() || self.book.has_after(trainer.id, trainer.acknowledged) {
+        if opened.is_some() || self.table.has_deliveries_after(trainer.id, trainer.acknowledged) {
             self.fetch(index, opened);
         }
         let trainer = &mut self.trainers[index];
@@ -286,8 +286,8 @@
 
     fn fetch(&mut self, index: usize, opened: Option<StepShape>) {
         let trainer = &mut self.trainers[index];
-        let follows = self.book.statements(trainer.id);
-        self.book.apply(&SampleRecord::Stated(TrainerStated {
+        let follows = self.table.statements(trainer.id);
+        self.table.apply(&SampleRecord::Stated(TrainerStated {
             trainer: trainer.id,
             name: trainer.name.clone(),
             follows,
@@ -296,7 +296,7 @@
             acknowledged: trainer.acknowledged,
             opened,
         }));
-        let answer = self.book.deliveries(trainer.id, follows + 1).expect("the last statement");
+        let answer = self.table.deliveries(trainer.id, follows + 1).expect("the last statement");
         for entry in answer {
             match entry {
                 Delivery::Sample { number, filled, .. } => {
@@ -326,15 +326,17 @@
     fn place(&mut self) {
         let mut open: BTreeMap<TrainerId, Vec<_>> = BTreeMap::new();
         for trainer in &self.trainers {
-            let slots = self.book.open_slots(trainer.id);
+            let slots = self.table.open_slots(trainer.id);
             let mut slots: Vec<_> = slots.filter(|o| !self.running.contains(&o.slot)).collect();
             slots.reverse();
             open.insert(trainer.id, slots);
         }
-        while let Some(id) = self.share.next(|id| open.get(&id).is_some_and(|o| !o.is_empty())) {
+        while let Some(id) =
+            self.trainer_scheduler.select(|id| open.get(&id).is_some_and(|o| !o.is_empty()))
+        {
             let Some(upstream) = self.free_engine(id, None) else { break };
             let Some(next) = open.get_mut(&id).and_then(Vec::pop) else { break };
-            self.share.charge(id, self.scenario.mean_tokens as u64);
+            self.trainer_scheduler.charge(id, self.scenario.mean_tokens as u64);
             self.running.insert(next.slot);
             self.start(upstream, next.slot, next.generation);
         }
@@ -343,7 +345,7 @@
     fn rerun(&mut self) {
         let free = self.engines.iter().map(|e| self.scenario.streams_per_engine - e.streams.len());
         let free = free.sum();
-        for action in self.policy.poll(self.now, free) {
+        for action in self.stragglers.poll(self.now, free) {
             let StragglerAction::Rerun { slot, avoid } = action else { continue };
             let Some(upstream) = self.free_engine(slot.trainer, Some(avoid)) else { continue };
             let streams = &self.engines[avoid.0 as usize].streams;
@@ -365,7 +367,7 @@
             // Samples are used after the step in training, so one version later.
             if has_room
                 && Some(upstream) != avoid
-                && self.plan.may_take(upstream, version, bound, 1)
+                && self.weights.may_take(upstream, version, bound, 1)
             {
                 free.push(upstream);
             }
@@ -385,7 +387,7 @@
         let spans = SpanTracker::default();
         let stream = Stream { slot, generation, tokens: 0.0, length, spans };
         self.engines[upstream.0 as usize].streams.push(stream);
-        self.policy.started(self.now, slot, upstream);
+        self.stragglers.started(self.now, slot, upstream);
     }
 
     fn finish(mut self) -> StepOutcome {
@@ -396,7 +398,7 @@
             |share: f64| completions[((completions.len() - 1) as f64 * share).round() as usize];
         let idle: f64 = self.trainers.iter().map(|trainer| trainer.idle).sum();
         let total = self.now.since(Moment(0)).as_secs_f64() * self.trainers.len() as f64;
-        let (useful, extra) = self.policy.tokens();
+        let (useful, extra) = self.stragglers.tokens();
         self.outcome.idle_per_step = idle / completions.len() as f64;
         self.outcome.idle_share = idle / total;
         self.outcome.completion_p50 = at(0.5);
--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -25,7 +25,7 @@
 
 pub(super) struct SpreadNode {
     pub(super) table: PeerTable,
-    pub(super) board: LoadTable,
+    pub(super) load_table: LoadTable,
     pub(super) zone: String,
     pub(super) watched: Vec<usize>,
 }
@@ -46,7 +46,7 @@
         let own = VmIdentity { name, zone: ring_zone, address, generation: 1, incarnation };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, Moment(0)),
-            board: LoadTable::new(LoadTableSettings::default(), incarnation),
+            load_table: LoadTable::new(LoadTableSettings::default(), incarnation),
             zone,
             watched: Vec::new(),
         }
@@ -77,12 +77,16 @@
         walks: &[UpstreamWalk],
     ) -> Vec<SentMessage> {
         let (beat, entries) = match content {
-            MessageContent::Heartbeat(Heartbeat { beat, upstreams, .. }) => (beat, upstreams),
-            MessageContent::Summary(ZoneSummary { beat, upstreams, .. }) => (beat, upstreams),
+            MessageContent::Heartbeat(Heartbeat { liveness: beat, upstreams, .. }) => {
+                (beat, upstreams)
+            }
+            MessageContent::Summary(ZoneSummary { liveness: beat, upstreams, .. }) => {
+                (beat, upstreams)
+            }
         };
-        let sent = self.event(now, PeerEvent::BeatReceived(beat), mode, walks);
+        let sent = self.event(now, PeerEvent::MessageReceived(beat), mode, walks);
         for entry in entries {
-            self.board.learned(now, entry);
+            self.load_table.merge(now, entry);
         }
         sent
     }
@@ -97,10 +101,12 @@
         let mut sent = Vec::new();
         for action in self.table.handle(now, event) {
             match action {
-                PeerAction::SendHeartbeat { to, beat } => {
+                PeerAction::SendHeartbeat { to, message: beat } => {
                     sent.push(self.heartbeat(now, to, beat));
                 }
-                PeerAction::SendSummary { to, beat } if mode == SpreadMode::ZoneSummaries => {
+                PeerAction::SendSummary { to, message: beat }
+                    if mode == SpreadMode::ZoneSummaries =>
+                {
                     sent.push(self.summary(now, to, beat, walks));
                 }
                 _ => {}
@@ -111,10 +117,10 @@
 
     fn heartbeat(&mut self, now: Moment, to: VmKey, beat: LivenessMessage) -> SentMessage {
         let heartbeat = Heartbeat {
-            beat,
+            liveness: beat,
             config_version: 1,
             contact_age: base::Span::ZERO,
-            upstreams: self.board.delta(now),
+            upstreams: self.load_table.next_delta(now),
         };
         let bytes = encode_message(&PeerMessage::Heartbeat((&heartbeat).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Heartbeat(heartbeat) }
@@ -127,12 +133,12 @@
         beat: LivenessMessage,
         walks: &[UpstreamWalk],
     ) -> SentMessage {
-        let mut upstreams = self.board.full(now);
+        let mut upstreams = self.load_table.all_updates(now);
         // Names start with their zone here; the daemon looks the zone up.
         let own = walks.iter().filter(|walk| walk.zone == self.zone);
         let own = own.map(|walk| walk.name.as_str()).collect::<std::collections::BTreeSet<_>>();
         upstreams.retain(|entry| own.contains(entry.upstream.as_str()));
-        let summary = ZoneSummary { beat, config_version: 1, upstreams };
+        let summary = ZoneSummary { liveness: beat, config_version: 1, upstreams };
         let bytes = encode_message(&PeerMessage::Summary((&summary).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Summary(summary) }
     }
--- a/crates/experiments/src/state_spread/world.rs
+++ b/crates/experiments/src/state_spread/world.rs
@@ -91,7 +91,7 @@
             if now >= begin && now.0.is_multiple_of(1_000_000) {
                 for node in &self.nodes {
                     asked += self.walks.len() as u64;
-                    for (_, view) in node.board.iter(now) {
+                    for (_, view) in node.load_table.iter(now) {
                         known += 1;
                         age_ms += view.age.0 as f64 / 1_000.0;
                     }
@@ -122,7 +122,7 @@
         let reports = self.walks.iter_mut().map(UpstreamWalk::next_report).collect::<Vec<_>>();
         for node in &mut self.nodes {
             for index in &node.watched {
-                node.board.measured(now, &self.walks[*index].name, reports[*index]);
+                node.load_table.update(now, &self.walks[*index].name, reports[*index]);
             }
         }
     }
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -147,9 +147,9 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::SpreadNote(note) => SuspectEvent::NoteHeard(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::VerdictHeard(verdict),
-                SuspectAction::Reserve(notice) => SuspectEvent::IsolationHeard(notice),
+                SuspectAction::BroadcastSuspicion(note) => SuspectEvent::SuspicionReceived(note),
+                SuspectAction::Convict(verdict) => SuspectEvent::ConvictionReceived(verdict),
+                SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
                     let (fingerprint, arrived) = self.asked[&request];
@@ -194,7 +194,8 @@
     /// Sends a request through any node to the free upstream with the fewest requests of two.
     fn send(&mut self, fingerprint: Fingerprint, arrived: u64) {
         let node = self.rng.random_range(0..self.nodes.len());
-        if self.nodes[node].judge(self.wall(), fingerprint) != FingerprintStatus::Clear {
+        if self.nodes[node].fingerprint_status(self.wall(), fingerprint) != FingerprintStatus::Clear
+        {
             self.ask(node, fingerprint, arrived);
             return;
         }
@@ -225,7 +226,7 @@
             execution: Execution::MayHaveRun,
             upstreams: upstreams.into_iter().map(|(key, _)| *key).collect(),
         };
-        self.apply(node, SuspectEvent::Asked(ask));
+        self.apply(node, SuspectEvent::Requested(ask));
     }
 
     fn advance(&mut self) {
@@ -266,7 +267,7 @@
         let Some(requests) = seen else { return };
         let measured_at = self.now() - Span::from_millis(self.scenario.report_lag_ms);
         for node in 0..self.nodes.len() {
-            self.apply(node, SuspectEvent::LoadSeen { upstream, requests, measured_at });
+            self.apply(node, SuspectEvent::LoadReported { upstream, requests, measured_at });
         }
     }
 
--- a/crates/experiments/src/traffic/world.rs
+++ b/crates/experiments/src/traffic/world.rs
@@ -42,7 +42,7 @@
 struct Node<P> {
     zone: ZoneKey,
     table: UpstreamTable,
-    members: RouteUpstreams,
+    upstreams: RouteUpstreams,
     policy: P,
     gate: Gate,
     limits: Option<RateLimiter>,
@@ -53,7 +53,7 @@
     node: usize,
     tokens: u32,
     arrived_at: Moment,
-    work: Option<InFlightRequest>,
+    request: Option<InFlightRequest>,
 }
 
 derive_copy! {
@@ -79,7 +79,7 @@
     /// The delegate's desk of each zone.
     desks: Vec<LimitAllocator>,
     requests: Vec<Request>,
-    rate: ServiceCapacity,
+    capacity: ServiceCapacity,
     rng: ChaCha8Rng,
     measure: RunMeasure,
 }
@@ -103,7 +103,7 @@
         let capacity = scenario.capacity();
         let rate = ServiceCapacity {
             tokens_per_second: (capacity / u64::from(scenario.nodes)) as u32,
-            max_in_service: (capacity * scenario.target_service_ms
+            max_in_service_tokens: (capacity * scenario.target_service_ms
                 / (1_000 * u64::from(scenario.nodes))) as u32,
         };
         let mut nodes = Vec::new();
@@ -113,10 +113,14 @@
             let distances =
                 (0..zones).map(|other| if other == zone.0 { Span::ZERO } else { distance });
             let mut table = UpstreamTable::new(TableSettings::default(), distances.collect());
-            table.set_nodes(scenario.nodes);
+            table.set_node_count(scenario.nodes);
             for (index, engine) in engines.iter().enumerate() {
                 let (node_hash, price) = (index as u64 + 1, PriceClass::Regular);
-                table.add(UpstreamProperties { node_hash, zone: engine.zone, price });
+                table.add(UpstreamProperties {
+                    name_hash: node_hash,
+                    zone: engine.zone,
+                    price_class: price,
+                });
             }
             let members =
                 RouteUpstreams::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
@@ -124,9 +128,13 @@
             let is_limited = gate == GateKind::LimitedFair;
             let limits = is_limited.then(|| {
                 let mut limits = RateLimiter::new(me, LimiterSettings::default());
-                let part = zone_part(scenario, zone.0, zones);
+                let part = zone_limit(scenario, zone.0, zones);
                 for customer in 0..scenario.customers {
-                    limits.set_reserve(Moment(0), CustomerKey(customer), part.reserve);
+                    limits.set_guaranteed_rate(
+                        Moment(0),
+                        CustomerKey(customer),
+                        part.guaranteed_rate,
+                    );
                 }
                 limits
             });
@@ -138,9 +146,16 @@
                     Gate::Fair(Box::new(FairQueue::new(QueueSettings::default(), rate, rng)))
                 }
             };
-            nodes.push(Node { zone, table, members, policy: policy.clone(), gate, limits });
+            nodes.push(Node {
+                zone,
+                table,
+                upstreams: members,
+                policy: policy.clone(),
+                gate,
+                limits,
+            });
         }
-        let desks = (0..zones).map(|zone| desk(scenario, zone, zones)).collect();
+        let desks = (0..zones).map(|zone| allocator(scenario, zone, zones)).collect();
         let mut customer_weights = vec![1.0; scenario.customers as usize];
         customer_weights[0] = aggressor_factor;
         let excess = customer_weights.iter().sum::<f64>() / f64::from(scenario.customers);
@@ -157,7 +172,7 @@
             nodes,
             desks,
             requests: Vec::new(),
-            rate,
+            capacity: rate,
             rng: ChaCha8Rng::seed_from_u64(seed),
             measure: RunMeasure::new(warmup, scenario.customers as usize),
         }
@@ -203,7 +218,7 @@
             Event::Reported { engine, running, queued, measured_at } => {
                 let load = LoadMeasurement { running, queued, version: None, measured_at };
                 for node in &mut self.nodes {
-                    node.table.report(self.now, UpstreamKey(engine as u32), load);
+                    node.table.record_load(self.now, UpstreamKey(engine as u32), load);
                 }
             }
             Event::GateTick { node } => {
@@ -215,7 +230,7 @@
             }
             Event::Refresh => {
                 for node in &mut self.nodes {
-                    node.table.refresh();
+                    node.table.refresh_max_speed();
                 }
                 self.plan(Span::from_secs(1), Event::Refresh);
             }
@@ -240,7 +255,7 @@
         let node = self.rng.random_range(0..self.nodes.len());
         let (request, arrived_at) = (self.requests.len(), self.now);
         let customer = customer as u32;
-        self.requests.push(Request { customer, node, tokens, arrived_at, work: None });
+        self.requests.push(Request { customer, node, tokens, arrived_at, request: None });
         self.measure.offered(arrived_at, customer);
         let deadline = self.deadline(request);
         if !self.admit(node, customer) {
@@ -274,9 +289,9 @@
         let Some(limits) = limits else { return true };
         let (customer, tokens) = (CustomerKey(customer), self.scenario.mean_tokens);
         let answer = limits.admit(self.now, customer, tokens);
-        for ask in limits.asks(self.now) {
-            if let Some(grant) = self.desks[zone.0 as usize].ask(self.now, ask) {
-                limits.granted(self.now, grant);
+        for ask in limits.due_requests(self.now) {
+            if let Some(grant) = self.desks[zone.0 as usize].grant(self.now, ask) {
+                limits.apply_grant(self.now, grant);
             }
         }
         answer == LimitDecision::Admitted
@@ -305,7 +320,7 @@
             let Gate::FirstCome { waiting, in_service } = &mut self.nodes[node].gate else {
                 return;
             };
-            if *in_service >= u64::from(self.rate.max_in_service) {
+            if *in_service >= u64::from(self.capacity.max_in_service_tokens) {
                 return;
             }
             let Some(request) = waiting.pop_front() else { return };
@@ -325,12 +340,12 @@
         let pick =
             PickRequest { tokens, prompt_tokens: 0, prefix: None, min_version: None, avoid: &[] };
         let node = &mut self.nodes[self.requests[request].node];
-        let Node { table, members, policy, .. } = node;
+        let Node { table, upstreams: members, policy, .. } = node;
         let Some(choice) = policy.pick(self.now, table, members, &pick, &mut self.rng) else {
             self.refused(request);
             return;
         };
-        self.requests[request].work = Some(table.start(self.now, choice.upstream, tokens));
+        self.requests[request].request = Some(table.start(self.now, choice.upstream, tokens));
         let engine = choice.upstream.0 as usize;
         self.engines[engine].push(self.now, request, self.requests[request].tokens);
         self.plan_done(engine);
@@ -355,12 +370,12 @@
 
     fn completed(&mut self, engine: usize, request: usize) {
         let deadline = self.deadline(request);
-        let Request { customer, node, tokens, arrived_at, work } = self.requests[request];
+        let Request { customer, node, tokens, arrived_at, request: work } = self.requests[request];
         let end = RequestOutcome::Completed { tokens };
         let work = work.expect("a request on an engine was started");
         let Node { zone, table, gate, .. } = &mut self.nodes[node];
         table.finish(self.now, work, end);
-        let distance = table.distance(self.engines[engine].zone);
+        let distance = table.zone_latency(self.engines[engine].zone);
         let network =
             if *zone == self.engines[engine].zone { Span::ZERO } else { distance + distance };
         let ended_at = self.now + network;
@@ -380,13 +395,13 @@
     }
 }
 
-fn desk(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitAllocator {
+fn allocator(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitAllocator {
     let vms = vms_of(scenario, zone, zones);
     let me = Incarnation(u64::from(zone));
     let mut desk = LimitAllocator::new(me, AllocatorSettings::new(vms), Moment(0), vms);
-    let part = zone_part(scenario, zone, zones);
+    let part = zone_limit(scenario, zone, zones);
     for customer in 0..scenario.customers {
-        desk.set_part(CustomerKey(customer), part);
+        desk.set_zone_limit(CustomerKey(customer), part);
     }
     desk
 }
@@ -395,9 +410,9 @@
     (0..scenario.nodes).filter(|node| node % zones == zone).count() as u32
 }
 
-fn zone_part(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZoneLimit {
+fn zone_limit(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZoneLimit {
     let vms = vms_of(scenario, zone, zones);
     let share = scenario.capacity() / u64::from(scenario.customers);
     let rate = (share * u64::from(vms) / u64::from(scenario.nodes)) as u32;
-    ZoneLimit::with_reserve(rate, vms)
+    ZoneLimit::with_guaranteed_rate(rate, vms)
 }
--- a/crates/fleet/src/civil.rs
+++ b/crates/fleet/src/civil.rs
@@ -62,7 +62,7 @@
     /// Returns a clock that keeps the offset of `at` for ever. It is a baseline that ignores clock
     /// changes.
     #[must_use]
-    pub fn frozen_at(&self, at: WallTime) -> Self {
+    pub fn with_fixed_offset(&self, at: WallTime) -> Self {
         let offset = self.zone.to_offset(timestamp(at));
         Self { name: format!("{} frozen at {offset}", self.name), zone: TimeZone::fixed(offset) }
     }
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -29,7 +29,7 @@
         /// The zone.
         pub zone: ZoneKey,
         /// The kind.
-        pub kind: PriceClass,
+        pub price_class: PriceClass,
         /// Upstreams that always run.
         pub min: u32,
         /// Largest number of upstreams.
@@ -37,7 +37,7 @@
         /// Price of an upstream for an hour, in any unit.
         pub price: u32,
         /// Time from an order to the first request served.
-        pub start_up: Span,
+        pub startup: Span,
     }
 
     /// Upstreams wanted in one zone.
@@ -57,7 +57,7 @@
         /// The zone.
         pub zone: ZoneKey,
         /// The kind.
-        pub kind: PriceClass,
+        pub price_class: PriceClass,
         /// Upstreams that run or start, with those of unsettled orders, without leaving ones.
         pub count: u32,
     }
@@ -71,7 +71,7 @@
             /// The zone.
             zone: ZoneKey,
             /// The kind.
-            kind: PriceClass,
+            price_class: PriceClass,
             /// How many.
             count: u32,
         },
@@ -82,7 +82,7 @@
             /// The zone.
             zone: ZoneKey,
             /// The kind.
-            kind: PriceClass,
+            price_class: PriceClass,
             /// How many.
             count: u32,
         },
@@ -116,7 +116,7 @@
     /// Smallest share of the live need that regular upstreams cover.
     pub min_regular_share: f64,
     /// How long fewer upstreams must be wanted before any is stopped.
-    pub hold: Span,
+    pub stop_hold: Span,
     /// Pools from which upstreams can be ordered, at most one of each zone and kind.
     pub pools: Vec<PoolSettings>,
 }
@@ -135,13 +135,13 @@
             utilization: 0.75,
             utilization_after_loss: 0.9,
             min_regular_share: 0.4,
-            hold: Span::from_secs(900),
+            stop_hold: Span::from_secs(900),
             pools: pools.into_iter().collect(),
         }
     }
 
     fn pool(&self, zone: ZoneKey, kind: PriceClass) -> Bounds {
-        let pool = self.pools.iter().find(|pool| pool.zone == zone && pool.kind == kind);
+        let pool = self.pools.iter().find(|pool| pool.zone == zone && pool.price_class == kind);
         pool.map_or(Bounds::NONE, |pool| Bounds {
             min: pool.min.min(MAX_POOL),
             max: pool.max.min(MAX_POOL),
@@ -166,7 +166,7 @@
     zones: Vec<ZoneKey>,
     cheap_paused: BTreeMap<ZoneKey, Moment>,
     surplus: BTreeMap<CountKey, Surplus>,
-    wanted: BTreeMap<(String, ZoneKey), DesiredCounts>,
+    desired: BTreeMap<(String, ZoneKey), DesiredCounts>,
 }
 
 impl FleetPlanner {
@@ -180,7 +180,7 @@
     pub fn set_zones(&mut self, zones: impl IntoIterator<Item = ZoneKey>) {
         self.zones = zones.into_iter().collect();
         let zones = &self.zones;
-        self.wanted.retain(|(_, zone), _| zones.contains(zone));
+        self.desired.retain(|(_, zone), _| zones.contains(zone));
         self.surplus.retain(|(_, zone, _), _| zones.contains(zone));
     }
 
@@ -192,7 +192,7 @@
     /// Removes a service. Its upstreams are left to the caller.
     pub fn remove_service(&mut self, service: &str) {
         self.services.remove(service);
-        self.wanted.retain(|(name, _), _| name != service);
+        self.desired.retain(|(name, _), _| name != service);
         self.surplus.retain(|(name, _, _), _| name != service);
     }
 
@@ -201,19 +201,19 @@
     #[must_use]
     pub fn lookahead(&self, service: &str) -> Span {
         let Some(settings) = self.services.get(service) else { return Span::ZERO };
-        let start_up = settings.pools.iter().map(|pool| pool.start_up).max();
-        start_up.unwrap_or(Span::ZERO) + settings.hold
+        let start_up = settings.pools.iter().map(|pool| pool.startup).max();
+        start_up.unwrap_or(Span::ZERO) + settings.stop_hold
     }
 
     /// Notes that the platform reclaims the cheap upstreams of `zone`. The caller stops placing work
     /// on them, leaves them out of the counts and calls [`FleetPlanner::plan`] at once for replacements.
-    pub fn reclaimed(&mut self, now: Moment, zone: ZoneKey) {
+    pub fn record_reclaim(&mut self, now: Moment, zone: ZoneKey) {
         self.cheap_paused.insert(zone, now + CHEAP_PAUSE);
     }
 
     /// Notes that no cheap upstream could be had in `zone`.
-    pub fn cheap_refused(&mut self, now: Moment, zone: ZoneKey) {
-        self.reclaimed(now, zone);
+    pub fn record_cheap_refusal(&mut self, now: Moment, zone: ZoneKey) {
+        self.record_reclaim(now, zone);
     }
 
     /// Compares what is wanted with `counts` and returns the orders. Starts come at once; stops
@@ -227,9 +227,9 @@
         let mut actions = SmallVec::new();
         self.cheap_paused.retain(|_, until| *until > now);
         for settings in self.services.values() {
-            let wanted = self.wanted_of(settings, forecasts);
+            let wanted = self.desired_of(settings, forecasts);
             for (&zone, wanted) in self.zones.iter().zip(wanted) {
-                self.wanted.insert((settings.service.clone(), zone), wanted);
+                self.desired.insert((settings.service.clone(), zone), wanted);
                 for (kind, wanted) in
                     [(PriceClass::Regular, wanted.regular), (PriceClass::Cheap, wanted.cheap)]
                 {
@@ -240,7 +240,12 @@
                     }
                     if wanted > have {
                         let (service, count) = (key.0, wanted - have);
-                        actions.push(FleetAction::Start { service, zone, kind, count });
+                        actions.push(FleetAction::Start {
+                            service,
+                            zone,
+                            price_class: kind,
+                            count,
+                        });
                         continue;
                     }
                     if wanted == have {
@@ -249,13 +254,18 @@
                     let fresh = Surplus { since: now, wanted };
                     let surplus = self.surplus.entry(key.clone()).or_insert(fresh);
                     surplus.wanted = surplus.wanted.max(wanted);
-                    if now.since(surplus.since) < settings.hold {
+                    if now.since(surplus.since) < settings.stop_hold {
                         continue;
                     }
                     let count = have.saturating_sub(surplus.wanted);
                     self.surplus.remove(&key);
                     if count > 0 {
-                        actions.push(FleetAction::Stop { service: key.0, zone, kind, count });
+                        actions.push(FleetAction::Stop {
+                            service: key.0,
+                            zone,
+                            price_class: kind,
+                            count,
+                        });
                     }
                 }
             }
@@ -265,12 +275,12 @@
 
     /// Returns what the last [`FleetPlanner::plan`] wanted in a zone.
     #[must_use]
-    pub fn wanted(&self, service: &str, zone: ZoneKey) -> Option<DesiredCounts> {
-        self.wanted.get(&(String::from(service), zone)).copied()
+    pub fn desired(&self, service: &str, zone: ZoneKey) -> Option<DesiredCounts> {
+        self.desired.get(&(String::from(service), zone)).copied()
     }
 
     /// Returns the wanted numbers in the order of the zones.
-    fn wanted_of(
+    fn desired_of(
         &self,
         settings: &ServiceSettings,
         forecasts: &[ZoneForecast],
@@ -303,7 +313,8 @@
 
 fn count_of(counts: &[UpstreamCount], key: &CountKey) -> u32 {
     let (service, zone, kind) = key;
-    let matching =
-        counts.iter().filter(|c| c.service == *service && c.zone == *zone && c.kind == *kind);
+    let matching = counts
+        .iter()
+        .filter(|c| c.service == *service && c.zone == *zone && c.price_class == *kind);
     matching.map(|c| c.count).sum()
 }
--- a/crates/fleet/tests/demand.rs
+++ b/crates/fleet/tests/demand.rs
@@ -39,7 +39,7 @@
     let clock = CivilClock::named(zone).unwrap();
     let (before, after) = (at(before), at(after));
     let mut model = DemandModel::new(clock.clone());
-    let mut frozen = DemandModel::new(clock.frozen_at(before));
+    let mut frozen = DemandModel::new(clock.with_fixed_offset(before));
     learn(&mut model, before);
     learn(&mut frozen, before);
     let half = HOUR / 2;
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -13,11 +13,11 @@
 fn settings(cheap_price: u32, cheap_max: u32, regular_max: u32) -> ServiceSettings {
     let pool = |zone, kind, min, max, price| PoolSettings {
         zone,
-        kind,
+        price_class: kind,
         min,
         max,
         price,
-        start_up: Span::from_secs(180),
+        startup: Span::from_secs(180),
     };
     let pools = ZONES.into_iter().flat_map(|zone| {
         let cheap = pool(zone, PriceClass::Cheap, 0, cheap_max, cheap_price);
@@ -42,7 +42,7 @@
 
 /// A platform that carries out every order at once.
 struct Platform {
-    plan: FleetPlanner,
+    planner: FleetPlanner,
     counts: Vec<UpstreamCount>,
     orders: usize,
 }
@@ -51,23 +51,23 @@
     fn new(settings: ServiceSettings) -> Self {
         let mut plan = FleetPlanner::new(ZONES);
         plan.set_service(settings);
-        Self { plan, counts: Vec::new(), orders: 0 }
+        Self { planner: plan, counts: Vec::new(), orders: 0 }
     }
 
     fn step(&mut self, now: Moment, live: f64, samples: f64) {
-        for action in self.plan.plan(now, &forecasts(live, samples), &self.counts) {
+        for action in self.planner.plan(now, &forecasts(live, samples), &self.counts) {
             self.orders += 1;
             let (service, zone, kind, change) = match action {
-                FleetAction::Start { service, zone, kind, count } => {
+                FleetAction::Start { service, zone, price_class: kind, count } => {
                     (service, zone, kind, i64::from(count))
                 }
-                FleetAction::Stop { service, zone, kind, count } => {
+                FleetAction::Stop { service, zone, price_class: kind, count } => {
                     (service, zone, kind, -i64::from(count))
                 }
             };
-            let is_same = |c: &UpstreamCount| c.zone == zone && c.kind == kind;
+            let is_same = |c: &UpstreamCount| c.zone == zone && c.price_class == kind;
             let index = self.counts.iter().position(is_same).unwrap_or_else(|| {
-                self.counts.push(UpstreamCount { service, zone, kind, count: 0 });
+                self.counts.push(UpstreamCount { service, zone, price_class: kind, count: 0 });
                 self.counts.len() - 1
             });
             let count = &mut self.counts[index].count;
@@ -76,13 +76,13 @@
     }
 
     fn count(&self, kind: PriceClass, zone: Option<ZoneKey>) -> u32 {
-        let matching = self.counts.iter().filter(|c| c.kind == kind);
+        let matching = self.counts.iter().filter(|c| c.price_class == kind);
         matching.filter(|c| zone.is_none_or(|zone| c.zone == zone)).map(|c| c.count).sum()
     }
 
     fn lose_cheap(&mut self, now: Moment, zone: ZoneKey) {
-        self.counts.retain(|c| c.zone != zone || c.kind != PriceClass::Cheap);
-        self.plan.reclaimed(now, zone);
+        self.counts.retain(|c| c.zone != zone || c.price_class != PriceClass::Cheap);
+        self.planner.record_reclaim(now, zone);
     }
 }
 
@@ -140,7 +140,7 @@
 fn regular_upstreams_take_over_when_no_cheap_one_can_be_had() {
     let mut platform = Platform::new(settings(30, 500, 500));
     for zone in ZONES {
-        platform.plan.cheap_refused(at(0), zone);
+        platform.planner.record_cheap_refusal(at(0), zone);
     }
     platform.step(at(0), 300.0, 300.0);
     assert_eq!(platform.count(PriceClass::Cheap, None), 0);
@@ -151,10 +151,10 @@
 #[test]
 fn pause_of_cheap_upstreams_outlasts_a_change_of_the_document() {
     let mut platform = Platform::new(settings(30, 500, 500));
-    platform.plan.cheap_refused(at(0), ZONES[1]);
+    platform.planner.record_cheap_refusal(at(0), ZONES[1]);
     for secs in [0, 300, 599] {
-        platform.plan.set_zones(ZONES);
-        platform.plan.set_service(settings(30, 500, 500));
+        platform.planner.set_zones(ZONES);
+        platform.planner.set_service(settings(30, 500, 500));
         platform.step(at(secs), 300.0, 300.0);
         assert_eq!(platform.count(PriceClass::Cheap, Some(ZONES[1])), 0, "after {secs} s");
     }
--- a/crates/hibiscushinge/src/admin.rs
+++ b/crates/hibiscushinge/src/admin.rs
@@ -56,7 +56,10 @@
     }
 
     async fn get(&self, node: SocketAddr, path: &str) -> Result<HttpResponse, CallError> {
-        self.http.exchange(HttpRequest::get(node, path), TIMEOUT, MAX_ANSWER).await?.success()
+        self.http
+            .exchange(HttpRequest::get(node, path), TIMEOUT, MAX_ANSWER)
+            .await?
+            .error_for_status()
     }
 }
 
--- a/crates/hibiscushinge/src/operator.rs
+++ b/crates/hibiscushinge/src/operator.rs
@@ -58,7 +58,7 @@
 
 /// Documents as the whole stream tells them.
 struct ReadHistory {
-    history: ConfigRegistry<DocumentCheckFn>,
+    registry: ConfigRegistry<DocumentCheckFn>,
     /// What became of the record that was asked for.
     outcome: Option<ConfigOutcome>,
 }
@@ -80,7 +80,7 @@
     /// Returns an error when the log does not answer or has lost the documents.
     pub async fn documents(&self) -> Result<Vec<VersionedDocument>, OperatorError> {
         let read = self.read(None).await?;
-        Ok(read.history.documents().into_iter().cloned().collect())
+        Ok(read.registry.documents().into_iter().cloned().collect())
     }
 
     /// Replaces the document of an environment, building on the version `base`.
@@ -152,15 +152,15 @@
 
     async fn read(&self, wanted: Option<RecordId>) -> Result<ReadHistory, OperatorError> {
         let check = check_document as DocumentCheckFn;
-        let mut read = ReadHistory { history: ConfigRegistry::new(check), outcome: None };
+        let mut read = ReadHistory { registry: ConfigRegistry::new(check), outcome: None };
         let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
         loop {
             let page = self.platform.read(CONFIG_STREAM, follower.next_offset(), PAGE).await?;
             let is_last = page.records.len() < PAGE as usize;
-            read.history.note_retention(page.first);
+            read.registry.note_retention(page.first);
             for action in follower.handle(decode(page)) {
                 let ReaderAction::Deliver { offset, id, record } = action else { continue };
-                let outcome = read.history.apply(offset, &record);
+                let outcome = read.registry.apply(offset, &record);
                 if wanted == Some(id) {
                     read.outcome = Some(outcome);
                 }
@@ -168,7 +168,7 @@
             if !is_last {
                 continue;
             }
-            if read.history.next_offset().is_none() {
+            if read.registry.next_offset().is_none() {
                 return Err(OperatorError::HistoryLost);
             }
             return Ok(read);
