--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -119,12 +119,12 @@
 
 async fn gauge_loop(control: Rc<Control>) {
     loop {
-        let queued_tokens = control.shared.desk().queued_tokens();
-        control.shared.metrics.load(control.shared.in_flight(), queued_tokens);
+        let queued_tokens = control.shared.scheduler().queued_tokens();
+        control.shared.metrics.gauge_load(control.shared.in_flight(), queued_tokens);
         {
             let (now, state) = (control.now(), control.state());
             let buffered = state.writer.buffered_records();
-            control.shared.metrics.log(state.log.silence(now), buffered);
+            control.shared.metrics.gauge_log(state.log.silence(now), buffered);
         }
         actix_rt::time::sleep(GAUGE_PERIOD).await;
     }
@@ -133,8 +133,10 @@
 async fn receive(control: Rc<Control>, mut input: mpsc::Receiver<ControlMessage>) {
     while let Some(message) = input.recv().await {
         match message {
-            ControlMessage::Metered(figures) => control.metered(&figures),
-            ControlMessage::Claim { ask, reply } => control.claim_asked(ask, reply),
+            ControlMessage::UsageMetered(figures) => control.record_usage(&figures),
+            ControlMessage::Claim { request: ask, reply } => {
+                control.handle_claim_request(ask, reply)
+            }
             ControlMessage::ClaimEnded { request, outcome } => {
                 control.claim_ended(request, outcome);
             }
@@ -147,8 +149,8 @@
             }
             ControlMessage::Suspicion(actions) => control.spread(actions),
             ControlMessage::Decision(line) => control.state().trace.record(line),
-            ControlMessage::Trainer { ask, reply } => {
-                actix_rt::spawn(Rc::clone(&control).trainer_asked(ask, reply));
+            ControlMessage::Trainer { request: ask, reply } => {
+                actix_rt::spawn(Rc::clone(&control).handle_trainer_request(ask, reply));
             }
             ControlMessage::Drain(done) => {
                 let control = Rc::clone(&control);
@@ -216,7 +218,7 @@
         record: &T,
     ) -> Result<RecordId, BufferFull> {
         let id = self.state().writer.next_id(stream);
-        self.append_as(stream, id, record)?;
+        self.append_with_id(stream, id, record)?;
         Ok(id)
     }
 
@@ -225,14 +227,14 @@
     /// # Errors
     ///
     /// Returns [`BufferFull`] like [`Control::append`].
-    pub(crate) fn append_as<T: StreamRecord>(
+    pub(crate) fn append_with_id<T: StreamRecord>(
         self: &Rc<Self>,
         stream: &str,
         id: RecordId,
         record: &T,
     ) -> Result<(), BufferFull> {
         let data = encode_record(id, record);
-        let result = self.state().writer.append_as(stream, id, data);
+        let result = self.state().writer.append_with_id(stream, id, data);
         if let Err(full) = &result {
             log_event!(warn, LogBufferFull, stream, records = full.records, bytes = full.bytes);
         }
@@ -248,7 +250,7 @@
     fn tick(self: &Rc<Self>) {
         let now = self.now();
         self.pump_writer();
-        let actions = self.shared.desk().tick(now, wall_now());
+        let actions = self.shared.scheduler().tick(now, wall_now());
         self.spread(actions);
         self.tick_config(now);
         self.tick_scopes(now);
@@ -271,7 +273,7 @@
             batch_bytes: bounds.batch_bytes as usize,
             buffer_records: bounds.log_records as usize,
             buffer_bytes: bounds.log_bytes as usize,
-            answer_timeout: settings.timeouts.log + base::Span::from_millis(500),
+            ack_timeout: settings.timeouts.log + base::Span::from_millis(500),
             ..WriterSettings::default()
         };
         Self {
--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -31,17 +31,17 @@
             let held = state.scopes.iter().map(|driver| {
                 json!({
                     "scope": driver.scope.to_string(),
-                    "held": driver.keeper.held(now).map(|fencing| fencing.0),
-                    "in_force": driver.keeper.claim_in_force().map(|fencing| fencing.0),
-                    "open_orders": driver.desk.open_orders(),
+                    "held": driver.lease_manager.held_token(now).map(|fencing| fencing.0),
+                    "in_force": driver.lease_manager.claim_in_force().map(|fencing| fencing.0),
+                    "open_orders": driver.order_manager.open_orders(),
                 })
             });
             held.collect::<Vec<_>>()
         };
         let (suspects, convicted, queued_tokens) = {
-            let desk = self.shared.desk();
+            let desk = self.shared.scheduler();
             let table = desk.suspects();
-            (table.notes().count(), table.verdicts().count(), desk.queued_tokens())
+            (table.suspicions().count(), table.convictions().count(), desk.queued_tokens())
         };
         let samples = self.state().samples.status();
         let state = self.state();
@@ -53,7 +53,7 @@
             };
             json!({ "vm": record.vm.name, "zone": record.vm.zone, "state": state })
         });
-        let upstreams = state.peers.board.iter(now).map(|(name, view)| {
+        let upstreams = state.peers.load_table.iter(now).map(|(name, view)| {
             json!({
                 "upstream": name,
                 "phase": format!("{:?}", view.report.phase),
@@ -109,11 +109,11 @@
             json!({
                 "window": window.0,
                 "reported": closed.reported,
-                "figures": figures(&closed.figures),
+                "figures": figures(&closed.usage),
             })
         });
         json!({
-            "open": figures(state.usage.ledger.open_figures()),
+            "open": figures(state.usage.ledger.open_usage()),
             "windows": windows.collect::<Vec<_>>(),
             "pending_batches": state.usage.pending.len(),
             "held_batches": state.usage.replicas.len(),
@@ -122,7 +122,7 @@
 
     /// Finishes all requests, hands over usage and leases, and returns when the daemon may exit.
     pub(crate) async fn drain(self: &Rc<Self>) {
-        self.shared.enter(NodePhase::Draining);
+        self.shared.advance_to(NodePhase::Draining);
         log_event!(ProcessDraining, in_flight = self.shared.in_flight());
         let deadline = self.now() + self.shared.settings.timeouts.drain;
         actix_rt::time::sleep(BALANCER_NOTICE).await;
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -26,8 +26,8 @@
 /// One scope on this node.
 pub(crate) struct ScopeDriver {
     pub(crate) scope: LeaseScope,
-    pub(crate) keeper: LeaseManager,
-    pub(crate) desk: OrderManager,
+    pub(crate) lease_manager: LeaseManager,
+    pub(crate) order_manager: OrderManager,
     was_held: Option<FencingToken>,
 }
 
@@ -69,15 +69,15 @@
         };
         let incarnation = shared.incarnation;
         let mut keeper =
-            LeaseManager::new(settings, scope.clone(), incarnation, LeaseRole::Standing);
+            LeaseManager::new(settings, scope.clone(), incarnation, LeaseRole::Candidate);
         keeper.set_claim_delay(claim_delay(incarnation, &scope));
         let desk_settings = OrderSettings {
             order_timeout: lease.order_timeout,
-            ask_retry: Span::from_secs(1),
-            receiver: fencing_support(shared.settings.platform_fencing),
+            query_retry_delay: Span::from_secs(1),
+            fencing_support: fencing_support(shared.settings.platform_fencing),
         };
         let desk = OrderManager::new(desk_settings, scope.clone(), incarnation);
-        Self { scope, keeper, desk, was_held: None }
+        Self { scope, lease_manager: keeper, order_manager: desk, was_held: None }
     }
 }
 
@@ -133,7 +133,7 @@
     ) -> Option<FencingToken> {
         let state = self.state();
         let found = state.scopes.iter().find(|driver| driver.scope == *scope);
-        found.and_then(|driver| driver.keeper.permit(now, receiver).ok())
+        found.and_then(|driver| driver.lease_manager.permit(now, receiver).ok())
     }
 
     fn on_authority(self: &Rc<Self>, scope: &LeaseScope, event: StreamEvent<AuthorityRecord>) {
@@ -149,7 +149,7 @@
     pub(crate) fn lease_reading_from(self: &Rc<Self>, scope: &LeaseScope, offset: LogOffset) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            (driver.keeper.reading_from(now, offset).into_vec(), Vec::new())
+            (driver.lease_manager.restart_from(now, offset).into_vec(), Vec::new())
         });
     }
 
@@ -161,8 +161,9 @@
     ) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            let lease_actions = driver.keeper.read(now, offset, record).into_vec();
-            let desk_actions = driver.desk.read(now, &driver.keeper, record).into_vec();
+            let lease_actions = driver.lease_manager.read(now, offset, record).into_vec();
+            let desk_actions =
+                driver.order_manager.read(now, &driver.lease_manager, record).into_vec();
             (lease_actions, desk_actions)
         });
     }
@@ -170,8 +171,8 @@
     pub(crate) fn tick_scopes(self: &Rc<Self>, now: Moment) {
         for scope in self.scope_names() {
             self.with_scope(&scope, |driver| {
-                let lease_actions = driver.keeper.tick(now).into_vec();
-                let desk_actions = driver.desk.tick(now, &driver.keeper).into_vec();
+                let lease_actions = driver.lease_manager.tick(now).into_vec();
+                let desk_actions = driver.order_manager.tick(now, &driver.lease_manager).into_vec();
                 (lease_actions, desk_actions)
             });
         }
@@ -185,7 +186,9 @@
     /// Gives up all leases, as a planned stop requires.
     pub(crate) fn resign(self: &Rc<Self>) {
         for scope in self.scope_names() {
-            self.with_scope(&scope, |driver| (driver.keeper.resign().into_vec(), Vec::new()));
+            self.with_scope(&scope, |driver| {
+                (driver.lease_manager.resign().into_vec(), Vec::new())
+            });
         }
     }
 
@@ -230,7 +233,7 @@
         if self.append_authority(scope, record).is_err() {
             let mut state = self.state();
             if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
-                driver.keeper.append_refused();
+                driver.lease_manager.append_refused();
             }
         }
     }
--- a/crates/hibiscushinged/src/control/claims.rs
+++ b/crates/hibiscushinged/src/control/claims.rs
@@ -47,14 +47,14 @@
 }
 
 impl Control {
-    pub(crate) fn claim_asked(
+    pub(crate) fn handle_claim_request(
         self: &Rc<Self>,
         ask: ClaimRequest,
         reply: oneshot::Sender<ClaimDecision>,
     ) {
         let ClaimRequest { claim, fingerprint, request, deadline } = ask;
         self.state().claims.waiting.insert(request, reply);
-        self.claim_event(ClaimEvent::Asked { claim, fingerprint, request, deadline });
+        self.claim_event(ClaimEvent::Requested { claim, fingerprint, request, deadline });
     }
 
     pub(crate) fn claim_ended(self: &Rc<Self>, request: RequestId, outcome: ClaimOutcome) {
@@ -73,7 +73,7 @@
             changed.then_some(reach)
         };
         if let Some(reach) = changed {
-            self.claim_event(ClaimEvent::LogChanged(reach));
+            self.claim_event(ClaimEvent::LogAvailabilityChanged(reach));
         }
         self.claim_event(ClaimEvent::Tick);
         self.drop_abandoned_claims();
@@ -89,7 +89,7 @@
         };
         for request in gone {
             self.state().claims.waiting.remove(&request);
-            self.claim_event(ClaimEvent::CallerGone(request));
+            self.claim_event(ClaimEvent::CallerDisconnected(request));
         }
     }
 
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -21,17 +21,17 @@
 };
 
 /// Time between snapshots of the documents. It must stay well below the log's retention.
-const CARRY_PERIOD: Span = Span::from_secs(600);
-const CARRY_RETRY: Span = Span::from_secs(30);
+const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
 type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
 
 /// Configuration of this node.
 pub(crate) struct ConfigDriver {
-    pub(crate) history: ConfigRegistry<DocumentCheckFn>,
+    pub(crate) registry: ConfigRegistry<DocumentCheckFn>,
     pub(crate) document: Option<EnvironmentDocument>,
     pub(crate) zones: Arena<ZoneKey, String>,
-    carry: SnapshotSchedule,
+    snapshot_schedule: SnapshotSchedule,
     isolation: IsolationTracker,
     environment: EnvironmentName,
     applied: ConfigVersion,
@@ -64,10 +64,10 @@
 impl ConfigDriver {
     pub(crate) fn new(settings: &DaemonSettings, now: Moment) -> Self {
         Self {
-            history: ConfigRegistry::new(check_document as DocumentCheckFn),
+            registry: ConfigRegistry::new(check_document as DocumentCheckFn),
             document: None,
             zones: Arena::new(),
-            carry: SnapshotSchedule::new(CARRY_PERIOD, CARRY_RETRY),
+            snapshot_schedule: SnapshotSchedule::new(SNAPSHOT_PERIOD, SNAPSHOT_RETRY),
             isolation: IsolationTracker::new(IsolationPolicy::default(), now),
             environment: EnvironmentName(settings.environment.clone()),
             applied: ConfigVersion::default(),
@@ -79,8 +79,8 @@
         self.isolation.note_contact(now);
     }
 
-    pub(crate) fn note_relayed(&mut self, now: Moment, age: Span) {
-        self.isolation.note_relayed(now, age);
+    pub(crate) fn note_peer_contact(&mut self, now: Moment, age: Span) {
+        self.isolation.note_peer_contact(now, age);
     }
 
     pub(crate) fn contact_age(&self, now: Moment) -> Span {
@@ -89,21 +89,21 @@
 
     /// Version in force on this node.
     pub(crate) fn version(&self) -> ConfigVersion {
-        self.history.version(&self.environment)
+        self.registry.version(&self.environment)
     }
 
     pub(crate) fn is_possibly_stale(&self) -> bool {
-        let state = self.history.in_force(&self.environment);
-        state.is_some_and(|state| state.currency == Freshness::PossiblyStale)
+        let state = self.registry.in_force(&self.environment);
+        state.is_some_and(|state| state.freshness == Freshness::PossiblyStale)
     }
 
     pub(crate) fn is_refusing_keys(&self, now: Moment) -> bool {
-        self.isolation.service(now) == IsolationStatus::Refusing
+        self.isolation.status(now) == IsolationStatus::Refusing
     }
 
     /// Documents in force, for a peer.
     pub(crate) fn in_force(&self) -> ConfigSnapshot {
-        let documents = self.history.documents().into_iter().cloned().collect();
+        let documents = self.registry.documents().into_iter().cloned().collect();
         ConfigSnapshot { next: LogOffset(0), documents }
     }
 
@@ -120,14 +120,14 @@
         match event {
             StreamEvent::ReadingFrom(offset) => {
                 let mut state = self.state();
-                state.config.history.note_retention(offset);
-                state.config.carry.note_retention(offset);
+                state.config.registry.note_retention(offset);
+                state.config.snapshot_schedule.note_retention(offset);
                 return next;
             }
             StreamEvent::Retained(offset) => {
                 let mut state = self.state();
-                state.config.history.note_retention(offset);
-                state.config.carry.note_retention(offset);
+                state.config.registry.note_retention(offset);
+                state.config.snapshot_schedule.note_retention(offset);
                 let read_again = state.config.read_again.take();
                 return read_again.map_or(next, NextRead::From);
             }
@@ -135,11 +135,11 @@
                 let read_at = (!catching_up).then_some(now);
                 let mut state = self.state();
                 let config = &mut state.config;
-                if matches!(record, ConfigRecord::Carry(_)) {
-                    config.carry.note_carry(offset, read_at);
+                if matches!(record, ConfigRecord::Snapshot(_)) {
+                    config.snapshot_schedule.note_snapshot(offset, read_at);
                 }
-                match config.history.apply(offset, &record) {
-                    ConfigOutcome::Accepted { .. } => config.carry.note_change(read_at),
+                match config.registry.apply(offset, &record) {
+                    ConfigOutcome::Accepted { .. } => config.snapshot_schedule.note_change(read_at),
                     ConfigOutcome::Conflict(report) => {
                         log_event!(
                             ConfigConflict,
@@ -170,13 +170,13 @@
             // The reader may have passed records that the peer's state does not contain.
             if let Some(snapshot) = snapshot
                 && let ConfigOutcome::Restored(offset) =
-                    state.config.history.adopt_snapshot(snapshot)
+                    state.config.registry.adopt_snapshot(snapshot)
             {
                 state.config.read_again = Some(offset);
             }
             for document in &in_force.documents {
-                let outcome = state.config.history.adopt_peer(document);
-                if let PeerOutcome::Raised(version) = outcome {
+                let outcome = state.config.registry.adopt_peer_document(document);
+                if let PeerOutcome::Adopted(version) = outcome {
                     log_event!(
                         ConfigPossiblyOld,
                         environment = document.environment.0,
@@ -192,7 +192,7 @@
     fn apply_config(self: &Rc<Self>, now: Moment) {
         let mut state = self.state();
         let config = &mut state.config;
-        let Some(found) = config.history.in_force(&config.environment) else { return };
+        let Some(found) = config.registry.in_force(&config.environment) else { return };
         let version = found.document.version;
         if version <= config.applied {
             return;
@@ -202,7 +202,7 @@
             .expect("an accepted document is valid");
         config.applied = version;
         config.isolation.set_policy(match document.keys_when_isolated {
-            IsolatedKeyPolicy::Serve(limit) => IsolationPolicy::ServeFor(limit),
+            IsolatedKeyPolicy::ServeFor(limit) => IsolationPolicy::ServeFor(limit),
             IsolatedKeyPolicy::Refuse => IsolationPolicy::Refuse,
         });
         for zone in &document.zones {
@@ -217,7 +217,7 @@
         let mut view = RoutingView::clone(&self.shared.view.load());
         view.apply(version, &document);
         {
-            let mut desk = self.shared.desk();
+            let mut desk = self.shared.scheduler();
             desk.set_zones(own_zone, distances);
             for customer in &document.customers {
                 let key = view.customer_key(Some(&customer.name));
@@ -225,7 +225,7 @@
             }
         }
         self.shared.view.store(view.into());
-        self.shared.enter(NodePhase::Serving);
+        self.shared.advance_to(NodePhase::Serving);
         log_event!(ConfigApplied, version = version.0, customers = document.customers.len());
         self.apply_static_upstreams(&document);
         self.apply_limits(now, &document);
@@ -233,37 +233,37 @@
     }
 
     pub(crate) fn tick_config(self: &Rc<Self>, now: Moment) {
-        self.apply_key_service(now);
+        self.apply_key_acceptance(now);
         if !self.holds(&authority::LeaseScope::Fleet, now) {
             return;
         }
         let carry = {
             let mut state = self.state();
             let config = &mut state.config;
-            if !config.carry.poll(now) {
+            if !config.snapshot_schedule.poll(now) {
                 return;
             }
-            let rebuilt = config.history.rebuilt_snapshot();
-            rebuilt.or_else(|| config.history.snapshot().cloned())
+            let rebuilt = config.registry.rebuilt_snapshot();
+            rebuilt.or_else(|| config.registry.snapshot().cloned())
         };
         if let Some(snapshot) = carry {
-            let record = ConfigRecord::Carry(configuration::ConfigSnapshotRecord { snapshot });
+            let record = ConfigRecord::Snapshot(configuration::ConfigSnapshotRecord { snapshot });
             // A full buffer is reported by `append`; the schedule tries again.
             let _ = self.append(CONFIG_STREAM, &record);
         }
     }
 
-    fn apply_key_service(&self, now: Moment) {
+    fn apply_key_acceptance(&self, now: Moment) {
         let service = match self.state().config.is_refusing_keys(now) {
             true => KeyAcceptance::Refusing,
             false => KeyAcceptance::Accepting,
         };
         let view = self.shared.view.load();
-        if view.key_service == service {
+        if view.key_acceptance == service {
             return;
         }
         let mut changed = RoutingView::clone(&view);
-        changed.key_service = service;
+        changed.key_acceptance = service;
         self.shared.view.store(changed.into());
     }
 }
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -48,9 +48,9 @@
 /// Fleet state of this node.
 pub(crate) struct FleetDriver {
     pub(crate) demand: DemandDriver,
-    plan: FleetPlanner,
+    planner: FleetPlanner,
     services: Vec<String>,
-    wanted: BTreeMap<String, DesiredCounts>,
+    desired: BTreeMap<String, DesiredCounts>,
     /// Lease of the own zone under which this node plans, and since when.
     tenure: Option<(FencingToken, Moment)>,
     /// When an order of the own zone was last settled. Older lists may lack its effect.
@@ -70,9 +70,9 @@
     pub(crate) fn new(now: Moment) -> Self {
         Self {
             demand: DemandDriver::new(),
-            plan: FleetPlanner::default(),
+            planner: FleetPlanner::default(),
             services: Vec::new(),
-            wanted: BTreeMap::new(),
+            desired: BTreeMap::new(),
             tenure: None,
             settled_at: now,
             orders: BTreeMap::new(),
@@ -106,15 +106,15 @@
         let settings = service_settings(document, |zone| config.zone_key(zone));
         let zones = document.zones.iter().map(|zone| config.zone_key(&zone.name));
         // The plan is kept, since its pauses and hold times must outlast a change of the document.
-        fleet.plan.set_zones(zones.collect::<Vec<_>>());
+        fleet.planner.set_zones(zones.collect::<Vec<_>>());
         let services = settings.iter().map(|one| one.service.clone()).collect();
         for service in std::mem::replace(&mut fleet.services, services) {
             if !fleet.services.contains(&service) {
-                fleet.plan.remove_service(&service);
+                fleet.planner.remove_service(&service);
             }
         }
         for settings in settings {
-            fleet.plan.set_service(settings);
+            fleet.planner.set_service(settings);
         }
     }
 
@@ -125,7 +125,7 @@
         let state = &mut *state;
         let zone = state.config.zone_key(&notice.zone);
         if state.fleet.reclaims.insert((notice.zone.clone(), notice.at)) {
-            state.fleet.plan.reclaimed(now, zone);
+            state.fleet.planner.record_reclaim(now, zone);
         }
     }
 
@@ -140,7 +140,7 @@
         let Some(target) = target.filter(|_| outcome.state == OrderState::Refused) else { return };
         if matches!(target, OrderTarget::Start { is_cheap: true, .. }) {
             let zone = state.config.zone_key(&self.shared.settings.zone);
-            fleet.plan.cheap_refused(now, zone);
+            fleet.planner.record_cheap_refusal(now, zone);
         }
         fleet.paused.insert(target, now + REFUSED_PAUSE);
     }
@@ -155,7 +155,7 @@
             let mut state = self.state();
             let state = &mut *state;
             let found = state.scopes.iter().find(|driver| driver.scope == scope);
-            let is_settled = found.is_some_and(|driver| driver.desk.open_orders() == 0);
+            let is_settled = found.is_some_and(|driver| driver.order_manager.open_orders() == 0);
             if !state.fleet.is_list_current(now, fencing, listed_at) || !is_settled {
                 return;
             }
@@ -165,17 +165,17 @@
             document
         };
         let actions = self.plan_actions(now, &document, listed);
-        self.note_wanted();
+        self.log_desired();
         for action in actions {
             match action {
-                FleetAction::Start { service, kind, count, .. } => {
+                FleetAction::Start { service, price_class: kind, count, .. } => {
                     let price = price_class(kind);
                     let is_cheap = price == PriceClass::Cheap;
                     let target = OrderTarget::Start { service: service.clone(), is_cheap };
                     let kind = OrderKind::Start { count, price };
                     self.give_order(&scope, target, OrderRequest { service, kind });
                 }
-                FleetAction::Stop { service, kind, count, .. } => {
+                FleetAction::Stop { service, price_class: kind, count, .. } => {
                     self.begin_stops(now, &document, listed, (&service, kind), count);
                 }
             }
@@ -195,7 +195,7 @@
         let (config, fleet) = (&mut state.config, &mut state.fleet);
         let mut forecasts = Vec::new();
         for service in &fleet.services {
-            let ahead = fleet.plan.lookahead(service);
+            let ahead = fleet.planner.lookahead(service);
             for zone in &document.zones {
                 let live = fleet.demand.peak(ahead, &live_key(service, &zone.name));
                 let zone = config.zone_key(&zone.name);
@@ -203,11 +203,11 @@
             }
         }
         let own_key = config.zone_key(own_zone);
-        let board = &state.peers.board;
+        let board = &state.peers.load_table;
         let is_leaving =
             |name: &str| board.view(now, name).is_some_and(|found| found.report.phase.is_leaving());
         let counts = counts(document, own_zone, own_key, listed, is_leaving);
-        let actions = fleet.plan.plan(now, &forecasts, &counts);
+        let actions = fleet.planner.plan(now, &forecasts, &counts);
         let own = actions.into_iter().filter(|action| match action {
             FleetAction::Start { zone, .. } | FleetAction::Stop { zone, .. } => *zone == own_key,
         });
@@ -215,15 +215,15 @@
     }
 
     /// Logs what is wanted in the own zone where it has changed.
-    fn note_wanted(&self) {
+    fn log_desired(&self) {
         let own_zone = &self.shared.settings.zone;
         let mut state = self.state();
         let state = &mut *state;
         let zone = state.config.zone_key(own_zone);
         let fleet = &mut state.fleet;
         for service in &fleet.services {
-            let Some(wanted) = fleet.plan.wanted(service, zone) else { continue };
-            if fleet.wanted.insert(service.clone(), wanted) == Some(wanted) {
+            let Some(wanted) = fleet.planner.desired(service, zone) else { continue };
+            if fleet.desired.insert(service.clone(), wanted) == Some(wanted) {
                 continue;
             }
             let DesiredCounts { regular, cheap } = wanted;
@@ -249,7 +249,8 @@
             if info.service != service || info.cheap != (kind == fleet::PriceClass::Cheap) {
                 continue;
             }
-            let report = self.state().peers.board.view(now, &info.name).map(|found| found.report);
+            let report =
+                self.state().peers.load_table.view(now, &info.name).map(|found| found.report);
             if report.is_some_and(|report| report.phase.is_leaving()) {
                 continue;
             }
@@ -275,7 +276,7 @@
         let mut leaving = BTreeMap::new();
         for info in ordered(document, &self.shared.settings.zone, listed) {
             let mut state = self.state();
-            let found = state.peers.board.view(now, &info.name);
+            let found = state.peers.load_table.view(now, &info.name);
             if found.is_some_and(|found| found.report.phase == phase) {
                 let since = *state.fleet.draining.entry(info.name.clone()).or_insert(now);
                 leaving.insert(info.name.clone(), (since, info.service.clone()));
@@ -302,7 +303,8 @@
     ) -> bool {
         let quiet_from = since + LEAVING_NOTICE;
         let key = self.shared.view.load().upstream_key(upstream);
-        if now < quiet_from || key.is_some_and(|key| self.shared.desk().own_requests(key) > 0) {
+        if now < quiet_from || key.is_some_and(|key| self.shared.scheduler().own_requests(key) > 0)
+        {
             return false;
         }
         if document.service(service).is_none_or(|service| service.kind == ServiceKind::Plain) {
@@ -311,7 +313,7 @@
             let longest = routes.map(|route| route.max_deadline).max().unwrap_or(Span::ZERO);
             return now >= quiet_from + longest;
         }
-        let found = self.state().peers.board.view(now, upstream);
+        let found = self.state().peers.load_table.view(now, upstream);
         found.is_some_and(|found| {
             let work = found.report.running + found.report.queued;
             work == 0 && now - found.age >= quiet_from
@@ -324,14 +326,16 @@
         }
         let now = self.now();
         let mut given = None;
-        self.with_scope(scope, |driver| match driver.desk.order(now, &driver.keeper, request) {
-            Ok((id, action)) => {
-                given = Some(id);
-                (Vec::new(), vec![action])
-            }
-            Err(refusal) => {
-                tracing::debug!(%refusal, scope = %driver.scope, "an order is put off");
-                (Vec::new(), Vec::new())
+        self.with_scope(scope, |driver| {
+            match driver.order_manager.submit(now, &driver.lease_manager, request) {
+                Ok((id, action)) => {
+                    given = Some(id);
+                    (Vec::new(), vec![action])
+                }
+                Err(refusal) => {
+                    tracing::debug!(%refusal, scope = %driver.scope, "an order is put off");
+                    (Vec::new(), Vec::new())
+                }
             }
         });
         if let Some(id) = given {
--- a/crates/hibiscushinged/src/control/fleet/demand.rs
+++ b/crates/hibiscushinged/src/control/fleet/demand.rs
@@ -22,13 +22,13 @@
 const OBSERVE_PERIOD: Span = Span::from_secs(5);
 
 /// Time between snapshots. It must stay well below the log's retention.
-const CARRY_PERIOD: Span = Span::from_secs(600);
-const CARRY_RETRY: Span = Span::from_secs(30);
+const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
 /// Demand as this node sees it.
 pub(crate) struct DemandDriver {
     model: Option<DemandModel>,
-    carry: SnapshotSchedule,
+    snapshot_schedule: SnapshotSchedule,
     observed_at: Option<Moment>,
     /// Requests that this node had started by the last observation, by plain service.
     started: BTreeMap<String, u64>,
@@ -45,7 +45,7 @@
     pub(crate) fn new() -> Self {
         Self {
             model: None,
-            carry: SnapshotSchedule::new(CARRY_PERIOD, CARRY_RETRY),
+            snapshot_schedule: SnapshotSchedule::new(SNAPSHOT_PERIOD, SNAPSHOT_RETRY),
             observed_at: None,
             started: BTreeMap::new(),
         }
@@ -77,10 +77,10 @@
         let demand = &mut state.fleet.demand;
         match event {
             StreamEvent::ReadingFrom(offset) | StreamEvent::Retained(offset) => {
-                demand.carry.note_retention(offset);
+                demand.snapshot_schedule.note_retention(offset);
             }
             StreamEvent::Record { offset, id, record, catching_up } => {
-                demand.carry.note_carry(offset, (!catching_up).then_some(now));
+                demand.snapshot_schedule.note_snapshot(offset, (!catching_up).then_some(now));
                 if id.writer == self.shared.incarnation {
                     return;
                 }
@@ -101,7 +101,7 @@
             let mut state = self.state();
             let demand = &mut state.fleet.demand;
             let Some(model) = &demand.model else { return };
-            if demand.carry.next_deadline().is_some_and(|due| due > now) {
+            if demand.snapshot_schedule.next_deadline().is_some_and(|due| due > now) {
                 return;
             }
             let snapshots = model.snapshots().into_iter().filter(DemandSnapshot::is_learned);
@@ -109,8 +109,8 @@
             if snapshots.is_empty() {
                 return;
             }
-            demand.carry.note_change(None);
-            if !demand.carry.poll(now) {
+            demand.snapshot_schedule.note_change(None);
+            if !demand.snapshot_schedule.poll(now) {
                 return;
             }
             snapshots
@@ -140,14 +140,14 @@
         }
         let view = self.shared.view.load();
         for (_, target) in view.upstreams.iter() {
-            let Some(found) = state.peers.board.view(now, &target.name) else { continue };
+            let Some(found) = state.peers.load_table.view(now, &target.name) else { continue };
             let key = live_key(&target.service, &target.zone_name);
             if let Some(sum) = seen.get_mut(&key) {
                 *sum += work_rate(&found.report);
             }
         }
         for service in document.services.iter().filter(|one| one.kind == ServiceKind::Plain) {
-            let count = self.shared.desk().started_requests(&service.name);
+            let count = self.shared.scheduler().started_requests(&service.name);
             let before = demand.started.insert(service.name.clone(), count);
             let (Some(before), Some(passed)) = (before, passed) else { continue };
             let own_rate = count.saturating_sub(before) as f64 / passed.as_secs_f64().max(1e-3);
--- a/crates/hibiscushinged/src/control/fleet/pools.rs
+++ b/crates/hibiscushinged/src/control/fleet/pools.rs
@@ -27,20 +27,20 @@
         for pool in pools {
             let settings = pool_settings(pool, zone_key(&pool.zone));
             let same = |known: &&mut PoolSettings| {
-                known.zone == settings.zone && known.kind == settings.kind
+                known.zone == settings.zone && known.price_class == settings.price_class
             };
             match merged.iter_mut().find(same) {
                 Some(known) => {
                     known.min += settings.min;
                     known.max += settings.max;
                     known.price = known.price.max(settings.price);
-                    known.start_up = known.start_up.max(settings.start_up);
+                    known.startup = known.startup.max(settings.startup);
                 }
                 None => merged.push(settings),
             }
         }
         let mut settings = ServiceSettings::new(service.name.as_str(), f64::from(capacity), merged);
-        settings.hold = document.stop_hold;
+        settings.stop_hold = document.stop_hold;
         all.push(settings);
     }
     all
@@ -54,11 +54,11 @@
     };
     PoolSettings {
         zone,
-        kind: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
+        price_class: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         min,
         max,
         price: pool.price_cents_per_hour,
-        start_up: pool.startup,
+        startup: pool.startup,
     }
 }
 
@@ -87,14 +87,14 @@
     let fixed = document.pools.iter().filter(|pool| pool.zone == zone).map(|pool| UpstreamCount {
         service: pool.service.clone(),
         zone: key,
-        kind: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
+        price_class: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: pool.addresses.len() as u32,
     });
     let staying = ordered(document, zone, listed).filter(|info| !is_leaving(&info.name));
     let ordered = staying.map(|info| UpstreamCount {
         service: info.service.clone(),
         zone: key,
-        kind: if info.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
+        price_class: if info.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: 1,
     });
     fixed.chain(ordered).collect()
--- a/crates/hibiscushinged/src/control/fleet/tests.rs
+++ b/crates/hibiscushinged/src/control/fleet/tests.rs
@@ -37,14 +37,14 @@
     let settings = service_settings(&document(), |_| ZoneKey(0));
     let [settings] = settings.as_slice() else { panic!("{settings:?}") };
     assert_eq!((settings.service.as_str(), settings.capacity), ("draft-models", 200.0));
-    assert_eq!(settings.hold, Span::from_secs(120));
+    assert_eq!(settings.stop_hold, Span::from_secs(120));
     let pool = |kind: PriceClass, min: u32, max: u32| PoolSettings {
         zone: ZoneKey(0),
-        kind,
+        price_class: kind,
         min,
         max,
         price: 100,
-        start_up: Span::from_secs(30),
+        startup: Span::from_secs(30),
     };
     let expected = [pool(PriceClass::Regular, 3, 6), pool(PriceClass::Cheap, 1, 4)];
     assert_eq!(settings.pools, expected);
@@ -63,7 +63,8 @@
     let listed = listed.iter().map(info).collect::<Vec<_>>();
     let counts = counts(&document(), "hobart-a", ZoneKey(0), &listed, |name| name == "marked");
     let sum = |kind: PriceClass| {
-        let same = counts.iter().filter(|one| one.kind == kind && one.service == "draft-models");
+        let same =
+            counts.iter().filter(|one| one.price_class == kind && one.service == "draft-models");
         same.map(|one| one.count).sum::<u32>()
     };
     assert_eq!((sum(PriceClass::Regular), sum(PriceClass::Cheap)), (regular, cheap));
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -42,8 +42,8 @@
 
 /// Slots that this node makes.
 pub(crate) struct GenerationDriver {
-    pub(crate) share: TrainerScheduler,
-    pub(crate) policy: StragglerDetector<CostBenefitRule>,
+    pub(crate) trainer_scheduler: TrainerScheduler,
+    pub(crate) stragglers: StragglerDetector<CostBenefitRule>,
     running: BTreeMap<SlotKey, SlotRun>,
     wanted: BTreeMap<TrainerId, VecDeque<OpenSlot>>,
     owners: Option<SlotOwners>,
@@ -80,8 +80,8 @@
 impl GenerationDriver {
     pub(crate) fn new() -> Self {
         Self {
-            share: TrainerScheduler::default(),
-            policy: StragglerDetector::new(CostBenefitRule::default()),
+            trainer_scheduler: TrainerScheduler::default(),
+            stragglers: StragglerDetector::new(CostBenefitRule::default()),
             running: BTreeMap::new(),
             wanted: BTreeMap::new(),
             owners: None,
@@ -112,13 +112,13 @@
 
     /// Takes the next slot, fairly between trainers.
     fn next_slot(&mut self) -> Option<OpenSlot> {
-        let Self { share, wanted, .. } = self;
-        let trainer = share.next(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
+        let Self { trainer_scheduler: share, wanted, .. } = self;
+        let trainer = share.select(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
         wanted.get_mut(&trainer)?.pop_front()
     }
 
     fn add_attempt(&mut self, open: OpenSlot, work: &SampleWork) -> Rc<SampleAttempt> {
-        self.share.charge(open.slot.trainer, u64::from(work.max_tokens));
+        self.trainer_scheduler.charge(open.slot.trainer, u64::from(work.max_tokens));
         self.last_attempt += 1;
         let attempt = Rc::new(SampleAttempt {
             slot: open.slot,
@@ -150,7 +150,7 @@
         if self.shared.phase() != NodePhase::Serving {
             return;
         }
-        let live_callers_wait = self.shared.desk().queued_tokens() > 0;
+        let live_callers_wait = self.shared.scheduler().queued_tokens() > 0;
         let limit = if live_callers_wait { MIN_SLOTS } else { MAX_SLOTS };
         self.scan_slots(now, owners);
         loop {
@@ -184,8 +184,8 @@
         generation.next_scan = now + SCAN_PERIOD;
         generation.owners = Some(owners.clone());
         generation.wanted.clear();
-        for (trainer, _) in samples.book.trainers() {
-            let open = samples.book.open_slots(trainer);
+        for (trainer, _) in samples.table.trainers() {
+            let open = samples.table.open_slots(trainer);
             let open = open.filter(|open| {
                 !generation.running.contains_key(&open.slot) && owners.owns(open.slot)
             });
@@ -221,7 +221,7 @@
             let mut state = self.state();
             let generation = &mut state.samples.generation;
             let free = MAX_SLOTS.saturating_sub(generation.running());
-            generation.policy.poll(now, free)
+            generation.stragglers.poll(now, free)
         };
         for action in actions {
             let StragglerAction::Rerun { slot, avoid } = action else { continue };
@@ -246,7 +246,7 @@
         let generation = &mut state.samples.generation;
         generation.unwant(slot);
         // Cancelled attempts hear of it below, whether the policy counts them or not.
-        let _ = generation.policy.filled_elsewhere(slot);
+        let _ = generation.stragglers.cancel_slot(slot);
         let Some(run) = generation.running.remove(&slot) else { return };
         for attempt in run.attempts {
             attempt.stop();
@@ -272,7 +272,7 @@
         let generation = &mut state.samples.generation;
         if let Some(upstream) = winner.upstream.get() {
             // The losers are all attempts of the run but this one.
-            let _ = generation.policy.finished(now, winner.slot, upstream, tokens);
+            let _ = generation.stragglers.finished(now, winner.slot, upstream, tokens);
         }
         let Some(run) = generation.running.get(&winner.slot) else { return };
         for attempt in run.attempts.iter().filter(|one| one.number != winner.number) {
@@ -282,6 +282,6 @@
 
     /// Returns the trainer's version and staleness bound.
     fn trainer_version(&self, slot: SlotKey) -> Option<(WeightVersion, u64)> {
-        self.state().samples.book.stated_version(slot.trainer)
+        self.state().samples.table.stated_version(slot.trainer)
     }
 }
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -74,8 +74,8 @@
         {
             let actual = made.as_ref().map_or(0, |progress| progress.tracker.tokens());
             let mut state = self.state();
-            let share = &mut state.samples.generation.share;
-            share.correct(attempt.slot.trainer, work.max_tokens.into(), actual.into());
+            let share = &mut state.samples.generation.trainer_scheduler;
+            share.reconcile(attempt.slot.trainer, work.max_tokens.into(), actual.into());
         }
         let filled = match made {
             Some(progress) => self.fill_slot(&attempt, progress).await,
@@ -112,8 +112,8 @@
             let left = work.max_tokens.saturating_sub(offset);
             let started = {
                 let now = self.now();
-                self.state().samples.generation.policy.started(now, attempt.slot, upstream);
-                let mut desk = self.shared.desk();
+                self.state().samples.generation.stragglers.started(now, attempt.slot, upstream);
+                let mut desk = self.shared.scheduler();
                 desk.start(now, wall_now(), upstream, left, Some(fingerprint))
             };
             let id = self.stream_id(attempt, exchange);
@@ -124,15 +124,21 @@
                 ExchangeEnd::Broken(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
             };
             let now = self.now();
-            self.shared.desk().finish(now, started, work_end);
+            self.shared.scheduler().finish(now, started, work_end);
             match end {
                 ExchangeEnd::Whole => {
-                    self.suspect_event(delivery::SuspectEvent::Finished { upstream, fingerprint });
+                    self.handle_suspect_event(delivery::SuspectEvent::Finished {
+                        upstream,
+                        fingerprint,
+                    });
                     self.stop_losers(now, attempt, tokens);
                     return (!self.is_stale(attempt, &progress)).then_some(progress);
                 }
                 ExchangeEnd::Cancelled => {
-                    self.suspect_event(delivery::SuspectEvent::Finished { upstream, fingerprint });
+                    self.handle_suspect_event(delivery::SuspectEvent::Finished {
+                        upstream,
+                        fingerprint,
+                    });
                     // The closed connection tells the engine as well.
                     let _ = self.engines.cancel(address, &id).await;
                     return None;
@@ -141,7 +147,7 @@
                     let slot = self.state().samples.slot_text(attempt.slot);
                     let upstream_name = self.upstream_name(upstream);
                     tracing::info!(slot, upstream = upstream_name, tokens, %error, "stream broke");
-                    self.state().samples.generation.policy.failed(attempt.slot, upstream);
+                    self.state().samples.generation.stragglers.failed(attempt.slot, upstream);
                     self.check_crash(upstream, fingerprint).await;
                     attempt.upstream.set(None);
                     tried.push(upstream);
@@ -184,14 +190,14 @@
             match event {
                 Ok(Some(TokenEvent::Token { index, text, version })) => {
                     // The client checks that tokens follow each other, so this cannot fail.
-                    if progress.tracker.report(index, 1, version).is_err() {
+                    if progress.tracker.append(index, 1, version).is_err() {
                         continue;
                     }
                     progress.text.push_str(&text);
                     let count = progress.tracker.tokens();
                     if let Some(upstream) = attempt.upstream.get() {
                         let mut state = self.state();
-                        state.samples.generation.policy.progress(attempt.slot, upstream, count);
+                        state.samples.generation.stragglers.progress(attempt.slot, upstream, count);
                     }
                 }
                 Ok(Some(TokenEvent::End { .. }) | None) => return ExchangeEnd::Whole,
@@ -208,7 +214,7 @@
         fingerprint: Fingerprint,
         tried: &[UpstreamKey],
     ) -> Option<(UpstreamKey, SocketAddr)> {
-        let judgement = self.shared.desk().judge(wall_now(), fingerprint);
+        let judgement = self.shared.scheduler().fingerprint_status(wall_now(), fingerprint);
         let chosen = match judgement {
             FingerprintStatus::Convicted { .. } => None,
             FingerprintStatus::Suspect => self.isolated_engine(work, fingerprint).await,
@@ -245,7 +251,7 @@
                 min_version: Some(WeightVersion((version.0 + lead).saturating_sub(bound))),
                 avoid: &avoid,
             };
-            let choice = self.shared.desk().pick(self.now(), &work.service, &request)?;
+            let choice = self.shared.scheduler().pick(self.now(), &work.service, &request)?;
             if self.state().weights.may_take(choice.upstream, version, bound, lead) {
                 return Some(choice.upstream);
             }
@@ -263,7 +269,7 @@
     ) -> Option<UpstreamKey> {
         let now = self.now();
         let (reply, answer) = oneshot::channel();
-        let request = self.shared.next_request();
+        let request = self.shared.next_request_id();
         let ask = IsolationRequest {
             request,
             fingerprint,
@@ -273,7 +279,8 @@
             execution: Execution::MayHaveRun,
             upstreams: SmallVec::new(),
         };
-        let actions = self.shared.desk().isolate(now, wall_now(), &work.service, ask, reply);
+        let actions =
+            self.shared.scheduler().request_isolation(now, wall_now(), &work.service, ask, reply);
         self.spread(actions);
         answer.await.ok()?.ok()
     }
@@ -345,8 +352,8 @@
             digest,
             holders,
         });
-        let entry = SampleEntry::Record { record, opened: None };
-        if self.append_as(SAMPLE_STREAM, sample, &entry).is_err() {
+        let entry = SampleEntry::Record { record, step_prompts: None };
+        if self.append_with_id(SAMPLE_STREAM, sample, &entry).is_err() {
             self.state().samples.store.remove(sample);
             return false;
         }
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -12,8 +12,8 @@
 /// Limits of this node, and of its zone while it is the delegate.
 #[derive(Default)]
 pub(crate) struct LimitDriver {
-    desk: Option<LimitAllocator>,
-    parts: BTreeMap<CustomerKey, ZoneLimit>,
+    allocator: Option<LimitAllocator>,
+    zone_limits: BTreeMap<CustomerKey, ZoneLimit>,
     zone_vms: u32,
 }
 
@@ -26,23 +26,23 @@
         let view = self.shared.view.load();
         let mut state = self.state();
         state.limits.zone_vms = zone_vms;
-        state.limits.parts.clear();
+        state.limits.zone_limits.clear();
         for customer in &document.customers {
             let key = view.customer_key(Some(&customer.name));
             let limit = u64::from(customer.tokens_per_second);
             let rate = limit * u64::from(zone_vms) / u64::from(all_vms);
             let rate = u32::try_from(rate).unwrap_or(u32::MAX);
-            let part = ZoneLimit::with_reserve(rate, zone_vms);
-            state.limits.parts.insert(key, part);
-            self.shared.desk().limits().set_reserve(now, key, part.reserve);
+            let part = ZoneLimit::with_guaranteed_rate(rate, zone_vms);
+            state.limits.zone_limits.insert(key, part);
+            self.shared.scheduler().limiter().set_guaranteed_rate(now, key, part.guaranteed_rate);
         }
         drop(state);
-        self.update_desk(now);
+        self.update_allocator(now);
     }
 
     pub(crate) fn tick_limits(self: &Rc<Self>, now: Moment) {
-        self.update_desk(now);
-        let asks = self.shared.desk().limits().asks(now);
+        self.update_allocator(now);
+        let asks = self.shared.scheduler().limiter().due_requests(now);
         if asks.is_empty() {
             return;
         }
@@ -56,10 +56,10 @@
         };
         if is_own {
             let grants = asks.into_iter().filter_map(|ask| {
-                self.state().limits.desk.as_mut().and_then(|desk| desk.ask(now, ask))
+                self.state().limits.allocator.as_mut().and_then(|desk| desk.grant(now, ask))
             });
             for grant in grants.collect::<Vec<_>>() {
-                self.shared.desk().limits().granted(now, grant);
+                self.shared.scheduler().limiter().apply_grant(now, grant);
             }
             return;
         }
@@ -71,7 +71,7 @@
                 customer: String::from(view.customer_name(ask.customer)?),
                 demand: ask.demand,
                 sequence: ask.sequence,
-                held: ask.held.map(|id| (id.desk.0, id.number)),
+                held: ask.held.map(|id| (id.delegate.0, id.number)),
             })
         });
         let message = PeerMessage::LimitAsk(wire.collect());
@@ -90,26 +90,27 @@
                 node: Incarnation(grant.node),
                 customer: view.customer_key(Some(&grant.customer)),
                 sequence: grant.sequence,
-                id: GrantId { desk: Incarnation(grant.id.0), number: grant.id.1 },
+                id: GrantId { delegate: Incarnation(grant.id.0), number: grant.id.1 },
                 rate: grant.rate,
-                period: Span(grant.period_us),
+                duration: Span(grant.period_us),
             };
-            self.shared.desk().limits().granted(now, grant);
+            self.shared.scheduler().limiter().apply_grant(now, grant);
         }
     }
 
     /// Answers a peer's asks while this node is the delegate.
     pub(crate) fn grant_limits(&self, asks: Vec<WireLimitAsk>) -> PeerMessage {
         let now = self.now();
-        self.update_desk(now);
+        self.update_allocator(now);
         let view = self.shared.view.load();
         let mut state = self.state();
-        let Some(desk) = state.limits.desk.as_mut() else { return PeerMessage::Missing };
+        let Some(desk) = state.limits.allocator.as_mut() else { return PeerMessage::Missing };
         let mut grants = Vec::new();
         for ask in asks {
             let customer = view.customer_key(Some(&ask.customer));
-            let held = ask.held.map(|(desk, number)| GrantId { desk: Incarnation(desk), number });
-            let granted = desk.ask(
+            let held =
+                ask.held.map(|(desk, number)| GrantId { delegate: Incarnation(desk), number });
+            let granted = desk.grant(
                 now,
                 GrantRequest {
                     node: Incarnation(ask.node),
@@ -124,33 +125,36 @@
                 node: grant.node.0,
                 customer: ask.customer,
                 sequence: grant.sequence,
-                id: (grant.id.desk.0, grant.id.number),
+                id: (grant.id.delegate.0, grant.id.number),
                 rate: grant.rate,
-                period_us: grant.period.0,
+                period_us: grant.duration.0,
             });
         }
         PeerMessage::LimitGrant(grants)
     }
 
     /// Opens the desk when this node becomes the delegate, and closes it when it no longer is.
-    fn update_desk(&self, now: Moment) {
+    fn update_allocator(&self, now: Moment) {
         let mut state = self.state();
         let state = &mut *state;
         if !state.peers.table.is_delegate() || state.limits.zone_vms == 0 {
-            state.limits.desk = None;
+            state.limits.allocator = None;
             return;
         }
         let zone = &state.peers.table.own_identity().zone;
         let live = state.peers.table.live_in_zone(zone).count();
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         let grant_period = self.shared.settings.timeouts.limit_grant;
-        let settings = AllocatorSettings { grant_period, zone_vms: state.limits.zone_vms };
+        let settings =
+            AllocatorSettings { grant_duration: grant_period, zone_vms: state.limits.zone_vms };
         let me = self.shared.incarnation;
-        let desk =
-            state.limits.desk.get_or_insert_with(|| LimitAllocator::new(me, settings, now, live));
+        let desk = state
+            .limits
+            .allocator
+            .get_or_insert_with(|| LimitAllocator::new(me, settings, now, live));
         desk.set_live_vms(now, live);
-        for (customer, part) in &state.limits.parts {
-            desk.set_part(*customer, *part);
+        for (customer, part) in &state.limits.zone_limits {
+            desk.set_zone_limit(*customer, *part);
         }
     }
 }
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -16,7 +16,7 @@
             OrderAction::Append(record) => {
                 if self.append_authority(scope, &record).is_err() {
                     self.with_scope(scope, |driver| {
-                        driver.desk.append_refused(&record);
+                        driver.order_manager.append_refused(&record);
                         (Vec::new(), Vec::new())
                     });
                 }
@@ -25,7 +25,7 @@
                 let (control, scope) = (Rc::clone(self), scope.clone());
                 actix_rt::spawn(async move { control.send_order(scope, intent).await });
             }
-            OrderAction::Ask(id) => {
+            OrderAction::Query(id) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
                 actix_rt::spawn(async move { control.ask_order(scope, id).await });
             }
@@ -78,7 +78,7 @@
         let now = self.now();
         let state = self.state();
         let driver = state.scopes.iter().find(|driver| driver.scope == *scope)?;
-        driver.desk.permit(now, &driver.keeper, id).ok()
+        driver.order_manager.permit(now, &driver.lease_manager, id).ok()
     }
 
     async fn ask_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
@@ -93,7 +93,8 @@
     fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, answer: OrderResponse) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            let actions = driver.desk.answer(now, &driver.keeper, id, answer).into_vec();
+            let actions =
+                driver.order_manager.answer(now, &driver.lease_manager, id, answer).into_vec();
             (Vec::new(), actions)
         });
     }
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -29,7 +29,7 @@
 /// Peers and upstream states as this node knows them.
 pub(crate) struct PeerDriver {
     pub(crate) table: PeerTable,
-    pub(crate) board: LoadTable,
+    pub(crate) load_table: LoadTable,
     pub(crate) malformed: u64,
     fetching: bool,
 }
@@ -57,7 +57,7 @@
         };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, now),
-            board: LoadTable::new(LoadTableSettings::default(), shared.incarnation),
+            load_table: LoadTable::new(LoadTableSettings::default(), shared.incarnation),
             malformed: 0,
             fetching: false,
         }
@@ -83,7 +83,7 @@
         if due {
             self.peer_event(PeerEvent::Tick);
         }
-        let urgent = self.state().peers.board.urgent(now);
+        let urgent = self.state().peers.load_table.take_urgent(now);
         if !urgent.is_empty() {
             self.send_urgent(&urgent);
         }
@@ -99,9 +99,9 @@
                     let (now, state) = (self.now(), self.state());
                     let from = state.peers.table.own_identity().clone();
                     let beat =
-                        LivenessMessage { from, beat: 0, refutation: 0, notices: Vec::new() };
+                        LivenessMessage { from, sequence: 0, refutation: 0, updates: Vec::new() };
                     Heartbeat {
-                        beat,
+                        liveness: beat,
                         config_version: state.config.version().0,
                         contact_age: state.config.contact_age(now),
                         upstreams: Vec::new(),
@@ -142,12 +142,12 @@
         let mut changes = None;
         for action in actions {
             match action {
-                PeerAction::SendHeartbeat { to, beat } => {
-                    let changes =
-                        changes.get_or_insert_with(|| self.state().peers.board.delta(now));
+                PeerAction::SendHeartbeat { to, message: beat } => {
+                    let changes = changes
+                        .get_or_insert_with(|| self.state().peers.load_table.next_delta(now));
                     self.send_heartbeat(now, to, beat, changes.clone());
                 }
-                PeerAction::SendSummary { to, beat } => self.send_summary(now, to, beat),
+                PeerAction::SendSummary { to, message: beat } => self.send_summary(now, to, beat),
                 PeerAction::Changed { vm, state } => self.peer_changed(now, vm, state),
                 PeerAction::Replaced { incarnation, .. } => {
                     self.usage_peer_gone(now, incarnation);
@@ -155,7 +155,7 @@
             }
         }
         let live = self.state().peers.live_count();
-        self.shared.desk().set_live_nodes(live);
+        self.shared.scheduler().set_live_nodes(live);
     }
 
     fn peer_changed(self: &Rc<Self>, now: Moment, vm: VmKey, state: PeerState) {
@@ -184,7 +184,7 @@
         let (address, heartbeat) = {
             let state = self.state();
             let heartbeat = Heartbeat {
-                beat,
+                liveness: beat,
                 config_version: state.config.version().0,
                 contact_age: state.config.contact_age(now),
                 upstreams,
@@ -199,11 +199,11 @@
             let mut state = self.state();
             let state = &mut *state;
             let own_zone = &state.peers.table.own_identity().zone;
-            let full = state.peers.board.full(now);
+            let full = state.peers.load_table.all_updates(now);
             let upstreams =
                 full.into_iter().filter(|entry| state.watch.is_in_zone(&entry.upstream, own_zone));
             let summary = ZoneSummary {
-                beat,
+                liveness: beat,
                 config_version: state.config.version().0,
                 upstreams: upstreams.collect(),
             };
@@ -255,14 +255,14 @@
 
     fn heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) {
         let now = self.now();
-        self.state().config.note_relayed(now, heartbeat.contact_age);
-        self.heard(heartbeat.beat, heartbeat.config_version, heartbeat.upstreams);
+        self.state().config.note_peer_contact(now, heartbeat.contact_age);
+        self.heard(heartbeat.liveness, heartbeat.config_version, heartbeat.upstreams);
     }
 
     fn summary(self: &Rc<Self>, summary: ZoneSummary) {
         let now = self.now();
         self.state().config.note_contact(now);
-        self.heard(summary.beat, summary.config_version, summary.upstreams);
+        self.heard(summary.liveness, summary.config_version, summary.upstreams);
     }
 
     fn heard(
@@ -272,7 +272,7 @@
         upstreams: Vec<LoadUpdate>,
     ) {
         let address = beat.from.address.parse::<SocketAddr>().ok();
-        self.peer_event(PeerEvent::BeatReceived(beat));
+        self.peer_event(PeerEvent::MessageReceived(beat));
         self.learn_entries(upstreams);
         let behind = config_version > self.state().config.version().0;
         if let Some(address) = address.filter(|_| behind) {
@@ -284,7 +284,7 @@
         let now = self.now();
         for entry in entries {
             let name = entry.upstream.clone();
-            if self.state().peers.board.learned(now, entry) {
+            if self.state().peers.load_table.merge(now, entry) {
                 self.apply_board(now, &name);
             }
         }
@@ -308,7 +308,7 @@
     fn config_copy(&self) -> PeerMessage {
         let state = self.state();
         PeerMessage::ConfigCopy(WireConfigCopy {
-            snapshot: state.config.history.snapshot().map(WireSnapshot::from),
+            snapshot: state.config.registry.snapshot().map(WireSnapshot::from),
             in_force: (&state.config.in_force()).into(),
         })
     }
@@ -337,7 +337,7 @@
         let outgoing = HttpRequest::post(address, PEER_PATH, Bytes::from(encode_message(message)));
         let timeout = self.shared.settings.timeouts.peer;
         let answer = self.peer_http.exchange(outgoing, timeout, MAX_MESSAGE_BYTES).await.ok()?;
-        decode_message(&answer.success().ok()?.body).ok()
+        decode_message(&answer.error_for_status().ok()?.body).ok()
     }
 }
 
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -66,12 +66,12 @@
         let slots = {
             let mut state = self.state();
             let samples = &mut state.samples;
-            samples.book = match offset {
+            samples.table = match offset {
                 LogOffset(0) => SampleTable::default(),
-                _ => SampleTable::after_gap(offset),
+                _ => SampleTable::starting_at(offset),
             };
             samples.opened.clear();
-            samples.carries = SnapshotTracker::default();
+            samples.snapshots = SnapshotTracker::default();
             samples.generation.slots()
         };
         for slot in slots {
@@ -81,20 +81,20 @@
 
     /// Takes a snapshot from the log.
     pub(crate) fn adopt_trainer(&self, offset: LogOffset, carry: SampleSnapshot) {
-        let SampleSnapshot { carry, opened } = carry;
+        let SampleSnapshot { snapshot: carry, step_prompts: opened } = carry;
         let mut state = self.state();
         let samples = &mut state.samples;
-        let trainer = carry.book.id;
-        samples.carries.carried(trainer, offset);
-        let was_known = samples.book.trainers().any(|(id, _)| id == trainer);
+        let trainer = carry.state.id;
+        samples.snapshots.carried(trainer, offset);
+        let was_known = samples.table.trainers().any(|(id, _)| id == trainer);
         // The bytes of the samples are held elsewhere, so there is nothing to do for the actions.
-        let _ = samples.book.adopt(&carry);
-        let is_known = samples.book.trainers().any(|(id, _)| id == trainer);
+        let _ = samples.table.install_snapshot(&carry);
+        let is_known = samples.table.trainers().any(|(id, _)| id == trainer);
         if was_known || !is_known {
             return;
         }
         tracing::info!(trainer = trainer.0, until = carry.until.0, "a snapshot was adopted");
-        samples.generation.share.set_weight(trainer, 1);
+        samples.generation.trainer_scheduler.set_weight(trainer, 1);
         samples.generation.slots_opened();
         for (step, opened) in opened {
             samples.opened.entry((trainer, step)).or_insert(opened);
@@ -107,12 +107,12 @@
         let due = {
             let mut state = self.state();
             let samples = &mut state.samples;
-            let trainers = samples.book.trainers().map(|(id, _)| id);
+            let trainers = samples.table.trainers().map(|(id, _)| id);
             let due =
-                trainers.filter(|id| samples.carries.is_due(now, *id) && owners.owns_item(id.0));
+                trainers.filter(|id| samples.snapshots.is_due(now, *id) && owners.owns_item(id.0));
             let due = due.collect::<Vec<_>>();
             for trainer in &due {
-                samples.carries.tried.insert(*trainer, now);
+                samples.snapshots.tried.insert(*trainer, now);
             }
             due
         };
@@ -125,16 +125,20 @@
         let entry = {
             let state = self.state();
             let samples = &state.samples;
-            let Some(carry) = samples.book.carry(trainer, LogOffset(samples.carries.next)) else {
+            let Some(carry) = samples.table.snapshot(trainer, LogOffset(samples.snapshots.next))
+            else {
                 return;
             };
-            let wanted = carry.book.steps.values().filter(|step| !step.completed);
+            let wanted = carry.state.steps.values().filter(|step| !step.completed);
             let opened = wanted.filter_map(|step| {
                 let number = step.shape.step;
                 Some((number, samples.opened.get(&(trainer, number))?.clone()))
             });
             let opened = opened.collect();
-            SampleEntry::Carry(Box::new(SampleSnapshot { carry, opened }))
+            SampleEntry::Snapshot(Box::new(SampleSnapshot {
+                snapshot: carry,
+                step_prompts: opened,
+            }))
         };
         let id = self.state().writer.next_id(SAMPLE_STREAM);
         let length = encode_record(id, &entry).len();
@@ -142,8 +146,8 @@
             tracing::warn!(trainer = trainer.0, length, "a snapshot exceeds the largest record");
             return;
         }
-        // A full buffer is reported by `append_as`, and the snapshot is made again.
-        let _ = self.append_as(SAMPLE_STREAM, id, &entry);
+        // A full buffer is reported by `append_with_id`, and the snapshot is made again.
+        let _ = self.append_with_id(SAMPLE_STREAM, id, &entry);
     }
 
     fn carry_owners(&self) -> SlotOwners {
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -52,7 +52,7 @@
 
 /// Samples as this node knows them.
 pub(crate) struct SampleDriver {
-    pub(crate) book: SampleTable,
+    pub(crate) table: SampleTable,
     pub(crate) opened: BTreeMap<(TrainerId, u64), StepPrompts>,
     pub(crate) store: SampleStore,
     pub(crate) waiters: StatementWaiters,
@@ -60,7 +60,7 @@
     pub(crate) scores: ScoreQueue,
     /// Bound and voided records that were appended and not read back.
     appended: HashMap<RecordId, Moment>,
-    pub(crate) carries: SnapshotTracker,
+    pub(crate) snapshots: SnapshotTracker,
     started: Option<Moment>,
     next_care: Moment,
     next_audit: Moment,
@@ -74,14 +74,14 @@
 impl SampleDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
         Self {
-            book: SampleTable::default(),
+            table: SampleTable::default(),
             opened: BTreeMap::new(),
             store: SampleStore::new(settings.bounds.sample_bytes as usize),
             waiters: StatementWaiters::default(),
             generation: GenerationDriver::new(),
             scores: ScoreQueue::default(),
             appended: HashMap::new(),
-            carries: SnapshotTracker::default(),
+            snapshots: SnapshotTracker::default(),
             started: None,
             next_care: Moment(0),
             next_audit: Moment(0),
@@ -91,24 +91,24 @@
 
     /// Returns the name of a slot in logs and for `explain`.
     pub(crate) fn slot_text(&self, slot: SlotKey) -> String {
-        let mut trainers = self.book.trainers();
+        let mut trainers = self.table.trainers();
         let name = trainers.find(|(id, _)| *id == slot.trainer).map_or("", |(_, name)| name);
         format!("{name}/{}/{}/{}", slot.step, slot.group, slot.index)
     }
 
     pub(crate) fn status(&self) -> Value {
-        let trainers = self.book.trainers().map(|(id, name)| {
+        let trainers = self.table.trainers().map(|(id, name)| {
             json!({
                 "trainer": name,
-                "statements": self.book.statements(id),
-                "version": self.book.stated_version(id).map(|(version, _)| version.0),
-                "open_slots": self.book.open_slots(id).count(),
-                "last_number": self.book.last_number(id).0,
-                "acknowledged": self.book.acknowledged(id).0,
+                "statements": self.table.statements(id),
+                "version": self.table.stated_version(id).map(|(version, _)| version.0),
+                "open_slots": self.table.open_slots(id).count(),
+                "last_number": self.table.last_number(id).0,
+                "acknowledged": self.table.acknowledged(id).0,
             })
         });
         let (held, held_bytes) = self.store.figures();
-        let (useful, extra) = self.generation.policy.tokens();
+        let (useful, extra) = self.generation.stragglers.tokens();
         json!({
             "trainers": trainers.collect::<Vec<_>>(),
             "running": self.generation.running(),
@@ -139,19 +139,19 @@
                 let mut state = self.state();
                 state.samples.started.get_or_insert(now);
                 state.samples.caught_up = true;
-                state.samples.carries.retained(offset);
+                state.samples.snapshots.retained(offset);
             }
             StreamEvent::Record { offset, id, record, catching_up } => {
                 {
                     let mut state = self.state();
                     state.samples.caught_up = !catching_up;
-                    state.samples.carries.read(offset);
+                    state.samples.snapshots.read(offset);
                 }
                 match record {
-                    SampleEntry::Record { record, opened } => {
+                    SampleEntry::Record { record, step_prompts: opened } => {
                         self.sample_record(offset, id, &record, opened);
                     }
-                    SampleEntry::Carry(carry) => self.adopt_trainer(offset, *carry),
+                    SampleEntry::Snapshot(carry) => self.adopt_trainer(offset, *carry),
                 }
             }
         }
@@ -165,7 +165,7 @@
         record: &SampleRecord,
         mut opened: Option<StepPrompts>,
     ) {
-        let actions = self.state().samples.book.apply_at(offset, record);
+        let actions = self.state().samples.table.apply_at(offset, record);
         {
             let mut state = self.state();
             let samples = &mut state.samples;
@@ -176,10 +176,10 @@
                     // The trainer is not known yet, and a snapshot may show that the step is open.
                     samples.opened.insert((stated.trainer, shape.step), opened);
                 }
-                samples.generation.share.set_weight(stated.trainer, 1);
-                let has = samples.book.acknowledged(stated.trainer);
+                samples.generation.trainer_scheduler.set_weight(stated.trainer, 1);
+                let has = samples.table.acknowledged(stated.trainer);
                 samples.store.acknowledged(stated.trainer, has);
-                samples.waiters.read(id, &samples.book, &actions);
+                samples.waiters.read(id, &samples.table, &actions);
             }
         }
         for action in actions {
@@ -187,7 +187,7 @@
                 SampleOutcome::StepOpened { trainer, step, slots } => {
                     tracing::info!(trainer = trainer.0, step, slots, "a step was opened");
                     let mut state = self.state();
-                    state.samples.carries.step_opened(trainer);
+                    state.samples.snapshots.step_opened(trainer);
                     state.samples.generation.slots_opened();
                     if let Some(opened) = opened.take() {
                         state.samples.opened.insert((trainer, step), opened);
@@ -205,7 +205,7 @@
                 }
                 SampleOutcome::Bound { sample, number, .. } => {
                     let mut state = self.state();
-                    state.samples.scores.forget(sample);
+                    state.samples.scores.remove(sample);
                     state.samples.appended.remove(&sample);
                     state.samples.store.bound(sample, number);
                 }
@@ -216,7 +216,7 @@
                     let detail = format!("number {number:?}: {reason:?}");
                     self.trace(name, EventCode::SampleVoided, detail);
                     let mut state = self.state();
-                    state.samples.scores.forget(sample);
+                    state.samples.scores.remove(sample);
                     state.samples.appended.remove(&sample);
                     state.samples.store.remove(sample);
                     state.samples.generation.slots_opened();
@@ -230,7 +230,7 @@
                     tracing::info!(trainer = trainer.0, step, "a step is complete");
                 }
                 SampleOutcome::StepRefused { .. }
-                | SampleOutcome::Offered { .. }
+                | SampleOutcome::DeliveriesReady { .. }
                 | SampleOutcome::StatementRefused { .. } => {}
             }
         }
@@ -296,7 +296,7 @@
             let mut state = self.state();
             let samples = &mut state.samples;
             samples.appended.retain(|_, at| now.since(*at) < RETRY);
-            for filled in samples.book.unbound() {
+            for filled in samples.table.unbound() {
                 let waits = samples.appended.contains_key(&filled.sample);
                 if owners.owns(filled.slot) && !waits {
                     samples.scores.enqueue(now, filled.slot, filled.sample);
@@ -334,7 +334,7 @@
             let present = present.filter(|(_, record)| record.state != PeerState::Gone);
             let present = present.map(|(_, record)| record.vm.incarnation).collect::<HashSet<_>>();
             let is_gone = |holder: Incarnation| !present.contains(&holder);
-            let mut lost = state.samples.book.lost(is_gone);
+            let mut lost = state.samples.table.lost_samples(is_gone);
             lost.retain(|voided| {
                 owners.owns(voided.slot) && state.samples.is_due(now, voided.sample)
             });
@@ -359,7 +359,7 @@
     /// Appends a record that is repeated until it is read back.
     fn append_sample(self: &Rc<Self>, record: SampleRecord) {
         // A full buffer is reported by `append`, and the record is made again after a while.
-        let _ = self.append(SAMPLE_STREAM, &SampleEntry::Record { record, opened: None });
+        let _ = self.append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: None });
     }
 
     /// Holds the bytes of another node's sample.
--- a/crates/hibiscushinged/src/control/score.rs
+++ b/crates/hibiscushinged/src/control/score.rs
@@ -40,10 +40,10 @@
         let Some(service) = entry.scorer else { return self.sample_scored(sample, None) };
         let filled = {
             let state = self.state();
-            state.samples.book.unbound().find(|filled| filled.sample == sample).cloned()
+            state.samples.table.unbound().find(|filled| filled.sample == sample).cloned()
         };
         let Some(filled) = filled else {
-            return self.state().samples.scores.forget(sample);
+            return self.state().samples.scores.remove(sample);
         };
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
@@ -75,7 +75,7 @@
             avoid: &[],
         };
         let now = self.now();
-        let choice = self.shared.desk().pick(now, service, &request)?;
+        let choice = self.shared.scheduler().pick(now, service, &request)?;
         let (_, _, address) = self.engine_target(choice.upstream)?;
         let body = json!({ "prompt": prompt, "sample": text }).to_string();
         // The id is that of the sample, so a scorer can tell a repeated call.
@@ -84,15 +84,16 @@
             HeaderName::from_static("x-request-id"),
             HeaderValue::from_str(&id).expect("the id has hexadecimal digits only"),
         );
-        let work = self.shared.desk().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
+        let work =
+            self.shared.scheduler().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
         let answer = self.http.exchange(outgoing, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
         let end = match &answer {
             Ok(_) => RequestOutcome::Completed { tokens: SCORE_WORK },
             Err(_) => RequestOutcome::Failed,
         };
         let now: Moment = self.now();
-        self.shared.desk().finish(now, work, end);
-        let answer = answer.and_then(clients::HttpResponse::success).ok()?;
+        self.shared.scheduler().finish(now, work, end);
+        let answer = answer.and_then(clients::HttpResponse::error_for_status).ok()?;
         let found = serde_json::from_slice::<ScoreAnswer>(&answer.body).ok()?;
         found.score.is_finite().then_some(Score((found.score * 1e6) as i64))
     }
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -6,7 +6,7 @@
     HttpMessage as _, HttpService, Method, Request, Response, StatusCode, body::BoxBody,
 };
 use bytes::Bytes;
-use clients::head_bytes;
+use clients::head_len;
 use protocol::{MAX_MESSAGE_BYTES, encode_message};
 use serde_json::json;
 
@@ -57,16 +57,16 @@
     }
     let sender = request.peer_addr().map(|address| address.to_string()).unwrap_or_default();
     let first_line = "POST  HTTP/1.1".len() + PEER_PATH.len();
-    let head = head_bytes(first_line, request.headers());
-    let message = match request::body(&mut request, MAX_MESSAGE_BYTES).await {
+    let head = head_len(first_line, request.headers());
+    let message = match request::read_body(&mut request, MAX_MESSAGE_BYTES).await {
         Ok(body) => {
-            control.transfer.peers_served.begin(0, head + body.len());
+            control.transfer.peers_served.count_exchange(0, head + body.len());
             control.peer_message(&sender, &body)
         }
         Err(refusal) => control.refuse_peer_message(&sender, &refusal.message),
     };
     let body = Bytes::from(encode_message(&message));
-    control.transfer.peers_served.add(transfer::answer_bytes(body.len()), 0);
+    control.transfer.peers_served.count_bytes(transfer::answer_bytes(body.len()), 0);
     response::with_body(StatusCode::OK, "application/msgpack", body)
 }
 
@@ -82,10 +82,10 @@
         }
         path => {
             let message = format!("path \"{path}\" does not exist");
-            return response::json_body(StatusCode::NOT_FOUND, &json!({ "error": message }));
+            return response::json(StatusCode::NOT_FOUND, &json!({ "error": message }));
         }
     };
-    response::json_body(StatusCode::OK, &control.admin(ask))
+    response::json(StatusCode::OK, &control.admin(ask))
 }
 
 /// Tells the balancer whether to send new requests here.
@@ -95,5 +95,5 @@
         NodePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
         NodePhase::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
     };
-    response::json_body(status, &json!({ "phase": phase }))
+    response::json(status, &json!({ "phase": phase }))
 }
--- a/crates/hibiscushinged/src/control/streams.rs
+++ b/crates/hibiscushinged/src/control/streams.rs
@@ -16,4 +16,4 @@
 pub(crate) const USAGE_STREAM: &str = "usage";
 
 /// Convictions of requests that crash upstreams.
-pub(crate) const VERDICT_STREAM: &str = "verdicts";
+pub(crate) const CONVICTION_STREAM: &str = "verdicts";
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -14,24 +14,24 @@
     control::{
         Control,
         follow::{NextRead, StreamEvent, follow},
-        streams::VERDICT_STREAM,
+        streams::CONVICTION_STREAM,
     },
     telemetry::log_event,
 };
 
 pub(crate) fn start(control: &Rc<Control>) {
-    follow::<Conviction>(control, String::from(VERDICT_STREAM), |control, event| {
+    follow::<Conviction>(control, String::from(CONVICTION_STREAM), |control, event| {
         if let StreamEvent::Record { record, .. } = event {
-            control.suspect_event(SuspectEvent::VerdictHeard(record));
+            control.handle_suspect_event(SuspectEvent::ConvictionReceived(record));
         }
         NextRead::Onwards
     });
 }
 
 impl Control {
-    pub(crate) fn suspect_event(self: &Rc<Self>, event: SuspectEvent) {
+    pub(crate) fn handle_suspect_event(self: &Rc<Self>, event: SuspectEvent) {
         let now = self.now();
-        let actions = self.shared.desk().suspect(now, wall_now(), event);
+        let actions = self.shared.scheduler().handle_suspect_event(now, wall_now(), event);
         self.spread(actions);
     }
 
@@ -42,13 +42,13 @@
         fingerprint: Fingerprint,
     ) {
         if self.answers(upstream).await {
-            self.suspect_event(SuspectEvent::Finished { upstream, fingerprint });
+            self.handle_suspect_event(SuspectEvent::Finished { upstream, fingerprint });
             return;
         }
         let name = self.upstream_name(upstream);
         log_event!(warn, SuspectMarked, upstream = name, fingerprint = ?fingerprint);
-        self.shared.desk().set_state(upstream, UpstreamState::Down);
-        self.suspect_event(SuspectEvent::Crashed(upstream));
+        self.shared.scheduler().set_state(upstream, UpstreamState::Down);
+        self.handle_suspect_event(SuspectEvent::Crashed(upstream));
     }
 
     /// Tells whether an upstream takes connections and answers.
@@ -75,7 +75,7 @@
         let (mut reserved, mut released) = (Vec::new(), Vec::new());
         for action in actions {
             match action {
-                SuspectAction::SpreadNote(note) => notes.push(self.wire_note(&note)),
+                SuspectAction::BroadcastSuspicion(note) => notes.push(self.wire_note(&note)),
                 SuspectAction::Convict(verdict) => {
                     log_event!(
                         warn,
@@ -85,7 +85,7 @@
                     );
                     verdicts.push(WireConviction::from(&verdict));
                     // Peers hear it as well, so an unreachable log only delays distant zones.
-                    let _ = self.append(VERDICT_STREAM, &verdict);
+                    let _ = self.append(CONVICTION_STREAM, &verdict);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
                 SuspectAction::Release(notice) => released.push(self.wire_isolation(&notice)),
@@ -109,13 +109,13 @@
     ) {
         let view = self.shared.view.load_full();
         for note in notes {
-            let (fingerprint, expires_at) = note.subject();
+            let (fingerprint, expires_at) = note.fingerprint_and_expiry();
             let crashed = note.crashed.iter().filter_map(|name| view.upstream_key(name));
             let note = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
-            self.suspect_event(SuspectEvent::NoteHeard(note));
+            self.handle_suspect_event(SuspectEvent::SuspicionReceived(note));
         }
         for verdict in verdicts {
-            self.suspect_event(SuspectEvent::VerdictHeard(verdict.into()));
+            self.handle_suspect_event(SuspectEvent::ConvictionReceived(verdict.into()));
         }
         let notice = |wire: &WireIsolation| {
             let upstream = view.upstream_key(&wire.upstream)?;
@@ -123,10 +123,10 @@
             Some(IsolationNotice { node, upstream, fingerprint })
         };
         for notice in reserved.iter().filter_map(notice) {
-            self.suspect_event(SuspectEvent::IsolationHeard(notice));
+            self.handle_suspect_event(SuspectEvent::IsolationReceived(notice));
         }
         for notice in released.iter().filter_map(notice) {
-            self.suspect_event(SuspectEvent::IsolationEnded(notice));
+            self.handle_suspect_event(SuspectEvent::IsolationEnded(notice));
         }
     }
 
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -85,7 +85,9 @@
             actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
         let step = if refused { StepOutcome::Refused } else { StepOutcome::Taken };
         let offered = actions.iter().find_map(|action| match action {
-            SampleOutcome::Offered { trainer, offer } => Some((*trainer, offer.statement)),
+            SampleOutcome::DeliveriesReady { trainer, range: offer } => {
+                Some((*trainer, offer.statement))
+            }
             _ => None,
         });
         let end = offered.and_then(|(trainer, statement)| {
@@ -103,15 +105,15 @@
 
 impl Control {
     /// Answers a trainer, unless it gives up first.
-    pub(crate) async fn trainer_asked(
+    pub(crate) async fn handle_trainer_request(
         self: Rc<Self>,
         ask: TrainerRequest,
         mut reply: oneshot::Sender<Result<Value, Refusal>>,
     ) {
         let answer = async {
             match ask {
-                TrainerRequest::Open(step) => self.open_step(step).await,
-                TrainerRequest::Fetch { trainer, after, version } => {
+                TrainerRequest::OpenStep(step) => self.open_step(step).await,
+                TrainerRequest::FetchSamples { trainer, after, version } => {
                     self.fetch_samples(&trainer, after, version).await
                 }
             }
@@ -135,8 +137,8 @@
             return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
         }
         for _ in 0..=MAX_RESTATES {
-            let follows = self.state().samples.book.statements(id);
-            let acknowledged = self.state().samples.book.acknowledged(id);
+            let follows = self.state().samples.table.statements(id);
+            let acknowledged = self.state().samples.table.acknowledged(id);
             let statement = Statement {
                 entry: &entry,
                 version: request.version,
@@ -175,7 +177,7 @@
         let id = TrainerId::from_name(trainer);
         let entry = self.trainer_entry(id).ok_or_else(trainer_unknown)?;
         let deadline = self.now() + FETCH_WAIT;
-        let mut follows = self.state().samples.book.statements(id);
+        let mut follows = self.state().samples.table.statements(id);
         let mut restates = 0;
         loop {
             let acknowledged = DeliveryNumber(after);
@@ -186,7 +188,7 @@
                     if restates > MAX_RESTATES || !self.may_restate(id, version, Some(after)) {
                         return Ok(empty_answer());
                     }
-                    follows = self.state().samples.book.statements(id);
+                    follows = self.state().samples.table.statements(id);
                 }
                 StatementEnd::Offered { statement, deliveries, .. } => {
                     if !deliveries.is_empty() {
@@ -210,7 +212,7 @@
         deadline: base::Moment,
     ) -> bool {
         loop {
-            if self.state().samples.book.has_after(trainer, after) {
+            if self.state().samples.table.has_deliveries_after(trainer, after) {
                 return true;
             }
             let stops = self.shared.phase() == NodePhase::Draining;
@@ -226,7 +228,7 @@
     /// and samples in its hands would be made again.
     fn may_restate(&self, trainer: TrainerId, version: u64, after: Option<u64>) -> bool {
         let state = self.state();
-        let book = &state.samples.book;
+        let book = &state.samples.table;
         let stated = book.stated_version(trainer);
         let rises = stated.is_none_or(|(stated, _)| version >= stated.0);
         rises && after.is_none_or(|after| after >= book.acknowledged(trainer).0)
@@ -256,8 +258,9 @@
             opened: shape,
         });
         let (waiter, end) = oneshot::channel();
-        let id =
-            self.append(SAMPLE_STREAM, &SampleEntry::Record { record, opened }).map_err(|_| {
+        let id = self
+            .append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: opened })
+            .map_err(|_| {
                 let message = "the log has been down for too long to record the statement";
                 let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
                 refusal.with_retry_after(Span::from_secs(1))
--- a/crates/hibiscushinged/src/control/transfer.rs
+++ b/crates/hibiscushinged/src/control/transfer.rs
@@ -1,6 +1,6 @@
 //! Bytes that the control thread exchanges, by kind of partner.
 
-use clients::{DATE_BYTES, TransferCounter, header_bytes};
+use clients::{HTTP_DATE_LEN, TransferCounter, header_len};
 use serde_json::{Value, json};
 
 /// Counts since the start of the process.
@@ -21,7 +21,7 @@
 impl ControlTransfer {
     pub(crate) fn status(&self) -> Value {
         let value = |counter: &TransferCounter| {
-            let figures = counter.figures();
+            let figures = counter.totals();
             json!({
                 "exchanges": figures.exchanges,
                 "sent_bytes": figures.sent,
@@ -41,8 +41,8 @@
 /// Returns the bytes of an answer to a peer. The server adds its length and the date.
 pub(crate) fn answer_bytes(body: usize) -> usize {
     "HTTP/1.1 200 OK\r\n\r\n".len()
-        + header_bytes("content-type", "application/msgpack".len())
-        + header_bytes("content-length", body.to_string().len())
-        + header_bytes("date", DATE_BYTES)
+        + header_len("content-type", "application/msgpack".len())
+        + header_len("content-length", body.to_string().len())
+        + header_len("date", HTTP_DATE_LEN)
         + body
 }
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -46,7 +46,7 @@
     reports: WindowReporter,
     closing: Option<WindowNumber>,
     awaits_since: Option<Moment>,
-    carry_tried: Option<Moment>,
+    snapshot_tried_at: Option<Moment>,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -63,14 +63,14 @@
             reports: WindowReporter::new(RETRY),
             closing: None,
             awaits_since: None,
-            carry_tried: None,
+            snapshot_tried_at: None,
         }
     }
 }
 
 impl Control {
     /// Adds the usage of finished requests.
-    pub(crate) fn metered(&self, figures: &UsageByCustomer) {
+    pub(crate) fn record_usage(&self, figures: &UsageByCustomer) {
         let now = self.now();
         let mut state = self.state();
         for (customer, amount) in &figures.0 {
@@ -99,12 +99,12 @@
     fn usage_record(&self, offset: LogOffset, id: RecordId, record: &UsageRecord) -> NextRead {
         let mut state = self.state();
         let scope = state.scopes.iter().find(|driver| driver.scope == LeaseScope::Usage);
-        let valid = scope.and_then(|driver| driver.keeper.claim_in_force());
+        let valid = scope.and_then(|driver| driver.lease_manager.claim_in_force());
         let usage = &mut state.usage;
         let outcome = usage.ledger.apply(offset, record, valid);
         if let UsageRecord::Batch(batch) = record {
-            usage.pending.seen_in_log(batch.id);
-            usage.replicas.seen_in_log(batch.id);
+            usage.pending.mark_committed(batch.id);
+            usage.replicas.mark_committed(batch.id);
             log_event!(UsageBatchAppended, record = ?id, offset = offset.0);
         }
         match outcome {
@@ -125,7 +125,7 @@
     }
 
     pub(crate) fn tick_usage(self: &Rc<Self>, now: Moment) {
-        self.cut_batch(now);
+        self.flush_batch(now);
         self.hold_batches(now);
         self.append_replicas(now);
         let Some(fencing) = self.fencing(&LeaseScope::Usage, now) else {
@@ -133,11 +133,11 @@
             return;
         };
         self.close_window(fencing);
-        self.carry_ledger(now, fencing);
+        self.append_snapshot(now, fencing);
         self.report_window(now, fencing);
     }
 
-    fn cut_batch(self: &Rc<Self>, now: Moment) {
+    fn flush_batch(self: &Rc<Self>, now: Moment) {
         let batch = {
             let mut state = self.state();
             let state = &mut *state;
@@ -153,7 +153,7 @@
             let mut state = self.state();
             let state = &mut *state;
             let (usage, writer) = (&mut state.usage, &mut state.writer);
-            usage.meter.cut(|| writer.next_id(USAGE_STREAM))
+            usage.meter.flush(|| writer.next_id(USAGE_STREAM))
         };
         self.append_batch(now, batch);
     }
@@ -163,7 +163,7 @@
         self.state().usage.pending.add(now, batch.clone());
         let id = batch.id;
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
-        if self.append_as(USAGE_STREAM, id, &entry).is_err() {
+        if self.append_with_id(USAGE_STREAM, id, &entry).is_err() {
             // The replica store repeats the append until the buffer has room.
             self.state().usage.replicas.hold(now, batch, OriginState::Gone);
         }
@@ -187,7 +187,7 @@
             actix_rt::spawn(async move {
                 let answer = control.ask_peer(holder, &PeerMessage::BatchHold(hold)).await;
                 if let Some(PeerMessage::Done(incarnation)) = answer {
-                    control.state().usage.pending.held(id, Incarnation(incarnation));
+                    control.state().usage.pending.mark_held(id, Incarnation(incarnation));
                 }
             });
         }
@@ -216,8 +216,8 @@
         for batch in due {
             let id = batch.id;
             let entry = UsageEntry::Usage(UsageRecord::Batch(batch));
-            // A full buffer is reported by `append_as`; the store repeats the append.
-            let _ = self.append_as(USAGE_STREAM, id, &entry);
+            // A full buffer is reported by `append_with_id`; the store repeats the append.
+            let _ = self.append_with_id(USAGE_STREAM, id, &entry);
         }
     }
 
@@ -226,7 +226,7 @@
             let mut state = self.state();
             let Some(document) = &state.config.document else { return };
             let current = current_window(document.usage_window);
-            let due = state.usage.ledger.close_due(current);
+            let due = state.usage.ledger.window_to_close(current);
             if due.is_none() || due == state.usage.closing {
                 return;
             }
@@ -240,25 +240,25 @@
         }
     }
 
-    fn carry_ledger(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
+    fn append_snapshot(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let snapshot = {
             let mut state = self.state();
             let usage = &mut state.usage;
-            if usage.carry_tried.is_some_and(|at| now.since(at) < RETRY) {
+            if usage.snapshot_tried_at.is_some_and(|at| now.since(at) < RETRY) {
                 return;
             }
             let snapshot = match usage.ledger.next_offset() {
-                Some(_) if usage.ledger.carry_due() => usage.ledger.snapshot(),
+                Some(_) if usage.ledger.snapshot_due() => usage.ledger.snapshot(),
                 Some(_) => None,
                 None => usage.fresh_snapshot(now),
             };
             if snapshot.is_some() {
-                usage.carry_tried = Some(now);
+                usage.snapshot_tried_at = Some(now);
             }
             snapshot
         };
         let Some(snapshot) = snapshot else { return };
-        let record = UsageRecord::Carry { snapshot: Box::new(snapshot), fencing };
+        let record = UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing };
         let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
     }
 
@@ -302,7 +302,7 @@
         if now.since(since) < RESTORE_WAIT {
             return None;
         }
-        self.ledger.awaited_offset().map(LedgerSnapshot::empty)
+        self.ledger.oldest_retained_offset().map(LedgerSnapshot::empty)
     }
 }
 
@@ -312,7 +312,7 @@
 }
 
 fn wire_report(report: &WindowReport) -> UsageReport {
-    let figures = report.figures.0.iter().map(|(customer, amount)| {
+    let figures = report.usage.0.iter().map(|(customer, amount)| {
         let figures = CustomerUsage {
             requests: amount.requests,
             prompt_tokens: amount.prompt_tokens,
--- a/crates/hibiscushinged/src/control/watch.rs
+++ b/crates/hibiscushinged/src/control/watch.rs
@@ -13,7 +13,7 @@
     clock::wall_now,
     control::Control,
     telemetry::log_event,
-    view::{CALL_TOKENS, RoutingView, UpstreamTarget},
+    view::{PLAIN_CALL_TOKENS, RoutingView, UpstreamTarget},
 };
 
 /// Time between two reads of the platform's list of upstreams.
@@ -27,7 +27,7 @@
 
 /// Upstreams that this node knows and watches.
 pub(crate) struct WatchDriver {
-    plan: WatchAssignment,
+    assignment: WatchAssignment,
     zones: BTreeMap<String, String>,
 }
 
@@ -50,7 +50,7 @@
 
 impl WatchDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
-        Self { plan: WatchAssignment::new(settings.vm_name.clone()), zones: BTreeMap::new() }
+        Self { assignment: WatchAssignment::new(settings.vm_name.clone()), zones: BTreeMap::new() }
     }
 
     pub(crate) fn is_in_zone(&self, upstream: &str, zone: &str) -> bool {
@@ -124,15 +124,15 @@
             service: info.service.clone(),
             zone_name: info.zone.clone(),
             address: info.address,
-            price,
+            price_class: price,
             version: None,
         });
         {
-            let mut desk = self.shared.desk();
+            let mut desk = self.shared.scheduler();
             let node_hash = stable_hash(&info.name);
             let added = desk.add_upstream(
                 &info.service,
-                routing::UpstreamProperties { node_hash, zone, price },
+                routing::UpstreamProperties { name_hash: node_hash, zone, price_class: price },
                 speed,
             );
             assert_eq!(added, key, "view and desk list upstreams in the same order");
@@ -153,23 +153,23 @@
         })?;
         match document.service(&pool.service)?.kind {
             ServiceKind::Model => Some(pool.speed),
-            ServiceKind::Plain => Some(pool.speed.saturating_mul(CALL_TOKENS)),
+            ServiceKind::Plain => Some(pool.speed.saturating_mul(PLAIN_CALL_TOKENS)),
         }
     }
 
     pub(crate) fn mark_leaving(self: &Rc<Self>, upstream: &str, cause: LeavingCause) {
         let now = self.now();
-        self.state().peers.board.mark_leaving(now, upstream, cause);
+        self.state().peers.load_table.mark_leaving(now, upstream, cause);
         self.apply_board(now, upstream);
     }
 
     fn reclaim_noticed(self: &Rc<Self>, zone: &str) {
         let view = self.shared.view.load_full();
         for (_, target) in view.upstreams.iter() {
-            if target.zone_name != zone || target.price != PriceClass::Cheap {
+            if target.zone_name != zone || target.price_class != PriceClass::Cheap {
                 continue;
             }
-            let known = self.state().peers.board.view(self.now(), &target.name);
+            let known = self.state().peers.load_table.view(self.now(), &target.name);
             if known.is_some_and(|known| known.report.phase.is_leaving()) {
                 continue;
             }
@@ -189,8 +189,8 @@
             let live = live.map(|(_, record)| record.vm.name.as_str()).collect::<Vec<_>>();
             let names = view.upstreams.iter().filter(|(_, target)| target.zone_name == own_zone);
             let names = names.map(|(_, target)| target.name.as_str()).collect::<Vec<_>>();
-            state.watch.plan.update(&live, &names);
-            state.watch.plan.watched().map(String::from).collect::<Vec<_>>()
+            state.watch.assignment.update(&live, &names);
+            state.watch.assignment.watched().map(String::from).collect::<Vec<_>>()
         };
         for name in watched {
             let Some(key) = view.upstream_key(&name) else { continue };
@@ -207,7 +207,7 @@
             None => return,
         };
         let now = self.now();
-        self.state().peers.board.measured(now, &target.name, report);
+        self.state().peers.load_table.update(now, &target.name, report);
         self.apply_board(now, &target.name);
     }
 
@@ -245,7 +245,7 @@
 
     /// Applies what the board says of an upstream to routing.
     pub(crate) fn apply_board(self: &Rc<Self>, now: Moment, upstream: &str) {
-        let Some(found) = self.state().peers.board.view(now, upstream) else { return };
+        let Some(found) = self.state().peers.load_table.view(now, upstream) else { return };
         let view = self.shared.view.load();
         let Some(key) = view.upstream_key(upstream) else { return };
         let report = found.report;
@@ -262,13 +262,13 @@
             measured_at: now - found.age,
         };
         let actions = {
-            let mut desk = self.shared.desk();
+            let mut desk = self.shared.scheduler();
             let before = desk.state(key);
             desk.set_state(key, state);
             if before != Some(state) {
                 log_event!(UpstreamChanged, upstream, state = ?state);
             }
-            desk.report(now, wall_now(), key, sample)
+            desk.apply_load_report(now, wall_now(), key, sample)
         };
         self.spread(actions);
         if view.upstreams.get(key).is_some_and(|target| target.version != version) {
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -102,7 +102,7 @@
     fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingToken>) {
         let view = self.shared.view.load_full();
         let states = {
-            let desk = self.shared.desk();
+            let desk = self.shared.scheduler();
             let states = view.upstreams.iter().map(|(key, _)| (key, desk.state(key)));
             states.collect::<Vec<_>>()
         };
@@ -139,11 +139,11 @@
                 }
             }
         }
-        for (id, name) in state.samples.book.trainers() {
-            let Some((version, _)) = state.samples.book.stated_version(id) else { continue };
+        for (id, name) in state.samples.table.trainers() {
+            let Some((version, _)) = state.samples.table.stated_version(id) else { continue };
             let entry = document.trainers.iter().find(|trainer| trainer.name == name);
             let Some(entry) = entry.filter(|_| version > WeightVersion(0)) else { continue };
-            state.weights.orders.announce(&entry.service, version);
+            state.weights.orders.set_target(&entry.service, version);
         }
     }
 
@@ -195,7 +195,7 @@
     fn engine_fencing(&self, upstream: UpstreamKey) -> FencingSupport {
         let view = self.shared.view.load();
         let Some(target) = view.upstreams.get(upstream) else { return FencingSupport::Ignored };
-        let is_cheap = target.price == PriceClass::Cheap;
+        let is_cheap = target.price_class == PriceClass::Cheap;
         let state = self.state();
         let pools = state.config.document.iter().flat_map(|document| &document.pools);
         let mut pools = pools.filter(|pool| {
--- a/crates/hibiscushinged/src/control_message.rs
+++ b/crates/hibiscushinged/src/control_message.rs
@@ -11,9 +11,9 @@
 #[derive(Debug)]
 pub(crate) enum ControlMessage {
     /// Usage of finished requests.
-    Metered(UsageByCustomer),
+    UsageMetered(UsageByCustomer),
     /// A request with an idempotency key wants to run.
-    Claim { ask: ClaimRequest, reply: oneshot::Sender<ClaimDecision> },
+    Claim { request: ClaimRequest, reply: oneshot::Sender<ClaimDecision> },
     /// A request that was told to run has ended.
     ClaimEnded { request: RequestId, outcome: ClaimOutcome },
     /// An exchange broke off; the upstream may have crashed.
@@ -23,7 +23,7 @@
     /// A decision to keep for `explain`.
     Decision(DecisionEvent),
     /// A request of a trainer.
-    Trainer { ask: TrainerRequest, reply: oneshot::Sender<Result<serde_json::Value, Refusal>> },
+    Trainer { request: TrainerRequest, reply: oneshot::Sender<Result<serde_json::Value, Refusal>> },
     /// Finish running requests and stop.
     Drain(oneshot::Sender<()>),
 }
@@ -57,9 +57,9 @@
 #[derive(Debug)]
 pub(crate) enum TrainerRequest {
     /// Opens a step.
-    Open(StepRequest),
+    OpenStep(StepRequest),
     /// Fetches samples after a delivery number.
-    Fetch { trainer: String, after: u64, version: u64 },
+    FetchSamples { trainer: String, after: u64, version: u64 },
 }
 
 /// Body of a request that opens a step.
--- a/crates/hibiscushinged/src/gateway.rs
+++ b/crates/hibiscushinged/src/gateway.rs
@@ -101,7 +101,7 @@
 
     /// Finishes all requests, hands over what this node runs, and returns when the process may end.
     pub async fn drain(self) {
-        self.node.enter(NodePhase::Draining);
+        self.node.advance_to(NodePhase::Draining);
         log_event!(ProcessDraining, requests = self.node.in_flight());
         let last = self.traffic.last_moment();
         self.traffic.drain(last).await;
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -43,7 +43,7 @@
 pub(crate) struct WholeAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
-    pub(crate) marks: ResponseMetadata,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) body: Bytes,
 }
 
@@ -64,26 +64,26 @@
 }
 
 impl AttemptGuard {
-    pub(crate) fn take(traffic: &Rc<TrafficState>, upstream: UpstreamKey) -> Self {
-        traffic.board.borrow_mut().begin(upstream);
+    pub(crate) fn acquire(traffic: &Rc<TrafficState>, upstream: UpstreamKey) -> Self {
+        traffic.balancer.borrow_mut().begin_request(upstream);
         Self { traffic: Rc::clone(traffic), upstream, ended: false }
     }
 
-    pub(crate) fn end(mut self, end: ExchangeOutcome) {
-        self.finish(end);
+    pub(crate) fn finish(mut self, end: ExchangeOutcome) {
+        self.record(end);
     }
 
-    fn finish(&mut self, end: ExchangeOutcome) {
+    fn record(&mut self, end: ExchangeOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.traffic.node.now();
-            self.traffic.board.borrow_mut().finish(now, self.upstream, end);
+            self.traffic.balancer.borrow_mut().finish_request(now, self.upstream, end);
         }
     }
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.finish(ExchangeOutcome::Cancelled);
+        self.record(ExchangeOutcome::Cancelled);
     }
 }
 
@@ -98,7 +98,7 @@
     traffic: &Rc<TrafficState>,
     call: AttemptCall<'_>,
 ) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
-    let address = traffic.board.borrow().entry(call.upstream).address;
+    let address = traffic.balancer.borrow().entry(call.upstream).address;
     let mut head = RequestHead::default();
     head.method = call.method.clone();
     head.uri =
@@ -113,11 +113,11 @@
                 Ok(Ok(channel)) => channel,
                 Ok(Err(error)) => {
                     let reason = format!("no connection to {address}: {error}");
-                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::Broken));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::TransportError));
                 }
                 Err(_) => {
                     let reason = format!("no connection to {address} in time");
-                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::Silent));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::TimedOut));
                 }
             }
         }
@@ -126,23 +126,26 @@
     let exchange = match channel.send(head, call.body, call.id).await {
         Ok(exchange) => exchange,
         Err(fault) => {
-            return Err((AttemptError::MaybeRun(fault.to_string()), ExchangeOutcome::Broken));
+            return Err((
+                AttemptError::MaybeRun(fault.to_string()),
+                ExchangeOutcome::TransportError,
+            ));
         }
     };
-    let marks = exchange.marks();
+    let marks = exchange.metadata();
     if let Some(load) = marks.load {
-        traffic.board.borrow_mut().report(traffic.node.now(), call.upstream, load);
+        traffic.balancer.borrow_mut().record_load_report(traffic.node.now(), call.upstream, load);
     }
     if !marks.not_run {
         return Ok(exchange);
     }
     if let Some(mark) = &mark {
-        traffic.node.take_back(mark);
+        traffic.node.remove(mark);
     }
     let misdirected = marks.misdirected;
     let status = exchange.head().status.as_u16();
     finish_exchange(traffic, call.upstream, exchange).await;
-    let end = if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Full };
+    let end = if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Overloaded };
     Err((AttemptError::NotRun(format!("refused with status {status}")), end))
 }
 
@@ -170,12 +173,12 @@
     call: AttemptCall<'_>,
 ) -> Result<WholeAnswer, AttemptError> {
     let upstream = call.upstream;
-    let place = AttemptGuard::take(traffic, upstream);
+    let place = AttemptGuard::acquire(traffic, upstream);
     let started = traffic.node.now();
     let mut exchange = match open_exchange(traffic, call).await {
         Ok(exchange) => exchange,
         Err((fault, end)) => {
-            place.end(end);
+            place.finish(end);
             return Err(fault);
         }
     };
@@ -186,16 +189,16 @@
             let end = if status.as_u16() < 500 {
                 ExchangeOutcome::Answered(took)
             } else {
-                ExchangeOutcome::Failed
+                ExchangeOutcome::ServerError
             };
-            place.end(end);
+            place.finish(end);
             let headers = platform::relay_headers(exchange.head());
-            let marks = exchange.marks().clone();
+            let marks = exchange.metadata().clone();
             traffic.keep_channel(upstream, exchange);
-            Ok(WholeAnswer { status, headers, marks, body })
+            Ok(WholeAnswer { status, headers, metadata: marks, body })
         }
         Err(fault) => {
-            place.end(ExchangeOutcome::Broken);
+            place.finish(ExchangeOutcome::TransportError);
             Err(AttemptError::MaybeRun(fault.to_string()))
         }
     }
@@ -225,7 +228,7 @@
     attempt: usize,
     left: Span,
 ) {
-    let board = traffic.board.borrow();
+    let board = traffic.balancer.borrow();
     let entry = board.entry(upstream);
     let (slots, load) = board.occupancy(traffic.node.now(), &entry.service);
     log_event!(
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -12,7 +12,7 @@
     header::{CONTENT_LENGTH, TRANSFER_ENCODING},
 };
 use bytes::{Bytes, BytesMut};
-use platform::{ResponseMetadata, read_reply};
+use platform::{ResponseMetadata, parse_response_head};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::TcpStream,
@@ -50,7 +50,7 @@
 pub(crate) struct Exchange {
     channel: UpstreamChannel,
     head: ResponseHead,
-    marks: ResponseMetadata,
+    metadata: ResponseMetadata,
     body: BodyState,
 }
 
@@ -108,9 +108,9 @@
         self.unsent = bytes.freeze();
         for _ in 0..=SKIPPED_ANSWERS {
             let head = self.read_head(&mut codec).await?;
-            let marks = read_reply(&head);
+            let marks = parse_response_head(&head);
             let body = body_state(codec, &method, &head);
-            let mut exchange = Exchange { channel: self, head, marks, body };
+            let mut exchange = Exchange { channel: self, head, metadata: marks, body };
             if exchange.answers(id) {
                 return Ok(exchange);
             }
@@ -167,15 +167,15 @@
         &self.head
     }
 
-    pub(crate) const fn marks(&self) -> &ResponseMetadata {
-        &self.marks
+    pub(crate) const fn metadata(&self) -> &ResponseMetadata {
+        &self.metadata
     }
 
     /// An upstream that did not run a request may leave out the identifier.
     fn answers(&self, id: &str) -> bool {
-        match &self.marks.id {
+        match &self.metadata.id {
             Some(answered) => answered == id,
-            None => self.marks.not_run || !self.head.status.is_success(),
+            None => self.metadata.not_run || !self.head.status.is_success(),
         }
     }
 
--- a/crates/hibiscushinged/src/gateway/cleanup.rs
+++ b/crates/hibiscushinged/src/gateway/cleanup.rs
@@ -4,8 +4,8 @@
 
 use base::{Span, WallTime};
 use clients::CallError;
-use platform::{AppendResponse, keyed_record};
-use protocol::{EXPIRING_PREFIX, decode_book_record, submission_prefix};
+use platform::{AppendResponse, encode_keyed_record};
+use protocol::{EXPIRING_SUBMISSIONS_PREFIX, decode_submission_record, submission_prefix};
 use submissions::SubmissionRecord;
 
 use crate::{
@@ -47,9 +47,9 @@
     let name = &mirror.name;
     let keep = traffic.node.settings.promises.results + MARGIN;
     let oldest = WallTime(wall_now().0 - keep.as_millis() as i64);
-    let markers = fetch_keys(&traffic.store, name, EXPIRING_PREFIX).await?;
+    let markers = fetch_keys(&traffic.store, name, EXPIRING_SUBMISSIONS_PREFIX).await?;
     for marker in markers.items {
-        let record = decode_book_record(&marker.key, marker.value.as_deref());
+        let record = decode_submission_record(&marker.key, marker.value.as_deref());
         let Ok(Some(SubmissionRecord::Expiring { submission, accepted_at })) = record else {
             continue;
         };
@@ -61,7 +61,7 @@
         let keys = keys.items.iter().map(|change| change.key.as_str());
         // The marker goes with the keys, in one append, so that none is left behind.
         let records: Vec<_> =
-            keys.chain([marker.key.as_str()]).map(|key| keyed_record(key, None)).collect();
+            keys.chain([marker.key.as_str()]).map(|key| encode_keyed_record(key, None)).collect();
         let stored = traffic.store.append(&name.topic, name.part, None, &records).await?;
         if let AppendResponse::Appended { .. } = stored {
             log_event!(SubmissionDeleted, submission, part = name.part, keys = records.len());
--- a/crates/hibiscushinged/src/gateway/commit.rs
+++ b/crates/hibiscushinged/src/gateway/commit.rs
@@ -5,8 +5,8 @@
 use base::{Span, derive_copy};
 use bytes::Bytes;
 use clients::CallError;
-use platform::{AppendResponse, keyed_record};
-use protocol::encode_book_record;
+use platform::{AppendResponse, encode_keyed_record};
+use protocol::encode_submission_record;
 use submissions::{SubmissionRecord, SubmissionTable};
 
 use crate::gateway::{partition_follower::PartitionFollower, traffic_state::TrafficState};
@@ -44,7 +44,7 @@
     let _writer = mirror.writing.lock().await;
     let mut fault = CommitError::NotStored;
     // What is known may be old. An append at an old end fails and tells the new one.
-    let mut known = mirror.copy().next().is_some();
+    let mut known = mirror.cache().next_offset().is_some();
     loop {
         if traffic.node.now() >= until {
             return Err(fault);
@@ -64,17 +64,17 @@
             continue;
         }
         // A copy that began anew between two loads knows only some of them.
-        let Some(at) = mirror.copy().append_offset(submissions) else { continue };
-        let Some(records) = build(&mirror.book()) else { return Ok(()) };
+        let Some(at) = mirror.cache().append_offset(submissions) else { continue };
+        let Some(records) = build(&mirror.table()) else { return Ok(()) };
         let bytes = encode(&records);
         let part = mirror.name.part;
         let appended = traffic.store.append(&mirror.name.topic, part, Some(at), &bytes).await;
         match appended {
             Ok(AppendResponse::Appended { offset, end }) => {
-                mirror.appended(offset, end, records);
+                mirror.apply_own_append(offset, end, records);
                 return Ok(());
             }
-            Ok(AppendResponse::Moved { .. }) => known = false,
+            Ok(AppendResponse::OffsetMismatch { .. }) => known = false,
             Ok(AppendResponse::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
             Err(error) => {
                 if error.may_have_run() {
@@ -87,6 +87,6 @@
 }
 
 fn encode(records: &[SubmissionRecord]) -> Vec<Bytes> {
-    let encoded = records.iter().map(encode_book_record);
-    encoded.map(|(key, value)| keyed_record(&key, value.as_deref())).collect()
+    let encoded = records.iter().map(encode_submission_record);
+    encoded.map(|(key, value)| encode_keyed_record(&key, value.as_deref())).collect()
 }
--- a/crates/hibiscushinged/src/gateway/control.rs
+++ b/crates/hibiscushinged/src/gateway/control.rs
@@ -5,8 +5,8 @@
 use base::Span;
 use dispatch::RemovalCause;
 use platform::{
-    OPERATOR_TOPIC, OperatorKey, UPSTREAM_TOPIC, decode_entry, decode_manifest,
-    decode_named_version, operator_key,
+    OPERATOR_TOPIC, OperatorKey, UPSTREAM_TOPIC, decode_config, decode_model_version,
+    decode_upstream_entry, parse_operator_key,
 };
 use routebook::{ActiveConfig, ApplyOutcome};
 use tokio::sync::mpsc;
@@ -43,7 +43,7 @@
 /// What the operator and the trainers write.
 struct OperatorSink {
     control: Rc<ControlState>,
-    history: RefCell<ActiveConfig>,
+    active: RefCell<ActiveConfig>,
 }
 
 /// Entries of upstreams.
@@ -56,11 +56,11 @@
 pub(crate) async fn run(node: Arc<NodeState>, news: mpsc::UnboundedSender<UpstreamUpdate>) {
     let control = Rc::new(ControlState::new(node));
     let upstreams = UpstreamSink { control: Rc::clone(&control), news };
-    let operator = OperatorSink { control: Rc::clone(&control), history: RefCell::default() };
+    let operator = OperatorSink { control: Rc::clone(&control), active: RefCell::default() };
     actix_rt::spawn(follow(Rc::clone(&control), UPSTREAM_TOPIC, upstreams));
     actix_rt::spawn(follow(Rc::clone(&control), OPERATOR_TOPIC, operator));
     actix_rt::spawn(keep_lease(Rc::clone(&control)));
-    actix_rt::spawn(weight_loads::order_loads(Rc::clone(&control)));
+    actix_rt::spawn(weight_loads::order_weight_loads(Rc::clone(&control)));
     actix_rt::spawn(usage::store_usage(Rc::clone(&control)));
     usage_reports::run(control).await;
 }
@@ -99,12 +99,12 @@
             let (key, offset) = (&change.key, change.offset);
             log_event!(warn, LogRecordRefused, topic = OPERATOR_TOPIC, key, offset, reason);
         };
-        match operator_key(&change.key) {
-            OperatorKey::Configuration => match decode_manifest(&value) {
-                Ok(config) => self.offer(config, change.offset),
+        match parse_operator_key(&change.key) {
+            OperatorKey::Configuration => match decode_config(&value) {
+                Ok(config) => self.apply_config(config, change.offset),
                 Err(error) => refused(error.to_string()),
             },
-            OperatorKey::Version(_) => match decode_named_version(&value) {
+            OperatorKey::Version(_) => match decode_model_version(&value) {
                 Ok((model, version)) => {
                     let mut versions = self.control.versions.borrow_mut();
                     let newest = versions.entry(model).or_insert(version);
@@ -118,16 +118,16 @@
 }
 
 impl OperatorSink {
-    fn offer(&self, config: routebook::SiteConfig, offset: u64) {
+    fn apply_config(&self, config: routebook::SiteConfig, offset: u64) {
         let version = config.version;
         let routes = config.routes.len();
-        let mut history = self.history.borrow_mut();
-        if history.offer(config) == ApplyOutcome::NotNewer {
+        let mut history = self.active.borrow_mut();
+        if history.apply(config) == ApplyOutcome::NotNewer {
             return;
         }
         let node = &self.control.node;
-        node.book.store(history.newest().cloned());
-        node.enter(NodePhase::Serving);
+        node.config.store(history.current().cloned());
+        node.advance_to(NodePhase::Serving);
         log_event!(ConfigApplied, version, offset, routes);
     }
 }
@@ -155,7 +155,7 @@
             self.remove(change.key, cause);
             return;
         };
-        match decode_entry(&change.key, &value) {
+        match decode_upstream_entry(&change.key, &value) {
             Ok(entry) => {
                 let known = self.control.entries.borrow_mut().insert(change.key, entry.clone());
                 if known.as_ref() != Some(&entry) {
--- a/crates/hibiscushinged/src/gateway/fetch.rs
+++ b/crates/hibiscushinged/src/gateway/fetch.rs
@@ -3,7 +3,7 @@
 use base::Span;
 use bytes::Bytes;
 use clients::CallError;
-use platform::{ReadResponse, StoredRecord, split_keyed};
+use platform::{ReadResponse, StoredRecord, decode_keyed_record};
 
 use crate::{gateway::store::StoreSession, telemetry::log_event};
 
@@ -95,7 +95,7 @@
     let mut items = Vec::new();
     let mut first_end = None;
     loop {
-        let page = store.newest(&name.topic, name.part, after.as_deref()).await?;
+        let page = store.read_latest(&name.topic, name.part, after.as_deref()).await?;
         let single_page = first_end.is_none();
         let end = *first_end.get_or_insert(page.end);
         let last = page.items.last().map(|(key, _)| key.clone());
@@ -105,7 +105,7 @@
             }
         }
         match last {
-            Some(last) if page.more && last.starts_with(prefix) => after = Some(last),
+            Some(last) if page.has_more && last.starts_with(prefix) => after = Some(last),
             _ => return Ok(KeySet { items, end, single_page }),
         }
     }
@@ -114,7 +114,7 @@
 /// Splits a record into key and value. A record without a key is logged and skipped.
 pub(crate) fn split(name: &PartitionName, record: &StoredRecord) -> Option<KeyChange> {
     let offset = record.offset;
-    match split_keyed(&record.bytes) {
+    match decode_keyed_record(&record.bytes) {
         Some((key, value)) => Some(KeyChange { offset, key, value }),
         None => {
             let topic = &name.topic;
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -48,12 +48,12 @@
     place: AttemptGuard,
 ) {
     let started = traffic.node.now();
-    let resume_after = job.progress.borrow().text.last_id();
-    let engine = traffic.board.borrow().entry(upstream).id.clone();
-    let (submission, item) = (&job.head.id, &job.item.id);
+    let resume_after = job.progress.borrow().text.last_event_id();
+    let engine = traffic.balancer.borrow().entry(upstream).id.clone();
+    let (submission, item) = (&job.metadata.id, &job.item.id);
     log_event!(ItemStarted, submission, item, upstream = engine, resume_after);
     let (end, exchange_end) = generate(&traffic, &job, upstream, &engine, started).await;
-    place.end(exchange_end);
+    place.finish(exchange_end);
     traffic.node.metrics.observe_run(traffic.node.now().since(started));
     match end {
         RunEnd::Whole => reward::finish(&traffic, &job).await,
@@ -73,7 +73,7 @@
                 status = 500,
                 failures
             );
-            let attempts = traffic.node.attempts(&job.head.host, &job.head.path);
+            let attempts = traffic.node.max_attempts(&job.metadata.host, &job.metadata.path);
             if failures >= attempts.unwrap_or(DEFAULT_ATTEMPTS) {
                 traffic.items.resolve(&job, ItemResult::errored(item.as_str()));
             } else {
@@ -81,12 +81,12 @@
             }
         }
         RunEnd::Refused(reason) => {
-            let events = job.progress.borrow().text.last_id();
+            let events = job.progress.borrow().text.last_event_id();
             log_event!(ItemInterrupted, submission, item, upstream = engine, reason, events);
             traffic.items.requeue(&traffic.node, &job);
         }
         RunEnd::Interrupted(reason) => {
-            let events = job.progress.borrow().text.last_id();
+            let events = job.progress.borrow().text.last_event_id();
             log_event!(ItemInterrupted, submission, item, upstream = engine, reason, events);
             job.progress.borrow_mut().tried.push(upstream);
             traffic.items.requeue(&traffic.node, &job);
@@ -101,11 +101,11 @@
     engine: &str,
     started: Moment,
 ) -> (RunEnd, ExchangeOutcome) {
-    let last_id = job.progress.borrow().text.last_id();
+    let last_id = job.progress.borrow().text.last_event_id();
     let call = UpstreamRequestMetadata {
         id: &job.item.id,
-        host: &job.head.host,
-        customer: Some(&job.head.customer),
+        host: &job.metadata.host,
+        customer: Some(&job.metadata.customer),
         instance: engine,
         deadline: None,
         resume_after: (last_id > 0).then_some(last_id),
@@ -122,9 +122,13 @@
     let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, call)).await;
     let mut exchange = match opened {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err((fault, ExchangeOutcome::Full))) => {
+        Ok(Err((fault, ExchangeOutcome::Overloaded))) => {
             let now = traffic.node.now();
-            traffic.board.borrow_mut().refused_generation(now, upstream, &job.head.model);
+            traffic.balancer.borrow_mut().record_generation_refusal(
+                now,
+                upstream,
+                &job.metadata.model,
+            );
             // Other models of the engine are not affected.
             return (RunEnd::Refused(String::from(fault.reason())), ExchangeOutcome::Cancelled);
         }
@@ -132,7 +136,7 @@
             return (RunEnd::Interrupted(String::from(fault.reason())), end);
         }
         Err(_) => {
-            return (RunEnd::Interrupted(String::from("no answer")), ExchangeOutcome::Silent);
+            return (RunEnd::Interrupted(String::from("no answer")), ExchangeOutcome::TimedOut);
         }
     };
     match exchange.head().status.as_u16() {
@@ -141,13 +145,13 @@
             let took = traffic.node.now().since(started);
             return (RunEnd::Hopeless, ExchangeOutcome::Answered(took));
         }
-        500 => return (RunEnd::Failed, ExchangeOutcome::Failed),
+        500 => return (RunEnd::Failed, ExchangeOutcome::ServerError),
         status => {
-            return (RunEnd::Interrupted(format!("status {status}")), ExchangeOutcome::Failed);
+            return (RunEnd::Interrupted(format!("status {status}")), ExchangeOutcome::ServerError);
         }
     }
-    if let Some(version) = exchange.marks().version {
-        traffic.board.borrow_mut().learn_version(upstream, &job.head.model, version);
+    if let Some(version) = exchange.metadata().version {
+        traffic.balancer.borrow_mut().record_version(upstream, &job.metadata.model, version);
         if let Err(fault) = job.progress.borrow_mut().text.begin_run(version) {
             return (RunEnd::Interrupted(fault.to_string()), ExchangeOutcome::Cancelled);
         }
@@ -174,25 +178,29 @@
         let chunk = match tokio::time::timeout(MOST_SILENCE, exchange.chunk()).await {
             Ok(Ok(Some(chunk))) => chunk,
             Ok(Ok(None)) => break,
-            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeOutcome::Broken)),
-            Err(_) => return Err((String::from("silence"), ExchangeOutcome::Silent)),
+            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeOutcome::TransportError)),
+            Err(_) => return Err((String::from("silence"), ExchangeOutcome::TimedOut)),
         };
         reader.feed(&chunk);
         loop {
             let event = match reader.next_event() {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
-                Err(error) => return Err((error.to_string(), ExchangeOutcome::Broken)),
+                Err(error) => return Err((error.to_string(), ExchangeOutcome::TransportError)),
             };
             if let Err(fault) = job.progress.borrow_mut().text.push(&event) {
-                return Err((fault.to_string(), ExchangeOutcome::Broken));
+                return Err((fault.to_string(), ExchangeOutcome::TransportError));
             }
             let now = traffic.node.now();
             if let Some(last) = last_event.replace(now) {
-                traffic.board.borrow_mut().learn_event(upstream, now.since(last));
+                traffic.balancer.borrow_mut().record_event_interval(upstream, now.since(last));
             }
         }
     }
-    let whole = reader.is_empty() && job.progress.borrow().text.last_id() > 0;
-    if whole { Ok(()) } else { Err((String::from("the text broke off"), ExchangeOutcome::Broken)) }
+    let whole = reader.is_empty() && job.progress.borrow().text.last_event_id() > 0;
+    if whole {
+        Ok(())
+    } else {
+        Err((String::from("the text broke off"), ExchangeOutcome::TransportError))
+    }
 }
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -41,7 +41,7 @@
         // conditional, so a successor that runs the same items costs work and nothing else.
         if let Ok(share) = joined {
             traffic.partitions.generation.set(share.generation);
-            let parts = share.parts.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
+            let parts = share.partitions.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
             take_parts(&traffic, &parts.map(|(_, part)| part).collect());
         }
         tokio::time::sleep(JOIN_PERIOD).await;
--- a/crates/hibiscushinged/src/gateway/holder.rs
+++ b/crates/hibiscushinged/src/gateway/holder.rs
@@ -25,7 +25,7 @@
 
 /// The lease as the tasks of this node use it.
 pub(crate) struct LeaseHolder {
-    pub(crate) keeper: RefCell<LeaseManager>,
+    pub(crate) lease_manager: RefCell<LeaseManager>,
     /// A node that held the lease, or may have held it before its start, claims again only after
     /// this moment. Holders must not take turns faster than the platform allows.
     pub(crate) rests_until: RefCell<Moment>,
@@ -41,11 +41,11 @@
             extra_wait: Span::ZERO,
         };
         let mut keeper =
-            LeaseManager::new(settings, LeaseScope::Fleet, node.incarnation, LeaseRole::Abstaining);
+            LeaseManager::new(settings, LeaseScope::Fleet, node.incarnation, LeaseRole::Observer);
         keeper.set_claim_delay(Span(rand::random_range(0..CLAIM_SPREAD.0)));
         let rest = if node.settings.first_start { Span::ZERO } else { rest(node) };
         let rests_until = RefCell::new(node.now() + rest);
-        Self { keeper: RefCell::new(keeper), rests_until }
+        Self { lease_manager: RefCell::new(keeper), rests_until }
     }
 
     /// Returns the number of the lease while this node may act.
@@ -53,11 +53,11 @@
         if node.phase() == NodePhase::Draining {
             return None;
         }
-        self.keeper.borrow().permit(node.now(), FencingSupport::Ignored).ok()
+        self.lease_manager.borrow().permit(node.now(), FencingSupport::Ignored).ok()
     }
 
     /// Returns how calls of the holder are marked, while this node may act.
-    pub(crate) fn mark(&self, node: &NodeState) -> Option<HolderIdentity> {
+    pub(crate) fn identity(&self, node: &NodeState) -> Option<HolderIdentity> {
         // The first record of a log has offset 0, which a receiver may take for no number at all.
         let fencing = FencingToken(self.permit(node)?.0 + 1);
         Some(HolderIdentity { holder: node.settings.vm_name.clone(), fencing })
--- a/crates/hibiscushinged/src/gateway/items.rs
+++ b/crates/hibiscushinged/src/gateway/items.rs
@@ -42,10 +42,10 @@
     /// Texts by customer and item.
     kept: HashMap<(String, String), KeptText>,
     /// Engine that has read a shared prompt last.
-    pub(crate) warm: HashMap<String, UpstreamKey>,
+    pub(crate) warm_engines: HashMap<String, UpstreamKey>,
     pub(crate) results: HashMap<u32, Vec<(String, ItemResult)>>,
     pub(crate) watched: HashSet<u32>,
-    pub(crate) moved_at: Moment,
+    pub(crate) last_migration_at: Moment,
 }
 
 impl Default for ItemLists {
@@ -54,10 +54,10 @@
             queue: ItemQueue::default(),
             jobs: JobTable::default(),
             kept: HashMap::new(),
-            warm: HashMap::new(),
+            warm_engines: HashMap::new(),
             results: HashMap::new(),
             watched: HashSet::new(),
-            moved_at: Moment(0),
+            last_migration_at: Moment(0),
         }
     }
 }
@@ -75,12 +75,12 @@
 impl ItemLists {
     fn keep(&mut self, now: Moment, job: &ItemJob) {
         let text = job.progress.borrow().text.clone();
-        if text.last_id() == 0 {
+        if text.last_event_id() == 0 {
             return;
         }
-        let (model, item) = (job.head.model.clone(), Arc::clone(&job.item));
+        let (model, item) = (job.metadata.model.clone(), Arc::clone(&job.item));
         let kept = KeptText { model, item, text, kept_at: now };
-        self.kept.insert((job.head.customer.clone(), job.item.id.clone()), kept);
+        self.kept.insert((job.metadata.customer.clone(), job.item.id.clone()), kept);
     }
 
     /// Takes the text that an item had in an earlier submission of the same customer. A text to another
@@ -144,9 +144,9 @@
         if !state.jobs.holds(job) || self.stopped.get() {
             return;
         }
-        let Some(routes) = node.book.load_full() else { return };
-        let Some(route) = routes.route(&job.head.host, &job.head.path) else { return };
-        let due = due_at(node.now(), &job.head, route);
+        let Some(routes) = node.config.load_full() else { return };
+        let Some(route) = routes.route(&job.metadata.host, &job.metadata.path) else { return };
+        let due = due_at(node.now(), &job.metadata, route);
         // An item that has begun comes before others of its submission.
         state.queue.push(due, 0, u32::MAX, Rc::clone(job));
         drop(state);
@@ -156,8 +156,8 @@
     /// Takes the final result of an item.
     pub(crate) fn resolve(&self, job: &ItemJob, result: ItemResult) {
         job.run.take();
-        let events = job.progress.borrow().text.last_id();
-        let (submission, item, state) = (&job.head.id, &job.item.id, result.state);
+        let events = job.progress.borrow().text.last_event_id();
+        let (submission, item, state) = (&job.metadata.id, &job.item.id, result.state);
         log_event!(ItemResolved, submission, item, ?state, events, versions = ?result.versions);
         let submission = submission.clone();
         self.lists.borrow_mut().results.entry(job.part).or_default().push((submission, result));
--- a/crates/hibiscushinged/src/gateway/items/tests.rs
+++ b/crates/hibiscushinged/src/gateway/items/tests.rs
@@ -18,10 +18,10 @@
         path: String::from("/p"),
         model: String::from(model),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items: 1,
+        item_count: 1,
     }
 }
 
@@ -60,5 +60,5 @@
     job.progress.borrow_mut().text.push(&event).unwrap();
     lists.keep(Moment(0), &job);
     let text = lists.take_kept(&head("later", customer, model), &item(body));
-    assert_eq!(text.map(|text| text.last_id()), taken.then_some(1));
+    assert_eq!(text.map(|text| text.last_event_id()), taken.then_some(1));
 }
--- a/crates/hibiscushinged/src/gateway/job.rs
+++ b/crates/hibiscushinged/src/gateway/job.rs
@@ -24,7 +24,7 @@
 /// One item that this node runs.
 pub(crate) struct ItemJob {
     pub(crate) part: u32,
-    pub(crate) head: Arc<SubmissionMetadata>,
+    pub(crate) metadata: Arc<SubmissionMetadata>,
     pub(crate) item: Arc<SubmissionItem>,
     pub(crate) progress: RefCell<JobProgress>,
     /// Whether the text is whole and waits for its score.
@@ -62,13 +62,13 @@
         one_version: bool,
         kept: Option<GeneratedText>,
     ) -> Self {
-        let least = head.least_version;
-        let kept = kept.and_then(|mut text| text.require(least).ok().map(|()| text));
+        let least = head.min_version;
+        let kept = kept.and_then(|mut text| text.set_min_version(least).ok().map(|()| text));
         let text = kept.unwrap_or_else(|| GeneratedText::new(least, one_version));
         let progress = JobProgress { text, failures: 0, tried: SmallVec::new() };
         Self {
             part,
-            head: Arc::clone(head),
+            metadata: Arc::clone(head),
             item: Arc::clone(item),
             progress: RefCell::new(progress),
             scoring: Cell::new(false),
@@ -83,11 +83,11 @@
     }
 
     pub(crate) fn holds(&self, job: &ItemJob) -> bool {
-        self.contains(&job.head.id, &job.item.id)
+        self.contains(&job.metadata.id, &job.item.id)
     }
 
     pub(crate) fn insert(&mut self, job: &Rc<ItemJob>) {
-        let jobs = self.submissions.entry(job.head.id.clone()).or_default();
+        let jobs = self.submissions.entry(job.metadata.id.clone()).or_default();
         jobs.insert(job.item.id.clone(), Rc::clone(job));
     }
 
@@ -108,7 +108,7 @@
 
 /// Returns when the results of a submission are due.
 pub(crate) fn due_at(now: Moment, head: &SubmissionMetadata, route: &RouteSpec) -> Moment {
-    let objective = route.run_objective.unwrap_or(DEFAULT_DUE);
+    let objective = route.completion_objective.unwrap_or(DEFAULT_DUE);
     let age = wall_now().0.saturating_sub(head.accepted_at.0);
     let age = Span::from_millis(u64::try_from(age).unwrap_or(0));
     let rank = Span(RANK_DELAY.0 * u64::from(route.priority));
--- a/crates/hibiscushinged/src/gateway/lease.rs
+++ b/crates/hibiscushinged/src/gateway/lease.rs
@@ -38,7 +38,7 @@
 /// lease is checked as the last step before the bytes.
 pub(crate) fn holder_client(control: &Rc<ControlState>, idle: Span) -> HttpClient {
     let control = Rc::clone(control);
-    HttpClient::resetting(CONNECT_TIMEOUT, idle).guarded(move || {
+    HttpClient::with_reset_on_close(CONNECT_TIMEOUT, idle).guarded(move || {
         let permit = control.lease.permit(&control.node);
         if permit.is_some() { SendPermit::Granted } else { SendPermit::Denied }
     })
@@ -52,10 +52,10 @@
         let now = control.node.now();
         let draining = control.node.phase() == NodePhase::Draining;
         let actions = {
-            let mut keeper = control.lease.keeper.borrow_mut();
+            let mut keeper = control.lease.lease_manager.borrow_mut();
             let rested = now >= *control.lease.rests_until.borrow();
             let stands = rested && !draining && control.node.phase() == NodePhase::Serving;
-            keeper.set_candidacy(if stands { LeaseRole::Standing } else { LeaseRole::Abstaining });
+            keeper.set_role(if stands { LeaseRole::Candidate } else { LeaseRole::Observer });
             if draining { keeper.resign() } else { keeper.tick(now) }
         };
         for action in actions {
@@ -91,7 +91,7 @@
 
 fn restart(control: &Rc<ControlState>, first: u64) {
     let now = control.node.now();
-    let actions = control.lease.keeper.borrow_mut().reading_from(now, LogOffset(first));
+    let actions = control.lease.lease_manager.borrow_mut().restart_from(now, LogOffset(first));
     for action in actions {
         act(control, action);
     }
@@ -107,7 +107,7 @@
         }
     };
     let now = control.node.now();
-    let actions = control.lease.keeper.borrow_mut().read(now, LogOffset(offset), &record);
+    let actions = control.lease.lease_manager.borrow_mut().read(now, LogOffset(offset), &record);
     for action in actions {
         act(control, action);
     }
@@ -136,6 +136,6 @@
     // A renewal that takes longer than the time between two is of no use.
     let appended = tokio::time::timeout(to_duration(RENEWAL), append).await;
     if !matches!(appended, Ok(Ok(AppendResponse::Appended { .. }))) {
-        control.lease.keeper.borrow_mut().append_refused();
+        control.lease.lease_manager.borrow_mut().append_refused();
     }
 }
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -35,10 +35,10 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
-    pub(crate) book: ArcSwapOption<ConfigIndex>,
+    pub(crate) config: ArcSwapOption<ConfigIndex>,
     pub(crate) metrics: GatewayMetrics,
-    tally: Mutex<WindowTotals>,
-    life: Arc<NodeLifecycle>,
+    window_totals: Mutex<WindowTotals>,
+    lifecycle: Arc<NodeLifecycle>,
     store_contact: AtomicU64,
     store_trouble: AtomicU64,
     store_lost: AtomicBool,
@@ -75,10 +75,10 @@
             settings,
             incarnation,
             clock,
-            book: ArcSwapOption::empty(),
+            config: ArcSwapOption::empty(),
             metrics,
-            tally: Mutex::new(WindowTotals::default()),
-            life: Arc::default(),
+            window_totals: Mutex::new(WindowTotals::default()),
+            lifecycle: Arc::default(),
             store_contact: AtomicU64::new(0),
             store_trouble: AtomicU64::new(0),
             store_lost: AtomicBool::new(false),
@@ -91,29 +91,29 @@
     }
 
     pub(crate) fn phase(&self) -> NodePhase {
-        self.life.phase()
+        self.lifecycle.phase()
     }
 
-    pub(crate) fn enter(&self, phase: NodePhase) {
-        self.life.enter(phase);
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
+        self.lifecycle.advance_to(phase);
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.life.in_flight()
+        self.lifecycle.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> InFlightGuard {
-        InFlightGuard::enter(&self.life)
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.lifecycle)
     }
 
     /// Attempts that the route of a path allows, if there is one.
-    pub(crate) fn attempts(&self, host: &str, path: &str) -> Option<u32> {
-        let book = self.book.load();
-        Some(book.as_ref()?.route(host, path)?.attempts)
+    pub(crate) fn max_attempts(&self, host: &str, path: &str) -> Option<u32> {
+        let book = self.config.load();
+        Some(book.as_ref()?.route(host, path)?.max_attempts)
     }
 
-    pub(crate) fn tally(&self) -> MutexGuard<'_, WindowTotals> {
-        self.tally.lock().expect("no holder of the tally panics")
+    pub(crate) fn window_totals(&self) -> MutexGuard<'_, WindowTotals> {
+        self.window_totals.lock().expect("no holder of the tally panics")
     }
 
     pub(crate) fn last_totals(&self) -> LastTotals {
@@ -142,13 +142,13 @@
     /// Counts a request that begins to run now.
     pub(crate) fn count_begin(&self, customer: &str) -> CountedRequest {
         let window = window_of(wall_now(), self.settings.promises.window);
-        self.tally().add(window, customer);
+        self.window_totals().add(window, customer);
         CountedRequest { window, customer: String::from(customer) }
     }
 
     /// Takes back a request that the upstream did not run.
-    pub(crate) fn take_back(&self, mark: &CountedRequest) {
-        self.tally().take_back(mark.window, &mark.customer);
+    pub(crate) fn remove(&self, mark: &CountedRequest) {
+        self.window_totals().remove(mark.window, &mark.customer);
     }
 
     /// Records that the store answered.
--- a/crates/hibiscushinged/src/gateway/partition_follower.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower.rs
@@ -14,7 +14,7 @@
 use base::{Moment, Span};
 use clients::CallError;
 use platform::ReadResponse;
-use protocol::{OPEN_PREFIX, decode_book_record, submission_prefix};
+use protocol::{OPEN_SUBMISSIONS_PREFIX, decode_submission_record, submission_prefix};
 use submissions::{
     LogBatch, PartitionCache, SubmissionRecord, SubmissionSnapshot, SubmissionTable,
 };
@@ -40,7 +40,7 @@
 /// Copy of one partition, kept up to date by reads of the store.
 pub(crate) struct PartitionFollower {
     pub(crate) name: PartitionName,
-    copy: RefCell<PartitionCache>,
+    cache: RefCell<PartitionCache>,
     /// Whether this node runs the items of the partition.
     owned: Cell<bool>,
     used_at: Cell<Moment>,
@@ -54,7 +54,7 @@
     pub(crate) fn new(name: PartitionName) -> Self {
         Self {
             name,
-            copy: RefCell::default(),
+            cache: RefCell::default(),
             owned: Cell::new(false),
             used_at: Cell::new(Moment(0)),
             following: Cell::new(false),
@@ -63,12 +63,12 @@
         }
     }
 
-    pub(crate) fn book(&self) -> Ref<'_, SubmissionTable> {
-        Ref::map(self.copy.borrow(), PartitionCache::book)
+    pub(crate) fn table(&self) -> Ref<'_, SubmissionTable> {
+        Ref::map(self.cache.borrow(), PartitionCache::table)
     }
 
-    pub(crate) fn copy(&self) -> Ref<'_, PartitionCache> {
-        self.copy.borrow()
+    pub(crate) fn cache(&self) -> Ref<'_, PartitionCache> {
+        self.cache.borrow()
     }
 
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
@@ -85,15 +85,16 @@
         store: &StoreSession,
         submission: &str,
     ) -> Result<(), CallError> {
-        while !self.copy.borrow().is_loaded(submission) {
+        while !self.cache.borrow().is_loaded(submission) {
             let sent_at = store.node.now();
             let prefix = submission_prefix(submission);
             let KeySet { items, end, .. } = fetch_keys(store, &self.name, &prefix).await?;
             let records = items.iter().filter_map(|change| self.decode(change));
             let records = records.map(|(_, record)| record).collect();
             let submission = String::from(submission);
-            let read = SubmissionSnapshot { submission, sent_at, end, records };
-            if self.copy.borrow_mut().load(read) {
+            let read =
+                SubmissionSnapshot { submission, read_started_at: sent_at, log_end: end, records };
+            if self.cache.borrow_mut().apply_snapshot(read) {
                 self.tell_change();
             }
         }
@@ -103,16 +104,19 @@
     /// Loads all open submissions, for a node that begins to run them.
     async fn load_open(&self, store: &StoreSession) -> Result<(), CallError> {
         let sent_at = store.node.now();
-        let KeySet { items: markers, end, .. } = fetch_keys(store, &self.name, OPEN_PREFIX).await?;
-        self.copy.borrow_mut().begin_at(end, sent_at);
-        let open: Vec<&str> =
-            markers.iter().map(|marker| marker.key.trim_start_matches(OPEN_PREFIX)).collect();
+        let KeySet { items: markers, end, .. } =
+            fetch_keys(store, &self.name, OPEN_SUBMISSIONS_PREFIX).await?;
+        self.cache.borrow_mut().follow_from(end, sent_at);
+        let open: Vec<&str> = markers
+            .iter()
+            .map(|marker| marker.key.trim_start_matches(OPEN_SUBMISSIONS_PREFIX))
+            .collect();
         for submission in &open {
             self.load(store, submission).await?;
         }
         // Submissions that were known before may have ended since.
         self.catch_up(store).await?;
-        self.copy.borrow_mut().finish_scan(&open, end);
+        self.cache.borrow_mut().finish_scan(&open, end);
         self.tell_change();
         Ok(())
     }
@@ -124,7 +128,7 @@
     /// Notes whether this node owns the partition. A new owner looks for open submissions anew.
     pub(crate) fn set_owned(&self, owned: bool) {
         if owned && !self.owned.get() {
-            self.copy.borrow_mut().begin_scan();
+            self.cache.borrow_mut().invalidate_scan();
         }
         self.owned.set(owned);
     }
@@ -142,7 +146,7 @@
     /// Reads a part of what is new, and tells whether the copy is complete. One answer of the store
     /// holds a bounded number of bytes.
     async fn poll(&self, store: &StoreSession, wait: Span) -> Result<bool, CallError> {
-        let Some(from) = self.copy.borrow().next() else { return Ok(true) };
+        let Some(from) = self.cache.borrow().next_offset() else { return Ok(true) };
         // The copy is complete as of the moment at which the read was sent.
         let sent_at = store.node.now();
         match store.read(&self.name.topic, self.name.part, from, wait).await? {
@@ -150,8 +154,13 @@
                 let read_to = records.last().map_or(from, |record| record.offset + 1);
                 let changes = records.iter().filter_map(|record| split(&self.name, record));
                 let records = changes.filter_map(|change| self.decode(&change)).collect();
-                let complete =
-                    self.copy.borrow_mut().read(LogBatch { sent_at, from, read_to, end, records });
+                let complete = self.cache.borrow_mut().apply_batch(LogBatch {
+                    read_started_at: sent_at,
+                    start_offset: from,
+                    next_offset: read_to,
+                    log_end: end,
+                    records,
+                });
                 if read_to > from {
                     self.tell_change();
                 }
@@ -160,15 +169,15 @@
             ReadResponse::Trimmed { first } => {
                 let (topic, part) = (&self.name.topic, self.name.part);
                 log_event!(warn, LogGapFound, topic, part, from, first);
-                self.copy.borrow_mut().reset();
+                self.cache.borrow_mut().reset();
                 Ok(true)
             }
         }
     }
 
     /// Takes records that this node has appended itself.
-    pub(crate) fn appended(&self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
-        self.copy.borrow_mut().appended(offset, end, records);
+    pub(crate) fn apply_own_append(&self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
+        self.cache.borrow_mut().apply_own_append(offset, end, records);
         self.tell_change();
     }
 
@@ -178,7 +187,7 @@
 
     /// Decodes a record. One that cannot be read is logged and skipped.
     fn decode(&self, change: &KeyChange) -> Option<(u64, SubmissionRecord)> {
-        match decode_book_record(&change.key, change.value.as_deref()) {
+        match decode_submission_record(&change.key, change.value.as_deref()) {
             Ok(record) => Some((change.offset, record?)),
             Err(error) => {
                 let (topic, part) = (&self.name.topic, self.name.part);
@@ -203,20 +212,20 @@
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
-            mirror.copy.borrow_mut().clear();
+            mirror.cache.borrow_mut().clear();
             mirror.following.set(false);
         });
     }
 
     async fn step(&self, store: &StoreSession) -> Result<(), CallError> {
         let owned = self.owned.get();
-        if owned && !self.copy.borrow().is_scanned() {
+        if owned && !self.cache.borrow().is_scanned() {
             return self.load_open(store).await;
         }
         if !owned {
-            self.copy.borrow_mut().begin_scan();
+            self.cache.borrow_mut().invalidate_scan();
         }
-        if self.copy.borrow().next().is_none() {
+        if self.cache.borrow().next_offset().is_none() {
             tokio::time::sleep(RETRY_PAUSE).await;
             return Ok(());
         }
--- a/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -4,8 +4,8 @@
 
 use base::{Incarnation, WallTime, WeightVersion};
 use document::GatewaySettings;
-use platform::keyed_record;
-use protocol::encode_book_record;
+use platform::encode_keyed_record;
+use protocol::encode_submission_record;
 use site_stand_in::{SiteStore, StoreOptions, rendered_settings};
 use submissions::{ItemResult, SubmissionItem, SubmissionMetadata, SubmissionRecord};
 
@@ -37,8 +37,8 @@
 }
 
 fn bytes(record: &SubmissionRecord) -> bytes::Bytes {
-    let (key, value) = encode_book_record(record);
-    keyed_record(&key, value.as_deref())
+    let (key, value) = encode_submission_record(record);
+    encode_keyed_record(&key, value.as_deref())
 }
 
 fn submission() -> Vec<SubmissionRecord> {
@@ -49,10 +49,10 @@
         path: String::from("/p/"),
         model: String::from("m"),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items: ITEMS,
+        item_count: ITEMS,
     };
     let items = (0..ITEMS).map(|index| SubmissionItem {
         id: format!("i{index}"),
@@ -87,8 +87,8 @@
     store.append(SUBMISSION_TOPIC, 0, results.collect());
 
     mirror.catch_up(&traffic.store).await.unwrap();
-    let book = mirror.book();
-    assert_eq!(book.get("s").map(submissions::SubmissionState::listed), Some(ITEMS));
+    let book = mirror.table();
+    assert_eq!(book.get("s").map(submissions::SubmissionState::result_count), Some(ITEMS));
 }
 
 /// Guards against a copy that stays behind after the store has dropped the history that it needs.
@@ -101,9 +101,9 @@
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     store.forget();
     mirror.catch_up(&traffic.store).await.unwrap();
-    assert!(!mirror.copy().is_loaded("s"));
+    assert!(!mirror.cache().is_loaded("s"));
     mirror.load(&traffic.store, "s").await.unwrap();
-    assert!(mirror.book().get("s").is_some());
+    assert!(mirror.table().get("s").is_some());
 }
 
 /// Pattern: a partition of many large submissions, and a small node that is asked for one of them.
@@ -128,7 +128,7 @@
     }
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     mirror.load(&traffic.store, "s").await.unwrap();
-    let book = mirror.book();
+    let book = mirror.table();
     assert!(book.get("s").is_some());
     assert_eq!(book.iter().count(), 1);
 }
@@ -154,25 +154,25 @@
 async fn check_new_owner(#[case] ended: bool, #[case] forgotten: bool, #[case] waiting: usize) {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let config = platform::decode_manifest(CONFIG.as_bytes()).unwrap();
-    traffic.node.book.store(Some(Arc::new(routebook::ConfigIndex::new(config))));
+    let config = platform::decode_config(CONFIG.as_bytes()).unwrap();
+    traffic.node.config.store(Some(Arc::new(routebook::ConfigIndex::new(config))));
     let mirror = traffic.partitions.get(0).unwrap();
     mirror.load(&traffic.store, "s").await.unwrap();
     let mut records = submission();
-    records.push(SubmissionRecord::Marked { submission: String::from("s") });
+    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from("s") });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     mirror.catch_up(&traffic.store).await.unwrap();
     if ended {
         let id = || String::from("s");
         let records = [
             SubmissionRecord::Ended { submission: id() },
-            SubmissionRecord::Unmarked { submission: id() },
+            SubmissionRecord::OpenMarkerCleared { submission: id() },
         ];
         store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     }
     if forgotten {
         // Something is appended in any case, so that the copy is behind what is forgotten.
-        let other = SubmissionRecord::Unmarked { submission: String::from("other") };
+        let other = SubmissionRecord::OpenMarkerCleared { submission: String::from("other") };
         store.append(SUBMISSION_TOPIC, 0, vec![bytes(&other)]);
         store.forget();
     }
@@ -184,7 +184,7 @@
 
     let mut changes = mirror.subscribe();
     mirror.follow(&traffic.store);
-    changes.wait_for(|_| mirror.copy().is_scanned()).await.unwrap();
+    changes.wait_for(|_| mirror.cache().is_scanned()).await.unwrap();
     tokio::task::yield_now().await;
     assert_eq!(traffic.items.waiting(), waiting);
 }
@@ -208,7 +208,7 @@
     mirror.load(&traffic.store, "s").await.unwrap();
     crate::gateway::cleanup::delete_part(&traffic, mirror).await.unwrap();
     mirror.catch_up(&traffic.store).await.unwrap();
-    assert_eq!(mirror.book().get("s").is_some(), stays);
+    assert_eq!(mirror.table().get("s").is_some(), stays);
     for key in ["s/s/o", "s/s/i/0", "s/s/e", "z/s"] {
         assert_eq!(store.value(SUBMISSION_TOPIC, 0, key).is_some(), stays, "{key}");
     }
--- a/crates/hibiscushinged/src/gateway/plain.rs
+++ b/crates/hibiscushinged/src/gateway/plain.rs
@@ -44,9 +44,9 @@
     pub(crate) customer: Option<&'a str>,
     pub(crate) service: &'a str,
     pub(crate) deadline: Moment,
-    pub(crate) objective: Span,
-    pub(crate) attempts: usize,
-    pub(crate) repeatable: bool,
+    pub(crate) latency_objective: Span,
+    pub(crate) max_attempts: usize,
+    pub(crate) retryable: bool,
 }
 
 impl PlainJob<'_> {
@@ -57,7 +57,7 @@
         upstream: UpstreamKey,
         left: Span,
     ) -> AttemptCall<'_> {
-        let instance = traffic.board.borrow().entry(upstream).id.clone();
+        let instance = traffic.balancer.borrow().entry(upstream).id.clone();
         let call = UpstreamRequestMetadata {
             id: self.id,
             host: self.host,
@@ -98,15 +98,15 @@
 ) -> Result<WholeAnswer, Refusal> {
     let mut state = TryState::default();
     let mut running = FuturesUnordered::new();
-    let hedge = Span((job.objective.0 as f64 * HEDGE_SHARE) as u64);
+    let hedge = Span((job.latency_objective.0 as f64 * HEDGE_SHARE) as u64);
     let mut hedge_at = traffic.node.now();
     loop {
         let now = traffic.node.now();
         let left = job.deadline.since(now);
-        let may_send = state.tried.len() < job.attempts
+        let may_send = state.tried.len() < job.max_attempts
             && left >= LEAST_TRY
-            && (job.repeatable || !state.may_have_run);
-        let hedges = job.repeatable && now >= hedge_at && running.len() == 1;
+            && (job.retryable || !state.may_have_run);
+        let hedges = job.retryable && now >= hedge_at && running.len() == 1;
         if may_send && (running.is_empty() || hedges) {
             if let Some(upstream) = pick(traffic, job, &state.tried) {
                 state.tried.push(upstream);
@@ -147,8 +147,8 @@
     let zone = &traffic.node.settings.zone;
     let connected = &traffic.pool.connected();
     let draw = rand::random();
-    let ask = PlainPickRequest { service: job.service, zone, tried, connected, draw };
-    traffic.board.borrow().pick_plain(traffic.node.now(), &ask)
+    let ask = PlainPickRequest { service: job.service, zone, tried, connected, jitter_seed: draw };
+    traffic.balancer.borrow().pick_plain(traffic.node.now(), &ask)
 }
 
 async fn one_try(
@@ -170,7 +170,7 @@
         upstream: UpstreamKey,
         result: Result<WholeAnswer, AttemptError>,
     ) -> Option<WholeAnswer> {
-        let board = traffic.board.borrow();
+        let board = traffic.balancer.borrow();
         let name = &board.entry(upstream).id;
         match result {
             Ok(answer) if answer.status.as_u16() < 500 => return Some(answer),
@@ -182,7 +182,7 @@
                     status = answer.status.as_u16()
                 );
                 self.may_have_run = true;
-                if !job.repeatable {
+                if !job.retryable {
                     return Some(answer);
                 }
                 self.failed_answer = Some(answer);
--- a/crates/hibiscushinged/src/gateway/relay.rs
+++ b/crates/hibiscushinged/src/gateway/relay.rs
@@ -33,7 +33,7 @@
     upstream: UpstreamKey,
     exchange: Option<Exchange>,
     place: Option<AttemptGuard>,
-    _flight: InFlightGuard,
+    _in_flight: InFlightGuard,
 }
 
 /// Sends a request whose answer is a stream, and passes the events on as they come. A stream that
@@ -50,25 +50,25 @@
     let mut tried: SmallVec<[UpstreamKey; 4]> = SmallVec::new();
     let mut reason = String::from("no upstream is usable");
     let mut may_have_run = false;
-    while tried.len() < job.attempts {
+    while tried.len() < job.max_attempts {
         let left = job.deadline.since(traffic.node.now());
         let Some(upstream) = pick(traffic, job, &tried) else { break };
         tried.push(upstream);
         log_attempt(traffic, job.id, upstream, tried.len(), left);
-        let place = AttemptGuard::take(traffic, upstream);
+        let place = AttemptGuard::acquire(traffic, upstream);
         match begin(traffic, job, upstream, left).await {
             Ok(exchange) => return Ok(response(traffic, upstream, exchange, place, flight)),
             Err((AttemptError::NotRun(why), end)) => {
-                place.end(end);
+                place.finish(end);
                 log_event!(AttemptFailed, request = job.id, may_have_run = false, reason = why);
                 reason = why;
             }
             Err((AttemptError::MaybeRun(why), end)) => {
-                place.end(end);
+                place.finish(end);
                 log_event!(AttemptFailed, request = job.id, may_have_run = true, reason = why);
                 reason = why;
                 may_have_run = true;
-                if !job.repeatable {
+                if !job.retryable {
                     break;
                 }
             }
@@ -92,7 +92,7 @@
         Ok(result) => result,
         Err(_) => {
             let reason = String::from("no answer before the deadline");
-            Err((AttemptError::MaybeRun(reason), ExchangeOutcome::Silent))
+            Err((AttemptError::MaybeRun(reason), ExchangeOutcome::TimedOut))
         }
     }
 }
@@ -111,7 +111,7 @@
         upstream,
         exchange: Some(exchange),
         place: Some(place),
-        _flight: flight,
+        _in_flight: flight,
     };
     let body = BodyStream::new(Box::pin(stream::unfold(state, next_chunk)));
     response::with_headers(status, BoxBody::new(body), headers)
@@ -127,14 +127,14 @@
             let exchange = state.exchange.take()?;
             state.traffic.keep_channel(state.upstream, exchange);
             if let Some(place) = state.place.take() {
-                place.end(ExchangeOutcome::Cancelled);
+                place.finish(ExchangeOutcome::Cancelled);
             }
             None
         }
         Err(fault) => {
             state.exchange = None;
             if let Some(place) = state.place.take() {
-                place.end(ExchangeOutcome::Broken);
+                place.finish(ExchangeOutcome::TransportError);
             }
             Some((Err(std::io::Error::other(fault.to_string())), state))
         }
--- a/crates/hibiscushinged/src/gateway/response.rs
+++ b/crates/hibiscushinged/src/gateway/response.rs
@@ -11,13 +11,13 @@
 use crate::{
     gateway::{attempt::WholeAnswer, node::NodeState},
     shared::NodePhase,
-    traffic::response::refusal_body,
+    traffic::response::refusal_without_retry_after,
 };
 
 /// Builds the answer to a refused request. The time to come back has a fraction, since many callers
 /// wait for less than a second in all.
 pub(crate) fn refusal(refusal: &Refusal) -> Response<BoxBody> {
-    let mut response = refusal_body(refusal);
+    let mut response = refusal_without_retry_after(refusal);
     if let Some(span) = refusal.retry_after {
         let seconds = format!("{:.3}", span.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/crates/hibiscushinged/src/gateway/reward.rs
+++ b/crates/hibiscushinged/src/gateway/reward.rs
@@ -59,7 +59,7 @@
             CallEnd::Failed => {
                 failures += 1;
                 log_event!(AttemptFailed, request = reward.id, status = 500, failures);
-                let attempts = traffic.node.attempts(&reward.host, &reward.path);
+                let attempts = traffic.node.max_attempts(&reward.host, &reward.path);
                 if failures >= attempts.unwrap_or(DEFAULT_ATTEMPTS) {
                     traffic.items.resolve(job, ItemResult::errored(job.item.id.as_str()));
                     return;
@@ -78,17 +78,17 @@
 }
 
 async fn call(traffic: &Rc<TrafficState>, reward: &RewardCall) -> CallEnd {
-    let Some(routes) = traffic.node.book.load_full() else { return CallEnd::Again };
+    let Some(routes) = traffic.node.config.load_full() else { return CallEnd::Again };
     let Some(route) = routes.route(&reward.host, &reward.path) else { return CallEnd::NoRoute };
-    let Some(service) = route.target(rand::random()) else { return CallEnd::NoRoute };
+    let Some(service) = route.pick_service(rand::random()) else { return CallEnd::NoRoute };
     // Asked anew after each wait, since upstreams come and go.
     let most = || {
-        let (slots, _) = traffic.board.borrow().occupancy(traffic.node.now(), service);
+        let (slots, _) = traffic.balancer.borrow().occupancy(traffic.node.now(), service);
         (slots / SLOT_SHARE).max(LEAST_CALLS)
     };
     let _pass = traffic.items.rewards.enter(most).await;
     let mut headers = HeaderMap::new();
-    platform::set_request_head(&mut headers, &reward.host, &reward.id);
+    platform::set_host_and_id(&mut headers, &reward.host, &reward.id);
     let started = traffic.node.now();
     let plain = PlainJob {
         id: &reward.id,
@@ -100,14 +100,14 @@
         customer: None,
         service,
         deadline: started + route.timeout,
-        objective: route.objective,
-        attempts: TRIES,
-        repeatable: true,
+        latency_objective: route.latency_objective,
+        max_attempts: TRIES,
+        retryable: true,
     };
     match run_plain(traffic, &plain).await {
         Ok(answer) if answer.status.as_u16() < 300 => {
             traffic.node.metrics.observe_reward(traffic.node.now().since(started));
-            answer.marks.stamp.map_or(CallEnd::Again, CallEnd::Scored)
+            answer.metadata.stamp.map_or(CallEnd::Again, CallEnd::Scored)
         }
         Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => CallEnd::Failed,
         Ok(_) | Err(_) => CallEnd::Again,
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -40,13 +40,13 @@
 const MOST_PROMPTS: usize = 4_096;
 
 /// Time that a run stays where it is at least. It covers a usual prompt and some events.
-const LEAST_STAY: Span = Span::from_millis(600);
+const MIN_STAY: Span = Span::from_millis(600);
 
 /// Time between two looks for runs that would be faster elsewhere.
-const MOVE_PERIOD: Span = Span::from_millis(250);
+const MIGRATION_PERIOD: Span = Span::from_millis(250);
 
 /// Runs that are moved at one look.
-const MOST_MOVES: usize = 4;
+const MAX_MIGRATIONS: usize = 4;
 
 /// Follows the submissions of an owned partition.
 pub(crate) fn watch(traffic: &Rc<TrafficState>, mirror: &Rc<PartitionFollower>) {
@@ -71,24 +71,24 @@
 /// another node.
 fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionFollower) {
     let part = mirror.name.part;
-    let copy = mirror.copy();
+    let copy = mirror.cache();
     let owned = mirror.is_owned() && !traffic.items.stopped.get();
     // A copy from before this node became the owner may miss the ends of submissions.
     let may_begin = owned && copy.is_scanned();
     traffic.items.drop_jobs(traffic.node.now(), part, |job| {
-        let Some(submission) = copy.book().get(&job.head.id) else { return true };
+        let Some(submission) = copy.table().get(&job.metadata.id) else { return true };
         !owned && !traffic.items.stopped.get()
             || submission.is_ended()
             || submission.is_resolved(&job.item.id)
-            || may_begin && !copy.is_loaded(&job.head.id)
+            || may_begin && !copy.is_loaded(&job.metadata.id)
     });
     if !may_begin {
         return;
     }
-    let Some(routes) = traffic.node.book.load_full() else { return };
+    let Some(routes) = traffic.node.config.load_full() else { return };
     let mut state = traffic.items.lists.borrow_mut();
     for submission in copy.open_submissions() {
-        let head = submission.head();
+        let head = submission.metadata();
         let Some(route) = routes.route(&head.host, &head.path) else {
             continue;
         };
@@ -118,31 +118,31 @@
 /// Gives waiting items to engines with free slots.
 fn place(traffic: &Rc<TrafficState>) {
     let now = traffic.node.now();
-    let Some(routes) = traffic.node.book.load_full() else { return };
+    let Some(routes) = traffic.node.config.load_full() else { return };
     let mut state = traffic.items.lists.borrow_mut();
     let state = &mut *state;
     let mut full: BTreeSet<(String, u64)> = BTreeSet::new();
-    let warm = &mut state.warm;
+    let warm = &mut state.warm_engines;
     let connected = traffic.pool.connected();
     state.queue.place(|job| {
-        let head = &job.head;
-        let need = (head.model.clone(), head.least_version.0);
+        let head = &job.metadata;
+        let need = (head.model.clone(), head.min_version.0);
         if full.contains(&need) {
             return false;
         }
         let Some(route) = routes.route(&head.host, &head.path) else { return false };
-        let Some(service) = route.target(rand::random()) else { return false };
+        let Some(service) = route.pick_service(rand::random()) else { return false };
         let prompt = job.item.shared_prompt.as_ref();
         let progress = job.progress.borrow();
         let ask = GenerationPickRequest {
             service,
-            need: ModelRequirement { model: &head.model, least: head.least_version },
+            requirement: ModelRequirement { model: &head.model, min_version: head.min_version },
             tried: &progress.tried,
-            warm: prompt.and_then(|prompt| warm.get(prompt).copied()),
+            warm_engine: prompt.and_then(|prompt| warm.get(prompt).copied()),
             connected: &connected,
-            draw: rand::random(),
+            jitter_seed: rand::random(),
         };
-        let Some(upstream) = traffic.board.borrow().pick_generation(now, &ask) else {
+        let Some(upstream) = traffic.balancer.borrow().pick_generation(now, &ask) else {
             full.insert(need);
             return false;
         };
@@ -160,51 +160,54 @@
 
 /// Moves runs from slow engines to free slots of much faster ones. It waits while items wait, since
 /// these need the slots more.
-fn move_runs(traffic: &Rc<TrafficState>) {
+fn migrate_runs(traffic: &Rc<TrafficState>) {
     let now = traffic.node.now();
     let mut state = traffic.items.lists.borrow_mut();
-    let rested = now.since(state.moved_at) >= MOVE_PERIOD;
+    let rested = now.since(state.last_migration_at) >= MIGRATION_PERIOD;
     if !rested || !state.queue.is_empty() || traffic.items.stopped.get() {
         return;
     }
-    state.moved_at = now;
+    state.last_migration_at = now;
     let jobs: Vec<Rc<ItemJob>> = state.jobs.values().cloned().collect();
     drop(state);
     let mut moves = 0;
     for job in jobs {
-        if moves == MOST_MOVES {
+        if moves == MAX_MIGRATIONS {
             return;
         }
-        moves += usize::from(move_elsewhere(&job, traffic, now));
+        moves += usize::from(migrate_run(&job, traffic, now));
     }
 }
 
 /// Moves a run whose text has begun to a much faster engine, if one has a free slot.
-fn move_elsewhere(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, now: Moment) -> bool {
+fn migrate_run(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, now: Moment) -> bool {
     let run = job.run.borrow();
     let Some(current) = run.as_ref() else { return false };
     let (from, stayed) = (current.upstream, now.since(current.started_at));
     let progress = job.progress.borrow();
-    if stayed < LEAST_STAY || progress.text.last_id() == 0 || job.scoring.get() {
+    if stayed < MIN_STAY || progress.text.last_event_id() == 0 || job.scoring.get() {
         return false;
     }
-    let service = traffic.board.borrow().entry(from).service.clone();
+    let service = traffic.balancer.borrow().entry(from).service.clone();
     let ask = GenerationPickRequest {
         service: &service,
-        need: ModelRequirement { model: &job.head.model, least: job.head.least_version },
+        requirement: ModelRequirement {
+            model: &job.metadata.model,
+            min_version: job.metadata.min_version,
+        },
         tried: &[from],
-        warm: None,
+        warm_engine: None,
         connected: &traffic.pool.connected(),
-        draw: rand::random(),
+        jitter_seed: rand::random(),
     };
-    let board = traffic.board.borrow();
+    let board = traffic.balancer.borrow();
     let picked = board.pick_generation(now, &ask);
-    let Some(to) = picked.filter(|to| *to != from && board.is_worth_moving(now, from, *to)) else {
+    let Some(to) = picked.filter(|to| *to != from && board.should_migrate(now, from, *to)) else {
         return false;
     };
-    let (submission, item) = (&job.head.id, &job.item.id);
+    let (submission, item) = (&job.metadata.id, &job.item.id);
     let (upstream, next) = (&board.entry(from).id, &board.entry(to).id);
-    let events = progress.text.last_id();
+    let events = progress.text.last_event_id();
     let reason = "a faster engine has a free slot";
     log_event!(ItemInterrupted, submission, item, upstream, next, reason, events);
     drop((board, progress, run));
@@ -216,7 +219,7 @@
 }
 
 fn start(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, upstream: UpstreamKey) {
-    let place = AttemptGuard::take(traffic, upstream);
+    let place = AttemptGuard::acquire(traffic, upstream);
     let started_at = traffic.node.now();
     let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, place);
     let task = actix_rt::spawn(run);
@@ -231,7 +234,7 @@
         let running = traffic.items.unfinished() > 0;
         let period = match (waiting, running) {
             (true, _) => QUEUE_PERIOD,
-            (false, true) => to_duration(MOVE_PERIOD),
+            (false, true) => to_duration(MIGRATION_PERIOD),
             (false, false) => IDLE_PERIOD,
         };
         tokio::select! {
@@ -240,7 +243,7 @@
         }
         if traffic.node.phase() != NodePhase::Draining {
             place(&traffic);
-            move_runs(&traffic);
+            migrate_runs(&traffic);
         }
     }
 }
--- a/crates/hibiscushinged/src/gateway/serve.rs
+++ b/crates/hibiscushinged/src/gateway/serve.rs
@@ -6,7 +6,7 @@
 use base::{Moment, Refusal, RefusalCode, Span};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt as _;
-use platform::{RequestMetadata, RequestTarget, read_head, read_target};
+use platform::{RequestMetadata, RequestTarget, parse_request_head, parse_request_target};
 use routebook::{ConfigIndex, RequestKind, RouteSpec};
 use tokio::{net::TcpListener, sync::mpsc};
 
@@ -20,7 +20,7 @@
         relay, response, runner,
         submit::{self, Arrival, Inquiry},
         traffic_state::TrafficState,
-        upstreams::{UpstreamUpdate, follow_news, sweep_channels},
+        upstreams::{UpstreamUpdate, follow_upstreams, sweep_channels},
     },
     shared::InFlightGuard,
     telemetry::log_event,
@@ -61,7 +61,7 @@
 /// A request with its body and what is known of its sender.
 struct CallerRequest<'a> {
     request: &'a Request,
-    call: &'a RequestMetadata,
+    metadata: &'a RequestMetadata,
     path: &'a str,
     body: Bytes,
     arrived: Moment,
@@ -80,7 +80,7 @@
         let listener = listen(node.settings.listen)?;
         let traffic = Rc::new(TrafficState::new(node));
         actix_rt::spawn(accept_callers(Rc::clone(&traffic), listener));
-        actix_rt::spawn(follow_news(Rc::clone(&traffic), changes));
+        actix_rt::spawn(follow_upstreams(Rc::clone(&traffic), changes));
         actix_rt::spawn(sweep_channels(Rc::clone(&traffic)));
         actix_rt::spawn(group::stay_in_group(Rc::clone(&traffic)));
         actix_rt::spawn(runner::place_items(Rc::clone(&traffic)));
@@ -150,13 +150,13 @@
 
 async fn serve(traffic: Rc<TrafficState>, mut request: Request) -> Response<BoxBody> {
     let arrived = traffic.node.now();
-    let flight = traffic.node.enter_flight();
-    let call = read_head(request.head());
+    let flight = traffic.node.track_in_flight();
+    let call = parse_request_head(request.head());
     let path = request.uri().path_and_query().map_or_else(String::new, ToString::to_string);
     let result = match read_body(&traffic, &call, &mut request).await {
         Ok(body) => {
             let caller =
-                CallerRequest { request: &request, call: &call, path: &path, body, arrived };
+                CallerRequest { request: &request, metadata: &call, path: &path, body, arrived };
             dispatch(&traffic, &caller, flight).await
         }
         Err(refusal) => Err(refusal),
@@ -180,7 +180,7 @@
                 code = refusal.code.as_str(),
                 ran = refusal.execution.as_str(),
                 reason = refusal.message,
-                config = traffic.node.book.load().as_ref().map(|book| book.version()),
+                config = traffic.node.config.load().as_ref().map(|book| book.version()),
                 took_ms,
             );
             response::refusal(&refusal)
@@ -195,8 +195,8 @@
     call: &RequestMetadata,
     request: &mut Request,
 ) -> Result<Bytes, Refusal> {
-    let book = traffic.node.book.load();
-    let most = book.as_ref().map_or(usize::MAX, |book| book.limits().body_bytes);
+    let book = traffic.node.config.load();
+    let most = book.as_ref().map_or(usize::MAX, |book| book.limits().max_body_bytes);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     let reading = async {
@@ -230,16 +230,16 @@
     caller: &CallerRequest<'_>,
     flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let Some(book) = traffic.node.book.load_full() else {
+    let Some(book) = traffic.node.config.load_full() else {
         let message = "this node has no configuration yet";
         return Err(Refusal::not_run(RefusalCode::Isolated, message).with_retry_after(START_PAUSE));
     };
-    let target = read_target(&caller.request.head().method, caller.path);
+    let target = parse_request_target(&caller.request.head().method, caller.path);
     let submission = match target {
         RequestTarget::Route => return route_call(traffic, caller, &book, flight).await,
         RequestTarget::Results { submission, .. }
         | RequestTarget::ItemBody { submission, .. }
-        | RequestTarget::End { submission } => submission,
+        | RequestTarget::EndSubmission { submission } => submission,
     };
     let Some(customer) = customer(&book, caller)? else {
         return Err(key_refused());
@@ -247,11 +247,13 @@
     let inquiry = Inquiry { submission, customer };
     match target {
         RequestTarget::Results { after, .. } => {
-            let wait = caller.call.wait.unwrap_or(Span::ZERO).min(Span::from_secs(1));
+            let wait = caller.metadata.max_wait.unwrap_or(Span::ZERO).min(Span::from_secs(1));
             submit::results(traffic, &inquiry, after, wait).await
         }
         RequestTarget::ItemBody { item, .. } => submit::item_body(traffic, &inquiry, item).await,
-        RequestTarget::End { .. } | RequestTarget::Route => submit::end(traffic, &inquiry).await,
+        RequestTarget::EndSubmission { .. } | RequestTarget::Route => {
+            submit::end(traffic, &inquiry).await
+        }
     }
 }
 
@@ -262,7 +264,7 @@
     if !book.needs_keys() {
         return Ok(None);
     }
-    let found = caller.call.key.and_then(|key| book.customer(key));
+    let found = caller.metadata.key.and_then(|key| book.customer(key));
     found.map(|customer| Some(customer.name.as_str())).ok_or_else(key_refused)
 }
 
@@ -276,12 +278,12 @@
     book: &ConfigIndex,
     flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let (call, path) = (caller.call, caller.path);
+    let (call, path) = (caller.metadata, caller.path);
     let Some(route) = book.route(&call.host, path) else {
         let message = format!("no route of host \"{}\" leads to \"{path}\"", call.host);
         return Err(Refusal::not_run(RefusalCode::RouteUnknown, message));
     };
-    let customer = if route.open { None } else { customer(book, caller)? };
+    let customer = if route.public { None } else { customer(book, caller)? };
     let id = call.id.as_deref().unwrap_or_default();
     let timeout = call.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
     let deadline = caller.arrived + timeout;
@@ -307,7 +309,7 @@
     id: &'a str,
     deadline: Moment,
 ) -> Result<PlainJob<'a>, Refusal> {
-    let Some(service) = route.target(rand::random()) else {
+    let Some(service) = route.pick_service(rand::random()) else {
         let message = format!("route \"{}\" leads to no service", route.name);
         return Err(Refusal::not_run(RefusalCode::NoUpstream, message));
     };
@@ -316,15 +318,15 @@
         id,
         method: head.method.clone(),
         path: caller.path,
-        host: &caller.call.host,
+        host: &caller.metadata.host,
         headers: &head.headers,
         body: caller.body.clone(),
         customer,
         service,
         deadline,
-        objective: route.objective,
-        attempts: route.attempts as usize,
-        repeatable: route.repeatable(),
+        latency_objective: route.latency_objective,
+        max_attempts: route.max_attempts as usize,
+        retryable: route.is_retryable(),
     })
 }
 
--- a/crates/hibiscushinged/src/gateway/store.rs
+++ b/crates/hibiscushinged/src/gateway/store.rs
@@ -58,14 +58,14 @@
         self.note("read", result)
     }
 
-    pub(crate) async fn newest(
+    pub(crate) async fn read_latest(
         &self,
         topic: &str,
         part: u32,
         after: Option<&str>,
     ) -> Result<KeyedPage, CallError> {
         let client = self.client();
-        let result = client.newest(topic, part, after, CALL_TIMEOUT).await;
+        let result = client.read_latest(topic, part, after, CALL_TIMEOUT).await;
         self.note("newest", result)
     }
 
@@ -113,5 +113,8 @@
 }
 
 fn connect(node: &NodeState) -> StoreClient {
-    StoreClient::new(HttpClient::resetting(CONNECT_TIMEOUT, IDLE_TIME), node.settings.store.address)
+    StoreClient::new(
+        HttpClient::with_reset_on_close(CONNECT_TIMEOUT, IDLE_TIME),
+        node.settings.store.address,
+    )
 }
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -80,7 +80,7 @@
     });
     match stored.await {
         Ok(()) => {
-            if let Some(state) = mirror.book().get(arrival.id) {
+            if let Some(state) = mirror.table().get(arrival.id) {
                 check_owner(state, arrival.customer).map_err(|fault| invalid(&fault))?;
             }
             let (submission, customer) = (arrival.id, arrival.customer);
@@ -125,10 +125,10 @@
         path: String::from(arrival.path),
         model: body.model,
         step: body.step,
-        least_version: body.least_version,
+        min_version: body.min_version,
         target_groups: body.target_groups,
         accepted_at: wall_now(),
-        items: body.items.len() as u32,
+        item_count: body.items.len() as u32,
     })];
     let mut chunk: Vec<SubmissionItem> = Vec::new();
     let (mut first, mut size) = (0, 0);
@@ -150,7 +150,7 @@
     }
     let submission = String::from(arrival.id);
     records.push(SubmissionRecord::Items { submission, first, items: chunk });
-    records.push(SubmissionRecord::Marked { submission: String::from(arrival.id) });
+    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from(arrival.id) });
     records
 }
 
@@ -176,7 +176,7 @@
     require(traffic, mirror, inquiry).await?;
     let until = traffic.node.now() + wait;
     loop {
-        let listed = listed(mirror, inquiry);
+        let listed = result_count(mirror, inquiry);
         if listed < after {
             // Another node has listed more than this copy holds.
             catch_up(traffic, mirror, inquiry).await?;
@@ -192,12 +192,12 @@
     }
 }
 
-fn listed(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
-    mirror.book().get(inquiry.submission).map_or(0, submissions::SubmissionState::listed)
+fn result_count(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
+    mirror.table().get(inquiry.submission).map_or(0, submissions::SubmissionState::result_count)
 }
 
 fn is_complete(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
-    mirror.book().get(inquiry.submission).is_none_or(|state| !state.is_open())
+    mirror.table().get(inquiry.submission).is_none_or(|state| !state.is_open())
 }
 
 fn results_answer(
@@ -205,11 +205,11 @@
     inquiry: &Inquiry<'_>,
     after: u32,
 ) -> Response<BoxBody> {
-    let book = mirror.book();
+    let book = mirror.table();
     let Some(state) = book.get(inquiry.submission) else {
         return super::response::status(StatusCode::NOT_FOUND);
     };
-    let total = state.head().items;
+    let total = state.metadata().item_count;
     let results = state.results(after).map(std::convert::AsRef::as_ref);
     with_body(StatusCode::OK, "application/json", encode_results(total, after, results))
 }
@@ -226,7 +226,7 @@
 ) -> Result<Response<BoxBody>, Refusal> {
     let mirror = traffic.partitions.of_customer(inquiry.customer);
     require(traffic, mirror, inquiry).await?;
-    let book = mirror.book();
+    let book = mirror.table();
     let found = book.get(inquiry.submission).and_then(|state| state.item(item));
     let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
@@ -261,9 +261,9 @@
 ) -> Result<(), Refusal> {
     mirror.follow(&traffic.store);
     refresh(traffic, mirror, inquiry).await?;
-    let book = mirror.book();
+    let book = mirror.table();
     let state = book.get(inquiry.submission);
-    if state.is_some_and(|state| state.head().customer == inquiry.customer) {
+    if state.is_some_and(|state| state.metadata().customer == inquiry.customer) {
         return Ok(());
     }
     let message = format!("submission \"{}\" does not exist", inquiry.submission);
@@ -278,8 +278,8 @@
 ) -> Result<(), Refusal> {
     let settle = traffic.node.settings.promises.settle.0 as f64;
     let fresh = Span((settle * FRESH_SHARE) as u64);
-    let age = mirror.copy().age(traffic.node.now());
-    if mirror.copy().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
+    let age = mirror.cache().staleness(traffic.node.now());
+    if mirror.cache().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
         return Ok(());
     }
     catch_up(traffic, mirror, inquiry).await
--- a/crates/hibiscushinged/src/gateway/traffic_state.rs
+++ b/crates/hibiscushinged/src/gateway/traffic_state.rs
@@ -13,7 +13,7 @@
 /// State of the traffic thread.
 pub(crate) struct TrafficState {
     pub(crate) node: Arc<NodeState>,
-    pub(crate) board: RefCell<UpstreamBalancer>,
+    pub(crate) balancer: RefCell<UpstreamBalancer>,
     pub(crate) pool: ChannelPool,
     pub(crate) store: Rc<StoreSession>,
     pub(crate) partitions: PartitionSet,
@@ -26,7 +26,7 @@
             store: Rc::new(StoreSession::new(Arc::clone(&node))),
             partitions: PartitionSet::new(&node.settings.store),
             items: ItemDesk::default(),
-            board: RefCell::default(),
+            balancer: RefCell::default(),
             pool: ChannelPool::new(),
             node,
         }
@@ -34,7 +34,7 @@
 
     /// Keeps the connection of a complete exchange, if it can be used again.
     pub(crate) fn keep_channel(&self, upstream: UpstreamKey, exchange: Exchange) {
-        let idle_timeout = exchange.marks().idle_timeout;
+        let idle_timeout = exchange.metadata().idle_timeout;
         if let Some(channel) = exchange.into_reusable() {
             self.pool.keep(self.node.now(), upstream, channel, idle_timeout);
         }
--- a/crates/hibiscushinged/src/gateway/upstreams.rs
+++ b/crates/hibiscushinged/src/gateway/upstreams.rs
@@ -16,12 +16,12 @@
 }
 
 impl TrafficState {
-    fn take_news(&self, news: UpstreamUpdate) {
+    fn apply_update(&self, news: UpstreamUpdate) {
         match news {
             UpstreamUpdate::Updated(entry) => {
                 let (id, address) = (entry.id.clone(), entry.address);
                 let state = entry.state;
-                let (upstream, change) = self.board.borrow_mut().update(entry);
+                let (upstream, change) = self.balancer.borrow_mut().update(entry);
                 if change == UpstreamChange::Restarted {
                     self.pool.close(upstream);
                 }
@@ -29,7 +29,7 @@
             }
             UpstreamUpdate::Removed { id, cause } => {
                 let now = self.node.now();
-                let removed = self.board.borrow_mut().remove(now, &id, cause);
+                let removed = self.balancer.borrow_mut().remove(now, &id, cause);
                 if let (Some(upstream), RemovalCause::Left) = (removed, cause) {
                     self.pool.close(upstream);
                 }
@@ -41,12 +41,12 @@
 }
 
 /// Applies changes of upstreams until the control thread ends.
-pub(crate) async fn follow_news(
+pub(crate) async fn follow_upstreams(
     traffic: Rc<TrafficState>,
     mut changes: mpsc::UnboundedReceiver<UpstreamUpdate>,
 ) {
     while let Some(news) = changes.recv().await {
-        traffic.take_news(news);
+        traffic.apply_update(news);
     }
 }
 
--- a/crates/hibiscushinged/src/gateway/usage.rs
+++ b/crates/hibiscushinged/src/gateway/usage.rs
@@ -4,7 +4,7 @@
 
 use base::{Span, WallTime};
 use bytes::Bytes;
-use platform::{AppendResponse, keyed_record};
+use platform::{AppendResponse, encode_keyed_record};
 use protocol::encode_usage_totals;
 use usage::{CustomerCounts, TotalsPhase, WindowNumber, window_of};
 
@@ -37,10 +37,10 @@
         let ended = WallTime(wall_now().0 - CLOSE_DELAY.as_millis() as i64);
         // The window before the one that is running has ended.
         let ended = WindowNumber(window_of(ended, length).0.saturating_sub(1));
-        let mut changed = control.node.tally().take_changed();
+        let mut changed = control.node.window_totals().take_changed();
         let include = |changed: &mut Vec<(WindowNumber, CustomerCounts)>, window| {
             if !changed.iter().any(|(listed, _)| *listed == window) {
-                changed.push((window, control.node.tally().totals(window)));
+                changed.push((window, control.node.window_totals().totals(window)));
             }
         };
         if ended > closed {
@@ -68,13 +68,13 @@
             log_event!(UsageBatchAppended, windows, newest);
         } else {
             // Totals replace each other, so a write whose answer was lost is made again.
-            let mut tally = control.node.tally();
+            let mut tally = control.node.window_totals();
             for (window, _) in &changed {
-                tally.mark(*window);
+                tally.mark_changed(*window);
             }
         }
         let oldest = WindowNumber(ended.0.saturating_sub(KEPT_WINDOWS));
-        control.node.tally().forget_before(oldest);
+        control.node.window_totals().forget_before(oldest);
     }
 }
 
@@ -94,7 +94,7 @@
                 (false, false) => TotalsPhase::Open,
             };
             let (key, value) = encode_usage_totals(*window, writer, counts, phase);
-            keyed_record(&key, Some(&value))
+            encode_keyed_record(&key, Some(&value))
         })
         .collect();
     let stored = control.store.append(USAGE_TOPIC, 0, None, &records).await;
--- a/crates/hibiscushinged/src/gateway/usage_reports.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -7,7 +7,7 @@
 };
 
 use base::{Incarnation, Span, WallTime};
-use platform::{AppendResponse, UsageClient, UsageReport, keyed_record};
+use platform::{AppendResponse, UsageClient, UsageReport, encode_keyed_record};
 use protocol::{
     UsageKey, decode_usage_record, encode_usage_report, usage_report_key, usage_totals_key,
 };
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct UsageState {
     next: Option<u64>,
-    board: WindowAggregator,
+    aggregator: WindowAggregator,
     reports: BTreeMap<WindowNumber, CustomerCounts>,
     confirmed: BTreeSet<WindowNumber>,
 }
@@ -85,14 +85,14 @@
     let oldest = WindowNumber(newest.0.saturating_sub(KEPT_WINDOWS));
     state.confirmed = state.confirmed.split_off(&oldest);
     state.reports = state.reports.split_off(&oldest);
-    let old = state.board.forget_before(oldest);
+    let old = state.aggregator.forget_before(oldest);
     for windows in old.chunks(DELETED_AT_ONCE) {
         let mut records = Vec::new();
         for (window, processes) in windows {
             let keys =
                 processes.iter().map(|process| usage_totals_key(*window, Incarnation(*process)));
-            records.extend(keys.map(|key| keyed_record(&key, None)));
-            records.push(keyed_record(&usage_report_key(*window), None));
+            records.extend(keys.map(|key| encode_keyed_record(&key, None)));
+            records.push(encode_keyed_record(&usage_report_key(*window), None));
         }
         // What is not deleted now is found again by the next holder, which reads all keys.
         if let Err(error) = control.store.append(USAGE_TOPIC, 0, None, &records).await {
@@ -126,12 +126,12 @@
     if !read(control, name, state).await || state.reports.contains_key(&window) {
         return;
     }
-    if !state.board.is_closed(window) && !is_overdue(control, window) {
+    if !state.aggregator.is_closed(window) && !is_overdue(control, window) {
         return;
     }
-    let counts = state.board.figures(window);
+    let counts = state.aggregator.totals(window);
     let (key, value) = encode_usage_report(window, &counts);
-    let record = keyed_record(&key, Some(&value));
+    let record = encode_keyed_record(&key, Some(&value));
     let stored = control.store.append(USAGE_TOPIC, 0, state.next, &[record]).await;
     if let Ok(AppendResponse::Appended { offset, end }) = stored {
         let requests: u64 = counts.values().sum();
@@ -164,7 +164,7 @@
         let Some(value) = change.value else { return };
         match decode_usage_record(&change.key, &value) {
             Ok((UsageKey::Totals { window, writer, phase }, counts)) => {
-                self.board.take(window, writer.0, counts, phase);
+                self.aggregator.insert(window, writer.0, counts, phase);
             }
             Ok((UsageKey::Report { window }, counts)) => {
                 self.reports.entry(window).or_insert(counts);
@@ -182,7 +182,7 @@
     address: std::net::SocketAddr,
     report: &UsageReport,
 ) -> bool {
-    let Some(mark) = control.lease.mark(&control.node) else { return false };
+    let Some(mark) = control.lease.identity(&control.node) else { return false };
     let client = UsageClient::new(holder_client(control, IDLE_TIME), address);
     match client.report_usage(&mark, report, ORDER_TIMEOUT).await {
         Ok(()) => {
