--- a/crates/hibiscushinged/src/gateway/weight_loads.rs
+++ b/crates/hibiscushinged/src/gateway/weight_loads.rs
@@ -9,7 +9,7 @@
 
 use base::{Moment, Span, WeightVersion};
 use dispatch::{
-    EngineWeights, EntryState, UpstreamEntry, WeightLoad, WeightLoadLimits, plan_loads,
+    EngineWeights, EntryState, UpstreamEntry, WeightLoad, WeightLoadLimits, plan_weight_loads,
 };
 use platform::{EngineControlClient, WeightLoadRequest, WeightLoadResponse};
 
@@ -39,7 +39,7 @@
 /// Loads in progress as this node knows them.
 struct WeightLoader {
     /// Checks the lease as the last step before an order is written.
-    surface: EngineControlClient,
+    engines: EngineControlClient,
     loading: RefCell<HashMap<String, (String, WeightVersion, Moment)>>,
     /// Versions that reports have shown, which may be newer than the entries.
     shown: RefCell<HashMap<String, Vec<(String, WeightVersion)>>>,
@@ -47,7 +47,7 @@
 }
 
 /// Orders loads for as long as the process lives, while it holds the lease.
-pub(crate) async fn order_loads(control: Rc<ControlState>) {
+pub(crate) async fn order_weight_loads(control: Rc<ControlState>) {
     let desk = Rc::new(WeightLoader::new(&control));
     loop {
         tokio::time::sleep(PLAN_PERIOD).await;
@@ -67,7 +67,7 @@
 
 fn plan(control: &ControlState, desk: &WeightLoader) -> Vec<WeightLoad> {
     let now = control.node.now();
-    let Some(book) = control.node.book.load_full() else { return Vec::new() };
+    let Some(book) = control.node.config.load_full() else { return Vec::new() };
     let entries = control.entries.borrow();
     let versions = control.versions.borrow();
     let mut orders = Vec::new();
@@ -78,8 +78,8 @@
             .values()
             .filter(|entry| entry.service == service.name && entry.state == EntryState::Ready);
         let engines: Vec<EngineWeights> = members.map(|entry| desk.engine(entry)).collect();
-        let plan = WeightLoadLimits::of(engines.len(), engine.models.len());
-        orders.extend(plan_loads(now, &engines, &named, plan));
+        let plan = WeightLoadLimits::for_service(engines.len(), engine.models.len());
+        orders.extend(plan_weight_loads(now, &engines, &named, plan));
     }
     let paused = desk.paused.borrow();
     orders.retain(|order| paused.get(&order.engine).is_none_or(|until| now >= *until));
@@ -98,7 +98,7 @@
     fn new(control: &Rc<ControlState>) -> Self {
         let http = holder_client(control, IDLE_TIME);
         Self {
-            surface: EngineControlClient::new(http),
+            engines: EngineControlClient::new(http),
             loading: RefCell::default(),
             shown: RefCell::default(),
             paused: RefCell::default(),
@@ -149,7 +149,7 @@
     order: &WeightLoad,
     entry: &UpstreamEntry,
 ) -> Result<(), String> {
-    let surface = &desk.surface;
+    let surface = &desk.engines;
     let report = surface.report(entry.address, ORDER_TIMEOUT).await;
     let report = report.map_err(|error| error.to_string())?;
     if report.busy {
@@ -159,7 +159,7 @@
     if holds(&report.versions, order) {
         return Ok(());
     }
-    let Some(mark) = control.lease.mark(&control.node) else {
+    let Some(mark) = control.lease.identity(&control.node) else {
         return Err(String::from("the lease has ended"));
     };
     let request = WeightLoadRequest {
@@ -179,7 +179,7 @@
         fencing = mark.fencing.0,
     );
     control.node.metrics.loads_ordered.inc();
-    match surface.load(entry.address, &request, ORDER_TIMEOUT).await {
+    match surface.load_weights(entry.address, &request, ORDER_TIMEOUT).await {
         Ok(WeightLoadResponse::Accepted | WeightLoadResponse::Holds) => {}
         Ok(answer) => return Err(format!("the engine answers {answer:?}")),
         // The order may have been accepted, which the reports show.
--- a/crates/hibiscushinged/src/metrics.rs
+++ b/crates/hibiscushinged/src/metrics.rs
@@ -40,7 +40,7 @@
     }
 
     /// Counts an answered request with its time from arrival to the last byte.
-    pub(crate) fn answered(&self, service: &str, took: Span, tokens: u64) {
+    pub(crate) fn count_answered(&self, service: &str, took: Span, tokens: u64) {
         let took = Duration::from_micros(took.0);
         self.client.time_with_tags("request.time", took).with_tag("service", service).send();
         let tokens = i64::try_from(tokens).unwrap_or(i64::MAX);
@@ -48,7 +48,7 @@
     }
 
     /// Counts a refused request.
-    pub(crate) fn refused(&self, refusal: &Refusal) {
+    pub(crate) fn count_refused(&self, refusal: &Refusal) {
         let counter = self.client.count_with_tags("request.refused", 1);
         counter
             .with_tag("code", refusal.code.as_str())
@@ -57,13 +57,13 @@
     }
 
     /// Reports how much work this node has.
-    pub(crate) fn load(&self, in_flight: usize, queued_tokens: u64) {
+    pub(crate) fn gauge_load(&self, in_flight: usize, queued_tokens: u64) {
         self.client.gauge_with_tags("requests.in_flight", in_flight as u64).send();
         self.client.gauge_with_tags("requests.queued_tokens", queued_tokens).send();
     }
 
     /// Reports the state of the log as this node sees it.
-    pub(crate) fn log(&self, silence: Span, buffered_records: usize) {
+    pub(crate) fn gauge_log(&self, silence: Span, buffered_records: usize) {
         self.client.gauge_with_tags("log.silence_ms", silence.as_millis()).send();
         self.client.gauge_with_tags("log.buffered_records", buffered_records as u64).send();
     }
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -49,7 +49,7 @@
     own_zone: ZoneKey,
     services: HashMap<String, ServiceQueue>,
     service_of: HashMap<UpstreamKey, String>,
-    limits: RateLimiter,
+    limiter: RateLimiter,
     budget: RetryBudget,
     suspects: SuspectTable,
     isolated: HashMap<RequestId, IsolationReply>,
@@ -61,7 +61,7 @@
 }
 
 struct ServiceQueue {
-    members: RouteUpstreams,
+    candidates: RouteUpstreams,
     upstreams: Vec<UpstreamKey>,
     queue: FairQueue,
     started: u64,
@@ -75,7 +75,7 @@
     pub(crate) class: RequestClass,
     pub(crate) tokens: u32,
     /// Least charge against the customer's limit, which also bounds its requests per second.
-    pub(crate) least_charge: u32,
+    pub(crate) min_charge: u32,
     pub(crate) deadline: Moment,
 }
 
@@ -83,10 +83,10 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AdmissionTicket {
     pub(crate) service: String,
-    pub(crate) ticket: TicketNumber,
+    pub(crate) number: TicketNumber,
     pub(crate) customer: CustomerKey,
     pub(crate) tokens: u32,
-    pub(crate) least_charge: u32,
+    pub(crate) min_charge: u32,
 }
 
 impl TrafficScheduler {
@@ -99,9 +99,9 @@
             own_zone: ZoneKey(0),
             services: HashMap::new(),
             service_of: HashMap::new(),
-            limits: RateLimiter::new(
+            limiter: RateLimiter::new(
                 incarnation,
-                LimiterSettings { ask_period, ..LimiterSettings::default() },
+                LimiterSettings { request_interval: ask_period, ..LimiterSettings::default() },
             ),
             budget: RetryBudget::new(),
             suspects: SuspectTable::new(incarnation, SuspectPolicy::default()),
@@ -124,7 +124,7 @@
 
     pub(crate) fn set_live_nodes(&mut self, nodes: usize) {
         self.live_nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-        self.table.set_nodes(self.live_nodes);
+        self.table.set_node_count(self.live_nodes);
     }
 
     pub(crate) fn set_weight(&mut self, now: Moment, customer: CustomerKey, weight: u32) {
@@ -143,7 +143,7 @@
         speed: Option<u32>,
     ) -> UpstreamKey {
         let key = match speed {
-            Some(speed) => self.table.add_expecting(info, speed),
+            Some(speed) => self.table.add_with_speed(info, speed),
             None => self.table.add(info),
         };
         self.service_of.insert(key, String::from(service));
@@ -153,7 +153,7 @@
             .entry(String::from(service))
             .or_insert_with(|| ServiceQueue::new(&self.table, self.own_zone, seed));
         desk.upstreams.push(key);
-        desk.members = RouteUpstreams::new(&self.table, self.own_zone, desk.upstreams.clone());
+        desk.candidates = RouteUpstreams::new(&self.table, self.own_zone, desk.upstreams.clone());
         key
     }
 
@@ -166,21 +166,21 @@
     }
 
     /// Takes in a load report and returns what it means for waiting suspects.
-    pub(crate) fn report(
+    pub(crate) fn apply_load_report(
         &mut self,
         now: Moment,
         wall: WallTime,
         upstream: UpstreamKey,
         load: LoadMeasurement,
     ) -> Vec<SuspectAction> {
-        self.table.report(now, upstream, load);
+        self.table.record_load(now, upstream, load);
         let (requests, measured_at) = (load.running + load.queued, load.measured_at);
-        let event = SuspectEvent::LoadSeen { upstream, requests, measured_at };
-        self.suspect(now, wall, event)
+        let event = SuspectEvent::LoadReported { upstream, requests, measured_at };
+        self.handle_suspect_event(now, wall, event)
     }
 
     /// Checks the customer's limit and queues the request.
-    pub(crate) fn offer(
+    pub(crate) fn enqueue(
         &mut self,
         now: Moment,
         service: &str,
@@ -203,38 +203,44 @@
             return None;
         }
         desk.waiting.insert(ticket, reply);
-        let AdmissionRequest { customer, class, tokens, least_charge, deadline } = ask;
+        let AdmissionRequest { customer, class, tokens, min_charge: least_charge, deadline } = ask;
         let item = QueuedRequest { ticket, customer, class, tokens, deadline };
         let actions = desk.queue.handle(now, QueueEvent::Offered(item));
         desk.apply(actions);
         let service = String::from(service);
-        Some(AdmissionTicket { service, ticket, customer, tokens, least_charge })
+        Some(AdmissionTicket {
+            service,
+            number: ticket,
+            customer,
+            tokens,
+            min_charge: least_charge,
+        })
     }
 
     /// Takes the request's tokens from the customer's limit. Open routes have none.
-    pub(crate) fn admit(&mut self, now: Moment, ask: &AdmissionRequest) -> LimitDecision {
+    pub(crate) fn charge_limit(&mut self, now: Moment, ask: &AdmissionRequest) -> LimitDecision {
         if ask.customer == OPEN_CALLERS {
             return LimitDecision::Admitted;
         }
-        self.limits.admit(now, ask.customer, ask.tokens.max(ask.least_charge))
+        self.limiter.admit(now, ask.customer, ask.tokens.max(ask.min_charge))
     }
 
-    pub(crate) const fn limits(&mut self) -> &mut RateLimiter {
-        &mut self.limits
+    pub(crate) const fn limiter(&mut self) -> &mut RateLimiter {
+        &mut self.limiter
     }
 
     /// Ends a request that was admitted or waits. `tokens` is its true cost, 0 when it did not run.
-    pub(crate) fn done(&mut self, now: Moment, place: &AdmissionTicket, tokens: u32) {
+    pub(crate) fn release(&mut self, now: Moment, place: &AdmissionTicket, tokens: u32) {
         if place.customer != OPEN_CALLERS {
-            let charged = place.tokens.max(place.least_charge);
-            let due = tokens.max(place.least_charge);
+            let charged = place.tokens.max(place.min_charge);
+            let due = tokens.max(place.min_charge);
             let difference = i64::from(due) - i64::from(charged);
-            self.limits.correct(place.customer, difference);
+            self.limiter.reconcile(place.customer, difference);
         }
         let Some(desk) = self.services.get_mut(&place.service) else { return };
-        desk.waiting.remove(&place.ticket);
-        let mut actions = desk.queue.handle(now, QueueEvent::CallerGone(place.ticket));
-        actions.extend(desk.queue.handle(now, QueueEvent::Done { ticket: place.ticket, tokens }));
+        desk.waiting.remove(&place.number);
+        let mut actions = desk.queue.handle(now, QueueEvent::CallerDisconnected(place.number));
+        actions.extend(desk.queue.handle(now, QueueEvent::Done { ticket: place.number, tokens }));
         desk.apply(actions);
     }
 
@@ -245,7 +251,7 @@
         request: &PickRequest<'_>,
     ) -> Option<PickResult> {
         let desk = self.services.get(service)?;
-        self.picker.pick(now, &self.table, &desk.members, request, &mut self.rng)
+        self.picker.pick(now, &self.table, &desk.candidates, request, &mut self.rng)
     }
 
     /// Counts a request as running on an upstream.
@@ -279,17 +285,21 @@
 
     pub(crate) fn finish(&mut self, now: Moment, work: InFlightRequest, end: RequestOutcome) {
         if matches!(end, RequestOutcome::Completed { .. }) {
-            self.budget.succeeded();
+            self.budget.record_success();
         }
         self.table.finish(now, work, end);
     }
 
     pub(crate) const fn take_retry(&mut self) -> bool {
-        self.budget.take()
+        self.budget.try_withdraw()
     }
 
-    pub(crate) fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> FingerprintStatus {
-        self.suspects.judge(wall, fingerprint)
+    pub(crate) fn fingerprint_status(
+        &self,
+        wall: WallTime,
+        fingerprint: Fingerprint,
+    ) -> FingerprintStatus {
+        self.suspects.fingerprint_status(wall, fingerprint)
     }
 
     pub(crate) const fn suspects(&self) -> &SuspectTable {
@@ -297,7 +307,7 @@
     }
 
     /// Applies an event that concerns suspects. Returns the actions for the control thread.
-    pub(crate) fn suspect(
+    pub(crate) fn handle_suspect_event(
         &mut self,
         now: Moment,
         wall: WallTime,
@@ -308,7 +318,7 @@
     }
 
     /// Asks for an isolated run of a suspect.
-    pub(crate) fn isolate(
+    pub(crate) fn request_isolation(
         &mut self,
         now: Moment,
         wall: WallTime,
@@ -318,21 +328,21 @@
     ) -> Vec<SuspectAction> {
         self.isolated.insert(ask.request, reply);
         ask.upstreams = self.calm_upstreams(service).into_iter().collect();
-        self.suspect(now, wall, SuspectEvent::Asked(ask))
+        self.handle_suspect_event(now, wall, SuspectEvent::Requested(ask))
     }
 
     /// Performs what is due by time.
     pub(crate) fn tick(&mut self, now: Moment, wall: WallTime) -> Vec<SuspectAction> {
-        self.table.refresh();
+        self.table.refresh_max_speed();
         for service in self.services.values_mut() {
-            let rate = service.rate(&self.table, self.live_nodes);
+            let rate = service.capacity(&self.table, self.live_nodes);
             let mut actions = service.queue.handle(now, QueueEvent::Tick);
             if let Some(rate) = rate {
-                actions.extend(service.queue.handle(now, QueueEvent::RateChanged(rate)));
+                actions.extend(service.queue.handle(now, QueueEvent::CapacityChanged(rate)));
             }
             service.apply(actions);
         }
-        self.suspect(now, wall, SuspectEvent::Tick)
+        self.handle_suspect_event(now, wall, SuspectEvent::Tick)
     }
 
     pub(crate) fn queued_tokens(&self) -> u64 {
@@ -379,10 +389,11 @@
 
 impl ServiceQueue {
     fn new(table: &UpstreamTable, own_zone: ZoneKey, seed: u64) -> Self {
-        let rate = ServiceCapacity { tokens_per_second: 1_000, max_in_service: MIN_IN_SERVICE };
+        let rate =
+            ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: MIN_IN_SERVICE };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
-            members: RouteUpstreams::new(table, own_zone, []),
+            candidates: RouteUpstreams::new(table, own_zone, []),
             upstreams: Vec::new(),
             started: 0,
             queue: FairQueue::new(QueueSettings::default(), rate, rng),
@@ -393,7 +404,7 @@
     /// Returns what this node can expect: its equal part of the service, or what the other nodes
     /// leave unused when that is more. `None` while no upstream can be chosen: the choice then
     /// refuses for the true reason, where a rate of zero would claim an overload.
-    fn rate(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceCapacity> {
+    fn capacity(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceCapacity> {
         let mut total = 0.0;
         let mut others = 0.0;
         for key in &self.upstreams {
@@ -402,7 +413,7 @@
                 continue;
             }
             total += table.speed(*key).unwrap_or(0.0);
-            others += table.others(*key).unwrap_or(0.0);
+            others += table.other_nodes_backlog(*key).unwrap_or(0.0);
         }
         if total <= 0.0 {
             return None;
@@ -412,7 +423,7 @@
         let share = unused.max(1.0 / live_nodes as f32);
         let tokens_per_second = (total * share).max(1.0) as u32;
         let max_in_service = ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
-        Some(ServiceCapacity { tokens_per_second, max_in_service })
+        Some(ServiceCapacity { tokens_per_second, max_in_service_tokens: max_in_service })
     }
 
     fn apply(&mut self, actions: QueueActions) {
@@ -421,7 +432,7 @@
                 QueueAction::Dispatch(ticket) => (ticket, Ok(())),
                 QueueAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
-            // A caller that has gone is taken out of the queue by `TrafficScheduler::done`.
+            // A caller that has gone is taken out of the queue by `TrafficScheduler::release`.
             if let Some(reply) = self.waiting.remove(&ticket) {
                 let _ = reply.send(answer);
             }
--- a/crates/hibiscushinged/src/scheduler/tests.rs
+++ b/crates/hibiscushinged/src/scheduler/tests.rs
@@ -29,7 +29,8 @@
     let settings = DaemonSettings::parse("daemon.toml", SETTINGS).expect("the settings are valid");
     let mut desk = TrafficScheduler::new(Incarnation(1), &settings);
     let (now, wall) = (Moment(1_000_000), WallTime(0));
-    let info = UpstreamProperties { node_hash: 1, zone: ZoneKey(0), price: PriceClass::Regular };
+    let info =
+        UpstreamProperties { name_hash: 1, zone: ZoneKey(0), price_class: PriceClass::Regular };
     let upstream = desk.add_upstream("dieline-index", info, None);
     desk.set_state(upstream, state);
     desk.tick(now, wall);
@@ -37,8 +38,8 @@
     let deadline = now + Span::from_secs(30);
     let class = RequestClass::Live;
     let ask =
-        AdmissionRequest { customer: OPEN_CALLERS, class, tokens: 50, least_charge: 0, deadline };
+        AdmissionRequest { customer: OPEN_CALLERS, class, tokens: 50, min_charge: 0, deadline };
     let (reply, mut turn) = oneshot::channel();
-    desk.offer(now, "dieline-index", ask, reply);
+    desk.enqueue(now, "dieline-index", ask, reply);
     assert_eq!(turn.try_recv().expect("the request is decided at once"), Ok(()));
 }
--- a/crates/hibiscushinged/src/shared.rs
+++ b/crates/hibiscushinged/src/shared.rs
@@ -24,8 +24,8 @@
     pub(crate) view: ArcSwap<RoutingView>,
     pub(crate) control: mpsc::Sender<ControlMessage>,
     pub(crate) metrics: DaemonMetrics,
-    desk: Mutex<TrafficScheduler>,
-    life: Arc<NodeLifecycle>,
+    scheduler: Mutex<TrafficScheduler>,
+    lifecycle: Arc<NodeLifecycle>,
     last_request: AtomicU64,
 }
 
@@ -48,7 +48,7 @@
 
 /// Counts a request as running until dropped.
 pub(crate) struct InFlightGuard {
-    life: Arc<NodeLifecycle>,
+    lifecycle: Arc<NodeLifecycle>,
 }
 
 impl SharedState {
@@ -67,34 +67,34 @@
             view: ArcSwap::from_pointee(RoutingView::default()),
             control,
             metrics,
-            desk: Mutex::new(desk),
-            life: Arc::default(),
+            scheduler: Mutex::new(desk),
+            lifecycle: Arc::default(),
             last_request: AtomicU64::new(0),
         }
     }
 
     /// Locks the traffic state. The lock is held for one decision, never across an await.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, TrafficScheduler> {
-        self.desk.lock().expect("no decision panics while it holds the lock")
+    pub(crate) fn scheduler(&self) -> MutexGuard<'_, TrafficScheduler> {
+        self.scheduler.lock().expect("no decision panics while it holds the lock")
     }
 
     pub(crate) fn phase(&self) -> NodePhase {
-        self.life.phase()
+        self.lifecycle.phase()
     }
 
-    pub(crate) fn enter(&self, phase: NodePhase) {
-        self.life.enter(phase);
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
+        self.lifecycle.advance_to(phase);
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.life.in_flight()
+        self.lifecycle.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> InFlightGuard {
-        InFlightGuard::enter(&self.life)
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.lifecycle)
     }
 
-    pub(crate) fn next_request(&self) -> RequestId {
+    pub(crate) fn next_request_id(&self) -> RequestId {
         let sequence = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         RequestId { node: self.incarnation, sequence }
     }
@@ -110,7 +110,7 @@
     }
 
     /// Moves on to `phase`. A process never goes back to an earlier phase.
-    pub(crate) fn enter(&self, phase: NodePhase) {
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
         let code = match phase {
             NodePhase::Starting => 0,
             NodePhase::Serving => 1,
@@ -125,19 +125,19 @@
 }
 
 impl InFlightGuard {
-    pub(crate) fn enter(life: &Arc<NodeLifecycle>) -> Self {
+    pub(crate) fn new(life: &Arc<NodeLifecycle>) -> Self {
         life.in_flight.fetch_add(1, Ordering::AcqRel);
-        Self { life: Arc::clone(life) }
+        Self { lifecycle: Arc::clone(life) }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.life.in_flight.fetch_sub(1, Ordering::AcqRel);
+        self.lifecycle.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Writes a request id as it appears on the wire and in logs.
-pub(crate) fn request_text(id: RequestId) -> String {
+pub(crate) fn format_request_id(id: RequestId) -> String {
     format!("{:016x}-{:x}", id.node.0, id.sequence)
 }
--- a/crates/hibiscushinged/src/trace.rs
+++ b/crates/hibiscushinged/src/trace.rs
@@ -20,27 +20,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct DecisionTrace {
     order: VecDeque<String>,
-    lines: HashMap<String, Vec<(EventCode, String)>>,
+    events: HashMap<String, Vec<(EventCode, String)>>,
 }
 
 impl DecisionTrace {
     pub(crate) fn record(&mut self, line: DecisionEvent) {
         let DecisionEvent { subject, code, detail } = line;
-        if !self.lines.contains_key(&subject) {
+        if !self.events.contains_key(&subject) {
             self.order.push_back(subject.clone());
         }
-        self.lines.entry(subject).or_default().push((code, detail));
+        self.events.entry(subject).or_default().push((code, detail));
         if self.order.len() <= KEPT_SUBJECTS {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
-            self.lines.remove(&oldest);
+            self.events.remove(&oldest);
         }
     }
 
     /// Returns the events of a request, sample or order.
     pub(crate) fn explain(&self, subject: &str) -> Value {
-        let Some(lines) = self.lines.get(subject) else {
+        let Some(lines) = self.events.get(subject) else {
             return json!({ "id": subject, "found": false, "events": [] });
         };
         let events = lines.iter().map(|(code, detail)| {
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -15,7 +15,7 @@
     clock::{to_duration, wall_now},
     control_message::ControlMessage,
     scheduler::AdmissionTicket,
-    shared::{InFlightGuard, SharedState, request_text},
+    shared::{InFlightGuard, SharedState, format_request_id},
     telemetry::log_event,
     trace::DecisionEvent,
     traffic::request::KeyOwner,
@@ -34,7 +34,7 @@
     pub(crate) tracker: AttemptTracker,
     /// Whether the request holds an idempotency claim that must be ended.
     pub(crate) claim: Option<ClaimKey>,
-    pub(crate) _flight: InFlightGuard,
+    pub(crate) _in_flight: InFlightGuard,
     pub(crate) meter: RequestMeter,
 }
 
@@ -42,7 +42,7 @@
 /// ends.
 pub(crate) struct RequestMeter {
     pub(crate) shared: Arc<SharedState>,
-    pub(crate) place: Option<AdmissionTicket>,
+    pub(crate) ticket: Option<AdmissionTicket>,
     pub(crate) customer: Option<String>,
     pub(crate) amount: UsageAmount,
 }
@@ -64,8 +64,8 @@
     let (now, wall) = (shared.clock.now(), wall_now());
     let (reply, answer) = oneshot::channel();
     let actions = {
-        let mut desk = shared.desk();
-        match desk.judge(wall, request.fingerprint) {
+        let mut desk = shared.scheduler();
+        match desk.fingerprint_status(wall, request.fingerprint) {
             FingerprintStatus::Clear => return Ok(None),
             FingerprintStatus::Convicted { .. } | FingerprintStatus::Suspect => {}
         }
@@ -77,7 +77,7 @@
             execution: request.tracker.execution(),
             upstreams: smallvec::SmallVec::new(),
         };
-        desk.isolate(now, wall, &request.route.entry.service, ask, reply)
+        desk.request_isolation(now, wall, &request.route.entry.service, ask, reply)
     };
     forward(shared, actions);
     let mut guard = IsolationGuard { shared, request: Some(request.id) };
@@ -103,8 +103,12 @@
 impl Drop for IsolationGuard<'_> {
     fn drop(&mut self) {
         let Some(request) = self.request else { return };
-        let event = SuspectEvent::CallerGone(request);
-        let actions = self.shared.desk().suspect(self.shared.clock.now(), wall_now(), event);
+        let event = SuspectEvent::CallerDisconnected(request);
+        let actions = self.shared.scheduler().handle_suspect_event(
+            self.shared.clock.now(),
+            wall_now(),
+            event,
+        );
         forward(self.shared, actions);
     }
 }
@@ -119,10 +123,10 @@
 
 impl CallerRequest {
     /// Counts the request as answered.
-    pub(crate) fn answered(&self, shared: &SharedState) {
+    pub(crate) fn count_answered(&self, shared: &SharedState) {
         let took = shared.clock.now().since(self.arrived_at);
         let tokens = self.meter.amount.generated_tokens;
-        shared.metrics.answered(&self.route.entry.service, took, tokens);
+        shared.metrics.count_answered(&self.route.entry.service, took, tokens);
     }
 
     pub(crate) fn customer(&self) -> &str {
@@ -162,9 +166,9 @@
 impl Drop for RequestMeter {
     fn drop(&mut self) {
         let tokens = self.amount.generated_tokens + self.amount.prompt_tokens;
-        if let Some(place) = self.place.take() {
+        if let Some(place) = self.ticket.take() {
             let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-            self.shared.desk().done(self.shared.clock.now(), &place, tokens);
+            self.shared.scheduler().release(self.shared.clock.now(), &place, tokens);
         }
         let Some(customer) = self.customer.take() else { return };
         if self.amount == UsageAmount::default() {
@@ -174,19 +178,19 @@
         if figures.add(&customer, self.amount).is_err() {
             return;
         }
-        tell_control(&self.shared, ControlMessage::Metered(figures));
+        tell_control(&self.shared, ControlMessage::UsageMetered(figures));
     }
 }
 
 pub(crate) fn log_refusal(shared: &SharedState, id: RequestId, refusal: &Refusal) {
-    shared.metrics.refused(refusal);
-    log_event!(RequestRefused, request = request_text(id), refusal = %refusal);
+    shared.metrics.count_refused(refusal);
+    log_event!(RequestRefused, request = format_request_id(id), refusal = %refusal);
     record(shared, id, base::EventCode::RequestRefused, refusal.to_string());
 }
 
 /// Keeps a decision for `explain`. A full channel drops it, since the log has the same line.
 pub(crate) fn record(shared: &SharedState, id: RequestId, code: base::EventCode, detail: String) {
-    let line = DecisionEvent { subject: request_text(id), code, detail };
+    let line = DecisionEvent { subject: format_request_id(id), code, detail };
     let _ = shared.control.try_send(ControlMessage::Decision(line));
 }
 
--- a/crates/hibiscushinged/src/traffic/caller.rs
+++ b/crates/hibiscushinged/src/traffic/caller.rs
@@ -18,7 +18,7 @@
     clock::wall_now,
     control_message::{ClaimDecision, ClaimRequest, ControlMessage},
     scheduler::{AdmissionRequest, AdmissionTicket},
-    shared::{SharedState, request_text},
+    shared::{SharedState, format_request_id},
     traffic::{
         admitted::{CallerRequest, RequestMeter, log_refusal, tell_control},
         plain,
@@ -26,7 +26,7 @@
         response, stream,
         worker::TrafficWorker,
     },
-    view::CALL_TOKENS,
+    view::PLAIN_CALL_TOKENS,
 };
 
 /// Bytes of a prompt that count as one token in estimates.
@@ -43,7 +43,7 @@
     path: &str,
     mut incoming: Request,
 ) -> Response<BoxBody> {
-    let id = worker.shared.next_request();
+    let id = worker.shared.next_request_id();
     let response = match accept(&worker, id, path, &mut incoming).await {
         Ok((request, RequestWork::Generate(body))) => stream::run(worker, request, body).await,
         Ok((request, RequestWork::Plain)) => plain::run(worker, request).await,
@@ -79,7 +79,7 @@
 ) -> Result<(CallerRequest, RequestWork), Ended> {
     let shared = &worker.shared;
     // Counted before the phase is read, so that a drain either sees the request or refuses it.
-    let flight = shared.enter_flight();
+    let flight = shared.track_in_flight();
     let arrived_at = shared.clock.now();
     request::check_phase(shared)?;
     let view = shared.view.load_full();
@@ -95,7 +95,7 @@
     let deadline = request::deadline(shared.clock.now(), route, incoming)?;
     let key = request::idempotency_key(incoming)?;
     let limit = shared.settings.bounds.request_bytes as usize;
-    let body = request::body(incoming, limit).await?;
+    let body = request::read_body(incoming, limit).await?;
     let (work, tokens) = match route.kind {
         ServiceKind::Model => {
             let generate = request::parse::<GenerateBody>(&body)?;
@@ -103,7 +103,7 @@
             let tokens = generate.max_tokens.saturating_add(prompt);
             (RequestWork::Generate(generate), tokens)
         }
-        ServiceKind::Plain => (RequestWork::Plain, CALL_TOKENS),
+        ServiceKind::Plain => (RequestWork::Plain, PLAIN_CALL_TOKENS),
     };
     let customer = owner.as_ref().map(|owner| owner.customer.as_str());
     let name = customer.unwrap_or("");
@@ -112,7 +112,7 @@
 
     let mut meter = RequestMeter {
         shared: Arc::clone(shared),
-        place: None,
+        ticket: None,
         customer: customer.map(String::from),
         amount: UsageAmount::default(),
     };
@@ -124,17 +124,17 @@
         customer: view.customer_key(customer),
         class,
         tokens,
-        least_charge: view.least_charge(name),
+        min_charge: view.min_charge(name),
         deadline,
     };
-    meter.place = admit(shared, &route.entry.service, ask).await?;
+    meter.ticket = admit(shared, &route.entry.service, ask).await?;
 
     let kind = match route.entry.idempotent {
         true => RequestIdempotency::Idempotent,
-        false => RequestIdempotency::OnceOnly,
+        false => RequestIdempotency::NonIdempotent,
     };
     let mut claim = None;
-    if let Some(key) = key.filter(|_| kind == RequestIdempotency::OnceOnly) {
+    if let Some(key) = key.filter(|_| kind == RequestIdempotency::NonIdempotent) {
         let wanted = ClaimKey::of(name, &key);
         let ask = ClaimRequest { claim: wanted, fingerprint, request: id, deadline };
         take_claim(shared, ask).await?;
@@ -150,14 +150,14 @@
         fingerprint,
         tracker: AttemptTracker::new(kind, deadline, RetryPolicy::default()),
         claim,
-        _flight: flight,
+        _in_flight: flight,
         meter,
     };
     Ok((request, work))
 }
 
 fn check_conviction(shared: &SharedState, fingerprint: Fingerprint) -> Result<(), Refusal> {
-    let judgement = shared.desk().judge(wall_now(), fingerprint);
+    let judgement = shared.scheduler().fingerprint_status(wall_now(), fingerprint);
     let FingerprintStatus::Convicted { retry_after } = judgement else { return Ok(()) };
     let message = "this request has crashed upstreams and is blocked for a time";
     Err(Refusal::not_run(RefusalCode::Convicted, message).with_retry_after(retry_after))
@@ -170,7 +170,7 @@
     ask: AdmissionRequest,
 ) -> Result<Option<AdmissionTicket>, Refusal> {
     loop {
-        let answer = shared.desk().admit(shared.clock.now(), &ask);
+        let answer = shared.scheduler().charge_limit(shared.clock.now(), &ask);
         match answer {
             LimitDecision::Admitted => break,
             LimitDecision::Refused(refusal) => return Err(refusal),
@@ -178,11 +178,11 @@
         }
     }
     let (reply, turn) = oneshot::channel();
-    let place = shared.desk().offer(shared.clock.now(), service, ask, reply);
+    let place = shared.scheduler().enqueue(shared.clock.now(), service, ask, reply);
     // The guard takes the request out of the queue when its caller disconnects meanwhile.
-    let mut guard = QueueGuard { shared: Arc::clone(shared), place };
+    let mut guard = QueueGuard { shared: Arc::clone(shared), ticket: place };
     match turn.await {
-        Ok(Ok(())) => Ok(guard.place.take()),
+        Ok(Ok(())) => Ok(guard.ticket.take()),
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => Err(Refusal::not_run(RefusalCode::Overloaded, "the queue was closed")),
     }
@@ -192,13 +192,13 @@
 
 struct QueueGuard {
     shared: Arc<SharedState>,
-    place: Option<AdmissionTicket>,
+    ticket: Option<AdmissionTicket>,
 }
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
-        if let Some(place) = &self.place {
-            self.shared.desk().done(self.shared.clock.now(), place, 0);
+        if let Some(place) = &self.ticket {
+            self.shared.scheduler().release(self.shared.clock.now(), place, 0);
         }
     }
 }
@@ -210,7 +210,7 @@
         Ended::Refused(refusal.with_retry_after(Span::from_secs(1)))
     };
     let (reply, answer) = oneshot::channel();
-    let input = ControlMessage::Claim { ask, reply };
+    let input = ControlMessage::Claim { request: ask, reply };
     let mut guard = ClaimGuard { shared, request: Some(ask.request) };
     shared.control.send(input).await.map_err(|_| unavailable())?;
     let answer = answer.await;
@@ -241,7 +241,7 @@
 }
 
 fn with_id(mut response: Response<BoxBody>, id: RequestId) -> Response<BoxBody> {
-    if let Ok(value) = actix_http::header::HeaderValue::from_str(&request_text(id)) {
+    if let Ok(value) = actix_http::header::HeaderValue::from_str(&format_request_id(id)) {
         response.headers_mut().insert(response::REQUEST_ID, value);
     }
     response
--- a/crates/hibiscushinged/src/traffic/choice.rs
+++ b/crates/hibiscushinged/src/traffic/choice.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     control_message::ControlMessage,
-    shared::{SharedState, request_text},
+    shared::{SharedState, format_request_id},
     telemetry::log_event,
     traffic::{
         admitted::{CallerRequest, record},
@@ -46,7 +46,7 @@
         min_version: None,
         avoid: request.tracker.tried(),
     };
-    let choice = shared.desk().pick(shared.clock.now(), service, &pick);
+    let choice = shared.scheduler().pick(shared.clock.now(), service, &pick);
     let Some(choice) = choice else { return Err(no_upstream(request, service)) };
     let view = shared.view.load();
     let Some(target) = view.upstreams.get(choice.upstream) else {
@@ -54,7 +54,7 @@
     };
     log_event!(
         RoutePicked,
-        request = request_text(request.id),
+        request = format_request_id(request.id),
         customer = request.customer(),
         upstream = target.name,
         zone = target.zone_name,
@@ -86,7 +86,7 @@
     };
     log_event!(
         RoutePicked,
-        request = request_text(request.id),
+        request = format_request_id(request.id),
         upstream = target.name,
         reason = "Isolated"
     );
@@ -99,8 +99,8 @@
 pub(crate) fn key_stands(shared: &SharedState, request: &CallerRequest) -> bool {
     let Some(owner) = &request.owner else { return true };
     let view = shared.view.load();
-    view.key_service == KeyAcceptance::Accepting
-        && view.keys.check(&owner.digest, &owner.customer) == KeyCheck::Stands
+    view.key_acceptance == KeyAcceptance::Accepting
+        && view.keys.check(&owner.digest, &owner.customer) == KeyCheck::Valid
 }
 
 /// Waits until the control thread knows whether the upstream crashed.
@@ -132,7 +132,7 @@
 
 /// Avoids an upstream that refused a connection until its watcher reports it again.
 pub(crate) fn suspect_down(shared: &SharedState, upstream: UpstreamKey) {
-    let mut desk = shared.desk();
+    let mut desk = shared.scheduler();
     if desk.state(upstream) == Some(UpstreamState::Up) {
         desk.set_state(upstream, UpstreamState::Suspect);
     }
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     clock::wall_now,
-    shared::request_text,
+    shared::format_request_id,
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record},
@@ -19,7 +19,7 @@
         response,
         worker::TrafficWorker,
     },
-    view::CALL_TOKENS,
+    view::PLAIN_CALL_TOKENS,
 };
 
 /// A call, also of a caller that disconnects before the answer.
@@ -38,10 +38,10 @@
             let status = found.status.as_u16();
             let outcome = ClaimOutcome::Answered { status, body: body.to_vec() };
             call.request.end_claim(&worker.shared, outcome);
-            call.request.answered(&worker.shared);
+            call.request.count_answered(&worker.shared);
             log_event!(
                 RequestCompleted,
-                request = request_text(id),
+                request = format_request_id(id),
                 customer = call.request.customer()
             );
             let detail = format!("status {status}, {} bytes", body.len());
@@ -67,14 +67,15 @@
             self.handle(AttemptEvent::Chosen(upstream));
             let fingerprint = Some(self.request.fingerprint);
             let (now, wall) = (shared.clock.now(), wall_now());
-            let work = shared.desk().start(now, wall, upstream, CALL_TOKENS, fingerprint);
+            let work =
+                shared.scheduler().start(now, wall, upstream, PLAIN_CALL_TOKENS, fingerprint);
             self.running = Some(upstream);
             let result = self.exchange(&chosen).await;
             let end = match &result {
-                Ok(_) => RequestOutcome::Completed { tokens: CALL_TOKENS },
+                Ok(_) => RequestOutcome::Completed { tokens: PLAIN_CALL_TOKENS },
                 Err(_) => RequestOutcome::Failed,
             };
-            shared.desk().finish(shared.clock.now(), work, end);
+            shared.scheduler().finish(shared.clock.now(), work, end);
             match result {
                 Ok(found) => {
                     self.settle(upstream);
@@ -93,14 +94,14 @@
         if let Some(upstream) = admitted::isolation(shared, &self.request).await? {
             return choice::isolated(shared, &self.request, upstream);
         }
-        let ask = choice::WorkSize { tokens: CALL_TOKENS, prompt_tokens: 0, prefix: None };
+        let ask = choice::WorkSize { tokens: PLAIN_CALL_TOKENS, prompt_tokens: 0, prefix: None };
         choice::pick(shared, &self.request, &ask)
     }
 
     async fn exchange(&self, chosen: &ChosenUpstream) -> Result<HttpResponse, CallError> {
         let path = format!("/{}", self.request.route.entry.path);
         let mut outgoing = HttpRequest::post(chosen.address, path, self.request.body.clone());
-        if let Ok(id) = HeaderValue::from_str(&request_text(self.request.id)) {
+        if let Ok(id) = HeaderValue::from_str(&format_request_id(self.request.id)) {
             outgoing = outgoing.with_header(response::REQUEST_ID, id);
         }
         let left = self.request.deadline.since(self.worker.shared.clock.now());
@@ -149,7 +150,7 @@
         if let Some(refusal) = self.refusal_of(AttemptEvent::Failed(cause)) {
             return Err(refusal);
         }
-        if !self.worker.shared.desk().take_retry() {
+        if !self.worker.shared.scheduler().take_retry() {
             return Err(self.own_refusal(RefusalCode::UpstreamFailed, &error.message));
         }
         Ok(())
@@ -160,7 +161,8 @@
         self.running = None;
         let shared = &self.worker.shared;
         let event = SuspectEvent::Finished { upstream, fingerprint: self.request.fingerprint };
-        let actions = shared.desk().suspect(shared.clock.now(), wall_now(), event);
+        let actions =
+            shared.scheduler().handle_suspect_event(shared.clock.now(), wall_now(), event);
         admitted::forward(shared, actions);
     }
 
--- a/crates/hibiscushinged/src/traffic/request.rs
+++ b/crates/hibiscushinged/src/traffic/request.rs
@@ -58,7 +58,7 @@
     if route.entry.open {
         return Ok(None);
     }
-    if view.key_service == KeyAcceptance::Refusing {
+    if view.key_acceptance == KeyAcceptance::Refusing {
         let message = "this node cannot learn of withdrawn keys and refuses all keys";
         let refusal = Refusal::not_run(RefusalCode::Isolated, message);
         return Err(refusal.with_retry_after(Span::from_secs(5)));
@@ -115,7 +115,7 @@
 }
 
 /// Reads a whole request body of at most `limit` bytes.
-pub(crate) async fn body(request: &mut Request, limit: usize) -> Result<Bytes, Refusal> {
+pub(crate) async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, Refusal> {
     let invalid = |message| Refusal::not_run(RefusalCode::RequestInvalid, message);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
--- a/crates/hibiscushinged/src/traffic/response.rs
+++ b/crates/hibiscushinged/src/traffic/response.rs
@@ -14,7 +14,7 @@
 
 /// Builds the answer to a refused request.
 pub(crate) fn refusal(refusal: &Refusal) -> Response<BoxBody> {
-    let mut response = refusal_body(refusal);
+    let mut response = refusal_without_retry_after(refusal);
     if let Some(span) = refusal.retry_after {
         // The header counts whole seconds; the body gives milliseconds.
         let seconds = HeaderValue::from(span.0.div_ceil(1_000_000));
@@ -24,10 +24,10 @@
 }
 
 /// Builds the answer to a refused request without the time to come back.
-pub(crate) fn refusal_body(refusal: &Refusal) -> Response<BoxBody> {
+pub(crate) fn refusal_without_retry_after(refusal: &Refusal) -> Response<BoxBody> {
     let status = StatusCode::from_u16(refusal.code.http_status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    json_body(status, &json!({ "error": error_value(refusal) }))
+    json(status, &json!({ "error": error_value(refusal) }))
 }
 
 /// Builds the `error` member of a refusal.
@@ -41,7 +41,7 @@
 }
 
 /// Builds an answer with a JSON body.
-pub(crate) fn json_body(status: StatusCode, value: &Value) -> Response<BoxBody> {
+pub(crate) fn json(status: StatusCode, value: &Value) -> Response<BoxBody> {
     with_body(status, "application/json", Bytes::from(value.to_string()))
 }
 
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     clock::wall_now,
-    shared::request_text,
+    shared::format_request_id,
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record, time_left},
@@ -68,7 +68,7 @@
     Whole,
     /// The exchange failed; the error tells whether the engine may have run it.
     Broken(CallError),
-    CallerGone,
+    CallerDisconnected,
     DeadlinePassed,
     KeyWithdrawn,
 }
@@ -128,11 +128,11 @@
                 let body = self.kept.take().unwrap_or_default();
                 let outcome = ClaimOutcome::Answered { status: 200, body };
                 self.request.end_claim(&shared.shared, outcome);
-                self.request.answered(&shared.shared);
+                self.request.count_answered(&shared.shared);
                 let detail = format!("{} tokens", self.assembler.offset());
                 log_event!(
                     RequestCompleted,
-                    request = request_text(self.request.id),
+                    request = format_request_id(self.request.id),
                     customer = self.request.customer(),
                     tokens = self.assembler.offset()
                 );
@@ -157,7 +157,7 @@
             self.handle_attempt(AttemptEvent::Chosen(upstream));
             self.assembler.handle(self.now(), StreamEvent::Opened { upstream });
             let tokens = self.body.max_tokens.saturating_sub(self.offset());
-            let work = self.worker.shared.desk().start(
+            let work = self.worker.shared.scheduler().start(
                 self.now(),
                 wall_now(),
                 upstream,
@@ -170,7 +170,7 @@
                 ExchangeEnd::Whole => RequestOutcome::Completed { tokens: self.offset() - before },
                 _ => RequestOutcome::Failed,
             };
-            self.worker.shared.desk().finish(self.now(), work, work_end);
+            self.worker.shared.scheduler().finish(self.now(), work, work_end);
             self.count_usage();
             match self.after(upstream, end).await {
                 AfterExchange::Done => return None,
@@ -197,7 +197,7 @@
     /// Runs one exchange and forwards its tokens.
     async fn exchange(&mut self, chosen: &ChosenUpstream) -> ExchangeEnd {
         let request = GenerateRequest {
-            id: request_text(self.request.id),
+            id: format_request_id(self.request.id),
             prompt: self.body.prompt.clone(),
             max_tokens: self.body.max_tokens,
             offset: self.offset(),
@@ -240,7 +240,7 @@
             match line {
                 PieceResult::Line { text, last } => {
                     if self.output.send(&mut self.kept, text).await.is_err() {
-                        return ExchangeEnd::CallerGone;
+                        return ExchangeEnd::CallerDisconnected;
                     }
                     if last {
                         return ExchangeEnd::Whole;
@@ -258,7 +258,7 @@
         let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
         let piece =
             AnswerToken { request: self.request.id, index: u64::from(index), token, version };
-        self.apply(StreamEvent::Piece { exchange, piece })
+        self.apply(StreamEvent::Token { exchange, token: piece })
     }
 
     fn end(&mut self, tokens: u32, prompt_tokens: u32) -> PieceResult {
@@ -300,7 +300,7 @@
         let shared = &self.worker.shared;
         loop {
             tokio::select! {
-                () = self.output.lines.closed() => return ExchangeEnd::CallerGone,
+                () = self.output.lines.closed() => return ExchangeEnd::CallerDisconnected,
                 () = actix_rt::time::sleep(time_left(shared, self.request.deadline)) => {
                     return ExchangeEnd::DeadlinePassed;
                 }
@@ -323,7 +323,7 @@
         } else {
             let fingerprint = self.request.fingerprint;
             let event = SuspectEvent::Finished { upstream, fingerprint };
-            let actions = shared.desk().suspect(self.now(), wall_now(), event);
+            let actions = shared.scheduler().handle_suspect_event(self.now(), wall_now(), event);
             admitted::forward(shared, actions);
         }
         match end {
@@ -332,8 +332,8 @@
                 AfterExchange::Done
             }
             ExchangeEnd::Broken(error) => self.broken(upstream, &error),
-            ExchangeEnd::CallerGone => {
-                self.stop(upstream, AttemptEvent::CallerGone);
+            ExchangeEnd::CallerDisconnected => {
+                self.stop(upstream, AttemptEvent::CallerDisconnected);
                 let message = "the caller has disconnected";
                 AfterExchange::Refused(self.refusal(RefusalCode::DeadlineExceeded, message))
             }
@@ -345,8 +345,8 @@
                 )
             }
             ExchangeEnd::KeyWithdrawn => {
-                self.stop(upstream, AttemptEvent::CallerGone);
-                log_event!(StreamCutKeyWithdrawn, request = request_text(self.request.id));
+                self.stop(upstream, AttemptEvent::CallerDisconnected);
+                log_event!(StreamCutKeyWithdrawn, request = format_request_id(self.request.id));
                 let message = "the key was withdrawn while the answer was running";
                 AfterExchange::Refused(self.refusal(RefusalCode::KeyRefused, message))
             }
@@ -373,14 +373,14 @@
         for action in self.request.tracker.handle(self.now(), AttemptEvent::Failed(cause)) {
             match action {
                 AttemptAction::Refuse(refusal) => return AfterExchange::Refused(refusal),
-                AttemptAction::Retry if !shared.shared.desk().take_retry() => {
+                AttemptAction::Retry if !shared.shared.scheduler().take_retry() => {
                     let refusal = self.refusal(RefusalCode::UpstreamFailed, &error.message);
                     return AfterExchange::Refused(self.give_up(refusal));
                 }
                 AttemptAction::Retry if self.offset() > 0 => {
                     log_event!(
                         RequestResumed,
-                        request = request_text(self.request.id),
+                        request = format_request_id(self.request.id),
                         offset = self.offset()
                     );
                     let detail = format!("at token {}: {error}", self.offset());
@@ -401,7 +401,7 @@
         if matches!(self.request.tracker.state(), AttemptState::Connecting(_)) {
             self.handle_attempt(AttemptEvent::Sending);
         }
-        choice::cancel(&self.worker, upstream, request_text(self.request.id));
+        choice::cancel(&self.worker, upstream, format_request_id(self.request.id));
         let actions = self.request.tracker.handle(self.now(), event);
         actions.into_iter().find_map(|action| match action {
             AttemptAction::Refuse(refusal) => Some(refusal),
--- a/crates/hibiscushinged/src/traffic/trainer.rs
+++ b/crates/hibiscushinged/src/traffic/trainer.rs
@@ -29,9 +29,9 @@
     path: &str,
     mut incoming: Request,
 ) -> Response<BoxBody> {
-    let _flight = worker.shared.enter_flight();
+    let _flight = worker.shared.track_in_flight();
     match answer(&worker, path, &mut incoming).await {
-        Ok(value) => response::json_body(StatusCode::OK, &value),
+        Ok(value) => response::json(StatusCode::OK, &value),
         Err(refusal) => response::refusal(&refusal),
     }
 }
@@ -50,10 +50,10 @@
     let ask = match (action, incoming.method()) {
         ("steps", &Method::POST) => {
             let limit = shared.settings.bounds.request_bytes as usize;
-            let body = request::body(incoming, limit).await?;
-            TrainerRequest::Open(step(trainer, request::parse(&body)?)?)
+            let body = request::read_body(incoming, limit).await?;
+            TrainerRequest::OpenStep(step(trainer, request::parse(&body)?)?)
         }
-        ("samples", &Method::GET) => TrainerRequest::Fetch {
+        ("samples", &Method::GET) => TrainerRequest::FetchSamples {
             trainer: trainer.name,
             after: query(incoming, "after")?,
             version: query(incoming, "version")?,
@@ -65,7 +65,7 @@
         let refusal = Refusal::not_run(RefusalCode::Draining, "this node is stopping");
         refusal.with_retry_after(Span::from_secs(1))
     };
-    let input = ControlMessage::Trainer { ask, reply };
+    let input = ControlMessage::Trainer { request: ask, reply };
     shared.control.send(input).await.map_err(|_| unavailable())?;
     answer.await.map_err(|_| unavailable())?
 }
--- a/crates/hibiscushinged/src/view.rs
+++ b/crates/hibiscushinged/src/view.rs
@@ -17,7 +17,7 @@
     pub(crate) trainers: Vec<TrainerEntry>,
     pub(crate) routes: HashMap<String, ResolvedRoute>,
     pub(crate) upstreams: Arena<UpstreamKey, UpstreamTarget>,
-    pub(crate) key_service: KeyAcceptance,
+    pub(crate) key_acceptance: KeyAcceptance,
 }
 
 /// A route with what the traffic threads need of its service.
@@ -35,7 +35,7 @@
     pub(crate) service: String,
     pub(crate) zone_name: String,
     pub(crate) address: SocketAddr,
-    pub(crate) price: routing::PriceClass,
+    pub(crate) price_class: routing::PriceClass,
     pub(crate) version: Option<WeightVersion>,
 }
 
@@ -82,7 +82,7 @@
     ///
     /// One bucket then enforces both limits of the document: a customer whose requests cost this
     /// much each reaches its tokens per second at exactly its requests per second.
-    pub(crate) fn least_charge(&self, customer: &str) -> u32 {
+    pub(crate) fn min_charge(&self, customer: &str) -> u32 {
         let found = self.customers.iter().find(|entry| entry.name == customer);
         found.map_or(0, |entry| entry.tokens_per_second / entry.requests_per_second.max(1))
     }
@@ -102,4 +102,4 @@
 pub(crate) const OPEN_CALLERS: CustomerKey = CustomerKey(0);
 
 /// Work of one call to a plain service, in the tokens that limits, queues and choices count.
-pub(crate) const CALL_TOKENS: u32 = 50;
+pub(crate) const PLAIN_CALL_TOKENS: u32 = 50;
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -60,7 +60,7 @@
         /// The platform's list was read.
         ListRead(Vec<ListedVm>),
         /// A heartbeat or a zone summary arrived.
-        BeatReceived(LivenessMessage),
+        MessageReceived(LivenessMessage),
     }
 
     /// What the caller must do.
@@ -70,14 +70,14 @@
             /// The receiver.
             to: VmKey,
             /// Liveness part of the message.
-            beat: LivenessMessage,
+            message: LivenessMessage,
         },
         /// Send a summary to a VM of another zone.
         SendSummary {
             /// The receiver.
             to: VmKey,
             /// Liveness part of the message.
-            beat: LivenessMessage,
+            message: LivenessMessage,
         },
         /// The state of a VM has changed.
         Changed {
@@ -105,7 +105,7 @@
         pub state: PeerState,
         /// State in the platform's list; `None` when the list does not contain the VM.
         pub listed: Option<ListState>,
-        pub(crate) beat: u64,
+        pub(crate) last_sequence: u64,
         pub(crate) refutation: u64,
         // Own accusations that were refuted since the process was last heard directly.
         pub(crate) refuted: u32,
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -73,7 +73,7 @@
     }
 
     /// Takes a report that this node measured as the watcher.
-    pub fn measured(&mut self, now: Moment, upstream: &str, report: LoadReport) {
+    pub fn update(&mut self, now: Moment, upstream: &str, report: LoadReport) {
         self.serial += 1;
         let entry = LoadUpdate {
             upstream: upstream.to_owned(),
@@ -86,7 +86,7 @@
     }
 
     /// Takes an entry from a peer. Returns whether it was newer than the known one.
-    pub fn learned(&mut self, now: Moment, entry: LoadUpdate) -> bool {
+    pub fn merge(&mut self, now: Moment, entry: LoadUpdate) -> bool {
         let measured_at = now - entry.age;
         if let Some(known) = self.entries.get(&entry.upstream) {
             let newer = if known.watcher == entry.watcher {
@@ -103,7 +103,7 @@
         true
     }
 
-    /// Marks an upstream as leaving, for the next [`LoadTable::urgent`].
+    /// Marks an upstream as leaving, for the next [`LoadTable::take_urgent`].
     pub fn mark_leaving(&mut self, now: Moment, upstream: &str, cause: LeavingCause) {
         let phase = UpstreamPhase::Leaving(cause);
         match self.entries.get_mut(upstream) {
@@ -120,7 +120,7 @@
                     version: base::WeightVersion(0),
                     phase,
                 };
-                self.measured(now, upstream, report);
+                self.update(now, upstream, report);
             }
         }
     }
@@ -145,7 +145,7 @@
     }
 
     /// Returns the entries that must be sent at once, without waiting for the heartbeat period.
-    pub fn urgent(&mut self, now: Moment) -> Vec<LoadUpdate> {
+    pub fn take_urgent(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut entries = Vec::new();
         for (name, entry) in &mut self.entries {
             if std::mem::take(&mut entry.urgent) {
@@ -157,7 +157,7 @@
 
     /// Returns the entries for the next heartbeat: changed ones, those unsent for longest first,
     /// and a part of the full repetition.
-    pub fn delta(&mut self, now: Moment) -> Vec<LoadUpdate> {
+    pub fn next_delta(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut changed: Vec<(bool, Option<Moment>, &str)> = self
             .entries
             .iter()
@@ -190,7 +190,7 @@
 
     /// Returns every entry, for a peer that has just started.
     #[must_use]
-    pub fn full(&self, now: Moment) -> Vec<LoadUpdate> {
+    pub fn all_updates(&self, now: Moment) -> Vec<LoadUpdate> {
         self.entries.iter().map(|(name, entry)| entry.message(name, now)).collect()
     }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -36,17 +36,17 @@
         /// The sender.
         pub from: VmIdentity,
         /// Number of the message, rising within an incarnation.
-        pub beat: u64,
+        pub sequence: u64,
         /// Number of times that the sender has refuted an accusation.
         pub refutation: u64,
         /// Changes that the receiver should know.
-        pub notices: Vec<PeerUpdate>,
+        pub updates: Vec<PeerUpdate>,
     }
 
     /// Sent every second to the ring successors in the zone.
     pub struct Heartbeat {
         /// Liveness.
-        pub beat: LivenessMessage,
+        pub liveness: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
         /// Time since the sender heard the platform or another zone.
@@ -58,7 +58,7 @@
     /// Sent between the delegates of zones.
     pub struct ZoneSummary {
         /// Liveness. The notices concern VMs of the sender's zone.
-        pub beat: LivenessMessage,
+        pub liveness: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
         /// Changed state of upstreams that the sender's zone watches.
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -20,14 +20,14 @@
 
 /// Periodic messages that repeat a notice, so that one lost message does not hide a change until the next
 /// full repetition.
-const NOTICE_REPEATS: u8 = 3;
+const UPDATE_REPEATS: u8 = 3;
 
 impl PeerTable {
     /// Marks a VM's state for the next messages, and asks to send them at once.
     pub(crate) fn tell(&mut self, vm: VmKey) {
-        self.zone_news.insert(vm, NOTICE_REPEATS);
+        self.zone_news.insert(vm, UPDATE_REPEATS);
         if self.is_own_zone(vm) {
-            self.fleet_news.insert(vm, NOTICE_REPEATS);
+            self.fleet_news.insert(vm, UPDATE_REPEATS);
         }
         self.urgent = true;
     }
@@ -40,11 +40,11 @@
         if !self.deaf {
             self.tell(vm);
         } else if self.record(vm).state == PeerState::Gone {
-            self.fleet_news.insert(vm, NOTICE_REPEATS);
+            self.fleet_news.insert(vm, UPDATE_REPEATS);
         }
     }
 
-    pub(crate) fn notice(&self, now: Moment, vm: VmKey) -> PeerUpdate {
+    pub(crate) fn update(&self, now: Moment, vm: VmKey) -> PeerUpdate {
         let record = self.record(vm);
         let age = if vm == self.own { Span::ZERO } else { now.since(record.evidence_at) };
         let (vm, refutation) = (record.vm.clone(), record.refutation);
@@ -58,10 +58,10 @@
     ) -> LivenessMessage {
         let own = self.own;
         let record = self.record_mut(own);
-        record.beat += 1;
+        record.last_sequence += 1;
         record.evidence_at = now;
-        let (from, beat, refutation) = (record.vm.clone(), record.beat, record.refutation);
-        LivenessMessage { from, beat, refutation, notices }
+        let (from, beat, refutation) = (record.vm.clone(), record.last_sequence, record.refutation);
+        LivenessMessage { from, sequence: beat, refutation, updates: notices }
     }
 
     pub(crate) fn send_heartbeats(
@@ -84,14 +84,14 @@
         self.heartbeats += u64::from(occasion == Occasion::Period);
         let full = self.heartbeats.is_multiple_of(self.settings.full_every);
         let notices = if full && occasion == Occasion::Period && !self.deaf {
-            self.all_notices(now)
+            self.all_updates(now)
         } else {
             let told = spend(&mut self.zone_news, occasion);
-            told.into_iter().map(|vm| self.notice(now, vm)).collect()
+            told.into_iter().map(|vm| self.update(now, vm)).collect()
         };
         let message = self.next_message(now, notices);
         for to in targets {
-            actions.push(PeerAction::SendHeartbeat { to, beat: message.clone() });
+            actions.push(PeerAction::SendHeartbeat { to, message: message.clone() });
         }
     }
 
@@ -113,10 +113,10 @@
         } else {
             spend(&mut self.fleet_news, occasion)
         };
-        let notices = told.into_iter().map(|vm| self.notice(now, vm)).collect();
+        let notices = told.into_iter().map(|vm| self.update(now, vm)).collect();
         let message = self.next_message(now, notices);
         for to in self.summary_targets(now) {
-            actions.push(PeerAction::SendSummary { to, beat: message.clone() });
+            actions.push(PeerAction::SendSummary { to, message: message.clone() });
         }
     }
 
@@ -167,7 +167,7 @@
             {
                 // This node hears the process, which has to refute the accusation itself.
                 let beat = self.next_message(now, vec![notice]);
-                actions.push(PeerAction::SendHeartbeat { to: vm, beat });
+                actions.push(PeerAction::SendHeartbeat { to: vm, message: beat });
                 return;
             }
         }
@@ -188,9 +188,9 @@
     /// others know otherwise: only the process can refute an accusation, or exceed the generation
     /// of its predecessor.
     pub(crate) fn inform(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
-        let notices = vec![self.notice(now, vm)];
+        let notices = vec![self.update(now, vm)];
         let beat = self.next_message(now, notices);
-        actions.push(PeerAction::SendHeartbeat { to, beat });
+        actions.push(PeerAction::SendHeartbeat { to, message: beat });
     }
 
     /// Puts a newer process in the place of the one that ran on the VM.
@@ -198,7 +198,7 @@
         let record = self.record_mut(vm);
         let older = std::mem::replace(&mut record.vm, newer);
         let (was_heard, newer) = (record.heard, record.vm.incarnation);
-        (record.heard, record.beat, record.direct_at) = (true, 0, None);
+        (record.heard, record.last_sequence, record.direct_at) = (true, 0, None);
         (record.refutation, record.refuted) = (0, 0);
         if was_heard && older.incarnation != newer {
             actions.push(PeerAction::Replaced { vm, incarnation: older.incarnation });
@@ -223,12 +223,12 @@
         self.tell(own);
     }
 
-    fn all_notices(&self, now: Moment) -> Vec<PeerUpdate> {
+    fn all_updates(&self, now: Moment) -> Vec<PeerUpdate> {
         let known = self.vms.iter().filter(|(vm, record)| {
             // Live VMs of other zones need no notice: their own zone reports a change.
             record.listed.is_some() && (self.is_own_zone(*vm) || record.state != PeerState::Live)
         });
-        known.map(|(vm, _)| self.notice(now, vm)).collect()
+        known.map(|(vm, _)| self.update(now, vm)).collect()
     }
 }
 
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -30,7 +30,7 @@
     ring: Vec<RingSlot>,
     // Time of the latest summary of each other zone, or of its first mention.
     pub(crate) zones: BTreeMap<String, Moment>,
-    pub(crate) next_beat: Moment,
+    pub(crate) next_sequence: Moment,
     pub(crate) next_summary: Moment,
     last_handled: Moment,
     pub(crate) probe: usize,
@@ -55,7 +55,7 @@
             by_name: BTreeMap::new(),
             ring: Vec::new(),
             zones: BTreeMap::new(),
-            next_beat: now,
+            next_sequence: now,
             next_summary: now,
             last_handled: now,
             probe: 0,
@@ -79,7 +79,7 @@
         match event {
             PeerEvent::Tick => self.tick(now, &mut actions),
             PeerEvent::ListRead(listed) => self.read_list(now, listed, &mut actions),
-            PeerEvent::BeatReceived(beat) => self.receive(now, beat, &mut actions),
+            PeerEvent::MessageReceived(beat) => self.receive(now, beat, &mut actions),
         }
         if std::mem::take(&mut self.urgent) {
             self.send_heartbeats(now, Occasion::News, &mut actions);
@@ -91,7 +91,7 @@
     /// Returns when the next [`PeerEvent::Tick`] is due.
     #[must_use]
     pub const fn next_deadline(&self) -> Moment {
-        self.next_beat
+        self.next_sequence
     }
 
     /// Returns the key of this node.
@@ -213,7 +213,7 @@
             heard: false,
             state,
             listed: None,
-            beat: 0,
+            last_sequence: 0,
             refutation: 0,
             refuted: 0,
             evidence_at: now,
@@ -281,10 +281,10 @@
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Actions) {
-        if now < self.next_beat {
+        if now < self.next_sequence {
             return;
         }
-        self.next_beat = now + self.settings.period;
+        self.next_sequence = now + self.settings.period;
         self.judge(now, actions);
         self.urgent = false;
         self.send_heartbeats(now, Occasion::Period, actions);
@@ -390,15 +390,15 @@
         }
         if beat.from.rank() > record.vm.rank() {
             self.replace(vm, beat.from.clone(), actions);
-        } else if beat.beat <= record.beat {
+        } else if beat.sequence <= record.last_sequence {
             return;
         }
-        let accusation = self.notice(now, vm);
+        let accusation = self.update(now, vm);
         let zone = beat.from.zone;
         let record = self.record_mut(vm);
         let news = !record.heard || beat.refutation > record.refutation;
         record.heard = true;
-        record.beat = beat.beat;
+        record.last_sequence = beat.sequence;
         record.refutation = record.refutation.max(beat.refutation);
         record.refuted = 0;
         record.evidence_at = now;
@@ -409,12 +409,12 @@
         } else if revived {
             // Only the process itself can refute what others have accepted.
             let beat = self.next_message(now, vec![accusation]);
-            actions.push(PeerAction::SendHeartbeat { to: vm, beat });
+            actions.push(PeerAction::SendHeartbeat { to: vm, message: beat });
         }
         if let Some(heard_at) = self.zones.get_mut(&zone) {
             *heard_at = now;
         }
-        for notice in beat.notices {
+        for notice in beat.updates {
             self.learn(now, vm, notice, actions);
         }
     }
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -103,7 +103,7 @@
     pub(crate) fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
         for beat in std::mem::take(&mut self.nodes[index].inbox) {
-            self.deliver(index, PeerEvent::BeatReceived(beat));
+            self.deliver(index, PeerEvent::MessageReceived(beat));
         }
     }
 
@@ -137,7 +137,7 @@
                     self.nodes[to].inbox.push(beat);
                     continue;
                 }
-                self.deliver(to, PeerEvent::BeatReceived(beat));
+                self.deliver(to, PeerEvent::MessageReceived(beat));
                 continue;
             }
             let (_, index) = tick.unwrap();
@@ -180,9 +180,8 @@
         for action in node.table.handle(self.now, event) {
             let name = |vm| node.table.vm(vm).unwrap().vm.name.clone();
             let (to, beat) = match action {
-                PeerAction::SendHeartbeat { to, beat } | PeerAction::SendSummary { to, beat } => {
-                    (name(to), beat)
-                }
+                PeerAction::SendHeartbeat { to, message: beat }
+                | PeerAction::SendSummary { to, message: beat } => (name(to), beat),
                 PeerAction::Changed { vm, state } => {
                     node.changes.push((name(vm), state));
                     continue;
@@ -193,7 +192,7 @@
                 }
             };
             node.sent += 1;
-            node.notices += beat.notices.len() as u64;
+            node.notices += beat.updates.len() as u64;
             let delay = Span(self.rng.random_range(300..3_000));
             self.sequence += 1;
             self.flight.insert((self.now + delay, self.sequence), (index, to, beat));
--- a/crates/membership/tests/upstreams.rs
+++ b/crates/membership/tests/upstreams.rs
@@ -55,15 +55,15 @@
 #[test]
 fn newest_measurement_wins_and_keeps_its_age() {
     let (mut watcher, mut peer) = (board(1), board(2));
-    watcher.measured(secs(10), "engine", report(5));
-    let copy = watcher.delta(secs(12));
+    watcher.update(secs(10), "engine", report(5));
+    let copy = watcher.next_delta(secs(12));
     assert_eq!(copy[0].age, Span::from_secs(2));
-    assert!(peer.learned(secs(100), copy[0].clone()));
+    assert!(peer.merge(secs(100), copy[0].clone()));
     assert_eq!(peer.view(secs(101), "engine").unwrap().age, Span::from_secs(3));
-    assert!(!peer.learned(secs(120), copy[0].clone()), "the same measurement again");
+    assert!(!peer.merge(secs(120), copy[0].clone()), "the same measurement again");
     let late = LoadUpdate { watcher: Incarnation(9), age: Span::from_secs(30), ..copy[0].clone() };
-    assert!(!peer.learned(secs(120), late.clone()));
-    assert!(peer.learned(secs(120), LoadUpdate { age: Span::ZERO, ..late }));
+    assert!(!peer.merge(secs(120), late.clone()));
+    assert!(peer.merge(secs(120), LoadUpdate { age: Span::ZERO, ..late }));
 }
 
 /// Guards against a heartbeat that grows with the number of upstreams, and an entry never sent.
@@ -72,18 +72,18 @@
     let settings = LoadTableSettings::default();
     let mut board = board(1);
     for number in 0..600 {
-        board.measured(secs(0), &format!("engine-{number:03}"), report(8));
+        board.update(secs(0), &format!("engine-{number:03}"), report(8));
     }
     let mut sent = std::collections::BTreeSet::new();
     for second in 0..30 {
-        let delta = board.delta(secs(second));
+        let delta = board.next_delta(secs(second));
         assert!(delta.len() <= settings.delta_limit + 600 / settings.full_over);
         sent.extend(delta.into_iter().map(|entry| entry.upstream));
     }
     assert_eq!(sent.len(), 600);
-    let steady = board.delta(secs(31));
+    let steady = board.next_delta(secs(31));
     assert_eq!(steady.len(), 600 / settings.full_over, "only the repetition is left");
-    assert_eq!(board.full(secs(31)).len(), 600);
+    assert_eq!(board.all_updates(secs(31)).len(), 600);
 }
 
 /// Guards against a small change that is sent at once, and a large one that waits.
@@ -91,12 +91,16 @@
 fn only_changes_that_matter_are_sent() {
     let mut board = board(1);
     // The repetition of one entry out of two goes to "a" at even calls and to "b" at odd ones.
-    board.measured(secs(0), "a", report(1));
-    board.measured(secs(0), "b", report(80));
-    assert_eq!(names(&board.delta(secs(0))), ["a", "b"]);
+    board.update(secs(0), "a", report(1));
+    board.update(secs(0), "b", report(80));
+    assert_eq!(names(&board.next_delta(secs(0))), ["a", "b"]);
     let mut check = |at: u64, running: u32, expected: &[&str]| {
-        board.measured(secs(at), "b", report(running));
-        assert_eq!(names(&board.delta(secs(at))), expected, "at {at} s with {running} running");
+        board.update(secs(at), "b", report(running));
+        assert_eq!(
+            names(&board.next_delta(secs(at))),
+            expected,
+            "at {at} s with {running} running"
+        );
     };
     check(1, 85, &["b"]);
     check(2, 89, &["a"]);
@@ -113,20 +117,20 @@
 #[test]
 fn leaving_is_urgent_and_stays() {
     let (mut watcher, mut peer) = (board(1), board(2));
-    watcher.measured(secs(1), "engine", report(5));
-    assert!(watcher.urgent(secs(1)).is_empty());
-    peer.learned(secs(1), watcher.delta(secs(1)).remove(0));
+    watcher.update(secs(1), "engine", report(5));
+    assert!(watcher.take_urgent(secs(1)).is_empty());
+    peer.merge(secs(1), watcher.next_delta(secs(1)).remove(0));
     peer.mark_leaving(secs(2), "engine", LeavingCause::OrderIntended);
-    let urgent = peer.urgent(secs(2));
+    let urgent = peer.take_urgent(secs(2));
     assert_eq!(names(&urgent), ["engine"]);
-    assert!(peer.urgent(secs(2)).is_empty());
-    watcher.measured(secs(3), "engine", report(4));
-    assert!(watcher.learned(secs(3), urgent[0].clone()), "an older measurement with news");
-    assert_eq!(names(&watcher.urgent(secs(3))), ["engine"]);
-    watcher.measured(secs(4), "engine", report(3));
+    assert!(peer.take_urgent(secs(2)).is_empty());
+    watcher.update(secs(3), "engine", report(4));
+    assert!(watcher.merge(secs(3), urgent[0].clone()), "an older measurement with news");
+    assert_eq!(names(&watcher.take_urgent(secs(3))), ["engine"]);
+    watcher.update(secs(4), "engine", report(3));
     let phase = watcher.view(secs(4), "engine").unwrap().report.phase;
     assert_eq!(phase, UpstreamPhase::Leaving(LeavingCause::OrderIntended));
-    assert!(watcher.urgent(secs(4)).is_empty());
+    assert!(watcher.take_urgent(secs(4)).is_empty());
     watcher.remove("engine");
     assert_eq!(watcher.view(secs(4), "engine"), None);
 }
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -108,7 +108,7 @@
         /// Times of the lease.
         pub lease: LeaseSettings,
         /// Times of orders.
-        pub desk: OrderSettings,
+        pub orders: OrderSettings,
         /// Sizes of the model.
         pub bounds: ModelBounds,
     }
@@ -123,7 +123,7 @@
         process: &ProcessState,
         id: OrderId,
     ) -> Option<FencingToken> {
-        process.desk.permit(now, &process.keeper, id).ok()
+        process.order_manager.permit(now, &process.lease_manager, id).ok()
     }
 
     /// Returns the time by which a process without the lease decides to claim.
@@ -203,9 +203,12 @@
             order_timeout: Span(1),
             extra_wait: Span(2),
         };
-        let desk =
-            OrderSettings { order_timeout: Span(1), ask_retry: Span(1), receiver: bounds.receiver };
-        Self { lease, desk, bounds }
+        let desk = OrderSettings {
+            order_timeout: Span(1),
+            query_retry_delay: Span(1),
+            fencing_support: bounds.receiver,
+        };
+        Self { lease, orders: desk, bounds }
     }
 }
 
@@ -218,7 +221,7 @@
 
     /// Returns the processes that hold the lease by their own clock check, paused ones included.
     fn holders(&self) -> usize {
-        let holds = |process: &&ProcessState| process.keeper.held(self.now).is_some();
+        let holds = |process: &&ProcessState| process.lease_manager.held_token(self.now).is_some();
         self.processes.iter().filter(holds).count()
     }
 
@@ -347,8 +350,8 @@
 
     fn describe(&self, state: &AuthorityState) -> String {
         let holds = |process: &ProcessState| {
-            let keeper: &LeaseManager = &process.keeper;
-            keeper.held(state.now).map_or("-".to_owned(), |fencing| fencing.0.to_string())
+            let keeper: &LeaseManager = &process.lease_manager;
+            keeper.held_token(state.now).map_or("-".to_owned(), |fencing| fencing.0.to_string())
         };
         let held: Vec<_> = state.processes.iter().map(holds).collect();
         format!(
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ProcessState {
     /// The real keeper.
-    pub keeper: LeaseManager,
+    pub lease_manager: LeaseManager,
     /// The real desk.
-    pub desk: OrderManager,
+    pub order_manager: OrderManager,
     pub(crate) incarnation: Incarnation,
     pub(crate) next: LogOffset,
     pub(crate) outbox: Vec<Rc<AuthorityRecord>>,
@@ -64,12 +64,12 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let candidacy = LeaseRole::Standing;
+        let candidacy = LeaseRole::Candidate;
         let mut keeper = LeaseManager::new(settings.lease, SCOPE, incarnation, candidacy);
-        keeper.reading_from(now, first);
+        keeper.restart_from(now, first);
         Self {
-            keeper,
-            desk: OrderManager::new(settings.desk, SCOPE, incarnation),
+            lease_manager: keeper,
+            order_manager: OrderManager::new(settings.orders, SCOPE, incarnation),
             incarnation,
             next: first,
             outbox: Vec::new(),
@@ -98,7 +98,7 @@
             match action {
                 OrderAction::Append(record) => self.outbox.push(Rc::new(record)),
                 OrderAction::Send(intent) => self.sends.push(intent),
-                OrderAction::Ask(id) => self.asks.push(id),
+                OrderAction::Query(id) => self.asks.push(id),
                 OrderAction::Settled(_) | OrderAction::Voided(_) => {}
             }
         }
@@ -113,16 +113,16 @@
         if process.activity == Activity::Paused {
             return;
         }
-        let clock = match process.keeper.held(now) {
+        let clock = match process.lease_manager.held_token(now) {
             Some(_) => now,
             None => self.steps.waiting_clock(now),
         };
-        for action in process.keeper.tick(clock) {
+        for action in process.lease_manager.tick(clock) {
             if let LeaseAction::Append(record) = action {
                 process.outbox.push(Rc::new(record));
             }
         }
-        let actions = process.desk.tick(now, &process.keeper);
+        let actions = process.order_manager.tick(now, &process.lease_manager);
         process.queue(actions);
     }
 
@@ -130,16 +130,16 @@
         let now = state.now;
         let process = &mut state.processes[index];
         for record in &state.log[process.next.0 as usize..] {
-            for action in process.keeper.read(now, process.next, record) {
+            for action in process.lease_manager.read(now, process.next, record) {
                 match action {
                     LeaseAction::Append(record) => process.outbox.push(Rc::new(record)),
                     LeaseAction::Acquired(_) => {
-                        process.desk = self.steps.take_over(process.desk.clone());
+                        process.order_manager = self.steps.take_over(process.order_manager.clone());
                     }
                     LeaseAction::Lost { .. } => {}
                 }
             }
-            let actions = process.desk.read(now, &process.keeper, record);
+            let actions = process.order_manager.read(now, &process.lease_manager, record);
             process.next = process.next.next();
             process.queue(actions);
         }
@@ -226,7 +226,8 @@
             let id = next.processes[index].asks.remove(0);
             let answer = self.steps.understand(next.receiver.state(id));
             let process = &mut next.processes[index];
-            let actions = process.desk.answer(state.now, &process.keeper, id, answer);
+            let actions =
+                process.order_manager.answer(state.now, &process.lease_manager, id, answer);
             process.queue(actions);
             steps.push((AuthorityStep::Ask(index), next));
         }
@@ -247,10 +248,11 @@
         let mut next = state.clone();
         next.orders_left = state.orders_left.checked_sub(1)?;
         let process = &mut next.processes[index];
-        let fencing = process.keeper.held(state.now)?;
+        let fencing = process.lease_manager.held_token(state.now)?;
         let kind = OrderKind::Start { count: 1, price: PriceClass::Regular };
         let request = OrderRequest { service: String::new(), kind };
-        let (_, action) = process.desk.order(state.now, &process.keeper, request).ok()?;
+        let (_, action) =
+            process.order_manager.submit(state.now, &process.lease_manager, request).ok()?;
         if let OrderAction::Append(AuthorityRecord::Intent(intent)) = &action {
             process.sends.extend(self.steps.send_early(intent));
         }
@@ -271,7 +273,8 @@
         next.processes[index].checked = None;
         let answer = self.receive(&mut next, &checked.intent, checked.fencing);
         let process = &mut next.processes[index];
-        let actions = process.desk.answer(now, &process.keeper, checked.intent.id, answer);
+        let actions =
+            process.order_manager.answer(now, &process.lease_manager, checked.intent.id, answer);
         process.queue(actions);
         steps.push((AuthorityStep::Write(index), next));
         if let Some(mut next) = self.fault(state) {
@@ -312,11 +315,11 @@
         let incarnation = process.incarnation.0 + RESTART_STRIDE;
         next.processes[index] = ProcessState::new(&self.settings, state.now, first, incarnation);
         steps.push((AuthorityStep::Restart(index), next));
-        let is_answered = process.checked.is_none() && process.desk.open_orders() == 0;
-        if process.keeper.held(state.now).is_some() && is_answered {
+        let is_answered = process.checked.is_none() && process.order_manager.open_orders() == 0;
+        if process.lease_manager.held_token(state.now).is_some() && is_answered {
             let mut next = fault;
             let process = &mut next.processes[index];
-            for action in process.keeper.resign() {
+            for action in process.lease_manager.resign() {
                 if let LeaseAction::Append(record) = action {
                     process.outbox.push(Rc::new(record));
                 }
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -114,7 +114,7 @@
         match &self.0 {
             ConfigRecord::Edit(edit) => (edit.id, edit.base).hash(hasher),
             ConfigRecord::Promote(promote) => (promote.id, promote.target_base).hash(hasher),
-            ConfigRecord::Carry(carry) => carry.snapshot.next.hash(hasher),
+            ConfigRecord::Snapshot(carry) => carry.snapshot.next.hash(hasher),
         }
     }
 }
@@ -140,7 +140,7 @@
 
     /// Takes a peer's copy of a document.
     fn adopt(&self, history: &mut History, document: &VersionedDocument) {
-        history.adopt_peer(document);
+        history.adopt_peer_document(document);
     }
 
     /// Returns where a process reads on that continues from a peer's state of the log.
@@ -198,7 +198,7 @@
     }
 
     fn documents_differ(&self) -> bool {
-        let held = self.processes.iter().flat_map(|process| process.history.documents());
+        let held = self.processes.iter().flat_map(|process| process.registry.documents());
         let held = held.collect::<Vec<_>>();
         held.iter().enumerate().any(|(index, left)| {
             held[index + 1..].iter().any(|right| {
@@ -221,7 +221,7 @@
             || self
                 .processes
                 .iter()
-                .filter_map(|process| process.history.snapshot())
+                .filter_map(|process| process.registry.snapshot())
                 .any(|read| read.documents != expected_documents(&self.log[..read.next.0 as usize]))
     }
 }
@@ -245,7 +245,7 @@
             }
             for (process, looked_at) in state.processes.iter().enumerate() {
                 let mut next = state.clone();
-                let entry = self.compose(index, operator.written, &looked_at.history);
+                let entry = self.compose(index, operator.written, &looked_at.registry);
                 next.operators[index] =
                     Operator { written: operator.written + 1, outbox: Some(Rc::new(entry)) };
                 let step = ConfigStep::Look { operator: index, process };
@@ -308,7 +308,7 @@
             .log
             .iter()
             .filter_map(|entry| match &entry.0 {
-                ConfigRecord::Carry(carry) => Some(carry.snapshot.next),
+                ConfigRecord::Snapshot(carry) => Some(carry.snapshot.next),
                 _ => None,
             })
             .filter(|offset| *offset > state.first_retained)
@@ -373,7 +373,7 @@
 
     fn describe(&self, state: &ConfigModelState) -> String {
         let version = |process: &ConfigProcess, name: &str| -> ConfigVersion {
-            process.history.version(&EnvironmentName::from(name))
+            process.registry.version(&EnvironmentName::from(name))
         };
         let describe = |process: &Rc<ConfigProcess>| {
             let (trial, production) = (version(process, TRIAL), version(process, PRODUCTION));
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigProcess {
     /// The real history.
-    pub history: History,
+    pub registry: History,
     /// Offset of the next record to read.
     pub(crate) next: LogOffset,
     pub(crate) access: LogAccess,
@@ -51,9 +51,9 @@
 /// Leaves out texts, which versions and records imply.
 impl Hash for ConfigProcess {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.next, self.history.next_offset(), &self.accepted).hash(hasher);
+        (self.next, self.registry.next_offset(), &self.accepted).hash(hasher);
         (self.access == LogAccess::Reachable).hash(hasher);
-        for document in self.history.documents() {
+        for document in self.registry.documents() {
             (document.version, document.record).hash(hasher);
         }
     }
@@ -62,7 +62,7 @@
 impl ConfigProcess {
     pub(crate) fn new() -> Self {
         Self {
-            history: ConfigRegistry::new(AcceptAll),
+            registry: ConfigRegistry::new(AcceptAll),
             next: LogOffset(0),
             access: LogAccess::Reachable,
             accepted: Vec::new(),
@@ -70,7 +70,7 @@
     }
 
     fn versions(&self) -> [ConfigVersion; 2] {
-        [TRIAL, PRODUCTION].map(|name| self.history.version(&EnvironmentName::from(name)))
+        [TRIAL, PRODUCTION].map(|name| self.registry.version(&EnvironmentName::from(name)))
     }
 
     fn note_accepted(&mut self, record: &ConfigRecord) {
@@ -93,7 +93,7 @@
     };
     for entry in log {
         let (environment, record, text) = match &entry.0 {
-            ConfigRecord::Carry(_) => continue,
+            ConfigRecord::Snapshot(_) => continue,
             ConfigRecord::Edit(edit) => {
                 if edit.base != version(&find(&documents, &edit.environment)) {
                     continue;
@@ -166,12 +166,12 @@
         steps: &mut Vec<(ConfigStep, ConfigModelState)>,
     ) {
         let Some(snapshots_left) = state.snapshots_left.checked_sub(1) else { return };
-        let Some(snapshot) = state.processes[index].history.snapshot() else { return };
+        let Some(snapshot) = state.processes[index].registry.snapshot() else { return };
         // A snapshot of the empty state is never due.
         if snapshot.documents.is_empty() {
             return;
         }
-        let carry = ConfigRecord::Carry(ConfigSnapshotRecord { snapshot: snapshot.clone() });
+        let carry = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: snapshot.clone() });
         let carry = Rc::new(ConfigEntry(carry));
         let mut next = ConfigModelState { snapshots_left, ..state.clone() };
         next.log.push(Rc::clone(&carry));
@@ -188,38 +188,38 @@
         let process = Rc::make_mut(&mut state.processes[index]);
         if process.next < state.first_retained {
             process.next = state.first_retained;
-            process.history.note_retention(state.first_retained);
+            process.registry.note_retention(state.first_retained);
             return;
         }
         let record = &state.log[process.next.0 as usize].0;
         let before = process.versions();
         let offset = process.next;
         process.next = offset.next();
-        match self.guards.apply(&mut process.history, offset, record) {
+        match self.guards.apply(&mut process.registry, offset, record) {
             ConfigOutcome::Accepted { .. } => process.note_accepted(record),
             ConfigOutcome::Restored(from) => process.next = from,
             ConfigOutcome::Conflict(_) | ConfigOutcome::Refused(_) => {}
         }
         let fell = before.iter().zip(process.versions()).any(|(before, after)| after < *before);
         let invariant = match record {
-            ConfigRecord::Carry(_) => SNAPSHOT_YIELDS,
+            ConfigRecord::Snapshot(_) => SNAPSHOT_YIELDS,
             ConfigRecord::Edit(_) | ConfigRecord::Promote(_) => NEVER_FALLS,
         };
         state.broken = state.broken.or(fell.then_some(invariant));
     }
 
     fn copy(&self, state: &mut ConfigModelState, to: usize, from: usize) {
-        let given = self.guards.given(&state.processes[from].history);
-        let snapshot = state.processes[from].history.snapshot().cloned();
+        let given = self.guards.given(&state.processes[from].registry);
+        let snapshot = state.processes[from].registry.snapshot().cloned();
         let process = Rc::make_mut(&mut state.processes[to]);
         let before = process.versions();
         if let Some(snapshot) = snapshot
-            && let ConfigOutcome::Restored(next) = process.history.adopt_snapshot(&snapshot)
+            && let ConfigOutcome::Restored(next) = process.registry.adopt_snapshot(&snapshot)
         {
             process.next = self.guards.continue_at(process.next, next);
         }
         for document in &given {
-            self.guards.adopt(&mut process.history, document);
+            self.guards.adopt(&mut process.registry, document);
         }
         let fell = before.iter().zip(process.versions()).any(|(before, after)| after < *before);
         state.broken = state.broken.or(fell.then_some(NEVER_FALLS));
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -219,7 +219,7 @@
     fn broken(&self, state: &SubmissionsState) -> Option<&'static str> {
         let broken = state.log.broken();
         broken.or_else(|| {
-            let whole = state.nodes.iter().all(|node| state.log.agrees_with(&node.copy));
+            let whole = state.nodes.iter().all(|node| state.log.agrees_with(&node.cache));
             (!whole).then_some(COPY_IS_WHOLE)
         })
     }
--- a/crates/model-check/src/submissions/node.rs
+++ b/crates/model-check/src/submissions/node.rs
@@ -50,7 +50,7 @@
 
     /// A node.
     pub struct StoreNode {
-        pub(crate) copy: PartitionCache,
+        pub(crate) cache: PartitionCache,
         pub(crate) work: VecDeque<NodeWork>,
         /// Submissions that callers ask this node for, at any time.
         callers: Vec<&'static str>,
@@ -62,7 +62,7 @@
 /// Leaves out the submissions, which the offset mostly implies.
 impl Hash for StoreNode {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.copy.next().hash(hasher);
+        self.cache.next_offset().hash(hasher);
         self.work.len().hash(hasher);
         match &self.task {
             NodeTask::Prepare { behind } => behind.hash(hasher),
@@ -86,13 +86,15 @@
     /// Returns what is left to append.
     fn records(&self, copy: &PartitionCache) -> Option<Vec<SubmissionRecord>> {
         match self {
-            Self::Open(submission) => opening_records(copy.book(), submission, &opened(submission)),
-            Self::End(submission) => ending_records(copy.book(), submission),
+            Self::Open(submission) => {
+                opening_records(copy.table(), submission, &opened(submission))
+            }
+            Self::End(submission) => ending_records(copy.table(), submission),
             Self::Results(items) => {
                 let results = items.iter().map(|(submission, item)| {
                     (String::from(*submission), ItemResult::errored(*item))
                 });
-                result_records(copy.book(), &results.collect::<Vec<_>>())
+                result_records(copy.table(), &results.collect::<Vec<_>>())
             }
         }
     }
@@ -117,10 +119,10 @@
         path: text("/"),
         model: text("m"),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items: ITEMS,
+        item_count: ITEMS,
     };
     let items = items.collect();
     vec![
@@ -133,7 +135,7 @@
     pub(crate) fn new(work: Vec<NodeWork>, callers: Vec<&'static str>) -> Self {
         let task = NodeTask::Prepare { behind: false };
         let copy = PartitionCache::default();
-        Self { copy, work: work.into(), callers, task, reads: Vec::new() }
+        Self { cache: copy, work: work.into(), callers, task, reads: Vec::new() }
     }
 
     fn read_first_page(&mut self, log: &KeyedLog, submission: &'static str) {
@@ -143,7 +145,7 @@
     }
 
     pub(crate) fn describe(&self) -> String {
-        format!("read to {:?}, {:?}", self.copy.next(), self.task)
+        format!("read to {:?}, {:?}", self.cache.next_offset(), self.task)
     }
 }
 
@@ -155,7 +157,7 @@
         steps: &mut Vec<(SubmissionStep, SubmissionsState)>,
     ) {
         let node = &state.nodes[index];
-        if node.copy.next().is_some_and(|next| next < state.log.end()) {
+        if node.cache.next_offset().is_some_and(|next| next < state.log.end()) {
             for step in [SubmissionStep::ReadRecord(index), SubmissionStep::ReadLog(index)] {
                 let mut next = state.clone();
                 read_log(&mut next, step, index);
@@ -190,21 +192,21 @@
     ) {
         let node = &state.nodes[index];
         let behind = node.task == NodeTask::Prepare { behind: true };
-        if behind && node.copy.next().is_some_and(|next| next < state.log.end()) {
+        if behind && node.cache.next_offset().is_some_and(|next| next < state.log.end()) {
             // The log is read first, which is a step of its own.
             return;
         }
         let submissions = work.submissions();
         let mut next = state.clone();
         let changed = Rc::make_mut(&mut next.nodes[index]);
-        if let Some(offset) = self.guards.append_offset(&node.copy, &submissions) {
-            match work.records(&node.copy) {
+        if let Some(offset) = self.guards.append_offset(&node.cache, &submissions) {
+            match work.records(&node.cache) {
                 Some(records) => changed.task = NodeTask::Append { offset, records },
                 None => changed.finish(),
             }
             steps.push((SubmissionStep::Decide(index), next));
         } else if let Some(submission) = submissions.into_iter().find(|submission| {
-            !node.copy.is_loaded(submission)
+            !node.cache.is_loaded(submission)
                 && !node.reads.iter().any(|read| read.submission == *submission)
         }) {
             changed.read_first_page(&state.log, submission);
@@ -219,10 +221,10 @@
         let mut records = read.records;
         records.extend(log.newest(read.submission, |key| key.starts_with('r')));
         // A read that was overtaken is repeated.
-        node.copy.load(SubmissionSnapshot {
+        node.cache.apply_snapshot(SubmissionSnapshot {
             submission: String::from(read.submission),
-            sent_at: NOW,
-            end: self.guards.read_end(&node.copy, read.end, log.end()),
+            read_started_at: NOW,
+            log_end: self.guards.read_end(&node.cache, read.end, log.end()),
             records,
         });
     }
@@ -243,7 +245,7 @@
         let node = Rc::make_mut(&mut next.nodes[index]);
         match appended {
             Some(offset) => {
-                node.copy.appended(offset, end, records.clone());
+                node.cache.apply_own_append(offset, end, records.clone());
                 node.finish();
             }
             None => node.task = NodeTask::Prepare { behind: true },
@@ -273,13 +275,19 @@
 fn read_log(state: &mut SubmissionsState, step: SubmissionStep, index: usize) {
     let log = &state.log;
     let node = Rc::make_mut(&mut state.nodes[index]);
-    let Some(from) = node.copy.next() else { return };
+    let Some(from) = node.cache.next_offset() else { return };
     if from < log.first() {
-        node.copy.reset();
+        node.cache.reset();
         return;
     }
     let end = log.end();
     let read_to = if matches!(step, SubmissionStep::ReadRecord(_)) { from + 1 } else { end };
     let records = log.read(from, read_to);
-    node.copy.read(LogBatch { sent_at: NOW, from, read_to, end, records });
+    node.cache.apply_batch(LogBatch {
+        read_started_at: NOW,
+        start_offset: from,
+        next_offset: read_to,
+        log_end: end,
+        records,
+    });
 }
--- a/crates/model-check/src/submissions/store.rs
+++ b/crates/model-check/src/submissions/store.rs
@@ -8,7 +8,7 @@
 
 use ::submissions::{PartitionCache, SubmissionRecord};
 use base::derive_value;
-use protocol::{encode_book_record, submission_prefix};
+use protocol::{encode_submission_record, submission_prefix};
 
 use crate::submissions::{ACCEPTED_ONCE, ENDED_STAYS, ONE_POSITION};
 
@@ -46,7 +46,7 @@
 
 impl From<SubmissionRecord> for KeyedRecord {
     fn from(record: SubmissionRecord) -> Self {
-        Self { key: encode_book_record(&record).0, record }
+        Self { key: encode_submission_record(&record).0, record }
     }
 }
 
@@ -137,15 +137,15 @@
     /// Tells whether a copy shows every record of its loaded submissions up to its offset, and no other
     /// result than the log at any position.
     pub(crate) fn agrees_with(&self, copy: &PartitionCache) -> bool {
-        let known = copy.next().unwrap_or_default();
+        let known = copy.next_offset().unwrap_or_default();
         (0..).zip(&self.records).all(|(offset, stored)| match &stored.record {
             // The last record of an acceptance. Before it the submission does not exist yet.
             SubmissionRecord::Items { submission, .. } => {
                 let due = offset < known && copy.is_loaded(submission);
-                !due || copy.book().get(submission).is_some()
+                !due || copy.table().get(submission).is_some()
             }
             SubmissionRecord::Result { submission, position, result } => {
-                let state = copy.book().get(submission);
+                let state = copy.table().get(submission);
                 let shown = state.and_then(|state| state.results(*position).next());
                 match shown {
                     Some(shown) => shown.item == result.item,
@@ -153,7 +153,7 @@
                 }
             }
             SubmissionRecord::Ended { submission } => {
-                let state = copy.book().get(submission);
+                let state = copy.table().get(submission);
                 let shown = state.is_some_and(submissions::SubmissionState::is_ended);
                 shown || offset >= known || !copy.is_loaded(submission)
             }
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -131,7 +131,7 @@
             Self::Usage(UsageRecord::Batch(batch)) => batch.id.hash(hasher),
             Self::Usage(UsageRecord::Close(close)) => (0, close).hash(hasher),
             Self::Usage(UsageRecord::Reported(reported)) => (1, reported).hash(hasher),
-            Self::Usage(UsageRecord::Carry { fencing, .. }) => (2, fencing).hash(hasher),
+            Self::Usage(UsageRecord::Snapshot { fencing, .. }) => (2, fencing).hash(hasher),
         }
     }
 }
@@ -210,13 +210,14 @@
     #[must_use]
     pub fn has_snapshot(&self) -> bool {
         let is_snapshot = |record: &Rc<UsageStreamRecord>| {
-            matches!(**record, UsageStreamRecord::Usage(UsageRecord::Carry { .. }))
+            matches!(**record, UsageStreamRecord::Usage(UsageRecord::Snapshot { .. }))
         };
         self.log.iter().any(is_snapshot)
     }
 
     pub(crate) fn holders(&self) -> usize {
-        let holds = |process: &&Rc<UsageProcess>| process.keeper.held(self.now).is_some();
+        let holds =
+            |process: &&Rc<UsageProcess>| process.lease_manager.held_token(self.now).is_some();
         self.processes.iter().filter(holds).count()
     }
 
@@ -242,9 +243,9 @@
                     return false;
                 };
                 // Each batch has a customer of its own.
-                let customer = batch.figures.0.keys().next().expect("a batch names a customer");
-                let closed = process.ledger.windows().map(|(_, closed)| &closed.figures);
-                let figures = closed.chain([process.ledger.open_figures()]);
+                let customer = batch.usage.0.keys().next().expect("a batch names a customer");
+                let closed = process.ledger.windows().map(|(_, closed)| &closed.usage);
+                let figures = closed.chain([process.ledger.open_usage()]);
                 figures.map(|figures| figures.get(customer).requests).sum::<u64>() != 1
             })
         })
@@ -277,7 +278,7 @@
             return LogOffset(0);
         }
         let snapshot = state.log.iter().rev().find_map(|record| match &**record {
-            UsageStreamRecord::Usage(UsageRecord::Carry { snapshot, .. }) => Some(snapshot.next),
+            UsageStreamRecord::Usage(UsageRecord::Snapshot { snapshot, .. }) => Some(snapshot.next),
             _ => None,
         });
         snapshot.unwrap_or(LogOffset(0))
@@ -378,7 +379,7 @@
 
     fn describe(&self, state: &UsageState) -> String {
         let read = |process: &Rc<UsageProcess>| {
-            let held = process.keeper.held(state.now);
+            let held = process.lease_manager.held_token(state.now);
             let held = held.map_or("-".to_owned(), |fencing| fencing.0.to_string());
             format!("{held}@{}", process.next.0)
         };
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageProcess {
     /// The real keeper.
-    pub keeper: LeaseManager,
+    pub lease_manager: LeaseManager,
     /// The real ledger.
     pub ledger: Rc<UsageLedger>,
     pub(crate) reports: WindowReporter,
@@ -66,7 +66,7 @@
 /// Leaves out what the offset or the rest of the state mostly implies.
 impl Hash for UsageProcess {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.keeper.hash(hasher);
+        self.lease_manager.hash(hasher);
         (self.incarnation, self.sequence, self.next, &self.outbox).hash(hasher);
         (self.pending.len(), self.pending.next_deadline()).hash(hasher);
         (self.replicas.len(), self.replicas.next_deadline()).hash(hasher);
@@ -85,12 +85,12 @@
     ) -> Self {
         let incarnation = Incarnation(incarnation);
         let mut keeper =
-            LeaseManager::new(settings, LeaseScope::Usage, incarnation, LeaseRole::Standing);
-        keeper.reading_from(now, first);
+            LeaseManager::new(settings, LeaseScope::Usage, incarnation, LeaseRole::Candidate);
+        keeper.restart_from(now, first);
         let mut ledger = UsageLedger::new();
         ledger.note_retention(first);
         Self {
-            keeper,
+            lease_manager: keeper,
             ledger: Rc::new(ledger),
             reports: WindowReporter::new(RETRY),
             pending: PendingBatches::new(RETRY),
@@ -149,21 +149,21 @@
         if process.activity == Activity::Paused {
             return;
         }
-        let clock = match process.keeper.held(now) {
+        let clock = match process.lease_manager.held_token(now) {
             Some(_) => now,
             None => self.guards.waiting_clock(now),
         };
-        let actions = process.keeper.tick(clock);
+        let actions = process.lease_manager.tick(clock);
         process.queue_lease(actions);
         process.holds.extend(process.pending.poll(now));
         for batch in process.replicas.poll(now) {
             process.queue_usage(UsageRecord::Batch(self.guards.replica(batch)));
         }
-        let Some(fencing) = process.keeper.held(now) else {
+        let Some(fencing) = process.lease_manager.held_token(now) else {
             process.closing = None;
             return;
         };
-        let due = process.ledger.close_due(self.window_at(now));
+        let due = process.ledger.window_to_close(self.window_at(now));
         if let Some(window) = due
             && process.closing != due
         {
@@ -171,10 +171,10 @@
             process.queue_usage(UsageRecord::Close(WindowClose { window, fencing }));
         }
         let may_carry = process.carry_tried.is_none_or(|at| now.since(at) >= RETRY);
-        if may_carry && process.ledger.carry_due() {
+        if may_carry && process.ledger.snapshot_due() {
             let snapshot = process.ledger.snapshot().expect("no snapshot is awaited");
             process.carry_tried = Some(now);
-            process.queue_usage(UsageRecord::Carry { snapshot: Box::new(snapshot), fencing });
+            process.queue_usage(UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing });
         }
         if let Some(report) = process.reports.poll(now, &process.ledger, fencing) {
             process.unchecked = Some(self.guards.report(&process.ledger, report));
@@ -189,15 +189,15 @@
             process.next = offset.next();
             match &**record {
                 UsageStreamRecord::Lease(record) => {
-                    let actions = process.keeper.read(now, offset, record);
+                    let actions = process.lease_manager.read(now, offset, record);
                     process.queue_lease(actions);
                 }
                 UsageStreamRecord::Usage(record) => {
-                    let valid = self.guards.valid_claim(now, &process.keeper);
+                    let valid = self.guards.valid_claim(now, &process.lease_manager);
                     let outcome = Rc::make_mut(&mut process.ledger).apply(offset, record, valid);
                     if let UsageRecord::Batch(batch) = record {
-                        process.pending.seen_in_log(batch.id);
-                        process.replicas.seen_in_log(batch.id);
+                        process.pending.mark_committed(batch.id);
+                        process.replicas.mark_committed(batch.id);
                     }
                     match outcome {
                         LedgerOutcome::Closed(_) => process.closing = None,
@@ -258,7 +258,7 @@
             let mut figures = UsageByCustomer::default();
             let amount = UsageAmount { requests: 1, ..UsageAmount::default() };
             figures.0.insert(format!("customer {batches_left}"), amount);
-            let batch = UsageBatch { id, figures };
+            let batch = UsageBatch { id, usage: figures };
             process.pending.add(state.now, batch.clone());
             process.queue_usage(UsageRecord::Batch(batch));
             self.settle(&mut next, index);
@@ -323,7 +323,7 @@
             let unanswered = UsageState { faults_left, ..held.clone() };
             steps.push((UsageStep::HoldAnswerLost(index), unanswered));
         }
-        Rc::make_mut(&mut held.processes[index]).pending.held(batch.id, incarnation);
+        Rc::make_mut(&mut held.processes[index]).pending.mark_held(batch.id, incarnation);
         steps.push((UsageStep::Hold(index), held));
     }
 
@@ -337,7 +337,7 @@
         let mut next = state.clone();
         let process = Rc::make_mut(&mut next.processes[index]);
         if let Some(report) = process.unchecked.take() {
-            match process.keeper.held(now) {
+            match process.lease_manager.held_token(now) {
                 Some(_) => process.checked = Some(report),
                 None => drop(process.reports.answer(now, ReportAnswer::Lost)),
             }
@@ -382,10 +382,10 @@
         }
         steps.push((UsageStep::Restart(index), self.restart(state, fault.clone(), index)));
         let is_answered = process.unchecked.is_none() && process.checked.is_none();
-        if process.keeper.held(state.now).is_some() && is_answered {
+        if process.lease_manager.held_token(state.now).is_some() && is_answered {
             let mut next = fault;
             let process = Rc::make_mut(&mut next.processes[index]);
-            let actions = process.keeper.resign();
+            let actions = process.lease_manager.resign();
             process.queue_lease(actions);
             steps.push((UsageStep::Resign(index), next));
         }
--- a/crates/model-check/src/usage/sink.rs
+++ b/crates/model-check/src/usage/sink.rs
@@ -67,12 +67,12 @@
         }
         let known = state.sink.arrived.iter().find(|(window, _)| *window == report.window);
         match known {
-            Some((_, figures)) if *figures != report.figures => {
+            Some((_, figures)) if *figures != report.usage => {
                 state.broken = state.broken.or(Some(ONE_FIGURE));
                 return ReportAnswer::Conflict;
             }
             Some(_) => {}
-            None => state.sink.arrived.push((report.window, report.figures.clone())),
+            None => state.sink.arrived.push((report.window, report.usage.clone())),
         }
         if !self.guards.accepts(&state.sink, report.fencing) {
             return ReportAnswer::Lost;
--- a/crates/model-check/tests/authority.rs
+++ b/crates/model-check/tests/authority.rs
@@ -127,8 +127,8 @@
     fn take_over(&self, _desk: OrderManager) -> OrderManager {
         let settings = OrderSettings {
             order_timeout: Span(1),
-            ask_retry: Span(1),
-            receiver: FencingSupport::Ignored,
+            query_retry_delay: Span(1),
+            fencing_support: FencingSupport::Ignored,
         };
         OrderManager::new(settings, LeaseScope::Fleet, Incarnation(99))
     }
@@ -170,7 +170,7 @@
         process: &ProcessState,
         _id: OrderId,
     ) -> Option<FencingToken> {
-        process.keeper.held(now)
+        process.lease_manager.held_token(now)
     }
 
     fn send_early(&self, intent: &OrderIntent) -> Option<OrderIntent> {
@@ -193,7 +193,7 @@
         process: &ProcessState,
         _id: OrderId,
     ) -> Option<FencingToken> {
-        process.keeper.claim_in_force()
+        process.lease_manager.claim_in_force()
     }
 }
 
--- a/crates/model-check/tests/configuration.rs
+++ b/crates/model-check/tests/configuration.rs
@@ -49,7 +49,7 @@
 impl ConfigGuards for AnyCopy {
     fn adopt(&self, history: &mut History, document: &VersionedDocument) {
         *history = ConfigRegistry::new(AcceptAll);
-        history.adopt_peer(document);
+        history.adopt_peer_document(document);
     }
 }
 
@@ -110,7 +110,7 @@
         offset: LogOffset,
         record: &ConfigRecord,
     ) -> ConfigOutcome {
-        if let ConfigRecord::Carry(carry) = record {
+        if let ConfigRecord::Snapshot(carry) = record {
             *history = ConfigRegistry::new(AcceptAll);
             history.note_retention(carry.snapshot.next);
         }
--- a/crates/model-check/tests/submissions.rs
+++ b/crates/model-check/tests/submissions.rs
@@ -59,7 +59,7 @@
 impl SubmissionGuards for PartlyLoaded {
     fn append_offset(&self, copy: &PartitionCache, submissions: &[&str]) -> Option<u64> {
         let any = submissions.iter().any(|submission| copy.is_loaded(submission));
-        copy.next().filter(|_| any)
+        copy.next_offset().filter(|_| any)
     }
 }
 
@@ -74,7 +74,7 @@
 
 impl SubmissionGuards for Overtaken {
     fn read_end(&self, copy: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
-        copy.next().unwrap_or(first_page)
+        copy.next_offset().unwrap_or(first_page)
     }
 }
 
--- a/crates/model-check/tests/usage.rs
+++ b/crates/model-check/tests/usage.rs
@@ -54,7 +54,7 @@
 
 impl UsageGuards for OpenFigures {
     fn report(&self, ledger: &UsageLedger, mut report: WindowReport) -> WindowReport {
-        report.figures.add_all(ledger.open_figures()).expect("small figures");
+        report.usage.merge(ledger.open_usage()).expect("small figures");
         report
     }
 }
@@ -98,7 +98,7 @@
 
 impl UsageGuards for OwnLeaseOnly {
     fn valid_claim(&self, now: Moment, keeper: &LeaseManager) -> Option<FencingToken> {
-        keeper.held(now)
+        keeper.held_token(now)
     }
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -19,10 +19,10 @@
         WireUpstream, WireZoneSummary,
     },
     record::{
-        EXPIRING_PREFIX, OPEN_PREFIX, SampleEntry, SampleSnapshot, StepPrompts, UsageEntry,
-        UsageKey, WireAuthority, WireBatch, WireClaim, WireConfig, WireConviction, WireDemand,
-        WireSample, WireSnapshot, WireUsage, decode_book_record, decode_usage_record,
-        encode_book_record, encode_usage_report, encode_usage_totals, submission_prefix,
-        usage_report_key, usage_totals_key,
+        EXPIRING_SUBMISSIONS_PREFIX, OPEN_SUBMISSIONS_PREFIX, SampleEntry, SampleSnapshot,
+        StepPrompts, UsageEntry, UsageKey, WireAuthority, WireBatch, WireClaim, WireConfig,
+        WireConviction, WireDemand, WireSample, WireSnapshot, WireUsage, decode_submission_record,
+        decode_usage_record, encode_submission_record, encode_usage_report, encode_usage_totals,
+        submission_prefix, usage_report_key, usage_totals_key,
     },
 };
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -212,7 +212,7 @@
 impl From<&Heartbeat> for WireHeartbeat {
     fn from(heartbeat: &Heartbeat) -> Self {
         Self {
-            beat: (&heartbeat.beat).into(),
+            beat: (&heartbeat.liveness).into(),
             config_version: heartbeat.config_version,
             contact_age_us: heartbeat.contact_age.0,
             upstreams: heartbeat.upstreams.iter().map(WireUpstream::from).collect(),
@@ -223,7 +223,7 @@
 impl From<WireHeartbeat> for Heartbeat {
     fn from(wire: WireHeartbeat) -> Self {
         Self {
-            beat: wire.beat.into(),
+            liveness: wire.beat.into(),
             config_version: wire.config_version,
             contact_age: Span(wire.contact_age_us),
             upstreams: wire.upstreams.into_iter().map(LoadUpdate::from).collect(),
@@ -234,7 +234,7 @@
 impl From<&ZoneSummary> for WireZoneSummary {
     fn from(summary: &ZoneSummary) -> Self {
         Self {
-            beat: (&summary.beat).into(),
+            beat: (&summary.liveness).into(),
             config_version: summary.config_version,
             upstreams: summary.upstreams.iter().map(WireUpstream::from).collect(),
         }
@@ -244,7 +244,7 @@
 impl From<WireZoneSummary> for ZoneSummary {
     fn from(wire: WireZoneSummary) -> Self {
         Self {
-            beat: wire.beat.into(),
+            liveness: wire.beat.into(),
             config_version: wire.config_version,
             upstreams: wire.upstreams.into_iter().map(LoadUpdate::from).collect(),
         }
@@ -253,7 +253,7 @@
 
 impl From<&LivenessMessage> for WireLiveness {
     fn from(beat: &LivenessMessage) -> Self {
-        let notices = beat.notices.iter().map(|notice| WirePeerUpdate {
+        let notices = beat.updates.iter().map(|notice| WirePeerUpdate {
             vm: (&notice.vm).into(),
             refutation: notice.refutation,
             age_us: notice.age.0,
@@ -265,7 +265,7 @@
         });
         Self {
             from: (&beat.from).into(),
-            beat: beat.beat,
+            beat: beat.sequence,
             refutation: beat.refutation,
             notices: notices.collect(),
         }
@@ -286,9 +286,9 @@
         });
         Self {
             from: wire.from.into(),
-            beat: wire.beat,
+            sequence: wire.beat,
             refutation: wire.refutation,
-            notices: notices.collect(),
+            updates: notices.collect(),
         }
     }
 }
@@ -368,7 +368,7 @@
 impl WireSuspicion {
     /// Returns the fingerprint and the end of the suspicion.
     #[must_use]
-    pub const fn subject(&self) -> (Fingerprint, WallTime) {
+    pub const fn fingerprint_and_expiry(&self) -> (Fingerprint, WallTime) {
         (Fingerprint(self.fingerprint), WallTime(self.expires_at_ms))
     }
 }
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -16,7 +16,8 @@
     demand::WireDemand,
     samples::{SampleEntry, SampleSnapshot, StepPrompts, WireSample},
     submissions::{
-        EXPIRING_PREFIX, OPEN_PREFIX, decode_book_record, encode_book_record, submission_prefix,
+        EXPIRING_SUBMISSIONS_PREFIX, OPEN_SUBMISSIONS_PREFIX, decode_submission_record,
+        encode_submission_record, submission_prefix,
     },
     totals::{
         UsageKey, decode_usage_record, encode_usage_report, encode_usage_totals, usage_report_key,
--- a/crates/protocol/src/record/config.rs
+++ b/crates/protocol/src/record/config.rs
@@ -65,7 +65,7 @@
                 })
             }
             WireConfig::Carry(snapshot) => {
-                Self::Carry(ConfigSnapshotRecord { snapshot: snapshot.into() })
+                Self::Snapshot(ConfigSnapshotRecord { snapshot: snapshot.into() })
             }
         })
     }
@@ -87,7 +87,7 @@
                 target: promote.target.0.clone(),
                 target_base: promote.target_base.0,
             },
-            ConfigRecord::Carry(carry) => Self::Carry((&carry.snapshot).into()),
+            ConfigRecord::Snapshot(carry) => Self::Carry((&carry.snapshot).into()),
         }
     }
 }
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -88,19 +88,19 @@
         /// The record.
         record: SampleRecord,
         /// Present when the record is a statement that opens a step.
-        opened: Option<StepPrompts>,
+        step_prompts: Option<StepPrompts>,
     },
     /// A snapshot of one trainer.
-    Carry(Box<SampleSnapshot>),
+    Snapshot(Box<SampleSnapshot>),
 }
 
 /// Snapshot of one trainer with the prompts of its steps.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SampleSnapshot {
     /// The snapshot.
-    pub carry: TrainerSnapshot,
+    pub snapshot: TrainerSnapshot,
     /// Prompts of the steps that are not completed, by number of the step.
-    pub opened: Vec<(u64, StepPrompts)>,
+    pub step_prompts: Vec<(u64, StepPrompts)>,
 }
 
 impl StreamRecord for SampleEntry {
@@ -129,10 +129,13 @@
                 };
                 let opened = opened
                     .map(|step| StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens });
-                return Ok(Self::Record { record: SampleRecord::Stated(stated), opened });
+                return Ok(Self::Record {
+                    record: SampleRecord::Stated(stated),
+                    step_prompts: opened,
+                });
             }
             WireSample::Filled(filled) => SampleRecord::Filled(filled.into()),
-            WireSample::Carry(carry) => return Ok(Self::Carry(Box::new(carry.try_into()?))),
+            WireSample::Carry(carry) => return Ok(Self::Snapshot(Box::new(carry.try_into()?))),
             WireSample::Bound { slot, sample, score } => SampleRecord::Bound(SampleBound {
                 slot: slot.into(),
                 sample: sample.into(),
@@ -144,15 +147,15 @@
                 reason: reason.into(),
             }),
         };
-        Ok(Self::Record { record, opened: None })
+        Ok(Self::Record { record, step_prompts: None })
     }
 }
 
 impl From<&SampleEntry> for WireSample {
     fn from(entry: &SampleEntry) -> Self {
         let (record, opened) = match entry {
-            SampleEntry::Record { record, opened } => (record, opened),
-            SampleEntry::Carry(carry) => return Self::Carry((&**carry).into()),
+            SampleEntry::Record { record, step_prompts: opened } => (record, opened),
+            SampleEntry::Snapshot(carry) => return Self::Carry((&**carry).into()),
         };
         match record {
             SampleRecord::Stated(stated) => Self::Stated {
--- a/crates/protocol/src/record/samples/snapshot.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -65,7 +65,7 @@
 
 impl From<&SampleSnapshot> for WireTrainerSnapshot {
     fn from(carry: &SampleSnapshot) -> Self {
-        let book = &carry.carry.book;
+        let book = &carry.snapshot.state;
         let bindings = book.bindings.iter().map(|(number, binding)| WireBinding {
             number: number.0,
             filled: (&binding.filled).into(),
@@ -75,7 +75,7 @@
             pending: binding.pending,
         });
         let steps = book.steps.values().map(|step| {
-            let opened = carry.opened.iter().find(|(number, _)| *number == step.shape.step);
+            let opened = carry.step_prompts.iter().find(|(number, _)| *number == step.shape.step);
             let opened = opened.map(|(_, opened)| opened);
             WireStepState {
                 step: step.shape.step,
@@ -88,7 +88,7 @@
             }
         });
         Self {
-            until: carry.carry.until.0,
+            until: carry.snapshot.until.0,
             trainer: book.id.0,
             name: book.name.clone(),
             version: book.version.0,
@@ -96,7 +96,7 @@
             statements: book.statements,
             acknowledged: book.acknowledged.0,
             offered: book.offered.0,
-            offer: book.offer.map(|offer| (offer.statement, offer.after.0, offer.until.0)),
+            offer: book.range.map(|offer| (offer.statement, offer.after.0, offer.until.0)),
             last_number: book.last_number.0,
             bindings: bindings.collect(),
             steps: steps.collect(),
@@ -155,14 +155,17 @@
             statements: wire.statements,
             acknowledged: DeliveryNumber(wire.acknowledged),
             offered: DeliveryNumber(wire.offered),
-            offer,
+            range: offer,
             last_number: DeliveryNumber(wire.last_number),
             bindings,
             steps,
             retired_below: wire.retired_below,
             retired_until: DeliveryNumber(wire.retired_until),
         };
-        Ok(Self { carry: TrainerSnapshot { until: LogOffset(wire.until), book }, opened })
+        Ok(Self {
+            snapshot: TrainerSnapshot { until: LogOffset(wire.until), state: book },
+            step_prompts: opened,
+        })
     }
 }
 
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -62,10 +62,10 @@
 }
 
 /// Prefix of the markers of open submissions.
-pub const OPEN_PREFIX: &str = "a/";
+pub const OPEN_SUBMISSIONS_PREFIX: &str = "a/";
 
 /// Prefix of the markers of submissions that can be deleted later.
-pub const EXPIRING_PREFIX: &str = "z/";
+pub const EXPIRING_SUBMISSIONS_PREFIX: &str = "z/";
 
 /// Returns the prefix of all keys of a submission but its markers.
 #[must_use]
@@ -75,7 +75,7 @@
 
 /// Key and value of a record. Without a value the key is dropped.
 #[must_use]
-pub fn encode_book_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
+pub fn encode_submission_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
         SubmissionRecord::Opened(head) => {
             let value = WireSubmissionRecord::Opened {
@@ -84,10 +84,10 @@
                 path: head.path.clone(),
                 model: head.model.clone(),
                 step: head.step,
-                least_version: head.least_version.0,
+                least_version: head.min_version.0,
                 target_groups: head.target_groups,
                 accepted_ms: head.accepted_at.0,
-                items: head.items,
+                items: head.item_count,
             };
             (format!("s/{}/o", head.id), Some(encode_message(&value)))
         }
@@ -103,18 +103,20 @@
         SubmissionRecord::Ended { submission } => {
             (format!("s/{submission}/e"), Some(encode_message(&WireSubmissionRecord::Ended)))
         }
-        SubmissionRecord::Marked { submission } => (
-            format!("{OPEN_PREFIX}{submission}"),
+        SubmissionRecord::OpenMarkerSet { submission } => (
+            format!("{OPEN_SUBMISSIONS_PREFIX}{submission}"),
             Some(encode_message(&WireSubmissionRecord::Marked)),
         ),
         SubmissionRecord::Expiring { submission, accepted_at } => {
             let value = WireSubmissionRecord::Expiring { accepted_ms: accepted_at.0 };
-            (format!("{EXPIRING_PREFIX}{submission}"), Some(encode_message(&value)))
+            (format!("{EXPIRING_SUBMISSIONS_PREFIX}{submission}"), Some(encode_message(&value)))
         }
-        SubmissionRecord::Dropped { submission } => {
-            (format!("{EXPIRING_PREFIX}{submission}"), None)
+        SubmissionRecord::Deleted { submission } => {
+            (format!("{EXPIRING_SUBMISSIONS_PREFIX}{submission}"), None)
+        }
+        SubmissionRecord::OpenMarkerCleared { submission } => {
+            (format!("{OPEN_SUBMISSIONS_PREFIX}{submission}"), None)
         }
-        SubmissionRecord::Unmarked { submission } => (format!("{OPEN_PREFIX}{submission}"), None),
     }
 }
 
@@ -124,20 +126,20 @@
 /// # Errors
 ///
 /// Returns [`MalformedMessage`] when the key or the value does not have the expected shape.
-pub fn decode_book_record(
+pub fn decode_submission_record(
     key: &str,
     value: Option<&[u8]>,
 ) -> Result<Option<SubmissionRecord>, MalformedMessage> {
-    if let Some(submission) = key.strip_prefix(OPEN_PREFIX) {
+    if let Some(submission) = key.strip_prefix(OPEN_SUBMISSIONS_PREFIX) {
         let submission = String::from(submission);
         return Ok(Some(match value {
-            Some(_) => SubmissionRecord::Marked { submission },
-            None => SubmissionRecord::Unmarked { submission },
+            Some(_) => SubmissionRecord::OpenMarkerSet { submission },
+            None => SubmissionRecord::OpenMarkerCleared { submission },
         }));
     }
-    if let Some(submission) = key.strip_prefix(EXPIRING_PREFIX) {
+    if let Some(submission) = key.strip_prefix(EXPIRING_SUBMISSIONS_PREFIX) {
         let submission = String::from(submission);
-        let Some(value) = value else { return Ok(Some(SubmissionRecord::Dropped { submission })) };
+        let Some(value) = value else { return Ok(Some(SubmissionRecord::Deleted { submission })) };
         let WireSubmissionRecord::Expiring { accepted_ms } = decode_message(value)? else {
             return Err(MalformedMessage::new(format!("key \"{key}\" does not fit its value")));
         };
@@ -191,10 +193,10 @@
         path,
         model,
         step,
-        least_version: WeightVersion(least_version),
+        min_version: WeightVersion(least_version),
         target_groups,
         accepted_at: WallTime(accepted_ms),
-        items,
+        item_count: items,
     }))
 }
 
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -119,7 +119,7 @@
                 window: WindowNumber(window),
                 fencing: FencingToken(fencing),
             }),
-            WireUsage::Carry { snapshot, fencing } => Self::Carry {
+            WireUsage::Carry { snapshot, fencing } => Self::Snapshot {
                 snapshot: Box::new((*snapshot).try_into()?),
                 fencing: FencingToken(fencing),
             },
@@ -137,7 +137,7 @@
             UsageRecord::Reported(reported) => {
                 Self::Reported { window: reported.window.0, fencing: reported.fencing.0 }
             }
-            UsageRecord::Carry { snapshot, fencing } => {
+            UsageRecord::Snapshot { snapshot, fencing } => {
                 Self::Carry { snapshot: Box::new(snapshot.as_ref().into()), fencing: fencing.0 }
             }
         }
@@ -146,13 +146,13 @@
 
 impl From<WireBatch> for UsageBatch {
     fn from(wire: WireBatch) -> Self {
-        Self { id: wire.id.into(), figures: figures(wire.figures) }
+        Self { id: wire.id.into(), usage: figures(wire.figures) }
     }
 }
 
 impl From<&UsageBatch> for WireBatch {
     fn from(batch: &UsageBatch) -> Self {
-        Self { id: batch.id.into(), figures: wire_figures(&batch.figures) }
+        Self { id: batch.id.into(), figures: wire_figures(&batch.usage) }
     }
 }
 
@@ -174,7 +174,7 @@
         let closed = wire.closed.into_iter().map(|window| {
             let closed = ClosedWindow {
                 closed_at: LogOffset(window.closed_at),
-                figures: figures(window.figures),
+                usage: figures(window.figures),
                 reported: window.reported,
             };
             (WindowNumber(window.window), closed)
@@ -196,7 +196,7 @@
         let closed = snapshot.closed.iter().map(|(window, closed)| WireWindow {
             window: window.0,
             closed_at: closed.closed_at.0,
-            figures: wire_figures(&closed.figures),
+            figures: wire_figures(&closed.usage),
             reported: closed.reported,
         });
         let seen = snapshot.seen.iter().map(|(writer, epoch, ranges)| WireSeen {
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -85,7 +85,7 @@
     let mut figures = UsageByCustomer::default();
     let amount = UsageAmount { requests: 1, prompt_tokens: u64::MAX, generated_tokens: 0 };
     figures.add("cordial", amount).expect("it fits");
-    check(&UsageRecord::Batch(UsageBatch { id: ID, figures }));
+    check(&UsageRecord::Batch(UsageBatch { id: ID, usage: figures }));
     check(&Conviction { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
     check(&ClaimEvent::DoneRead(ClaimDone {
         claim: ClaimKey([9; 16]),
@@ -181,9 +181,12 @@
     for record in records {
         book.apply(&record);
         let opened = matches!(record, SampleRecord::Stated(_)).then(|| opened.clone());
-        check(&SampleEntry::Record { record, opened });
+        check(&SampleEntry::Record { record, step_prompts: opened });
     }
     book.apply(&SampleRecord::Filled(filled(2)));
-    let carry = book.carry(trainer, LogOffset(6)).expect("the trainer is known");
-    check(&SampleEntry::Carry(Box::new(SampleSnapshot { carry, opened: vec![(3, opened)] })));
+    let carry = book.snapshot(trainer, LogOffset(6)).expect("the trainer is known");
+    check(&SampleEntry::Snapshot(Box::new(SampleSnapshot {
+        snapshot: carry,
+        step_prompts: vec![(3, opened)],
+    })));
 }
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -26,7 +26,7 @@
         /// Most bytes held for all streams together, in flight or waiting.
         pub buffer_bytes: usize,
         /// Time without an answer after which a batch is sent again.
-        pub answer_timeout: Span,
+        pub ack_timeout: Span,
         /// Longest wait before the first retry.
         pub backoff_first: Span,
         /// Longest wait before any retry.
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Reserves an id for a record of `stream` that is passed to [`LogWriter::append_as`].
+    /// Reserves an id for a record of `stream` that is passed to [`LogWriter::append_with_id`].
     pub fn next_id(&mut self, stream: &str) -> RecordId {
         let queue = self.streams.entry(stream.to_owned()).or_default();
         queue.last_sequence += 1;
@@ -150,7 +150,7 @@
     pub fn append(&mut self, stream: &str, data: Vec<u8>) -> Result<RecordId, BufferFull> {
         let last = self.streams.get(stream).map_or(0, |queue| queue.last_sequence);
         let id = RecordId { writer: self.incarnation, sequence: last + 1 };
-        self.append_as(stream, id, data)?;
+        self.append_with_id(stream, id, data)?;
         Ok(self.next_id(stream))
     }
 
@@ -160,7 +160,7 @@
     /// # Errors
     ///
     /// Returns [`BufferFull`] when the record does not fit; nothing is kept of it then.
-    pub fn append_as(
+    pub fn append_with_id(
         &mut self,
         stream: &str,
         id: RecordId,
@@ -198,7 +198,7 @@
                     FlightStage::BackingOff { until } if until <= now => {
                         flight.ticket.attempt = flight.ticket.attempt.saturating_add(1);
                         flight.stage =
-                            FlightStage::Sent { deadline: now + self.settings.answer_timeout };
+                            FlightStage::Sent { deadline: now + self.settings.ack_timeout };
                         actions.push(flight.send(stream));
                         continue;
                     }
@@ -213,7 +213,7 @@
             let flight = BatchFlight {
                 ticket: BatchTicket { batch: self.last_batch, attempt: 1 },
                 records: records.into(),
-                stage: FlightStage::Sent { deadline: now + self.settings.answer_timeout },
+                stage: FlightStage::Sent { deadline: now + self.settings.ack_timeout },
             };
             actions.push(flight.send(stream));
             queue.flight = Some(flight);
@@ -348,7 +348,7 @@
             batch_bytes: 64 * 1_024,
             buffer_records: 10_000,
             buffer_bytes: 8 * 1_024 * 1_024,
-            answer_timeout: Span::from_secs(2),
+            ack_timeout: Span::from_secs(2),
             backoff_first: Span::from_millis(100),
             backoff_most: Span::from_secs(5),
         }
--- a/crates/record-log/tests/schedules.rs
+++ b/crates/record-log/tests/schedules.rs
@@ -21,7 +21,7 @@
     /// Requests that the log has not yet carried out. Some take effect after later ones.
     delayed: Vec<Request>,
     writer: LogWriter,
-    follower: LogReader,
+    reader: LogReader,
     taken: Vec<RecordId>,
     delivered: Vec<RecordId>,
     refused: u32,
@@ -37,7 +37,7 @@
             log: Vec::new(),
             delayed: Vec::new(),
             writer: LogWriter::new(settings, Incarnation(1), seed),
-            follower: LogReader::new(ReaderSettings::default(), LogOffset(0)),
+            reader: LogReader::new(ReaderSettings::default(), LogOffset(0)),
             taken: Vec::new(),
             delivered: Vec::new(),
             refused: 0,
@@ -82,13 +82,13 @@
     }
 
     fn read(&mut self) {
-        let start = self.follower.next_offset().0 as usize;
+        let start = self.reader.next_offset().0 as usize;
         let mut records = Vec::new();
         for (offset, record) in (start as u64..).map(LogOffset).zip(&self.log[start..]) {
             records.push(DecodedRecord { offset, content: Ok((record.id, ())) });
         }
         let page = DecodedPage { first_retained: LogOffset(0), records };
-        for action in self.follower.handle(page) {
+        for action in self.reader.handle(page) {
             let ReaderAction::Deliver { id, .. } = action else { panic!("{action:?}") };
             self.delivered.push(id);
         }
@@ -133,5 +133,5 @@
     }
     schedule.read();
     assert_eq!(schedule.delivered, schedule.taken, "seed {seed}");
-    assert!(schedule.refused > 0 && schedule.follower.repeated() > 0, "the schedule is too mild");
+    assert!(schedule.refused > 0 && schedule.reader.repeated() > 0, "the schedule is too mild");
 }
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -97,12 +97,12 @@
 fn an_id_is_taken_once() {
     let mut writer = writer(WriterSettings::default());
     let id = RecordId { writer: Incarnation(3), sequence: 9 };
-    writer.append_as("usage", id, vec![1]).expect("the buffer has room");
-    writer.append_as("usage", id, vec![1]).expect("a repeat needs no room");
+    writer.append_with_id("usage", id, vec![1]).expect("the buffer has room");
+    writer.append_with_id("usage", id, vec![1]).expect("a repeat needs no room");
     assert_eq!(writer.buffered_records(), 1);
     let (ticket, _) = sent(&writer.tick(NOW)).remove(0);
-    writer.append_as("usage", id, vec![1]).expect("a repeat needs no room");
+    writer.append_with_id("usage", id, vec![1]).expect("a repeat needs no room");
     writer.acknowledge(NOW, "usage", ticket, LogOffset(0));
-    writer.append_as("usage", id, vec![1]).expect("a repeat needs no room");
+    writer.append_with_id("usage", id, vec![1]).expect("a repeat needs no room");
     assert_eq!(writer.buffered_records(), 0);
 }
--- a/crates/rollout/src/samples.rs
+++ b/crates/rollout/src/samples.rs
@@ -74,11 +74,11 @@
             reason: VoidReason,
         },
         /// A statement is valid and its fetch can be answered with [`SampleTable::deliveries`].
-        Offered {
+        DeliveriesReady {
             /// The trainer.
             trainer: TrainerId,
             /// The offer.
-            offer: DeliveryRange,
+            range: DeliveryRange,
         },
         /// A statement names a predecessor that is not the last one, or a number that was never
         /// offered, and has no effect. The node tells the trainer to ask again.
@@ -250,14 +250,14 @@
 
     /// Tells whether a number after `after` is bound, so that a new statement is worthwhile.
     #[must_use]
-    pub fn has_after(&self, trainer: TrainerId, after: DeliveryNumber) -> bool {
+    pub fn has_deliveries_after(&self, trainer: TrainerId, after: DeliveryNumber) -> bool {
         self.trainers.get(&trainer).is_some_and(|book| book.last_number() > after)
     }
 
     /// Returns the records that void the samples with no holder left, for the caller to append.
     ///
     /// A sample that its trainer has acknowledged is not lost.
-    pub fn lost(&self, is_gone: impl Fn(Incarnation) -> bool) -> Vec<SampleVoided> {
+    pub fn lost_samples(&self, is_gone: impl Fn(Incarnation) -> bool) -> Vec<SampleVoided> {
         let mut lost = Vec::new();
         for trainer in self.trainers.values() {
             trainer.collect_lost(&is_gone, &mut lost);
--- a/crates/rollout/src/samples/snapshot.rs
+++ b/crates/rollout/src/samples/snapshot.rs
@@ -20,7 +20,7 @@
         /// Offset of the first record that the snapshot does not reflect.
         pub until: LogOffset,
         /// The trainer's part of the book.
-        pub book: TrainerState,
+        pub state: TrainerState,
     }
 
     /// Records of trainers that the book does not know yet.
@@ -34,9 +34,9 @@
 impl SampleTable {
     /// Creates a book whose first record is the one at `first` and not the first of the stream.
     ///
-    /// It knows a trainer only after [`SampleTable::adopt`].
+    /// It knows a trainer only after [`SampleTable::install_snapshot`].
     #[must_use]
-    pub fn after_gap(first: LogOffset) -> Self {
+    pub fn starting_at(first: LogOffset) -> Self {
         Self { gap: Some(Gap { first, kept: VecDeque::new() }), ..Self::default() }
     }
 
@@ -60,16 +60,16 @@
 
     /// Returns the snapshot of `trainer` after the record before `until`.
     #[must_use]
-    pub fn carry(&self, trainer: TrainerId, until: LogOffset) -> Option<TrainerSnapshot> {
-        Some(TrainerSnapshot { until, book: self.trainers.get(&trainer)?.clone() })
+    pub fn snapshot(&self, trainer: TrainerId, until: LogOffset) -> Option<TrainerSnapshot> {
+        Some(TrainerSnapshot { until, state: self.trainers.get(&trainer)?.clone() })
     }
 
     /// Takes a snapshot that was read from the log and applies the kept records that follow it.
     ///
     /// A snapshot of a known trainer has no effect, nor has one with unread records after it.
-    pub fn adopt(&mut self, carry: &TrainerSnapshot) -> SmallVec<[SampleOutcome; 4]> {
+    pub fn install_snapshot(&mut self, carry: &TrainerSnapshot) -> SmallVec<[SampleOutcome; 4]> {
         let mut actions = SmallVec::new();
-        let id = carry.book.id;
+        let id = carry.state.id;
         let Some(gap) = self.gap.as_mut() else { return actions };
         if self.trainers.contains_key(&id) || carry.until < gap.first {
             return actions;
@@ -77,7 +77,7 @@
         let kept = std::mem::take(&mut gap.kept);
         let (own, others) = kept.into_iter().partition(|(_, record)| trainer_of(record) == id);
         gap.kept = others;
-        self.trainers.insert(id, carry.book.clone());
+        self.trainers.insert(id, carry.state.clone());
         let own: VecDeque<(LogOffset, SampleRecord)> = own;
         for (_, record) in own.iter().filter(|(offset, _)| *offset >= carry.until) {
             actions.extend(self.apply(record));
--- a/crates/rollout/src/samples/trainer.rs
+++ b/crates/rollout/src/samples/trainer.rs
@@ -88,7 +88,7 @@
         /// Highest number offered in answer to any statement.
         pub offered: DeliveryNumber,
         /// The offer of the last statement.
-        pub offer: Option<DeliveryRange>,
+        pub range: Option<DeliveryRange>,
         /// Highest number bound.
         pub last_number: DeliveryNumber,
         /// Samples by number, without those of retired steps.
@@ -112,7 +112,7 @@
             statements: 0,
             acknowledged: DeliveryNumber(0),
             offered: DeliveryNumber(0),
-            offer: None,
+            range: None,
             last_number: DeliveryNumber(0),
             bindings: BTreeMap::new(),
             steps: BTreeMap::new(),
@@ -142,9 +142,9 @@
             until: self.last_number,
         };
         self.offered = self.last_number;
-        self.offer = Some(offer);
+        self.range = Some(offer);
         self.complete_steps(actions);
-        actions.push(SampleOutcome::Offered { trainer: self.id, offer });
+        actions.push(SampleOutcome::DeliveriesReady { trainer: self.id, range: offer });
     }
 
     fn open(&mut self, shape: StepShape, actions: &mut Outcomes) {
@@ -325,7 +325,7 @@
     }
 
     pub(crate) fn deliveries(&self, statement: u64) -> Option<Vec<Delivery>> {
-        let offer = self.offer.filter(|offer| offer.statement == statement)?;
+        let offer = self.range.filter(|offer| offer.statement == statement)?;
         let numbers = DeliveryNumber(offer.after.0 + 1)..=offer.until;
         if numbers.is_empty() {
             return Some(Vec::new());
--- a/crates/rollout/src/scheduler.rs
+++ b/crates/rollout/src/scheduler.rs
@@ -36,7 +36,7 @@
     /// Returns the trainer to serve next among those that `wants` names.
     ///
     /// A trainer that had no work does not save up its share for later.
-    pub fn next(&mut self, wants: impl Fn(TrainerId) -> bool) -> Option<TrainerId> {
+    pub fn select(&mut self, wants: impl Fn(TrainerId) -> bool) -> Option<TrainerId> {
         let mut best: Option<(u64, TrainerId)> = None;
         for (&trainer, account) in &mut self.accounts {
             let was_active = std::mem::replace(&mut account.is_active, wants(trainer));
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the estimate of a finished or cancelled attempt by its true tokens.
-    pub fn correct(&mut self, trainer: TrainerId, estimated: u64, actual: u64) {
+    pub fn reconcile(&mut self, trainer: TrainerId, estimated: u64, actual: u64) {
         if let Some(account) = self.accounts.get_mut(&trainer) {
             let weight = u64::from(account.weight.max(1));
             account.virtual_time = account
--- a/crates/rollout/src/scoring.rs
+++ b/crates/rollout/src/scoring.rs
@@ -86,7 +86,7 @@
     }
 
     /// Forgets a sample that is void, or bound by another node.
-    pub fn forget(&mut self, sample: RecordId) {
+    pub fn remove(&mut self, sample: RecordId) {
         self.jobs.remove(&sample);
     }
 
--- a/crates/rollout/src/spans.rs
+++ b/crates/rollout/src/spans.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Returns [`PieceOutOfOrder`] when the piece leaves a gap or repeats a token.
-    pub fn report(
+    pub fn append(
         &mut self,
         from: u32,
         tokens: u32,
--- a/crates/rollout/src/straggler.rs
+++ b/crates/rollout/src/straggler.rs
@@ -131,7 +131,7 @@
     }
 
     /// Cancels every attempt at a slot that another node has filled.
-    pub fn filled_elsewhere(&mut self, slot: SlotKey) -> SmallVec<[StragglerAction; 4]> {
+    pub fn cancel_slot(&mut self, slot: SlotKey) -> SmallVec<[StragglerAction; 4]> {
         let mut actions = SmallVec::new();
         for attempt in self.slots.remove(&slot).unwrap_or_default() {
             self.extra_tokens += u64::from(attempt.tokens);
--- a/crates/rollout/src/straggler/rules.rs
+++ b/crates/rollout/src/straggler/rules.rs
@@ -45,12 +45,12 @@
 #[derive(Debug, Clone, Copy)]
 pub struct FixedTimeoutRule {
     /// The time.
-    pub limit: Span,
+    pub timeout: Span,
 }
 
 impl RerunRule for FixedTimeoutRule {
     fn gain(&self, attempt: &AttemptView) -> Option<Span> {
-        (attempt.elapsed >= self.limit).then(|| attempt.elapsed.saturating_sub(self.limit))
+        (attempt.elapsed >= self.timeout).then(|| attempt.elapsed.saturating_sub(self.timeout))
     }
 }
 
--- a/crates/rollout/src/weights.rs
+++ b/crates/rollout/src/weights.rs
@@ -117,7 +117,7 @@
     }
 
     /// Sets the version that the engines of `service` should hold. A lower one is ignored.
-    pub fn announce(&mut self, service: &str, version: WeightVersion) {
+    pub fn set_target(&mut self, service: &str, version: WeightVersion) {
         let target = self.targets.entry(String::from(service)).or_insert(version);
         *target = (*target).max(version);
     }
--- a/crates/rollout/tests/book.rs
+++ b/crates/rollout/tests/book.rs
@@ -157,7 +157,7 @@
         let mut book = SampleTable::default();
         Trainer::default().open(&mut book, 1);
         fill_and_bind(&mut book, 0, 0, 1);
-        let lost = book.lost(|holder| gone.contains(&holder.0));
+        let lost = book.lost_samples(|holder| gone.contains(&holder.0));
         assert_eq!(lost.len(), expected, "gone: {gone:?}");
     }
     check(&[], 0);
@@ -215,7 +215,7 @@
     let mut book = SampleTable::default();
     let actions = Trainer::default().open(&mut book, u32::MAX);
     assert!(matches!(actions[0], SampleOutcome::StepRefused { step: 1, .. }));
-    assert_eq!(book.lost(|_: Incarnation| true), []);
+    assert_eq!(book.lost_samples(|_: Incarnation| true), []);
 }
 
 #[test]
@@ -227,7 +227,7 @@
         trainer.open(&mut full, 2);
         fill_and_bind(&mut full, 0, 0, 1);
         trainer.fetch(&mut full, 0, 10);
-        let mut late = SampleTable::after_gap(LogOffset(first));
+        let mut late = SampleTable::starting_at(LogOffset(first));
         let second = filled(1, 0, 2, &[(10, 4)]);
         let bound = SampleBound { slot: slot(1), sample: second.sample, score: None };
         let records = [
@@ -238,17 +238,17 @@
         let mut carry = None;
         for (offset, record) in (4..).map(LogOffset).zip(&records) {
             if offset.0 == until {
-                carry = full.carry(trainer.id, offset);
+                carry = full.snapshot(trainer.id, offset);
             }
             full.apply_at(offset, record);
             if offset.0 >= first {
                 late.apply_at(offset, record);
             }
         }
-        late.adopt(&carry.expect("the snapshot lies among the records"));
+        late.install_snapshot(&carry.expect("the snapshot lies among the records"));
         let answer = full.deliveries(trainer.id, 3).filter(|_| expected);
         assert_eq!(late.deliveries(trainer.id, 3), answer, "first {first}, until {until}");
-        assert_eq!(late.has_after(trainer.id, DeliveryNumber(1)), expected);
+        assert_eq!(late.has_deliveries_after(trainer.id, DeliveryNumber(1)), expected);
     }
     check(4, 4, true);
     check(4, 6, true);
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -21,7 +21,7 @@
 ) -> SampleFilled {
     let mut tracker = SpanTracker::default();
     for &(version, tokens) in spans {
-        tracker.report(tracker.tokens(), tokens, WeightVersion(version)).unwrap();
+        tracker.append(tracker.tokens(), tokens, WeightVersion(version)).unwrap();
     }
     SampleFilled {
         slot: slot(index),
--- a/crates/rollout/tests/policies.rs
+++ b/crates/rollout/tests/policies.rs
@@ -20,13 +20,13 @@
 #[test]
 fn spans_follow_a_swap_and_a_resume_in_mid_stream() {
     let mut tracker = SpanTracker::default();
-    tracker.report(0, 5, WeightVersion(3)).unwrap();
-    tracker.report(5, 5, WeightVersion(4)).unwrap();
+    tracker.append(0, 5, WeightVersion(3)).unwrap();
+    tracker.append(5, 5, WeightVersion(4)).unwrap();
     tracker.truncate(7);
-    tracker.report(7, 3, WeightVersion(3)).unwrap();
+    tracker.append(7, 3, WeightVersion(3)).unwrap();
     let spans: Vec<_> = tracker.spans().iter().map(|s| (s.version.0, s.from, s.to)).collect();
     assert_eq!(spans, [(3, 0, 5), (4, 5, 7), (3, 7, 10)]);
-    let gap = tracker.report(12, 1, WeightVersion(3));
+    let gap = tracker.append(12, 1, WeightVersion(3));
     assert_eq!(gap, Err(PieceOutOfOrder { expected: 10, found: 12 }));
 }
 
@@ -55,7 +55,7 @@
     let mut serve = |wants: &[TrainerId], rounds: usize| {
         let mut served = [0, 0];
         for _ in 0..rounds {
-            let trainer = share.next(|trainer| wants.contains(&trainer)).unwrap();
+            let trainer = share.select(|trainer| wants.contains(&trainer)).unwrap();
             share.charge(trainer, 100);
             served[usize::from(trainer == b)] += 1;
         }
@@ -97,7 +97,7 @@
     assert_eq!(run_again(CostBenefitRule { tokens_per_second: 50.0 }, 4, 8_000), [9]);
     assert_eq!(run_again(CostBenefitRule { tokens_per_second: 50.0 }, 0, 8_000), [0; 0]);
     assert_eq!(run_again(CostBenefitRule { tokens_per_second: 1.0 }, 4, 8_000), [0; 0]);
-    assert_eq!(run_again(FixedTimeoutRule { limit: Span::from_secs(6) }, 4, 8_000), [9]);
+    assert_eq!(run_again(FixedTimeoutRule { timeout: Span::from_secs(6) }, 4, 8_000), [9]);
     assert_eq!(run_again(NoRerun, 4, 8_000), [0; 0]);
 }
 
@@ -120,7 +120,7 @@
         plan.engine_joined(UpstreamKey(engine), "draft-models", ZoneKey(engine % 2));
         plan.reported(UpstreamKey(engine), WeightVersion(1));
     }
-    plan.announce("draft-models", WeightVersion(2));
+    plan.set_target("draft-models", WeightVersion(2));
     plan
 }
 
--- a/crates/routebook/src/active.rs
+++ b/crates/routebook/src/active.rs
@@ -24,7 +24,7 @@
 
 impl ActiveConfig {
     /// Takes a configuration that was read from the store.
-    pub fn offer(&mut self, config: SiteConfig) -> ApplyOutcome {
+    pub fn apply(&mut self, config: SiteConfig) -> ApplyOutcome {
         if self.newest.as_ref().is_some_and(|newest| newest.version() >= config.version) {
             return ApplyOutcome::NotNewer;
         }
@@ -34,7 +34,7 @@
 
     /// Returns the configuration in force.
     #[must_use]
-    pub const fn newest(&self) -> Option<&Arc<ConfigIndex>> {
+    pub const fn current(&self) -> Option<&Arc<ConfigIndex>> {
         self.newest.as_ref()
     }
 }
--- a/crates/routebook/src/index.rs
+++ b/crates/routebook/src/index.rs
@@ -20,7 +20,7 @@
 
 #[derive(Debug)]
 struct CustomerIndex {
-    rules: Vec<CustomerSpec>,
+    customers: Vec<CustomerSpec>,
     keys: HashMap<KeyDigest, usize>,
 }
 
@@ -96,7 +96,7 @@
     #[must_use]
     pub fn customer(&self, key: KeyDigest) -> Option<&CustomerSpec> {
         let index = self.customers.as_ref()?;
-        index.keys.get(&key).map(|at| &index.rules[*at])
+        index.keys.get(&key).map(|at| &index.customers[*at])
     }
 }
 
@@ -108,6 +108,6 @@
                 keys.insert(*key, at);
             }
         }
-        Self { rules, keys }
+        Self { customers: rules, keys }
     }
 }
--- a/crates/routebook/src/spec.rs
+++ b/crates/routebook/src/spec.rs
@@ -7,9 +7,9 @@
     /// What may be repeated on a route.
     pub enum RequestKind {
         /// A request may run more than once.
-        Safe,
+        Idempotent,
         /// A request runs at most once.
-        Unsafe,
+        NonIdempotent,
         /// The answer is a stream of events. It runs at most once unless it can be resumed.
         Stream,
         /// The route takes submissions whose items run later.
@@ -19,9 +19,9 @@
     /// What callers may send.
     pub struct CallerLimits {
         /// Longest head of a request in bytes.
-        pub header_bytes: usize,
+        pub max_header_bytes: usize,
         /// Longest body of a request in bytes.
-        pub body_bytes: usize,
+        pub max_body_bytes: usize,
         /// Longest time that a caller may take to send the head of a request.
         pub header_timeout: Span,
         /// Longest time that a connection may stay idle.
@@ -53,21 +53,21 @@
         /// Longest time that a request may wait for its answer.
         pub timeout: Span,
         /// Time within which an answer counts in full.
-        pub objective: Span,
+        pub latency_objective: Span,
         /// Most upstreams to which one request may be sent.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// Rank among routes. 0 comes first.
         pub priority: u8,
         /// Whether requests need no key.
-        pub open: bool,
+        pub public: bool,
         /// Whether a stream may go on at another upstream after an event.
         pub can_resume: bool,
         /// Whether all tokens of a sample must come from one version of the weights.
         pub one_version: bool,
         /// Time after which an item of a submission may be given up.
-        pub keep: Option<Span>,
+        pub retention: Option<Span>,
         /// Time within which all results of a submission are due.
-        pub run_objective: Option<Span>,
+        pub completion_objective: Option<Span>,
     }
 
     /// Engines of a service.
@@ -85,7 +85,7 @@
         /// Greatest number in an availability zone.
         pub max: u32,
         /// Time from an order until a new upstream serves.
-        pub startup: Span,
+        pub startup_time: Span,
     }
 
     /// A service.
@@ -93,9 +93,9 @@
         /// Name of the service.
         pub name: String,
         /// Path of the health check.
-        pub health: String,
+        pub health_path: String,
         /// Connections that one upstream accepts from all nodes together.
-        pub connections: u32,
+        pub max_connections: u32,
         /// Present when the upstreams are model engines.
         pub engine: Option<EngineSpec>,
         /// Present when upstreams can be ordered.
@@ -130,17 +130,17 @@
 impl RouteSpec {
     /// Tells whether a request may be sent to a second upstream after the first may have run it.
     #[must_use]
-    pub const fn repeatable(&self) -> bool {
+    pub const fn is_retryable(&self) -> bool {
         match self.kind {
-            RequestKind::Safe | RequestKind::Submission => true,
+            RequestKind::Idempotent | RequestKind::Submission => true,
             RequestKind::Stream => self.can_resume,
-            RequestKind::Unsafe => false,
+            RequestKind::NonIdempotent => false,
         }
     }
 
     /// Picks the service for a request by the weights, with `draw` from the whole range of `u32`.
     #[must_use]
-    pub fn target(&self, draw: u32) -> Option<&str> {
+    pub fn pick_service(&self, draw: u32) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut rest = (u64::from(draw) * total) >> 32;
         for target in &self.targets {
--- a/crates/routebook/tests/book.rs
+++ b/crates/routebook/tests/book.rs
@@ -14,16 +14,16 @@
         host: String::from("shop.example"),
         prefix: String::from(prefix),
         targets: smallvec![WeightedTarget { service: String::from(name), weight: 1 }],
-        kind: RequestKind::Safe,
+        kind: RequestKind::Idempotent,
         timeout: Span::from_millis(800),
-        objective: Span::from_millis(150),
-        attempts: 2,
+        latency_objective: Span::from_millis(150),
+        max_attempts: 2,
         priority: 2,
-        open: false,
+        public: false,
         can_resume: false,
         one_version: false,
-        keep: None,
-        run_objective: None,
+        retention: None,
+        completion_objective: None,
     }
 }
 
@@ -33,8 +33,8 @@
         routes: vec![route("short", "/a/"), route("long", "/a/b/")],
         services: Vec::new(),
         limits: CallerLimits {
-            header_bytes: 1,
-            body_bytes: 1,
+            max_header_bytes: 1,
+            max_body_bytes: 1,
             header_timeout: Span::ZERO,
             idle_timeout: Span::ZERO,
         },
@@ -72,11 +72,11 @@
 #[test]
 fn version_only_rises() {
     let mut history = ActiveConfig::default();
-    assert_eq!(history.offer(config(4)), ApplyOutcome::Applied);
-    assert_eq!(history.offer(config(3)), ApplyOutcome::NotNewer);
-    assert_eq!(history.offer(config(4)), ApplyOutcome::NotNewer);
-    assert_eq!(history.offer(config(9)), ApplyOutcome::Applied);
-    assert_eq!(history.newest().map(|book| book.version()), Some(9));
+    assert_eq!(history.apply(config(4)), ApplyOutcome::Applied);
+    assert_eq!(history.apply(config(3)), ApplyOutcome::NotNewer);
+    assert_eq!(history.apply(config(4)), ApplyOutcome::NotNewer);
+    assert_eq!(history.apply(config(9)), ApplyOutcome::Applied);
+    assert_eq!(history.current().map(|book| book.version()), Some(9));
 }
 
 /// Guards against a split that sends requests to a service without weight.
@@ -91,5 +91,5 @@
         WeightedTarget { service: String::from("none"), weight: 0 },
         WeightedTarget { service: String::from("b"), weight: 10 },
     ];
-    assert_eq!(rule.target(draw), Some(expected));
+    assert_eq!(rule.pick_service(draw), Some(expected));
 }
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -208,7 +208,7 @@
 /// Time to completion in seconds by which candidates are compared, both ways of the network
 /// included.
 fn cost(table: &UpstreamTable, row: &UpstreamRow, work: f32) -> f32 {
-    let network = table.distance(row.info.zone).0 as f32 * 2e-6;
+    let network = table.zone_latency(row.properties.zone).0 as f32 * 2e-6;
     row.expected(work, table.own_weight(), table.mean_token_time()) + network
 }
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -42,7 +42,7 @@
         /// Why it was chosen.
         pub reason: PickReason,
         /// Time to completion by which it was compared, network included. Own work stands for that
-        /// of the other nodes too, see [`UpstreamTable::set_nodes`].
+        /// of the other nodes too, see [`UpstreamTable::set_node_count`].
         pub expected: Span,
         /// The same of the next best candidate, or `None` when there was no other.
         pub runner_up: Option<Span>,
--- a/crates/routing/src/route_upstreams.rs
+++ b/crates/routing/src/route_upstreams.rs
@@ -28,10 +28,11 @@
         own_zone: ZoneKey,
         upstreams: impl IntoIterator<Item = UpstreamKey>,
     ) -> Self {
-        let known = upstreams.into_iter().filter(|upstream| table.info(*upstream).is_some());
+        let known = upstreams.into_iter().filter(|upstream| table.properties(*upstream).is_some());
         let mut keys = known.collect::<Vec<_>>();
-        let is_remote =
-            |upstream: UpstreamKey| table.info(upstream).is_none_or(|info| info.zone != own_zone);
+        let is_remote = |upstream: UpstreamKey| {
+            table.properties(upstream).is_none_or(|info| info.zone != own_zone)
+        };
         keys.sort_by_key(|upstream| (is_remote(*upstream), *upstream));
         let own_zone = keys.iter().filter(|upstream| !is_remote(**upstream)).count();
         let groups = if keys.is_empty() { 0 } else { PREFIX_GROUPS };
@@ -63,7 +64,7 @@
 fn owners(table: &UpstreamTable, keys: &[UpstreamKey], group: u64) -> [UpstreamKey; OWNERS] {
     let mut best = [(0, keys[0]); OWNERS];
     for key in keys {
-        let node_hash = table.info(*key).map_or(0, |info| info.node_hash);
+        let node_hash = table.properties(*key).map_or(0, |info| info.name_hash);
         let weight = rendezvous_weight(node_hash, group);
         if weight > best[0].0 {
             best = [(weight, *key), best[0]];
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -28,7 +28,7 @@
 pub struct UpstreamTable {
     settings: TableSettings,
     rows: Arena<UpstreamKey, UpstreamRow>,
-    distances: Vec<Span>,
+    zone_latencies: Vec<Span>,
     mean_request: f32,
     mean_token_time: f32,
     max_speed: f32,
@@ -49,7 +49,7 @@
         Self {
             settings,
             rows: Arena::new(),
-            distances,
+            zone_latencies: distances,
             mean_request: settings.initial_request as f32,
             mean_token_time: 0.0,
             max_speed: settings.initial_speed as f32,
@@ -61,18 +61,18 @@
     ///
     /// The others choose by the same rules, so what this node has sent stands for as much from each
     /// of them until reports show it. Choices compare upstreams with that in mind.
-    pub fn set_nodes(&mut self, nodes: u32) {
+    pub fn set_node_count(&mut self, nodes: u32) {
         self.own_weight = nodes.clamp(1, MAX_OWN_WEIGHT) as f32;
     }
 
     /// Adds an upstream that takes work.
     pub fn add(&mut self, info: UpstreamProperties) -> UpstreamKey {
-        self.add_expecting(info, self.settings.initial_speed)
+        self.add_with_speed(info, self.settings.initial_speed)
     }
 
     /// Adds an upstream that takes work at an expected speed in tokens per second, which holds until
     /// completed requests show its true one.
-    pub fn add_expecting(&mut self, info: UpstreamProperties, speed: u32) -> UpstreamKey {
+    pub fn add_with_speed(&mut self, info: UpstreamProperties, speed: u32) -> UpstreamKey {
         self.rows.push(UpstreamRow::new(info, speed.max(1) as f32))
     }
 
@@ -104,7 +104,7 @@
     /// What the report holds beyond the node's own work at the time of measurement belongs to
     /// other nodes and counts unchanged until the next report. Their arrivals make up for what the
     /// upstream completes meanwhile, and the node's own work is known exactly.
-    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, load: LoadMeasurement) {
+    pub fn record_load(&mut self, now: Moment, upstream: UpstreamKey, load: LoadMeasurement) {
         let mean_request = self.mean_request;
         let Some(row) = self.rows.get_mut(upstream) else { return };
         if row.measured_at.is_some_and(|last| load.measured_at <= last) {
@@ -151,7 +151,7 @@
     }
 
     /// Recomputes the highest speed, which only rises between two calls. Due about every second.
-    pub fn refresh(&mut self) {
+    pub fn refresh_max_speed(&mut self) {
         let live = self.rows.iter().filter(|(_, row)| row.takes_work());
         let highest = live.map(|(_, row)| row.speed).fold(0.0, f32::max);
         self.max_speed = if highest > 0.0 { highest } else { self.settings.initial_speed as f32 };
@@ -189,8 +189,8 @@
 
     /// Returns the work of other nodes on an upstream by its load reports, in tokens.
     #[must_use]
-    pub fn others(&self, upstream: UpstreamKey) -> Option<f32> {
-        self.rows.get(upstream).map(|row| row.others)
+    pub fn other_nodes_backlog(&self, upstream: UpstreamKey) -> Option<f32> {
+        self.rows.get(upstream).map(|row| row.other_nodes_backlog)
     }
 
     /// Returns the node's own requests on an upstream.
@@ -207,8 +207,8 @@
 
     /// Returns whether an upstream can be reclaimed.
     #[must_use]
-    pub fn price(&self, upstream: UpstreamKey) -> Option<PriceClass> {
-        self.rows.get(upstream).map(|row| row.info.price)
+    pub fn price_class(&self, upstream: UpstreamKey) -> Option<PriceClass> {
+        self.rows.get(upstream).map(|row| row.properties.price_class)
     }
 
     /// Returns the age of the last load report.
@@ -220,8 +220,8 @@
 
     /// Returns the one-way time from this node to a zone.
     #[must_use]
-    pub fn distance(&self, zone: ZoneKey) -> Span {
-        self.distances.get(zone.0 as usize).copied().unwrap_or(Span::ZERO)
+    pub fn zone_latency(&self, zone: ZoneKey) -> Span {
+        self.zone_latencies.get(zone.0 as usize).copied().unwrap_or(Span::ZERO)
     }
 
     pub(crate) fn row(&self, upstream: UpstreamKey) -> Option<&UpstreamRow> {
@@ -240,7 +240,7 @@
         self.max_speed
     }
 
-    pub(crate) fn info(&self, upstream: UpstreamKey) -> Option<UpstreamProperties> {
-        self.rows.get(upstream).map(|row| row.info)
+    pub(crate) fn properties(&self, upstream: UpstreamKey) -> Option<UpstreamProperties> {
+        self.rows.get(upstream).map(|row| row.properties)
     }
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -26,11 +26,11 @@
     /// What stays the same while an upstream lives.
     pub struct UpstreamProperties {
         /// Number that is the same on every node, for rendezvous hashing.
-        pub node_hash: u64,
+        pub name_hash: u64,
         /// Where it runs.
         pub zone: ZoneKey,
         /// Whether it can be reclaimed.
-        pub price: PriceClass,
+        pub price_class: PriceClass,
     }
 
     /// A load report.
@@ -94,7 +94,7 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamRow {
-    pub(crate) info: UpstreamProperties,
+    pub(crate) properties: UpstreamProperties,
     pub(crate) state: UpstreamState,
     pub(crate) reserved: bool,
     pub(crate) version: Option<WeightVersion>,
@@ -110,7 +110,7 @@
     pub(crate) outstanding: u32,
     pub(crate) own_requests: u32,
     /// Work of others by the reports, in tokens.
-    pub(crate) others: f32,
+    pub(crate) other_nodes_backlog: f32,
     history: [u32; HISTORY_STEPS],
     history_step: u64,
 }
@@ -118,7 +118,7 @@
 impl UpstreamRow {
     pub(crate) const fn new(info: UpstreamProperties, speed: f32) -> Self {
         Self {
-            info,
+            properties: info,
             state: UpstreamState::Up,
             reserved: false,
             version: None,
@@ -129,7 +129,7 @@
             token_time: 0.0,
             outstanding: 0,
             own_requests: 0,
-            others: 0.0,
+            other_nodes_backlog: 0.0,
             history: [0; HISTORY_STEPS],
             history_step: 0,
         }
@@ -137,7 +137,7 @@
 
     /// Estimated work ahead of a new request, in tokens.
     pub(crate) const fn backlog(&self) -> u32 {
-        (self.others as u32).saturating_add(self.outstanding)
+        (self.other_nodes_backlog as u32).saturating_add(self.outstanding)
     }
 
     /// Takes in what a report of this age says about the work of others.
@@ -146,12 +146,13 @@
     /// it was measured. A smoothing time of several ages keeps this loop from oscillating.
     pub(crate) fn blend_others(&mut self, now: Moment, measured_at: Moment, others: f32) {
         let Some(last) = self.measured_at else {
-            self.others = others;
+            self.other_nodes_backlog = others;
             return;
         };
         let interval = measured_at.since(last).as_secs_f64() as f32;
         let smoothing = now.since(measured_at).as_secs_f64() as f32 * SMOOTHING_AGES;
-        self.others += (others - self.others) * interval / (interval + smoothing);
+        self.other_nodes_backlog +=
+            (others - self.other_nodes_backlog) * interval / (interval + smoothing);
     }
 
     pub(crate) const fn takes_work(&self) -> bool {
@@ -193,7 +194,7 @@
     /// token of an upstream that has not completed a request; without it a new upstream would look
     /// faster than all others until its first answer, and attract every request.
     pub(crate) fn expected(&self, work: f32, own_weight: f32, mean_token_time: f32) -> f32 {
-        let backlog = self.others + self.outstanding as f32 * own_weight;
+        let backlog = self.other_nodes_backlog + self.outstanding as f32 * own_weight;
         let token_time = if self.token_time > 0.0 { self.token_time } else { mean_token_time };
         ((backlog + work) / self.speed.max(1.0)).max(work * token_time)
     }
--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -15,7 +15,7 @@
     for index in 0..600 {
         let zone = ZoneKey(index % 11);
         let price = PriceClass::Regular;
-        table.add(UpstreamProperties { node_hash: u64::from(index), zone, price });
+        table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class: price });
     }
     let members = RouteUpstreams::new(&table, ZoneKey(0), (0..600).map(UpstreamKey));
     let mut picker = UpstreamPicker::default();
--- a/crates/routing/tests/picker.rs
+++ b/crates/routing/tests/picker.rs
@@ -19,7 +19,7 @@
     for (index, zone) in zones.iter().enumerate() {
         let zone = ZoneKey(*zone);
         let price = PriceClass::Regular;
-        table.add(UpstreamProperties { node_hash: index as u64 + 1, zone, price });
+        table.add(UpstreamProperties { name_hash: index as u64 + 1, zone, price_class: price });
     }
     table
 }
@@ -123,7 +123,7 @@
     let mut table = table(&[0, 0], Span::ZERO);
     teach(&mut table, 0, 4_000);
     teach(&mut table, 1, 1_000);
-    table.refresh();
+    table.refresh_max_speed();
     let learned = table.speed(UpstreamKey(0)).unwrap_or_default();
     assert!((3_800.0..4_200.0).contains(&learned), "learned {learned}");
     check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[0] > 900);
@@ -138,11 +138,11 @@
     let heard_at = NOW + Span::from_secs(3);
     table.start(NOW + Span::from_secs(2), upstream, 200);
     // Three waiting requests of 200 tokens, one of them this node's own.
-    table.report(heard_at, upstream, load(3, measured_at));
+    table.record_load(heard_at, upstream, load(3, measured_at));
     assert_eq!(table.backlog(upstream), Some(400 + 400));
     table.finish(heard_at, early, RequestOutcome::Failed);
     assert_eq!(table.backlog(upstream), Some(400 + 200));
-    table.report(heard_at, upstream, load(9, measured_at));
+    table.record_load(heard_at, upstream, load(9, measured_at));
     assert_eq!(table.backlog(upstream), Some(600), "a report that is not newer is ignored");
     assert_eq!(table.report_age(heard_at, upstream), Some(Span::from_secs(2)));
 }
@@ -171,7 +171,7 @@
 #[test]
 fn upstreams_with_old_weights_are_passed_over() {
     let mut table = table(&[0, 0], Span::ZERO);
-    table.report(NOW, UpstreamKey(1), load(0, NOW));
+    table.record_load(NOW, UpstreamKey(1), load(0, NOW));
     let request = PickRequest { min_version: Some(WeightVersion(5)), ..PLAIN };
     check(&mut UpstreamPicker::default(), &table, &request, |counts| counts == [0, 1_000]);
     let request = PickRequest { min_version: Some(WeightVersion(6)), ..PLAIN };
@@ -222,10 +222,10 @@
 #[test]
 fn own_work_stands_for_that_of_the_other_nodes_until_they_report() {
     let mut table = table(&[0, 0], Span::ZERO);
-    table.report(NOW, UpstreamKey(0), load(4, NOW));
+    table.record_load(NOW, UpstreamKey(0), load(4, NOW));
     table.start(NOW, UpstreamKey(1), 200);
     check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[1] > 500);
-    table.set_nodes(10);
+    table.set_node_count(10);
     check(&mut UpstreamPicker::default(), &table, &PLAIN, |counts| counts[0] > 500);
 }
 
@@ -233,9 +233,9 @@
 fn late_reports_are_smoothed_over_several_times_their_age() {
     let mut table = table(&[0], Span::ZERO);
     let upstream = UpstreamKey(0);
-    table.report(NOW, upstream, load(0, NOW));
+    table.record_load(NOW, upstream, load(0, NOW));
     let measured_at = NOW + Span::from_secs(2);
-    table.report(measured_at + Span::from_secs(2), upstream, load(10, measured_at));
+    table.record_load(measured_at + Span::from_secs(2), upstream, load(10, measured_at));
     // 2,000 tokens, an interval of 2 s and a smoothing time of 8 s.
     assert_eq!(table.backlog(upstream), Some(400));
 }
--- a/crates/stand-ins/src/engine/weights.rs
+++ b/crates/stand-ins/src/engine/weights.rs
@@ -56,8 +56,8 @@
         let client = PlatformClient::new(http, platform, PlatformTimeouts::default());
         for _ in 0..MAX_READS {
             match client.fetch_weights(&order.model, WeightVersion(order.version)).await {
-                Ok(WeightFetch::Ready(_)) => return true,
-                Ok(WeightFetch::Later(pause)) => {
+                Ok(WeightFetch::Fetched(_)) => return true,
+                Ok(WeightFetch::RateLimited(pause)) => {
                     let pause = std::time::Duration::from_micros(pause.0);
                     actix_rt::time::sleep(pause).await;
                 }
--- a/crates/stand-ins/tests/platform.rs
+++ b/crates/stand-ins/tests/platform.rs
@@ -26,7 +26,12 @@
 
 async fn post(address: std::net::SocketAddr, path: &str, body: String) {
     let outgoing = HttpRequest::post(address, path, body.into());
-    HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await.unwrap().success().unwrap();
+    HttpClient::new(LONG)
+        .exchange(outgoing, LONG, 1_024)
+        .await
+        .unwrap()
+        .error_for_status()
+        .unwrap();
 }
 
 /// Guards against offsets that shift when old records are dropped.
--- a/crates/submissions/src/cache.rs
+++ b/crates/submissions/src/cache.rs
@@ -12,9 +12,9 @@
         /// Identifier of the submission.
         pub submission: String,
         /// When the read began.
-        pub sent_at: Moment,
+        pub read_started_at: Moment,
         /// End of the partition as of the first page. Records from there on may be missing.
-        pub end: u64,
+        pub log_end: u64,
         /// Records, in any order.
         pub records: Vec<SubmissionRecord>,
     }
@@ -22,13 +22,13 @@
     /// Records of the log from an offset on.
     pub struct LogBatch {
         /// When the read began.
-        pub sent_at: Moment,
+        pub read_started_at: Moment,
         /// Offset from which was read.
-        pub from: u64,
+        pub start_offset: u64,
         /// Offset up to which was read.
-        pub read_to: u64,
+        pub next_offset: u64,
         /// End of the partition. One answer holds a bounded number of bytes, so it may lie further.
-        pub end: u64,
+        pub log_end: u64,
         /// Records with their offsets.
         pub records: Vec<(u64, SubmissionRecord)>,
     }
@@ -37,11 +37,11 @@
 /// A node's copy of one partition.
 ///
 /// It holds the submissions that the node was asked for, and what has been appended since. Up to the
-/// offset [`PartitionCache::next`] it misses nothing of the loaded submissions, so an append at this
+/// offset [`PartitionCache::next_offset`] it misses nothing of the loaded submissions, so an append at this
 /// offset is decided with full knowledge of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartitionCache {
-    book: SubmissionTable,
+    table: SubmissionTable,
     next: Option<u64>,
     /// Offset from which on every record was taken.
     begun: u64,
@@ -53,19 +53,19 @@
 impl PartitionCache {
     /// Returns the submissions.
     #[must_use]
-    pub const fn book(&self) -> &SubmissionTable {
-        &self.book
+    pub const fn table(&self) -> &SubmissionTable {
+        &self.table
     }
 
     /// Offset up to which the log is known, once anything was read.
     #[must_use]
-    pub const fn next(&self) -> Option<u64> {
+    pub const fn next_offset(&self) -> Option<u64> {
         self.next
     }
 
     /// Time since the copy was last known to be complete.
     #[must_use]
-    pub fn age(&self, now: Moment) -> Option<Span> {
+    pub fn staleness(&self, now: Moment) -> Option<Span> {
         self.confirmed_at.map(|at| now.since(at))
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// What follows `end` is read from the log, unless an earlier offset is known.
-    pub fn begin_at(&mut self, end: u64, sent_at: Moment) {
+    pub fn follow_from(&mut self, end: u64, sent_at: Moment) {
         if self.next.is_none() {
             self.next = Some(end);
             self.begun = end;
@@ -93,11 +93,11 @@
 
     /// Takes the records of a submission. Returns `false` when they must be read again: the copy began
     /// at a later offset while they were read, and what lies between is in neither of the two.
-    pub fn load(&mut self, read: SubmissionSnapshot) -> bool {
-        if self.next.is_some() && read.end < self.begun {
+    pub fn apply_snapshot(&mut self, read: SubmissionSnapshot) -> bool {
+        if self.next.is_some() && read.log_end < self.begun {
             return false;
         }
-        self.begin_at(read.end, read.sent_at);
+        self.follow_from(read.log_end, read.read_started_at);
         self.loaded.insert(read.submission);
         for record in read.records {
             self.take(record);
@@ -106,24 +106,26 @@
     }
 
     /// Takes a part of the log, and tells whether the copy was complete when the read began.
-    pub fn read(&mut self, part: LogBatch) -> bool {
-        let Some(known) = self.next.filter(|known| part.from <= *known) else { return true };
+    pub fn apply_batch(&mut self, part: LogBatch) -> bool {
+        let Some(known) = self.next.filter(|known| part.start_offset <= *known) else {
+            return true;
+        };
         for (offset, record) in part.records {
             if offset >= known {
                 self.take(record);
             }
         }
-        self.next = Some(known.max(part.read_to));
-        if part.read_to < part.end {
+        self.next = Some(known.max(part.next_offset));
+        if part.next_offset < part.log_end {
             return false;
         }
-        let at = self.confirmed_at.map_or(part.sent_at, |at| at.max(part.sent_at));
+        let at = self.confirmed_at.map_or(part.read_started_at, |at| at.max(part.read_started_at));
         self.confirmed_at = Some(at);
         true
     }
 
     /// Takes records that this node has appended itself.
-    pub fn appended(&mut self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
+    pub fn apply_own_append(&mut self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
         if self.next != Some(offset) {
             return;
         }
@@ -145,7 +147,7 @@
     /// Forgets everything, when the partition is no longer needed.
     pub fn clear(&mut self) {
         self.reset();
-        self.book = SubmissionTable::default();
+        self.table = SubmissionTable::default();
     }
 
     /// Tells whether this node knows all open submissions and the ends of the others, so that it may run
@@ -156,7 +158,7 @@
     }
 
     /// Has all open submissions looked for anew.
-    pub const fn begin_scan(&mut self) {
+    pub const fn invalidate_scan(&mut self) {
         self.scanned = false;
     }
 
@@ -169,8 +171,8 @@
     /// Iterates over the submissions whose items this node may run. What the copy knew before it began
     /// anew is left out, since it may have ended.
     pub fn open_submissions(&self) -> impl Iterator<Item = &SubmissionState> {
-        let open = self.book.iter().filter(|state| state.is_open());
-        open.filter(|state| self.scanned && self.is_loaded(&state.head().id))
+        let open = self.table.iter().filter(|state| state.is_open());
+        open.filter(|state| self.scanned && self.is_loaded(&state.metadata().id))
     }
 
     fn take(&mut self, record: SubmissionRecord) {
@@ -179,11 +181,11 @@
             SubmissionRecord::Opened(head) => {
                 self.loaded.insert(head.id.clone());
             }
-            SubmissionRecord::Dropped { submission } => {
+            SubmissionRecord::Deleted { submission } => {
                 self.loaded.remove(submission);
             }
             _ => {}
         }
-        self.book.apply(record);
+        self.table.apply(record);
     }
 }
--- a/crates/submissions/src/check.rs
+++ b/crates/submissions/src/check.rs
@@ -47,7 +47,7 @@
 ///
 /// Returns a fault when it belongs to another customer.
 pub fn check_owner(known: &SubmissionState, customer: &str) -> Result<(), SubmissionError> {
-    if known.head().customer == customer { Ok(()) } else { Err(SubmissionError::TakenId) }
+    if known.metadata().customer == customer { Ok(()) } else { Err(SubmissionError::TakenId) }
 }
 
 impl fmt::Display for SubmissionError {
--- a/crates/submissions/src/item.rs
+++ b/crates/submissions/src/item.rs
@@ -62,13 +62,13 @@
         /// Step of the trainer.
         pub step: u64,
         /// Oldest version of the weights that may generate a token.
-        pub least_version: WeightVersion,
+        pub min_version: WeightVersion,
         /// Groups that the trainer waits for.
         pub target_groups: u32,
         /// When it was accepted.
         pub accepted_at: WallTime,
         /// Number of items.
-        pub items: u32,
+        pub item_count: u32,
     }
 
     /// Final result of an item.
--- a/crates/submissions/src/plan.rs
+++ b/crates/submissions/src/plan.rs
@@ -25,8 +25,8 @@
     let id = || String::from(submission);
     Some(vec![
         SubmissionRecord::Ended { submission: id() },
-        SubmissionRecord::Unmarked { submission: id() },
-        SubmissionRecord::Expiring { submission: id(), accepted_at: state.head().accepted_at },
+        SubmissionRecord::OpenMarkerCleared { submission: id() },
+        SubmissionRecord::Expiring { submission: id(), accepted_at: state.metadata().accepted_at },
     ])
 }
 
@@ -46,7 +46,7 @@
         if again || state.is_ended() || state.is_resolved(&result.item) {
             continue;
         }
-        let position = positions.entry(submission).or_insert_with(|| state.listed());
+        let position = positions.entry(submission).or_insert_with(|| state.result_count());
         records.push(SubmissionRecord::Result {
             submission: submission.clone(),
             position: *position,
--- a/crates/submissions/src/table.rs
+++ b/crates/submissions/src/table.rs
@@ -35,7 +35,7 @@
             submission: String,
         },
         /// The submission is open, for nodes that look for work.
-        Marked {
+        OpenMarkerSet {
             /// Identifier of the submission.
             submission: String,
         },
@@ -47,12 +47,12 @@
             accepted_at: WallTime,
         },
         /// The submission was deleted.
-        Dropped {
+        Deleted {
             /// Identifier of the submission.
             submission: String,
         },
         /// The submission is no longer open.
-        Unmarked {
+        OpenMarkerCleared {
             /// Identifier of the submission.
             submission: String,
         },
@@ -62,12 +62,12 @@
 /// One submission.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubmissionState {
-    head: Option<Arc<SubmissionMetadata>>,
+    metadata: Option<Arc<SubmissionMetadata>>,
     items: Vec<Option<Arc<SubmissionItem>>>,
     index: HashMap<String, u32>,
     results: Vec<Option<Arc<ItemResult>>>,
     /// Length of the results without a gap.
-    listed: u32,
+    result_count: u32,
     resolved: HashMap<String, u32>,
     ended: bool,
 }
@@ -89,11 +89,11 @@
             SubmissionRecord::Opened(head) => {
                 let id = head.id.clone();
                 let state = self.submissions.entry(id.clone()).or_default();
-                if state.head.is_some() {
+                if state.metadata.is_some() {
                     return None;
                 }
-                state.items.resize(head.items as usize, None);
-                state.head = Some(Arc::new(head));
+                state.items.resize(head.item_count as usize, None);
+                state.metadata = Some(Arc::new(head));
                 Some(id)
             }
             SubmissionRecord::Items { submission, first, items } => {
@@ -114,11 +114,11 @@
                 }
                 Some(submission)
             }
-            SubmissionRecord::Dropped { submission } => {
+            SubmissionRecord::Deleted { submission } => {
                 self.submissions.remove(&submission).map(|_| submission)
             }
-            SubmissionRecord::Marked { .. }
-            | SubmissionRecord::Unmarked { .. }
+            SubmissionRecord::OpenMarkerSet { .. }
+            | SubmissionRecord::OpenMarkerCleared { .. }
             | SubmissionRecord::Expiring { .. } => None,
         }
     }
@@ -157,14 +157,14 @@
         }
         self.resolved.insert(result.item.clone(), position);
         self.results[at] = Some(Arc::new(result));
-        while self.results.get(self.listed as usize).is_some_and(Option::is_some) {
-            self.listed += 1;
+        while self.results.get(self.result_count as usize).is_some_and(Option::is_some) {
+            self.result_count += 1;
         }
         true
     }
 
     fn is_complete(&self) -> bool {
-        self.head.is_some() && self.items.iter().all(Option::is_some)
+        self.metadata.is_some() && self.items.iter().all(Option::is_some)
     }
 
     /// Returns what holds for all items.
@@ -173,8 +173,8 @@
     ///
     /// Panics when the submission is not complete, which [`SubmissionTable::get`] rules out.
     #[must_use]
-    pub fn head(&self) -> &Arc<SubmissionMetadata> {
-        self.head.as_ref().expect("only complete submissions are handed out")
+    pub fn metadata(&self) -> &Arc<SubmissionMetadata> {
+        self.metadata.as_ref().expect("only complete submissions are handed out")
     }
 
     /// Iterates over the items in the order in which they were submitted.
@@ -196,13 +196,13 @@
 
     /// Number of results, which is the next free position.
     #[must_use]
-    pub const fn listed(&self) -> u32 {
-        self.listed
+    pub const fn result_count(&self) -> u32 {
+        self.result_count
     }
 
     /// Iterates over the results from a position on.
     pub fn results(&self, from: u32) -> impl Iterator<Item = &Arc<ItemResult>> {
-        let listed = self.listed as usize;
+        let listed = self.result_count as usize;
         let from = (from as usize).min(listed);
         self.results[from..listed].iter().flatten()
     }
--- a/crates/submissions/src/text.rs
+++ b/crates/submissions/src/text.rs
@@ -35,7 +35,7 @@
 /// Text of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GeneratedText {
-    least: WeightVersion,
+    min_version: WeightVersion,
     one_version: bool,
     running: WeightVersion,
     versions: SmallVec<[WeightVersion; 2]>,
@@ -48,7 +48,7 @@
     #[must_use]
     pub fn new(least: WeightVersion, one_version: bool) -> Self {
         Self {
-            least,
+            min_version: least,
             one_version,
             running: least,
             versions: SmallVec::new(),
@@ -95,7 +95,7 @@
     }
 
     fn check(&self, version: WeightVersion) -> Result<(), TextError> {
-        if version < self.least {
+        if version < self.min_version {
             return Err(TextError::Stale(version));
         }
         if self.one_version && self.versions.iter().any(|known| *known != version) {
@@ -109,18 +109,18 @@
     /// # Errors
     ///
     /// Returns the first version of the text that is too old.
-    pub fn require(&mut self, least: WeightVersion) -> Result<(), TextError> {
+    pub fn set_min_version(&mut self, least: WeightVersion) -> Result<(), TextError> {
         let stale = self.versions.iter().find(|version| **version < least);
         if let Some(version) = stale {
             return Err(TextError::Stale(*version));
         }
-        self.least = least;
+        self.min_version = least;
         Ok(())
     }
 
     /// Number of the last event, or 0.
     #[must_use]
-    pub const fn last_id(&self) -> u64 {
+    pub const fn last_event_id(&self) -> u64 {
         self.last_id
     }
 
--- a/crates/submissions/tests/book.rs
+++ b/crates/submissions/tests/book.rs
@@ -42,7 +42,7 @@
 fn summary(book: &SubmissionTable) -> (u32, Vec<String>, bool) {
     let state = book.get("s").unwrap();
     let results = state.results(0).map(|result| result.item.clone()).collect();
-    (state.listed(), results, state.is_open())
+    (state.result_count(), results, state.is_open())
 }
 
 proptest! {
@@ -100,7 +100,7 @@
             book.apply(record);
         }
     }
-    assert_eq!(book.get("s").unwrap().listed(), 1);
+    assert_eq!(book.get("s").unwrap().result_count(), 1);
 }
 
 fn event(id: u64, version: Option<u64>) -> GenerationEvent {
@@ -149,8 +149,8 @@
     let mut text = GeneratedText::new(WeightVersion(1), false);
     text.begin_run(WeightVersion(2)).unwrap();
     text.push(&event(1, None)).unwrap();
-    assert!(text.clone().require(WeightVersion(2)).is_ok());
-    assert_eq!(text.require(WeightVersion(3)), Err(TextError::Stale(WeightVersion(2))));
+    assert!(text.clone().set_min_version(WeightVersion(2)).is_ok());
+    assert_eq!(text.set_min_version(WeightVersion(3)), Err(TextError::Stale(WeightVersion(2))));
 }
 
 /// Pattern: two submissions wait for engines, and one model has none.
--- a/crates/submissions/tests/common/mod.rs
+++ b/crates/submissions/tests/common/mod.rs
@@ -12,10 +12,10 @@
         path: String::from("/p"),
         model: String::from("m"),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items,
+        item_count: items,
     }
 }
 
--- a/crates/submissions/tests/copy.rs
+++ b/crates/submissions/tests/copy.rs
@@ -17,7 +17,12 @@
 }
 
 fn read(submission: &str, end: u64, records: Vec<SubmissionRecord>) -> SubmissionSnapshot {
-    SubmissionSnapshot { submission: String::from(submission), sent_at: NOW, end, records }
+    SubmissionSnapshot {
+        submission: String::from(submission),
+        read_started_at: NOW,
+        log_end: end,
+        records,
+    }
 }
 
 /// Pattern: a node that knows nothing yet is asked for two submissions, and the read that began first is
@@ -28,11 +33,11 @@
 #[test]
 fn overtaken_read_is_repeated() {
     let mut copy = PartitionCache::default();
-    assert!(copy.load(read("b", 2, Vec::new())));
-    assert!(!copy.load(read("a", 0, Vec::new())));
+    assert!(copy.apply_snapshot(read("b", 2, Vec::new())));
+    assert!(!copy.apply_snapshot(read("a", 0, Vec::new())));
     assert!(!copy.is_loaded("a"));
-    assert!(copy.load(read("a", 2, opened("a"))));
-    assert!(copy.book().get("a").is_some());
+    assert!(copy.apply_snapshot(read("a", 2, opened("a"))));
+    assert!(copy.table().get("a").is_some());
 }
 
 /// Pattern: the store forgets its history between the reads of two submissions that one append concerns.
@@ -42,20 +47,20 @@
 #[test]
 fn append_waits_for_all_of_its_submissions() {
     let mut copy = PartitionCache::default();
-    copy.load(read("a", 2, opened("a")));
+    copy.apply_snapshot(read("a", 2, opened("a")));
     assert_eq!(copy.append_offset(&["a", "b"]), None);
     copy.reset();
-    copy.load(read("b", 5, opened("b")));
+    copy.apply_snapshot(read("b", 5, opened("b")));
     assert_eq!(copy.append_offset(&["a", "b"]), None);
     let taken = SubmissionRecord::Result {
         submission: String::from("a"),
         position: 0,
         result: result("i"),
     };
-    copy.load(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
+    copy.apply_snapshot(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
     assert_eq!(copy.append_offset(&["a", "b"]), Some(5));
     let results = [(String::from("a"), result("i"))];
-    assert_eq!(result_records(copy.book(), &results), None);
+    assert_eq!(result_records(copy.table(), &results), None);
 }
 
 /// Pattern: the store forgets its history while a new owner looks for open submissions.
@@ -66,25 +71,25 @@
 fn scan_counts_only_without_a_gap() {
     let open = |copy: &PartitionCache| copy.open_submissions().count();
     let mut copy = PartitionCache::default();
-    copy.load(read("a", 2, opened("a")));
-    copy.begin_scan();
+    copy.apply_snapshot(read("a", 2, opened("a")));
+    copy.invalidate_scan();
     copy.reset();
     copy.finish_scan(&[], 4);
     assert!(!copy.is_scanned(), "nothing is known of the log");
 
-    copy.begin_at(9, NOW);
+    copy.follow_from(9, NOW);
     copy.finish_scan(&[], 4);
     assert!(!copy.is_scanned(), "records 4 to 8 were seen by nobody");
 
     copy.finish_scan(&["b"], 9);
     assert!(!copy.is_scanned(), "an open submission is not loaded");
-    copy.load(read("b", 9, opened("b")));
+    copy.apply_snapshot(read("b", 9, opened("b")));
     copy.finish_scan(&["b"], 9);
     assert!(copy.is_scanned());
     // The book still holds the first one as it was before the loss.
-    assert!(copy.book().get("a").is_some());
+    assert!(copy.table().get("a").is_some());
     assert_eq!(open(&copy), 1);
-    copy.begin_scan();
+    copy.invalidate_scan();
     assert_eq!(open(&copy), 0);
 }
 
@@ -93,21 +98,21 @@
 #[test]
 fn part_of_the_log_leaves_the_copy_incomplete() {
     let mut copy = PartitionCache::default();
-    copy.load(read("a", 0, Vec::new()));
+    copy.apply_snapshot(read("a", 0, Vec::new()));
     let records = (0..).zip(opened("a")).collect::<Vec<_>>();
     let part = |from: u64, read_to: u64| LogBatch {
-        sent_at: Moment(5),
-        from,
-        read_to,
-        end: 2,
+        read_started_at: Moment(5),
+        start_offset: from,
+        next_offset: read_to,
+        log_end: 2,
         records: records[from as usize..read_to as usize].to_vec(),
     };
-    assert!(!copy.read(part(0, 1)));
-    assert_eq!(copy.next(), Some(1));
-    assert_eq!(copy.age(Moment(5)), Some(base::Span(5)));
-    assert!(copy.read(part(1, 2)));
-    assert_eq!(copy.age(Moment(5)), Some(base::Span(0)));
-    assert!(copy.book().get("a").is_some());
+    assert!(!copy.apply_batch(part(0, 1)));
+    assert_eq!(copy.next_offset(), Some(1));
+    assert_eq!(copy.staleness(Moment(5)), Some(base::Span(5)));
+    assert!(copy.apply_batch(part(1, 2)));
+    assert_eq!(copy.staleness(Moment(5)), Some(base::Span(0)));
+    assert!(copy.table().get("a").is_some());
 }
 
 fn result(item: &str) -> ItemResult {
--- a/crates/usage/src/amount.rs
+++ b/crates/usage/src/amount.rs
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Returns [`UsageOverflow`] and changes nothing when a counter does not fit in 64 bits.
-    pub fn add_all(&mut self, other: &Self) -> Result<(), UsageOverflow> {
+    pub fn merge(&mut self, other: &Self) -> Result<(), UsageOverflow> {
         for (customer, amount) in &other.0 {
             if self.get(customer).checked_add(*amount).is_none() {
                 return Err(UsageOverflow);
--- a/crates/usage/src/batch.rs
+++ b/crates/usage/src/batch.rs
@@ -31,7 +31,7 @@
         /// Id that the metering process chose. A replica holder appends the batch under the same id.
         pub id: RecordId,
         /// Usage of each customer.
-        pub figures: UsageByCustomer,
+        pub usage: UsageByCustomer,
     }
 
     /// A record of the stream `usage`.
@@ -43,7 +43,7 @@
         /// An accepted report.
         Reported(WindowReported),
         /// State of the ledger, re-appended so that retention can drop the records before it.
-        Carry {
+        Snapshot {
             /// State of the log prefix that ends before `snapshot.next`.
             snapshot: Box<LedgerSnapshot>,
             /// Fencing number of the writer's `usage` lease.
