--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -22,7 +22,7 @@
         /// Position of the record that closed the window.
         pub closed_at: LogOffset,
         /// Usage of each customer in the window.
-        pub figures: UsageByCustomer,
+        pub usage: UsageByCustomer,
         /// Whether the log states that the platform accepted the report.
         pub reported: bool,
     }
@@ -90,7 +90,7 @@
     state: LedgerSnapshot,
     // Oldest retained offset after a gap, until a snapshot that reaches it is found.
     awaits_from: Option<LogOffset>,
-    last_carry: Option<LogOffset>,
+    last_snapshot: Option<LogOffset>,
     last_close: Option<LogOffset>,
 }
 
@@ -123,7 +123,7 @@
     /// Continues from a snapshot of a peer. The caller reads the log from `snapshot.next`.
     #[must_use]
     pub fn from_snapshot(snapshot: LedgerSnapshot) -> Self {
-        Self { state: snapshot, awaits_from: None, last_carry: None, last_close: None }
+        Self { state: snapshot, awaits_from: None, last_snapshot: None, last_close: None }
     }
 
     /// Applies the record at `offset`. `valid` is the fencing number of the `usage` lease that the
@@ -145,7 +145,7 @@
             UsageRecord::Batch(batch) => self.count(batch),
             UsageRecord::Close(close) => self.close(offset, *close, valid),
             UsageRecord::Reported(reported) => self.reported(*reported, valid),
-            UsageRecord::Carry { fencing, .. } => self.carry(offset, *fencing, valid),
+            UsageRecord::Snapshot { fencing, .. } => self.apply_snapshot(offset, *fencing, valid),
         };
         outcome.unwrap_or_else(LedgerOutcome::Ignored)
     }
@@ -169,11 +169,11 @@
 
     /// Returns the oldest retained offset while a snapshot is awaited.
     #[must_use]
-    pub const fn awaited_offset(&self) -> Option<LogOffset> {
+    pub const fn oldest_retained_offset(&self) -> Option<LogOffset> {
         self.awaits_from
     }
 
-    /// Returns the state for a peer or a [`UsageRecord::Carry`], or `None` while a snapshot is
+    /// Returns the state for a peer or a [`UsageRecord::Snapshot`], or `None` while a snapshot is
     /// awaited.
     #[must_use]
     pub fn snapshot(&self) -> Option<LedgerSnapshot> {
@@ -183,13 +183,13 @@
     /// Tells the holder of the `usage` lease to append a snapshot: a window was closed and none
     /// followed. Log retention must exceed two windows.
     #[must_use]
-    pub fn carry_due(&self) -> bool {
-        self.awaits_from.is_none() && self.last_close > self.last_carry
+    pub fn snapshot_due(&self) -> bool {
+        self.awaits_from.is_none() && self.last_close > self.last_snapshot
     }
 
     /// Returns the window to close next, given the one that the current time lies in.
     #[must_use]
-    pub fn close_due(&self, current: WindowNumber) -> Option<WindowNumber> {
+    pub fn window_to_close(&self, current: WindowNumber) -> Option<WindowNumber> {
         if self.awaits_from.is_some() {
             return None;
         }
@@ -201,7 +201,7 @@
 
     /// Returns usage of the open window.
     #[must_use]
-    pub fn open_figures(&self) -> &UsageByCustomer {
+    pub fn open_usage(&self) -> &UsageByCustomer {
         &self.state.open
     }
 
@@ -223,7 +223,7 @@
             return None;
         }
         let (window, closed) = self.windows().find(|(_, closed)| !closed.reported)?;
-        Some(WindowReport { window, fencing, figures: closed.figures.clone() })
+        Some(WindowReport { window, fencing, usage: closed.usage.clone() })
     }
 
     fn apply_awaiting(
@@ -233,7 +233,7 @@
         record: &UsageRecord,
         valid: Option<FencingToken>,
     ) -> LedgerOutcome {
-        let UsageRecord::Carry { snapshot, fencing } = record else {
+        let UsageRecord::Snapshot { snapshot, fencing } = record else {
             return LedgerOutcome::Ignored(IgnoredReason::AwaitsSnapshot);
         };
         if valid != Some(*fencing) || snapshot.next > offset {
@@ -251,7 +251,7 @@
         if self.state.seen.contains(batch.id) {
             return Err(IgnoredReason::Repeated);
         }
-        self.state.open.add_all(&batch.figures).map_err(|_| IgnoredReason::Overflow)?;
+        self.state.open.merge(&batch.usage).map_err(|_| IgnoredReason::Overflow)?;
         self.state.seen.insert(batch.id, self.state.closes);
         Ok(LedgerOutcome::Counted)
     }
@@ -268,7 +268,7 @@
         }
         let state = &mut self.state;
         let figures = std::mem::take(&mut state.open);
-        let closed = ClosedWindow { closed_at: offset, figures, reported: false };
+        let closed = ClosedWindow { closed_at: offset, usage: figures, reported: false };
         state.closed.insert(close.window, closed);
         state.last_closed = Some(close.window);
         state.closes += 1;
@@ -301,14 +301,14 @@
         Ok(LedgerOutcome::Reported(reported.window))
     }
 
-    fn carry(
+    fn apply_snapshot(
         &mut self,
         offset: LogOffset,
         fencing: FencingToken,
         valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(fencing, valid)?;
-        self.last_carry = Some(offset);
+        self.last_snapshot = Some(offset);
         Err(IgnoredReason::NotNeeded)
     }
 
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct UsageMeter {
     period: Span,
-    figures: UsageByCustomer,
+    usage: UsageByCustomer,
     first_recorded: Option<Moment>,
 }
 
@@ -19,7 +19,7 @@
     /// Creates a meter that cuts a batch `period` after the first usage in it.
     #[must_use]
     pub fn new(period: Span) -> Self {
-        Self { period, figures: UsageByCustomer::default(), first_recorded: None }
+        Self { period, usage: UsageByCustomer::default(), first_recorded: None }
     }
 
     /// Adds usage of a customer.
@@ -33,7 +33,7 @@
         customer: &str,
         amount: UsageAmount,
     ) -> Result<(), UsageOverflow> {
-        self.figures.add(customer, amount)?;
+        self.usage.add(customer, amount)?;
         self.first_recorded.get_or_insert(now);
         Ok(())
     }
@@ -49,12 +49,12 @@
         if self.next_deadline()? > now {
             return None;
         }
-        self.cut(next_id)
+        self.flush(next_id)
     }
 
     /// Returns everything recorded as a batch at once, as a planned stop requires.
-    pub fn cut(&mut self, next_id: impl FnOnce() -> RecordId) -> Option<UsageBatch> {
+    pub fn flush(&mut self, next_id: impl FnOnce() -> RecordId) -> Option<UsageBatch> {
         self.first_recorded.take()?;
-        Some(UsageBatch { id: next_id(), figures: std::mem::take(&mut self.figures) })
+        Some(UsageBatch { id: next_id(), usage: std::mem::take(&mut self.usage) })
     }
 }
--- a/crates/usage/src/pending.rs
+++ b/crates/usage/src/pending.rs
@@ -34,14 +34,14 @@
     }
 
     /// Notes that the process `holder` holds the batch. A restarted process holds nothing.
-    pub fn held(&mut self, id: RecordId, holder: Incarnation) {
+    pub fn mark_held(&mut self, id: RecordId, holder: Incarnation) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.holder = Some(holder);
         }
     }
 
     /// Drops a batch that the log shows.
-    pub fn seen_in_log(&mut self, id: RecordId) {
+    pub fn mark_committed(&mut self, id: RecordId) {
         self.pending.remove(&id);
     }
 
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -71,7 +71,7 @@
     }
 
     /// Drops a batch that the log shows.
-    pub fn seen_in_log(&mut self, id: RecordId) {
+    pub fn mark_committed(&mut self, id: RecordId) {
         self.held.remove(&id);
     }
 
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -12,7 +12,7 @@
         /// Fencing number of the sender's `usage` lease.
         pub fencing: FencingToken,
         /// Usage of each customer.
-        pub figures: UsageByCustomer,
+        pub usage: UsageByCustomer,
     }
 }
 
--- a/crates/usage/src/totals.rs
+++ b/crates/usage/src/totals.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes back a request that turned out not to have run.
-    pub fn take_back(&mut self, window: WindowNumber, customer: &str) {
+    pub fn remove(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
         if let Some(count) = counts.get_mut(customer) {
             *count = count.saturating_sub(1);
@@ -49,7 +49,7 @@
     }
 
     /// Marks a window again, after its totals could not be written.
-    pub fn mark(&mut self, window: WindowNumber) {
+    pub fn mark_changed(&mut self, window: WindowNumber) {
         if self.windows.contains_key(&window) {
             self.changed.insert(window);
         }
@@ -122,7 +122,7 @@
 
 impl WindowAggregator {
     /// Takes the totals of a process. Later ones replace earlier ones.
-    pub fn take(
+    pub fn insert(
         &mut self,
         window: WindowNumber,
         process: u64,
@@ -153,7 +153,7 @@
 
     /// Returns the figures of a window.
     #[must_use]
-    pub fn figures(&self, window: WindowNumber) -> CustomerCounts {
+    pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
         let totals = self.totals.get(&window).into_iter().flat_map(BTreeMap::values);
         sum_counts(totals.map(|totals| &totals.counts))
     }
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -90,7 +90,7 @@
                 node.sequence += 1;
                 node.pending.add(now, batch.clone());
                 node.unacknowledged.push(batch.clone());
-                self.cut.insert(id, batch.figures.get("portal").requests);
+                self.cut.insert(id, batch.usage.get("portal").requests);
                 self.copies.insert(id, vec![id.writer]);
                 self.append(UsageRecord::Batch(batch));
             }
@@ -102,7 +102,7 @@
                     self.copies.get_mut(&id).unwrap().push(holder);
                     // The answer of the holder can be lost.
                     if self.rng.random_bool(0.7) {
-                        self.nodes[index].pending.held(id, holder);
+                        self.nodes[index].pending.mark_held(id, holder);
                     }
                 }
             }
@@ -124,8 +124,8 @@
     fn follow(&mut self, index: usize) {
         for (record, _) in &self.log {
             let UsageRecord::Batch(batch) = record else { continue };
-            self.nodes[index].pending.seen_in_log(batch.id);
-            self.nodes[index].store.seen_in_log(batch.id);
+            self.nodes[index].pending.mark_committed(batch.id);
+            self.nodes[index].store.mark_committed(batch.id);
         }
     }
 
@@ -190,8 +190,8 @@
 }
 
 fn billed(ledger: &UsageLedger) -> u64 {
-    let closed: u64 = ledger.windows().map(|(_, w)| w.figures.get("portal").requests).sum();
-    closed + ledger.open_figures().get("portal").requests
+    let closed: u64 = ledger.windows().map(|(_, w)| w.usage.get("portal").requests).sum();
+    closed + ledger.open_usage().get("portal").requests
 }
 
 /// Guards against a batch billed twice or dropped, whoever appends it and however often.
@@ -226,7 +226,7 @@
         replay(&mut prefix, &trial.log[..cut], 0);
         let snapshot = prefix.snapshot().unwrap();
         let fencing = FencingToken(trial.lease);
-        let carry = UsageRecord::Carry { snapshot: Box::new(snapshot.clone()), fencing };
+        let carry = UsageRecord::Snapshot { snapshot: Box::new(snapshot.clone()), fencing };
 
         // Retention drops the prefix; the carry stands at the end of the log.
         let mut successor = UsageLedger::new();
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -20,7 +20,7 @@
 fn batch(sequence: u64) -> UsageBatch {
     let mut figures = UsageByCustomer::default();
     figures.add("portal", amount(sequence)).unwrap();
-    UsageBatch { id: id(sequence), figures }
+    UsageBatch { id: id(sequence), usage: figures }
 }
 
 /// Guards against a batch that is cut early, late, twice or with inexact sums.
@@ -33,7 +33,7 @@
     let due = meter.next_deadline().unwrap();
     assert_eq!(meter.poll(Moment(due.0 - 1), || id(1)), None);
     let batch = meter.poll(due, || id(1)).unwrap();
-    assert_eq!(batch.figures.get("portal").requests, (1 << 53) + 2);
+    assert_eq!(batch.usage.get("portal").requests, (1 << 53) + 2);
     assert_eq!(meter.poll(due + SECOND, || unreachable!("no id for an empty batch")), None);
 }
 
@@ -50,7 +50,7 @@
     assert_eq!(store.poll(Moment(10) + SECOND), [batch(1)]);
     assert_eq!(store.hold(Moment(20), batch(2), OriginState::Gone), HoldOutcome::Held);
     assert_eq!(store.hold(Moment(20), batch(3), OriginState::Live), HoldOutcome::Full);
-    store.seen_in_log(id(1));
+    store.mark_committed(id(1));
     assert_eq!(store.poll(Moment(20)), [batch(2)]);
 }
 
@@ -71,11 +71,11 @@
     let mut pending = PendingBatches::new(SECOND);
     pending.add(Moment(0), batch(1));
     assert_eq!(pending.poll(Moment(0)), [batch(1)]);
-    pending.held(id(1), Incarnation(9));
+    pending.mark_held(id(1), Incarnation(9));
     assert_eq!(pending.next_deadline(), None);
     pending.holder_lost(Moment(3), Incarnation(9));
     assert_eq!(pending.poll(Moment(3)), [batch(1)]);
-    pending.seen_in_log(id(1));
+    pending.mark_committed(id(1));
     assert!(pending.is_empty());
 }
 
@@ -96,10 +96,10 @@
     assert_eq!(desk.poll(Moment(2), &ledger, fencing), None);
     let again = desk.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
     assert_eq!(again, first);
-    assert_eq!(again.figures, batch(1).figures);
+    assert_eq!(again.usage, batch(1).usage);
     let reported = desk.answer(Moment(3), ReportAnswer::Accepted).unwrap();
     ledger.apply(LogOffset(8), &UsageRecord::Reported(reported), Some(fencing));
     assert_eq!(ledger.pending_report(fencing), None);
-    assert_eq!(ledger.close_due(WindowNumber(9)), Some(WindowNumber(8)));
-    assert_eq!(ledger.close_due(WindowNumber(8)), None);
+    assert_eq!(ledger.window_to_close(WindowNumber(9)), Some(WindowNumber(8)));
+    assert_eq!(ledger.window_to_close(WindowNumber(8)), None);
 }
--- a/crates/usage/tests/tally.rs
+++ b/crates/usage/tests/tally.rs
@@ -21,7 +21,7 @@
     tally.add(WindowNumber(7), "brewer");
     tally.add(WindowNumber(7), "brewer");
     tally.add(WindowNumber(8), "studio");
-    tally.take_back(WindowNumber(7), "brewer");
+    tally.remove(WindowNumber(7), "brewer");
     let changed = tally.take_changed();
     assert_eq!(
         changed,
@@ -31,7 +31,7 @@
         ]
     );
     assert!(tally.take_changed().is_empty());
-    tally.mark(WindowNumber(8));
+    tally.mark_changed(WindowNumber(8));
     assert_eq!(tally.take_changed().len(), 1);
 }
 
@@ -53,15 +53,15 @@
 fn window_is_closed_once_every_known_process_has_closed_it() {
     let mut board = WindowAggregator::default();
     for process in [1, 2] {
-        board.take(WindowNumber(6), process, counts(&[]), TotalsPhase::Closed);
+        board.insert(WindowNumber(6), process, counts(&[]), TotalsPhase::Closed);
     }
-    board.take(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
+    board.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
     assert!(!board.is_closed(WindowNumber(7)), "process 2 may still count");
-    board.take(WindowNumber(7), 2, counts(&[("brewer", 1)]), TotalsPhase::Open);
+    board.insert(WindowNumber(7), 2, counts(&[("brewer", 1)]), TotalsPhase::Open);
     assert!(!board.is_closed(WindowNumber(7)));
-    board.take(WindowNumber(7), 2, counts(&[("brewer", 2), ("studio", 1)]), TotalsPhase::Closed);
+    board.insert(WindowNumber(7), 2, counts(&[("brewer", 2), ("studio", 1)]), TotalsPhase::Closed);
     assert!(board.is_closed(WindowNumber(7)));
-    assert_eq!(board.figures(WindowNumber(7)), counts(&[("brewer", 5), ("studio", 1)]));
+    assert_eq!(board.totals(WindowNumber(7)), counts(&[("brewer", 5), ("studio", 1)]));
 }
 
 /// Pattern: machines are stopped as planned, one after the other, and the store is away when the report is
@@ -73,15 +73,15 @@
 fn ended_process_is_not_waited_for() {
     let mut board = WindowAggregator::default();
     for process in [1, 2] {
-        board.take(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
+        board.insert(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
     }
-    board.take(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
+    board.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
     assert!(!board.is_closed(WindowNumber(6)));
-    board.take(WindowNumber(6), 2, counts(&[("brewer", 1)]), TotalsPhase::Last);
+    board.insert(WindowNumber(6), 2, counts(&[("brewer", 1)]), TotalsPhase::Last);
     assert!(board.is_closed(WindowNumber(6)));
-    board.take(WindowNumber(7), 1, counts(&[("brewer", 2)]), TotalsPhase::Closed);
+    board.insert(WindowNumber(7), 1, counts(&[("brewer", 2)]), TotalsPhase::Closed);
     assert!(board.is_closed(WindowNumber(7)));
-    assert_eq!(board.figures(WindowNumber(6)), counts(&[("brewer", 1)]));
+    assert_eq!(board.totals(WindowNumber(6)), counts(&[("brewer", 1)]));
 }
 
 /// Guards against a window that counts as closed before any process is known.
@@ -89,7 +89,7 @@
 fn unknown_window_is_not_closed() {
     let mut board = WindowAggregator::default();
     assert!(!board.is_closed(WindowNumber(0)));
-    board.take(WindowNumber(7), 1, counts(&[]), TotalsPhase::Closed);
+    board.insert(WindowNumber(7), 1, counts(&[]), TotalsPhase::Closed);
     assert!(!board.is_closed(WindowNumber(7)));
 }
 
@@ -97,10 +97,10 @@
 #[test]
 fn old_windows_are_named_for_deletion() {
     let mut board = WindowAggregator::default();
-    board.take(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
-    board.take(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
-    board.take(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
+    board.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
+    board.insert(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
+    board.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
     assert_eq!(board.forget_before(WindowNumber(7)), vec![(WindowNumber(6), vec![1, 2])]);
     assert!(board.forget_before(WindowNumber(7)).is_empty());
-    assert_eq!(board.figures(WindowNumber(7)), counts(&[("brewer", 3)]));
+    assert_eq!(board.totals(WindowNumber(7)), counts(&[("brewer", 3)]));
 }
--- a/crates/xtask/src/catalogue.rs
+++ b/crates/xtask/src/catalogue.rs
@@ -30,7 +30,7 @@
          | event | name | meaning |\n|---|---|---|\n",
     );
     for event in EventCode::ALL {
-        writeln!(page, "| {} | {} | {} |", event.number(), event.name(), event.meaning())
+        writeln!(page, "| {} | {} | {} |", event.number(), event.name(), event.description())
             .expect("writing to a string succeeds");
     }
     page
