--- a/crates/admission/src/allocator.rs
+++ b/crates/admission/src/allocator.rs
@@ -68,8 +68,9 @@
     /// reserves together exceed what the delegate leaves for them.
     #[must_use]
     pub fn with_guaranteed_rate(rate: u32, zone_vms: u32) -> Self {
-        let reserve = u64::from(rate) * Self::GUARANTEED_PERCENT / 100 / u64::from(zone_vms.max(1));
-        Self { rate, guaranteed_rate: reserve as u32 }
+        let guaranteed_rate =
+            u64::from(rate) * Self::GUARANTEED_PERCENT / 100 / u64::from(zone_vms.max(1));
+        Self { rate, guaranteed_rate: guaranteed_rate as u32 }
     }
 }
 
@@ -105,8 +106,8 @@
     }
 
     /// Sets the zone's part of a customer's limit. Grants above a lowered part run out.
-    pub fn set_zone_limit(&mut self, customer: CustomerKey, part: ZoneLimit) {
-        self.limits.insert(customer, part);
+    pub fn set_zone_limit(&mut self, customer: CustomerKey, limit: ZoneLimit) {
+        self.limits.insert(customer, limit);
     }
 
     /// Notes how many VMs of the zone are alive as the delegate sees it.
@@ -124,32 +125,32 @@
 
     /// Answers the ask of a node, or returns none for a customer without a limit and for an ask
     /// that is older than one answered before.
-    pub fn grant(&mut self, now: Moment, ask: GrantRequest) -> Option<LimitGrant> {
+    pub fn grant(&mut self, now: Moment, request: GrantRequest) -> Option<LimitGrant> {
         self.settle(now);
-        let part = *self.limits.get(&ask.customer)?;
-        let period = self.settings.grant_duration;
-        let account = self.accounts.entry((ask.customer, ask.node)).or_default();
-        if ask.sequence <= account.sequence {
+        let limit = *self.limits.get(&request.customer)?;
+        let duration = self.settings.grant_duration;
+        let account = self.accounts.entry((request.customer, request.node)).or_default();
+        if request.sequence <= account.sequence {
             return None;
         }
-        account.sequence = ask.sequence;
-        account.demand = ask.demand;
+        account.sequence = request.sequence;
+        account.demand = request.demand;
         account.heard_at = Some(now);
         // The node never goes back to a grant older than the one it holds. One that it holds from
         // another delegate says nothing about the grants of this one.
-        let held = ask.held.filter(|id| id.delegate == self.me).map_or(0, |id| id.number);
+        let held = request.held.filter(|id| id.delegate == self.me).map_or(0, |id| id.number);
         account.open.retain(|grant| grant.number >= held && grant.expires_at > now);
-        let usable = self.usable(part);
-        let others = self.charged(now, ask.customer, Some(ask.node));
-        let target = self.target(now, ask, usable);
+        let usable = self.usable(limit);
+        let others = self.charged(now, request.customer, Some(request.node));
+        let target = self.target(now, request, usable);
         let rate = target.min(usable.saturating_sub(others));
         let number = self.next_number;
         self.next_number += 1;
-        let account = self.accounts.entry((ask.customer, ask.node)).or_default();
-        account.open.push(OpenGrant { number, rate, expires_at: now + period });
-        let GrantRequest { node, customer, sequence, .. } = ask;
+        let account = self.accounts.entry((request.customer, request.node)).or_default();
+        account.open.push(OpenGrant { number, rate, expires_at: now + duration });
+        let GrantRequest { node, customer, sequence, .. } = request;
         let id = GrantId { delegate: self.me, number };
-        Some(LimitGrant { node, customer, sequence, id, rate, duration: period })
+        Some(LimitGrant { node, customer, sequence, id, rate, duration })
     }
 
     /// Returns the rate that nodes may be using now beside their reserves, in tokens per second.
@@ -162,17 +163,17 @@
         if now >= self.raise_at {
             self.counted_vms = self.live_vms;
         }
-        let period = self.settings.grant_duration;
+        let duration = self.settings.grant_duration;
         self.accounts.retain(|_, account| {
-            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
+            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= duration)
         });
     }
 
-    fn usable(&self, part: ZoneLimit) -> u32 {
+    fn usable(&self, limit: ZoneLimit) -> u32 {
         let zone_vms = self.settings.zone_vms.max(1);
         let counted = self.counted_vms.min(zone_vms);
-        let reserves = u64::from(part.guaranteed_rate) * u64::from(zone_vms);
-        let granted = u64::from(part.rate).saturating_sub(reserves);
+        let reserves = u64::from(limit.guaranteed_rate) * u64::from(zone_vms);
+        let granted = u64::from(limit.rate).saturating_sub(reserves);
         (granted * u64::from(counted) / u64::from(zone_vms)) as u32
     }
 
@@ -190,12 +191,12 @@
 
     /// Max-min fair share of the demands, plus an equal part of what is left over, so that a node
     /// with little demand can admit a sudden request.
-    fn target(&self, now: Moment, ask: GrantRequest, usable: u32) -> u32 {
-        let period = self.settings.grant_duration;
+    fn target(&self, now: Moment, request: GrantRequest, usable: u32) -> u32 {
+        let duration = self.settings.grant_duration;
         let recent = |account: &&NodeAccount| {
-            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
+            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= duration)
         };
-        let accounts = self.of(ask.customer).map(|(_, account)| account).filter(recent);
+        let accounts = self.of(request.customer).map(|(_, account)| account).filter(recent);
         let mut demands = accounts.map(|account| account.demand).collect::<Vec<_>>();
         demands.sort_unstable();
         let mut left = usable;
@@ -204,7 +205,7 @@
             let equal = left / (demands.len() - position) as u32;
             share = (*demand).min(equal);
             left -= share;
-            if *demand >= ask.demand {
+            if *demand >= request.demand {
                 break;
             }
         }
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -121,11 +121,16 @@
     }
 
     /// Sets the rate of a customer that this node may use without a grant, in tokens per second.
-    pub fn set_guaranteed_rate(&mut self, now: Moment, customer: CustomerKey, reserve: u32) {
-        self.guaranteed_rates.insert(customer, reserve);
-        let Some(share) = self.buckets.get_mut(&customer) else { return };
-        share.fill(now, self.settings.burst);
-        share.guaranteed_rate = reserve;
+    pub fn set_guaranteed_rate(
+        &mut self,
+        now: Moment,
+        customer: CustomerKey,
+        guaranteed_rate: u32,
+    ) {
+        self.guaranteed_rates.insert(customer, guaranteed_rate);
+        let Some(bucket) = self.buckets.get_mut(&customer) else { return };
+        bucket.fill(now, self.settings.burst);
+        bucket.guaranteed_rate = guaranteed_rate;
     }
 
     /// Takes `tokens` from the bucket of a customer that has a limit.
@@ -133,22 +138,22 @@
     /// A request may overdraw a bucket that holds anything, so that one larger than the bucket can
     /// run at all. The debt is paid before the next request.
     pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitDecision {
-        let reserve = self.guaranteed_rates.get(&customer).copied().unwrap_or(0);
-        let new_share = || CustomerBucket::new(now, reserve);
-        let share = self.buckets.entry(customer).or_insert_with(new_share);
-        share.wanted = share.wanted.saturating_add(u64::from(tokens));
-        share.wanted_at = now;
-        share.fill(now, self.settings.burst);
-        if share.level > 0 {
-            share.level -= i64::from(tokens) * MICRO;
+        let guaranteed_rate = self.guaranteed_rates.get(&customer).copied().unwrap_or(0);
+        let new_bucket = || CustomerBucket::new(now, guaranteed_rate);
+        let bucket = self.buckets.entry(customer).or_insert_with(new_bucket);
+        bucket.wanted = bucket.wanted.saturating_add(u64::from(tokens));
+        bucket.wanted_at = now;
+        bucket.fill(now, self.settings.burst);
+        if bucket.level > 0 {
+            bucket.level -= i64::from(tokens) * MICRO;
             return LimitDecision::Admitted;
         }
-        if share.answered == 0 && now < share.first_wanted_at + self.settings.first_wait {
+        if bucket.answered == 0 && now < bucket.first_wanted_at + self.settings.first_wait {
             return LimitDecision::AwaitGrant;
         }
-        let retry_after = match u64::from(share.rate_at(now)) {
+        let retry_after = match u64::from(bucket.rate_at(now)) {
             0 => self.settings.request_interval,
-            rate => Span(share.level.unsigned_abs() / rate + 1),
+            rate => Span(bucket.level.unsigned_abs() / rate + 1),
         };
         let message = "the customer's limit is reached";
         let refusal = Refusal::not_run(RefusalCode::LimitReached, message);
@@ -157,59 +162,59 @@
 
     /// Charges the difference between the true and the estimated cost of an admitted request.
     pub fn reconcile(&mut self, customer: CustomerKey, difference: i64) {
-        let Some(share) = self.buckets.get_mut(&customer) else { return };
+        let Some(bucket) = self.buckets.get_mut(&customer) else { return };
         let burst = i64::try_from(self.settings.burst.0).unwrap_or(i64::MAX);
-        let rate = i64::from(share.rate) + i64::from(share.guaranteed_rate);
+        let rate = i64::from(bucket.rate) + i64::from(bucket.guaranteed_rate);
         let full = rate.saturating_mul(burst);
-        share.level = share.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
+        bucket.level = bucket.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
     }
 
     /// Returns the asks that are due at `now`, to be sent to the zone's delegate.
     pub fn due_requests(&mut self, now: Moment) -> Vec<GrantRequest> {
         let settings = self.settings;
-        self.buckets.retain(|_, share| now.since(share.wanted_at) < settings.idle_after);
-        let mut asks = Vec::new();
-        for (customer, share) in &mut self.buckets {
-            if share.asked_at.is_some_and(|at| now.since(at) < settings.request_interval) {
+        self.buckets.retain(|_, bucket| now.since(bucket.wanted_at) < settings.idle_after);
+        let mut requests = Vec::new();
+        for (customer, bucket) in &mut self.buckets {
+            if bucket.asked_at.is_some_and(|at| now.since(at) < settings.request_interval) {
                 continue;
             }
-            let passed = share.asked_at.map_or(settings.request_interval, |at| now.since(at));
-            let demand = share.wanted.saturating_mul(1_000_000) / passed.0.max(1);
-            share.wanted = 0;
-            share.asked_at = Some(now);
-            share.sequence += 1;
-            asks.push(GrantRequest {
+            let passed = bucket.asked_at.map_or(settings.request_interval, |at| now.since(at));
+            let demand = bucket.wanted.saturating_mul(1_000_000) / passed.0.max(1);
+            bucket.wanted = 0;
+            bucket.asked_at = Some(now);
+            bucket.sequence += 1;
+            requests.push(GrantRequest {
                 node: self.me,
                 customer: *customer,
                 demand: u32::try_from(demand).unwrap_or(u32::MAX),
-                sequence: share.sequence,
-                held: share.held,
+                sequence: bucket.sequence,
+                held: bucket.held,
             });
         }
-        asks
+        requests
     }
 
     /// Takes in a grant. One that answers an ask other than the last is ignored.
     pub fn apply_grant(&mut self, now: Moment, grant: LimitGrant) {
-        let Some(share) = self.buckets.get_mut(&grant.customer) else { return };
-        let Some(asked_at) = share.asked_at else { return };
-        let is_last = grant.sequence == share.sequence && grant.sequence > share.answered;
+        let Some(bucket) = self.buckets.get_mut(&grant.customer) else { return };
+        let Some(asked_at) = bucket.asked_at else { return };
+        let is_last = grant.sequence == bucket.sequence && grant.sequence > bucket.answered;
         if grant.node != self.me || !is_last {
             return;
         }
-        share.fill(now, self.settings.burst);
-        share.answered = grant.sequence;
-        share.held = Some(grant.id);
-        share.rate = grant.rate;
-        share.expires_at = asked_at + grant.duration;
-        share.fill(now, self.settings.burst);
+        bucket.fill(now, self.settings.burst);
+        bucket.answered = grant.sequence;
+        bucket.held = Some(grant.id);
+        bucket.rate = grant.rate;
+        bucket.expires_at = asked_at + grant.duration;
+        bucket.fill(now, self.settings.burst);
     }
 
     /// Returns the rate in force, in tokens per second.
     #[must_use]
     pub fn rate(&self, now: Moment, customer: CustomerKey) -> u32 {
         match self.buckets.get(&customer) {
-            Some(share) => share.rate_at(now),
+            Some(bucket) => bucket.rate_at(now),
             None => self.guaranteed_rates.get(&customer).copied().unwrap_or(0),
         }
     }
@@ -217,17 +222,17 @@
     /// Returns when [`RateLimiter::due_requests`] is due, or `None` when no customer has demand.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let due = |share: &CustomerBucket| {
-            share.asked_at.map_or(Moment(0), |at| at + self.settings.request_interval)
+        let due = |bucket: &CustomerBucket| {
+            bucket.asked_at.map_or(Moment(0), |at| at + self.settings.request_interval)
         };
         self.buckets.values().map(due).min()
     }
 }
 
 impl CustomerBucket {
-    const fn new(now: Moment, reserve: u32) -> Self {
+    const fn new(now: Moment, guaranteed_rate: u32) -> Self {
         Self {
-            guaranteed_rate: reserve,
+            guaranteed_rate,
             rate: 0,
             expires_at: Moment(0),
             held: None,
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -150,10 +150,10 @@
 impl FairQueue {
     /// Creates an empty queue. `rng` spreads the retry times of refusals.
     #[must_use]
-    pub fn new(settings: QueueSettings, rate: ServiceCapacity, rng: ChaCha8Rng) -> Self {
+    pub fn new(settings: QueueSettings, capacity: ServiceCapacity, rng: ChaCha8Rng) -> Self {
         Self {
             settings,
-            capacity: rate,
+            capacity,
             weights: BTreeMap::new(),
             live: FlowRing::default(),
             samples: FlowRing::default(),
@@ -170,23 +170,23 @@
     pub fn handle(&mut self, now: Moment, event: QueueEvent) -> QueueActions {
         let mut actions = QueueActions::new();
         match event {
-            QueueEvent::Offered(item) => {
-                let wait = self.expected_wait(item.customer, item.class);
-                if now + wait + self.estimate().run_time(item.tokens) > item.deadline {
-                    actions.push(self.refuse(item.ticket, wait));
+            QueueEvent::Offered(request) => {
+                let wait = self.expected_wait(request.customer, request.class);
+                if now + wait + self.estimate().run_time(request.tokens) > request.deadline {
+                    actions.push(self.refuse(request.ticket, wait));
                     return actions;
                 }
-                let flow_key = FlowKey { customer: item.customer, class: item.class };
-                let weight = self.weight(item.customer);
-                self.ring(item.class).push(flow_key, weight, item);
+                let flow_key = FlowKey { customer: request.customer, class: request.class };
+                let weight = self.weight(request.customer);
+                self.ring(request.class).push(flow_key, weight, request);
             }
             QueueEvent::Done { ticket, tokens } => self.done(now, ticket, tokens),
             QueueEvent::CallerDisconnected(ticket) => {
-                self.live.retain(|item, _, _| item.ticket != ticket);
-                self.samples.retain(|item, _, _| item.ticket != ticket);
+                self.live.retain(|request, _, _| request.ticket != ticket);
+                self.samples.retain(|request, _, _| request.ticket != ticket);
             }
-            QueueEvent::CapacityChanged(rate) => {
-                self.capacity = rate;
+            QueueEvent::CapacityChanged(capacity) => {
+                self.capacity = capacity;
                 self.check(now, &mut actions);
             }
             QueueEvent::WeightChanged { customer, weight } => {
@@ -269,17 +269,17 @@
 
     fn dispatch(&mut self, now: Moment, actions: &mut QueueActions) {
         while self.in_service_tokens < u64::from(self.capacity.max_in_service_tokens) {
-            let Some(item) = self.next_item() else { break };
-            if now + self.estimate().run_time(item.tokens) > item.deadline {
-                let wait = self.expected_wait(item.customer, item.class);
-                actions.push(self.refuse(item.ticket, wait));
+            let Some(request) = self.next_item() else { break };
+            if now + self.estimate().run_time(request.tokens) > request.deadline {
+                let wait = self.expected_wait(request.customer, request.class);
+                actions.push(self.refuse(request.ticket, wait));
                 continue;
             }
-            let flow_key = FlowKey { customer: item.customer, class: item.class };
-            let served = ServedItem { flow_key, tokens: item.tokens, started_at: now };
-            self.in_service.insert(item.ticket, served);
-            self.in_service_tokens += u64::from(item.tokens);
-            actions.push(QueueAction::Dispatch(item.ticket));
+            let flow_key = FlowKey { customer: request.customer, class: request.class };
+            let served = ServedItem { flow_key, tokens: request.tokens, started_at: now };
+            self.in_service.insert(request.ticket, served);
+            self.in_service_tokens += u64::from(request.tokens);
+            actions.push(QueueAction::Dispatch(request.ticket));
         }
         if self.in_service.is_empty() {
             self.live.reset();
@@ -299,10 +299,10 @@
             self.sample_credit -= f64::from(sample_tokens);
             return self.samples.pop();
         }
-        let item = self.live.pop()?;
+        let request = self.live.pop()?;
         let share = f64::from(self.settings.sample_share.min(99)) / 100.0;
-        self.sample_credit += f64::from(item.tokens) * share / (1.0 - share);
-        Some(item)
+        self.sample_credit += f64::from(request.tokens) * share / (1.0 - share);
+        Some(request)
     }
 
     /// Refuses the waiting requests that can no longer be served in time.
@@ -311,14 +311,14 @@
         let estimate = self.estimate();
         let mut late = Vec::new();
         for ring in [&mut self.live, &mut self.samples] {
-            late.extend(ring.retain(|item, before, weight| {
-                let wait = estimate.wait(item.class, before, weight);
-                now + wait + estimate.run_time(item.tokens) <= item.deadline
+            late.extend(ring.retain(|request, before, weight| {
+                let wait = estimate.wait(request.class, before, weight);
+                now + wait + estimate.run_time(request.tokens) <= request.deadline
             }));
         }
-        for item in late {
-            let wait = self.expected_wait(item.customer, item.class);
-            actions.push(self.refuse(item.ticket, wait));
+        for request in late {
+            let wait = self.expected_wait(request.customer, request.class);
+            actions.push(self.refuse(request.ticket, wait));
         }
     }
 
--- a/crates/admission/src/ring.rs
+++ b/crates/admission/src/ring.rs
@@ -52,7 +52,7 @@
 }
 
 impl FlowRing {
-    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, item: QueuedRequest) {
+    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, request: QueuedRequest) {
         let weight = weight.max(1);
         let flow = self.flows.entry(flow_key).or_insert_with(|| Flow {
             weight,
@@ -65,26 +65,26 @@
             self.active_weight += u64::from(weight);
             self.round.push_back(flow_key);
         }
-        flow.waiting.push_back(item);
-        flow.waiting_tokens += u64::from(item.tokens);
-        self.waiting_tokens += u64::from(item.tokens);
+        flow.waiting.push_back(request);
+        flow.waiting_tokens += u64::from(request.tokens);
+        self.waiting_tokens += u64::from(request.tokens);
     }
 
     /// Returns the tokens of the request that [`FlowRing::pop`] takes next.
     pub(crate) fn head_tokens(&mut self) -> Option<u32> {
         let flow_key = self.turn()?;
-        self.flows.get(&flow_key)?.waiting.front().map(|item| item.tokens)
+        self.flows.get(&flow_key)?.waiting.front().map(|request| request.tokens)
     }
 
     pub(crate) fn pop(&mut self) -> Option<QueuedRequest> {
         let flow_key = self.turn()?;
         let flow = self.flows.get_mut(&flow_key)?;
-        let item = flow.waiting.pop_front()?;
-        flow.deficit -= i64::from(item.tokens);
-        flow.waiting_tokens -= u64::from(item.tokens);
-        self.waiting_tokens -= u64::from(item.tokens);
+        let request = flow.waiting.pop_front()?;
+        flow.deficit -= i64::from(request.tokens);
+        flow.waiting_tokens -= u64::from(request.tokens);
+        self.waiting_tokens -= u64::from(request.tokens);
         self.leave_if_empty(flow_key);
-        Some(item)
+        Some(request)
     }
 
     /// Removes requests that fail `keeps`, which also gets the tokens waiting before them in
@@ -97,12 +97,12 @@
         for flow_key in self.round.iter().copied().collect::<Vec<_>>() {
             let Some(flow) = self.flows.get_mut(&flow_key) else { continue };
             let (mut before, weight) = (0, flow.weight);
-            flow.waiting.retain(|item| {
-                let kept = keeps(item, before, weight);
+            flow.waiting.retain(|request| {
+                let kept = keeps(request, before, weight);
                 if kept {
-                    before += u64::from(item.tokens);
+                    before += u64::from(request.tokens);
                 } else {
-                    removed.push(*item);
+                    removed.push(*request);
                 }
                 kept
             });
--- a/crates/admission/tests/limit.rs
+++ b/crates/admission/tests/limit.rs
@@ -17,15 +17,15 @@
 const VMS: usize = 4;
 
 enum Message {
-    Ask(GrantRequest, usize),
+    Request(GrantRequest, usize),
     Grant(LimitGrant),
 }
 
 /// The nodes of one zone. Messages wait until a step delivers or loses them.
 struct Zone {
     now: Moment,
-    shares: Vec<RateLimiter>,
-    desks: Vec<Option<LimitAllocator>>,
+    limiters: Vec<RateLimiter>,
+    allocators: Vec<Option<LimitAllocator>>,
     messages: Vec<Message>,
     /// Side of the partition of each node, all 0 when there is none.
     sides: [usize; VMS],
@@ -38,23 +38,23 @@
         Self::with_limit(ZoneLimit { rate: PART, guaranteed_rate: 0 })
     }
 
-    fn share(now: Moment, incarnation: u64, part: ZoneLimit) -> RateLimiter {
+    fn limiter(now: Moment, incarnation: u64, limit: ZoneLimit) -> RateLimiter {
         let settings = LimiterSettings { burst: Span::from_secs(1), ..LimiterSettings::default() };
-        let mut share = RateLimiter::new(Incarnation(incarnation), settings);
-        share.set_guaranteed_rate(now, CUSTOMER, part.guaranteed_rate);
-        share
+        let mut limiter = RateLimiter::new(Incarnation(incarnation), settings);
+        limiter.set_guaranteed_rate(now, CUSTOMER, limit.guaranteed_rate);
+        limiter
     }
 
-    fn with_limit(part: ZoneLimit) -> Self {
+    fn with_limit(limit: ZoneLimit) -> Self {
         let nodes = 0..VMS as u64;
-        let share = |node| Self::share(Moment(0), node, part);
+        let limiter = |node| Self::limiter(Moment(0), node, limit);
         let mut zone = Self {
             now: Moment(0),
-            shares: nodes.map(share).collect(),
-            desks: vec![None; VMS],
+            limiters: nodes.map(limiter).collect(),
+            allocators: vec![None; VMS],
             messages: Vec::new(),
             sides: [0; VMS],
-            limit: part,
+            limit,
             restarts: 0,
         };
         zone.elect();
@@ -67,17 +67,18 @@
             let side = self.sides[node];
             let live = self.sides.iter().filter(|other| **other == side).count() as u32;
             if self.delegate(node) != node {
-                self.desks[node] = None;
+                self.allocators[node] = None;
                 continue;
             }
-            if let Some(desk) = &mut self.desks[node] {
-                desk.set_live_vms(self.now, live);
+            if let Some(allocator) = &mut self.allocators[node] {
+                allocator.set_live_vms(self.now, live);
                 continue;
             }
             let settings = AllocatorSettings::new(VMS as u32);
-            let mut desk = LimitAllocator::new(self.incarnation(node), settings, self.now, live);
-            desk.set_zone_limit(CUSTOMER, self.limit);
-            self.desks[node] = Some(desk);
+            let mut allocator =
+                LimitAllocator::new(self.incarnation(node), settings, self.now, live);
+            allocator.set_zone_limit(CUSTOMER, self.limit);
+            self.allocators[node] = Some(allocator);
         }
     }
 
@@ -94,20 +95,20 @@
     /// Replaces a process by a new one that keeps nothing.
     fn restart(&mut self, node: usize) {
         self.restarts += 1;
-        self.shares[node] = Self::share(self.now, self.incarnation(node).0, self.limit);
-        self.desks[node] = None;
+        self.limiters[node] = Self::limiter(self.now, self.incarnation(node).0, self.limit);
+        self.allocators[node] = None;
         self.elect();
     }
 
     fn want(&mut self, node: usize, tokens: u32) {
-        self.shares[node].admit(self.now, CUSTOMER, tokens);
-        self.send_asks(node);
+        self.limiters[node].admit(self.now, CUSTOMER, tokens);
+        self.send_requests(node);
     }
 
-    fn send_asks(&mut self, node: usize) {
+    fn send_requests(&mut self, node: usize) {
         let delegate = self.delegate(node);
-        for ask in self.shares[node].due_requests(self.now) {
-            self.messages.push(Message::Ask(ask, delegate));
+        for request in self.limiters[node].due_requests(self.now) {
+            self.messages.push(Message::Request(request, delegate));
         }
     }
 
@@ -116,18 +117,18 @@
             return;
         }
         match self.messages.remove(position % self.messages.len()) {
-            Message::Ask(ask, delegate) => {
-                let Some(desk) = &mut self.desks[delegate] else { return };
-                self.messages.extend(desk.grant(self.now, ask).map(Message::Grant));
+            Message::Request(request, delegate) => {
+                let Some(allocator) = &mut self.allocators[delegate] else { return };
+                self.messages.extend(allocator.grant(self.now, request).map(Message::Grant));
             }
             Message::Grant(grant) => {
-                self.shares[grant.node.0 as usize % VMS].apply_grant(self.now, grant);
+                self.limiters[grant.node.0 as usize % VMS].apply_grant(self.now, grant);
             }
         }
     }
 
     fn sum(&self) -> u32 {
-        self.shares.iter().map(|share| share.rate(self.now, CUSTOMER)).sum()
+        self.limiters.iter().map(|limiter| limiter.rate(self.now, CUSTOMER)).sum()
     }
 
     /// Lets every node want `demands` tokens each second for `secs` seconds.
@@ -158,30 +159,30 @@
 fn shares_follow_demand() {
     let mut zone = Zone::new();
     zone.run(40, [100, 100, 2_000, 0]);
-    let rates = (0..VMS).map(|node| zone.shares[node].rate(zone.now, CUSTOMER));
+    let rates = (0..VMS).map(|node| zone.limiters[node].rate(zone.now, CUSTOMER));
     let rates = rates.collect::<Vec<_>>();
     assert!(rates[2] > 700 && rates[0] >= 90, "{rates:?}");
     zone.run(30, [2_000, 100, 100, 0]);
-    assert!(zone.shares[0].rate(zone.now, CUSTOMER) > 700);
+    assert!(zone.limiters[0].rate(zone.now, CUSTOMER) > 700);
 }
 
 #[test]
 fn share_expires_when_the_delegate_is_out_of_reach() {
     let mut zone = Zone::new();
     zone.run(20, [500; VMS]);
-    assert!(zone.shares[1].rate(zone.now, CUSTOMER) > 0);
-    assert_eq!(zone.shares[1].rate(zone.now + Span::from_secs(10), CUSTOMER), 0);
+    assert!(zone.limiters[1].rate(zone.now, CUSTOMER) > 0);
+    assert_eq!(zone.limiters[1].rate(zone.now + Span::from_secs(10), CUSTOMER), 0);
 }
 
 #[test]
 fn bucket_holds_a_customer_to_the_granted_rate() {
     let mut zone = Zone::new();
     zone.run(20, [500; VMS]);
-    let rate = zone.shares[0].rate(zone.now, CUSTOMER);
+    let rate = zone.limiters[0].rate(zone.now, CUSTOMER);
     let mut admitted = 0;
     for step in 0..500 {
         let now = zone.now + Span::from_millis(step * 10);
-        match zone.shares[0].admit(now, CUSTOMER, 50) {
+        match zone.limiters[0].admit(now, CUSTOMER, 50) {
             LimitDecision::Admitted => admitted += 50,
             LimitDecision::AwaitGrant => panic!("the node has a grant"),
             LimitDecision::Refused(refusal) => assert!(refusal.retry_after.is_some()),
@@ -193,9 +194,9 @@
 }
 
 /// Returns the share of requests refused in the 30 s after the delegate has left for good.
-fn refused_after_delegate_change(part: ZoneLimit, seed: u64) -> f64 {
+fn refused_after_delegate_change(limit: ZoneLimit, seed: u64) -> f64 {
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    let mut zone = Zone::with_limit(part);
+    let mut zone = Zone::with_limit(limit);
     zone.run(40 + generator.random_range(0..3), [200; VMS]);
     zone.sides[0] = 1;
     let left_at = zone.now;
@@ -209,11 +210,11 @@
         for node in 1..VMS {
             if generator.random_ratio(1, 2) {
                 wanted += 1;
-                let answer = zone.shares[node].admit(zone.now, CUSTOMER, 20);
-                refused += u32::from(!matches!(answer, LimitDecision::Admitted));
+                let decision = zone.limiters[node].admit(zone.now, CUSTOMER, 20);
+                refused += u32::from(!matches!(decision, LimitDecision::Admitted));
             }
             if zone.now.since(left_at) >= Span::from_secs(3) {
-                zone.send_asks(node);
+                zone.send_requests(node);
             }
         }
         while !zone.messages.is_empty() {
@@ -228,7 +229,7 @@
 #[test]
 fn reserve_serves_customers_during_a_delegate_change() {
     let mean =
-        |part| (1..=20).map(|seed| refused_after_delegate_change(part, seed)).sum::<f64>() / 20.0;
+        |limit| (1..=20).map(|seed| refused_after_delegate_change(limit, seed)).sum::<f64>() / 20.0;
     let before = mean(ZoneLimit { rate: PART, guaranteed_rate: 0 });
     let after = mean(ZoneLimit::with_guaranteed_rate(PART, VMS as u32));
     println!(
@@ -244,9 +245,9 @@
     #[test]
     fn sum_never_exceeds_the_part(
         steps in prop::collection::vec((0..13_u8, 0..VMS, 1..3_000_u32), 1..300),
-        reserve in prop::sample::select(vec![0, 1, 50, PART / VMS as u32]),
+        guaranteed_rate in prop::sample::select(vec![0, 1, 50, PART / VMS as u32]),
     ) {
-        let mut zone = Zone::with_limit(ZoneLimit { rate: PART, guaranteed_rate: reserve });
+        let mut zone = Zone::with_limit(ZoneLimit { rate: PART, guaranteed_rate });
         for (step, node, amount) in steps {
             match step {
                 0..4 => zone.want(node, amount),
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -18,7 +18,7 @@
     FairQueue::new(QueueSettings::default(), RATE, ChaCha8Rng::seed_from_u64(1))
 }
 
-fn item(ticket: u64, customer: u32, class: RequestClass, tokens: u32) -> QueuedRequest {
+fn request(ticket: u64, customer: u32, class: RequestClass, tokens: u32) -> QueuedRequest {
     let customer = CustomerKey(customer);
     QueuedRequest { ticket: TicketNumber(ticket), customer, class, tokens, deadline: FAR }
 }
@@ -51,8 +51,8 @@
         for number in 0..400 {
             for (flow, (customer, class, tokens)) in self.flows.iter().enumerate() {
                 let ticket = number * self.flows.len() as u64 + flow as u64;
-                let item = item(ticket, *customer, *class, *tokens);
-                apply(&mut queue, QueueEvent::Offered(item), &mut running);
+                let request = request(ticket, *customer, *class, *tokens);
+                apply(&mut queue, QueueEvent::Offered(request), &mut running);
             }
         }
         for _ in 0..400 {
@@ -111,17 +111,17 @@
 fn request_is_refused_at_once_when_the_wait_exceeds_its_deadline() {
     let mut queue = queue();
     for ticket in 0..40 {
-        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100)));
+        queue.handle(Moment(0), QueueEvent::Offered(request(ticket, 0, RequestClass::Live, 100)));
     }
     let deadline = Moment(2_000_000);
-    let late = QueuedRequest { deadline, ..item(40, 0, RequestClass::Live, 100) };
+    let late = QueuedRequest { deadline, ..request(40, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(late));
     let refusal = refusal(&actions).expect("3.9 s of work are ahead of the request");
     assert_eq!(refusal.execution, Execution::NotRun);
     let retry_after = refusal.retry_after.expect("an overload refusal states a retry time");
     assert!((Span::from_millis(3_900)..=Span::from_millis(7_800)).contains(&retry_after));
     // Another customer's share of the service is not used up.
-    let other = QueuedRequest { deadline, ..item(41, 1, RequestClass::Live, 100) };
+    let other = QueuedRequest { deadline, ..request(41, 1, RequestClass::Live, 100) };
     assert_eq!(queue.handle(Moment(0), QueueEvent::Offered(other)).as_slice(), []);
 }
 
@@ -130,8 +130,8 @@
     let mut queue = queue();
     for ticket in 0..10 {
         let deadline = Moment(2_000_000);
-        let item = QueuedRequest { deadline, ..item(ticket, 0, RequestClass::Live, 100) };
-        assert_eq!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(item))), None);
+        let request = QueuedRequest { deadline, ..request(ticket, 0, RequestClass::Live, 100) };
+        assert_eq!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(request))), None);
     }
     let rate = ServiceCapacity { tokens_per_second: 300, ..RATE };
     let actions = queue.handle(Moment(0), QueueEvent::CapacityChanged(rate));
@@ -147,17 +147,17 @@
 fn measured_time_in_service_is_kept_in_reserve_under_load() {
     let mut queue = queue();
     for ticket in 0..20 {
-        let event = QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100));
+        let event = QueueEvent::Offered(request(ticket, 0, RequestClass::Live, 100));
         queue.handle(Moment(0), event);
         let done = QueueEvent::Done { ticket: TicketNumber(ticket), tokens: 100 };
         queue.handle(Moment(1_000_000), done);
     }
     // A request takes 1 s where the rate alone says 0.1 s.
     let deadline = Moment(800_000);
-    let first = QueuedRequest { deadline, ..item(20, 0, RequestClass::Live, 100) };
+    let first = QueuedRequest { deadline, ..request(20, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(first));
     assert_eq!(actions.as_slice(), [QueueAction::Dispatch(TicketNumber(20))]);
-    let second = QueuedRequest { deadline, ..item(21, 0, RequestClass::Live, 100) };
+    let second = QueuedRequest { deadline, ..request(21, 0, RequestClass::Live, 100) };
     assert!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(second))).is_some());
 }
 
@@ -165,7 +165,7 @@
 fn withdrawn_request_is_never_dispatched() {
     let mut queue = queue();
     for ticket in 0..3 {
-        queue.handle(Moment(0), QueueEvent::Offered(item(ticket, 0, RequestClass::Live, 100)));
+        queue.handle(Moment(0), QueueEvent::Offered(request(ticket, 0, RequestClass::Live, 100)));
     }
     queue.handle(Moment(0), QueueEvent::CallerDisconnected(TicketNumber(1)));
     let done = QueueEvent::Done { ticket: TicketNumber(0), tokens: 100 };
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -117,13 +117,13 @@
         settings: LeaseSettings,
         scope: LeaseScope,
         incarnation: Incarnation,
-        candidacy: LeaseRole,
+        role: LeaseRole,
     ) -> Self {
         Self {
             settings,
             scope,
             incarnation,
-            role: candidacy,
+            role,
             claim_delay: Span::ZERO,
             last_attempt: 0,
             chain: None,
@@ -133,8 +133,8 @@
     }
 
     /// Sets whether this process claims a free lease. A lease that it holds is kept.
-    pub const fn set_role(&mut self, candidacy: LeaseRole) {
-        self.role = candidacy;
+    pub const fn set_role(&mut self, role: LeaseRole) {
+        self.role = role;
     }
 
     /// Sets how long this process waits after the earliest moment at which it may claim. Different
@@ -241,14 +241,14 @@
     pub fn permit(
         &self,
         now: Moment,
-        receiver: FencingSupport,
+        fencing_support: FencingSupport,
     ) -> Result<FencingToken, PermitDenial> {
         let Some(tenure) = self.tenure else { return Err(PermitDenial::NotHeld) };
         if now >= tenure.until {
             return Err(PermitDenial::NotHeld);
         }
         let from = tenure.acquired_at + self.settings.extra_wait;
-        if receiver == FencingSupport::Ignored && now < from {
+        if fencing_support == FencingSupport::Ignored && now < from {
             return Err(PermitDenial::ExtraWait(from));
         }
         Ok(tenure.fencing)
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -136,10 +136,12 @@
     pub fn submit(
         &mut self,
         now: Moment,
-        keeper: &LeaseManager,
+        lease_manager: &LeaseManager,
         request: OrderRequest,
     ) -> Result<(OrderId, OrderAction), OrderRefusal> {
-        let Some(fencing) = keeper.held_token(now) else { return Err(OrderRefusal::NotHeld) };
+        let Some(fencing) = lease_manager.held_token(now) else {
+            return Err(OrderRefusal::NotHeld);
+        };
         self.examine(now, fencing);
         if let Some(id) = self.unknown_outcome() {
             return Err(OrderRefusal::OutcomeUnknown(id));
@@ -162,7 +164,7 @@
     pub fn read(
         &mut self,
         now: Moment,
-        keeper: &LeaseManager,
+        lease_manager: &LeaseManager,
         record: &AuthorityRecord,
     ) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
@@ -171,9 +173,9 @@
         }
         match record {
             AuthorityRecord::Intent(intent) => {
-                actions.extend(self.on_intent(now, keeper, intent));
+                actions.extend(self.on_intent(now, lease_manager, intent));
             }
-            AuthorityRecord::Outcome(outcome) if keeper.is_superseded(outcome.fencing) => {}
+            AuthorityRecord::Outcome(outcome) if lease_manager.is_superseded(outcome.fencing) => {}
             AuthorityRecord::Outcome(outcome) => {
                 if self.open.remove(&outcome.id).is_some() {
                     actions.push(OrderAction::Settled(outcome.clone()));
@@ -183,17 +185,21 @@
             | AuthorityRecord::Renewal(_)
             | AuthorityRecord::Release(_) => {}
         }
-        actions.extend(self.tick(now, keeper));
+        actions.extend(self.tick(now, lease_manager));
         actions
     }
 
     /// Sends and asks what is due, while this process holds the lease.
-    pub fn tick(&mut self, now: Moment, keeper: &LeaseManager) -> SmallVec<[OrderAction; 4]> {
+    pub fn tick(
+        &mut self,
+        now: Moment,
+        lease_manager: &LeaseManager,
+    ) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
-        let Some(fencing) = keeper.held_token(now) else { return actions };
+        let Some(fencing) = lease_manager.held_token(now) else { return actions };
         self.examine(now, fencing);
         let settings = self.settings;
-        let may_send = keeper.permit(now, settings.fencing_support).is_ok();
+        let may_send = lease_manager.permit(now, settings.fencing_support).is_ok();
         for (id, open) in &mut self.open {
             match open.stage {
                 OrderStage::Sent { deadline } | OrderStage::Querying { deadline }
@@ -228,10 +234,10 @@
     pub fn permit(
         &self,
         now: Moment,
-        keeper: &LeaseManager,
+        lease_manager: &LeaseManager,
         id: OrderId,
     ) -> Result<FencingToken, PermitDenial> {
-        let fencing = keeper.permit(now, self.settings.fencing_support)?;
+        let fencing = lease_manager.permit(now, self.settings.fencing_support)?;
         match self.open.get(&id) {
             Some(OpenOrder { stage: OrderStage::Sent { deadline }, .. })
                 if now < *deadline && self.tenure == Some(fencing) =>
@@ -246,11 +252,11 @@
     pub fn answer(
         &mut self,
         now: Moment,
-        keeper: &LeaseManager,
+        lease_manager: &LeaseManager,
         id: OrderId,
         answer: OrderResponse,
     ) -> SmallVec<[OrderAction; 4]> {
-        let Some(fencing) = keeper.held_token(now) else { return SmallVec::new() };
+        let Some(fencing) = lease_manager.held_token(now) else { return SmallVec::new() };
         self.examine(now, fencing);
         let Some(open) = self.open.get_mut(&id) else { return SmallVec::new() };
         if matches!(open.stage, OrderStage::IntentPending | OrderStage::OutcomePending) {
@@ -273,7 +279,7 @@
                 open.lose_track(now + self.settings.query_retry_delay);
             }
         }
-        self.tick(now, keeper)
+        self.tick(now, lease_manager)
     }
 
     /// Records that the writer did not take a record that [`OrderAction::Append`] asked for. An
@@ -309,8 +315,8 @@
     /// Returns when [`OrderManager::tick`] next has something to do, or `None` while this process does
     /// not hold the lease or waits only for the log.
     #[must_use]
-    pub fn next_deadline(&self, now: Moment, keeper: &LeaseManager) -> Option<Moment> {
-        let fencing = keeper.held_token(now)?;
+    pub fn next_deadline(&self, now: Moment, lease_manager: &LeaseManager) -> Option<Moment> {
+        let fencing = lease_manager.held_token(now)?;
         if self.tenure != Some(fencing) && !self.open.is_empty() {
             return Some(now);
         }
@@ -319,10 +325,12 @@
             let deadline = match open.stage {
                 OrderStage::Sent { deadline } | OrderStage::Querying { deadline } => deadline,
                 OrderStage::QueryDue { at } => at,
-                OrderStage::SendDue => match keeper.permit(now, self.settings.fencing_support) {
-                    Err(PermitDenial::ExtraWait(until)) => until,
-                    _ => now,
-                },
+                OrderStage::SendDue => {
+                    match lease_manager.permit(now, self.settings.fencing_support) {
+                        Err(PermitDenial::ExtraWait(until)) => until,
+                        _ => now,
+                    }
+                }
                 OrderStage::OutcomePending if open.outcome.is_some() => now,
                 OrderStage::IntentPending | OrderStage::OutcomePending => continue,
             };
@@ -348,17 +356,17 @@
     fn on_intent(
         &mut self,
         now: Moment,
-        keeper: &LeaseManager,
+        lease_manager: &LeaseManager,
         intent: &OrderIntent,
     ) -> Option<OrderAction> {
-        if keeper.is_superseded(intent.fencing) {
+        if lease_manager.is_superseded(intent.fencing) {
             if self.open.get(&intent.id)?.stage != OrderStage::IntentPending {
                 return None;
             }
             self.open.remove(&intent.id);
             return Some(OrderAction::Voided(intent.id));
         }
-        let held = keeper.held_token(now);
+        let held = lease_manager.held_token(now);
         let open = self.open.entry(intent.id).or_insert_with(|| OpenOrder {
             intent: intent.clone(),
             stage: OrderStage::QueryDue { at: now },
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -28,13 +28,13 @@
 }
 
 impl Process {
-    fn new(receiver: FencingSupport) -> Self {
+    fn new(fencing_support: FencingSupport) -> Self {
         let settings = LeaseSettings::default();
-        let mut keeper = LeaseManager::new(settings, scope(), OWN, LeaseRole::Candidate);
-        keeper.restart_from(at(0), LogOffset(0));
-        let settings = OrderSettings { fencing_support: receiver, ..OrderSettings::default() };
+        let mut lease_manager = LeaseManager::new(settings, scope(), OWN, LeaseRole::Candidate);
+        lease_manager.restart_from(at(0), LogOffset(0));
+        let settings = OrderSettings { fencing_support, ..OrderSettings::default() };
         Self {
-            lease_manager: keeper,
+            lease_manager,
             order_manager: OrderManager::new(settings, scope(), OWN),
             next: LogOffset(0),
         }
@@ -76,8 +76,8 @@
 }
 
 /// A process that holds the lease after another process left an intent without outcome.
-fn successor(receiver: FencingSupport) -> (Process, Moment, OrderIntent) {
-    let mut process = Process::new(receiver);
+fn successor(fencing_support: FencingSupport) -> (Process, Moment, OrderIntent) {
+    let mut process = Process::new(fencing_support);
     let claim = LeaseClaim {
         scope: scope(),
         holder: OTHER,
@@ -146,27 +146,30 @@
 #[case::refused(FencingSupport::Checked, Some(OrderState::Refused))]
 #[case::not_found(FencingSupport::Checked, None)]
 #[case::not_found_ignored(FencingSupport::Ignored, None)]
-fn a_successor_reconciles(#[case] receiver: FencingSupport, #[case] known: Option<OrderState>) {
-    let (mut process, now, intent) = successor(receiver);
+fn a_successor_reconciles(
+    #[case] fencing_support: FencingSupport,
+    #[case] known: Option<OrderState>,
+) {
+    let (mut process, now, intent) = successor(fencing_support);
     assert_eq!(process.order(now), Err(OrderRefusal::OutcomeUnknown(INHERITED)));
     assert_eq!(process.order_manager.open_orders(), 1);
     let actions = match known {
         Some(known) => process.answer(now, INHERITED, state(known)),
         None => {
             let mut sent = process.answer(now, INHERITED, OrderResponse::NotFound);
-            if receiver == FencingSupport::Ignored {
+            if fencing_support == FencingSupport::Ignored {
                 assert!(sent.is_empty(), "sent within the extra wait");
                 let from = process
                     .order_manager
                     .next_deadline(now, &process.lease_manager)
                     .expect("a wait");
                 assert_eq!(from, at(45), "30 s after the acquisition");
-                let (keeper, _) = renewed(&process.lease_manager, process.next, from);
-                process.lease_manager = keeper;
+                let (lease_manager, _) = renewed(&process.lease_manager, process.next, from);
+                process.lease_manager = lease_manager;
                 sent = process.tick(from);
             }
             assert_eq!(sent, [OrderAction::Send(intent)], "the same order under the same id");
-            let now = if receiver == FencingSupport::Ignored { at(45) } else { now };
+            let now = if fencing_support == FencingSupport::Ignored { at(45) } else { now };
             process.answer(now, INHERITED, state(OrderState::Accepted))
         }
     };
@@ -178,17 +181,21 @@
 }
 
 /// Renews until the lease covers `until`.
-fn renewed(keeper: &LeaseManager, next: LogOffset, until: Moment) -> (LeaseManager, LogOffset) {
-    let (mut keeper, mut next) = (keeper.clone(), next);
-    while keeper.held_token(until).is_none() {
-        let now = keeper.next_deadline().expect("a renewal is due");
-        for action in keeper.tick(now) {
+fn renewed(
+    lease_manager: &LeaseManager,
+    next: LogOffset,
+    until: Moment,
+) -> (LeaseManager, LogOffset) {
+    let (mut lease_manager, mut next) = (lease_manager.clone(), next);
+    while lease_manager.held_token(until).is_none() {
+        let now = lease_manager.next_deadline().expect("a renewal is due");
+        for action in lease_manager.tick(now) {
             let LeaseAction::Append(record) = action else { panic!("{action:?}") };
-            keeper.read(now, next, &record);
+            lease_manager.read(now, next, &record);
             next = next.next();
         }
     }
-    (keeper, next)
+    (lease_manager, next)
 }
 
 /// Guards against records of a former holder that take effect after its successor's claim.
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -15,11 +15,12 @@
     Moment(0) + Span::from_secs(secs)
 }
 
-fn keeper(first: u64) -> LeaseManager {
+fn lease_manager(first: u64) -> LeaseManager {
     let settings = LeaseSettings::default();
-    let mut keeper = LeaseManager::new(settings, LeaseScope::Usage, OWN, LeaseRole::Candidate);
-    keeper.restart_from(at(0), LogOffset(first));
-    keeper
+    let mut lease_manager =
+        LeaseManager::new(settings, LeaseScope::Usage, OWN, LeaseRole::Candidate);
+    lease_manager.restart_from(at(0), LogOffset(first));
+    lease_manager
 }
 
 fn claim(holder: Incarnation, attempt: u32, clear_from: u64) -> AuthorityRecord {
@@ -71,11 +72,11 @@
 #[case::claim_from_the_future(&[claim(OTHER, 1, 0), claim(THIRD, 1, 9)], Some(0))]
 #[case::nothing(&[renewal(OTHER, 2, 0)], None)]
 fn log_order_settles_claims(#[case] records: &[AuthorityRecord], #[case] in_force: Option<u64>) {
-    let mut keeper = keeper(0);
+    let mut lease_manager = lease_manager(0);
     for (offset, record) in (0..).map(LogOffset).zip(records) {
-        keeper.read(at(0), offset, record);
+        lease_manager.read(at(0), offset, record);
     }
-    assert_eq!(keeper.claim_in_force(), in_force.map(FencingToken));
+    assert_eq!(lease_manager.claim_in_force(), in_force.map(FencingToken));
 }
 
 /// Guards against a successor that claims before term (10 s), margin (2 s) and order timeout (3 s)
@@ -94,53 +95,53 @@
     #[case] records: &[(u64, AuthorityRecord)],
     #[case] claims_at: u64,
 ) {
-    let mut keeper = keeper(first);
+    let mut lease_manager = lease_manager(first);
     let mut offset = LogOffset(first);
     for (secs, record) in records {
-        keeper.read(at(*secs), offset, record);
+        lease_manager.read(at(*secs), offset, record);
         offset = offset.next();
     }
     let due = at(claims_at);
-    assert_eq!(keeper.next_deadline(), Some(due));
+    assert_eq!(lease_manager.next_deadline(), Some(due));
     if due > at(0) {
-        assert!(keeper.tick(due - Span(1)).is_empty(), "the claim is early");
+        assert!(lease_manager.tick(due - Span(1)).is_empty(), "the claim is early");
     }
-    assert!(matches!(appended(&keeper.tick(due)), Some(AuthorityRecord::Claim(_))));
+    assert!(matches!(appended(&lease_manager.tick(due)), Some(AuthorityRecord::Claim(_))));
 }
 
 /// Guards against a lease that counts from the answer instead of from before the sending, and
 /// against orders in the margin.
 #[test]
 fn the_lease_counts_from_before_sending() {
-    let mut keeper = keeper(0);
-    let own = appended(&keeper.tick(at(1))).expect("the stream is empty");
-    assert!(keeper.tick(at(2)).is_empty(), "a second claim while the first is pending");
-    let actions = keeper.read(at(6), LogOffset(0), &own);
+    let mut lease_manager = lease_manager(0);
+    let own = appended(&lease_manager.tick(at(1))).expect("the stream is empty");
+    assert!(lease_manager.tick(at(2)).is_empty(), "a second claim while the first is pending");
+    let actions = lease_manager.read(at(6), LogOffset(0), &own);
     assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(0))]);
-    assert_eq!(keeper.held_token(at(9) - Span(1)), Some(FencingToken(0)));
-    assert_eq!(keeper.held_token(at(9)), None, "8 s after sending the margin begins");
+    assert_eq!(lease_manager.held_token(at(9) - Span(1)), Some(FencingToken(0)));
+    assert_eq!(lease_manager.held_token(at(9)), None, "8 s after sending the margin begins");
 
-    let renewal = appended(&keeper.tick(at(6))).expect("a renewal is due 3 s after sending");
-    keeper.read(at(8), LogOffset(1), &renewal);
-    assert_eq!(keeper.held_token(at(14) - Span(1)), Some(FencingToken(0)));
+    let renewal = appended(&lease_manager.tick(at(6))).expect("a renewal is due 3 s after sending");
+    lease_manager.read(at(8), LogOffset(1), &renewal);
+    assert_eq!(lease_manager.held_token(at(14) - Span(1)), Some(FencingToken(0)));
     assert_eq!(
-        keeper.permit(at(13), FencingSupport::Ignored),
+        lease_manager.permit(at(13), FencingSupport::Ignored),
         Err(PermitDenial::ExtraWait(at(36))),
         "30 s after the claim was read back"
     );
     let lost = LeaseAction::Lost { fencing: FencingToken(0), cause: LossCause::Expired };
-    assert_eq!(keeper.tick(at(14)).as_slice(), [lost]);
-    assert_eq!(keeper.permit(at(14), FencingSupport::Checked), Err(PermitDenial::NotHeld));
+    assert_eq!(lease_manager.tick(at(14)).as_slice(), [lost]);
+    assert_eq!(lease_manager.permit(at(14), FencingSupport::Checked), Err(PermitDenial::NotHeld));
 }
 
 /// Guards against a holder that believes a claim whose lease had ended when it took effect.
 #[test]
 fn a_claim_that_takes_effect_late_gives_no_lease() {
-    let mut keeper = keeper(0);
-    let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
-    assert!(keeper.read(at(8), LogOffset(0), &own).is_empty());
-    assert_eq!(keeper.held_token(at(8)), None);
-    assert_eq!(keeper.next_deadline(), Some(at(23)), "it waits like any successor");
+    let mut lease_manager = lease_manager(0);
+    let own = appended(&lease_manager.tick(at(0))).expect("the stream is empty");
+    assert!(lease_manager.read(at(8), LogOffset(0), &own).is_empty());
+    assert_eq!(lease_manager.held_token(at(8)), None);
+    assert_eq!(lease_manager.next_deadline(), Some(at(23)), "it waits like any successor");
 }
 
 /// Guards against a former holder that goes on after another claim or an unseen part of the log.
@@ -151,39 +152,39 @@
     #[case] event: fn(&mut LeaseManager) -> smallvec::SmallVec<[LeaseAction; 4]>,
     #[case] cause: LossCause,
 ) {
-    let mut keeper = keeper(0);
-    let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
-    keeper.read(at(1), LogOffset(0), &own);
+    let mut lease_manager = lease_manager(0);
+    let own = appended(&lease_manager.tick(at(0))).expect("the stream is empty");
+    lease_manager.read(at(1), LogOffset(0), &own);
     let lost = LeaseAction::Lost { fencing: FencingToken(0), cause };
-    assert_eq!(event(&mut keeper).as_slice(), [lost]);
-    assert_eq!(keeper.held_token(at(2)), None);
+    assert_eq!(event(&mut lease_manager).as_slice(), [lost]);
+    assert_eq!(lease_manager.held_token(at(2)), None);
 }
 
 /// Guards against a reader without the beginning of the stream that takes the lease although a
 /// record it could not judge lies before its claim.
 #[test]
 fn an_unjudged_record_voids_the_own_claim() {
-    let mut keeper = keeper(7);
-    let own = appended(&keeper.tick(at(15))).expect("the wait is over");
-    keeper.read(at(16), LogOffset(7), &renewal(OTHER, 4, 2));
-    assert!(keeper.read(at(16), LogOffset(8), &own).is_empty());
-    assert_eq!(keeper.held_token(at(16)), None);
-
-    let own = appended(&keeper.tick(at(31))).expect("the wait is over");
-    let actions = keeper.read(at(32), LogOffset(9), &own);
+    let mut lease_manager = lease_manager(7);
+    let own = appended(&lease_manager.tick(at(15))).expect("the wait is over");
+    lease_manager.read(at(16), LogOffset(7), &renewal(OTHER, 4, 2));
+    assert!(lease_manager.read(at(16), LogOffset(8), &own).is_empty());
+    assert_eq!(lease_manager.held_token(at(16)), None);
+
+    let own = appended(&lease_manager.tick(at(31))).expect("the wait is over");
+    let actions = lease_manager.read(at(32), LogOffset(9), &own);
     assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(9))]);
 }
 
 /// Guards against a planned stop that keeps successors waiting or lets its own claim win later.
 #[test]
 fn a_resigned_process_releases() {
-    let mut keeper = keeper(0);
-    let own = appended(&keeper.tick(at(0))).expect("the stream is empty");
-    let mut pending = keeper.clone();
-    keeper.read(at(1), LogOffset(0), &own);
+    let mut lease_manager = lease_manager(0);
+    let own = appended(&lease_manager.tick(at(0))).expect("the stream is empty");
+    let mut pending = lease_manager.clone();
+    lease_manager.read(at(1), LogOffset(0), &own);
     let lost = LeaseAction::Lost { fencing: FencingToken(0), cause: LossCause::Released };
-    assert_eq!(keeper.resign().as_slice(), [LeaseAction::Append(release(OWN, 0)), lost]);
-    assert_eq!((keeper.held_token(at(1)), keeper.next_deadline()), (None, None));
+    assert_eq!(lease_manager.resign().as_slice(), [LeaseAction::Append(release(OWN, 0)), lost]);
+    assert_eq!((lease_manager.held_token(at(1)), lease_manager.next_deadline()), (None, None));
 
     assert!(pending.resign().is_empty());
     let actions = pending.read(at(1), LogOffset(0), &own);
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -42,8 +42,8 @@
         path: &str,
         body: &T,
     ) -> Result<HttpResponse, CallError> {
-        let outgoing = HttpRequest::post(engine, path, encode(body)?);
-        self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?.error_for_status()
+        let request = HttpRequest::post(engine, path, encode(body)?);
+        self.http.exchange(request, self.control_timeout, MAX_ANSWER).await?.error_for_status()
     }
 }
 
@@ -56,8 +56,8 @@
         request: &GenerateRequest,
     ) -> Result<TokenStream, CallError> {
         let body = encode(&wire::Generate::from(request))?;
-        let outgoing = HttpRequest::post(engine, "/generate", body);
-        let response = bounded(self.idle_timeout, self.http.open(outgoing)).await?;
+        let http_request = HttpRequest::post(engine, "/generate", body);
+        let response = bounded(self.idle_timeout, self.http.open(http_request)).await?;
         // The engine has received the request, so no status proves that it did not run.
         if !response.status().is_success() {
             return Err(status_error(response.status(), response.headers()));
@@ -71,9 +71,9 @@
     }
 
     async fn report(&self, engine: SocketAddr) -> Result<EngineReport, CallError> {
-        let outgoing = HttpRequest::get(engine, "/load");
-        let answer = self.http.exchange(outgoing, self.control_timeout, MAX_ANSWER).await?;
-        decode::<wire::EngineLoadReport>(&answer.error_for_status()?.body).map(EngineReport::from)
+        let request = HttpRequest::get(engine, "/load");
+        let response = self.http.exchange(request, self.control_timeout, MAX_ANSWER).await?;
+        decode::<wire::EngineLoadReport>(&response.error_for_status()?.body).map(EngineReport::from)
     }
 
     async fn load_version(
@@ -86,8 +86,8 @@
 
     async fn export_kv(&self, engine: SocketAddr, id: &str) -> Result<KvCache, CallError> {
         let body = wire::StreamId { id: String::from(id) };
-        let answer = self.control(engine, "/kv/export", &body).await?;
-        KvCache::try_from(decode::<wire::Kv>(&answer.body)?)
+        let response = self.control(engine, "/kv/export", &body).await?;
+        KvCache::try_from(decode::<wire::Kv>(&response.body)?)
             .map_err(|error| CallError::maybe_run(crate::CallFailure::Malformed, error.to_string()))
     }
 
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -136,12 +136,12 @@
     /// `max_body` or has no `content-length` that confirms it.
     pub async fn exchange(
         &self,
-        outgoing: HttpRequest,
+        request: HttpRequest,
         timeout: Span,
         max_body: usize,
     ) -> Result<HttpResponse, CallError> {
         bounded(timeout, async {
-            let response = self.open(outgoing).await?;
+            let response = self.open(request).await?;
             let status = response.status();
             let headers = response.headers().clone();
             let body = read_body(response, max_body).await?;
@@ -162,11 +162,11 @@
     /// Returns an error when the exchange fails or exceeds `timeout`, or the stream breaks off.
     pub async fn stream_all(
         &self,
-        outgoing: HttpRequest,
+        request: HttpRequest,
         timeout: Span,
     ) -> Result<(u16, Bytes), CallError> {
         bounded(timeout, async {
-            let mut response = self.open(outgoing).await?;
+            let mut response = self.open(request).await?;
             let mut body = BytesMut::new();
             while let Some(chunk) = response.next().await {
                 let chunk = chunk.map_err(|error| {
@@ -180,27 +180,30 @@
     }
 
     /// Sends a request and returns the answer as soon as its head has arrived.
-    pub(crate) async fn open(&self, outgoing: HttpRequest) -> Result<ClientResponse, CallError> {
-        let host = outgoing.address.to_string();
-        let url = format!("http://{host}{}", outgoing.path);
-        let mut request = self.client.request(outgoing.method, url);
-        for (name, value) in outgoing.headers {
+    pub(crate) async fn open(
+        &self,
+        http_request: HttpRequest,
+    ) -> Result<ClientResponse, CallError> {
+        let host = http_request.address.to_string();
+        let url = format!("http://{host}{}", http_request.path);
+        let mut request = self.client.request(http_request.method, url);
+        for (name, value) in http_request.headers {
             request = request.insert_header((name, value));
         }
         if let Some(counter) = &self.transfer {
             // awc adds these headers when it writes the head.
-            let body = outgoing.body.len();
+            let body = http_request.body.len();
             let added = header_len("host", host.len())
                 + header_len("content-length", body.to_string().len())
                 + header_len("accept-encoding", "identity".len())
                 + header_len("date", HTTP_DATE_LEN);
-            let first_line = request.get_method().as_str().len() + outgoing.path.len();
+            let first_line = request.get_method().as_str().len() + http_request.path.len();
             let head = head_len(first_line + "  HTTP/1.1".len(), request.headers());
             counter.count_exchange(head + added + body, 0);
         }
         let sent = match &self.guard {
-            Some(guard) => request.send_body(guard.body(outgoing.body)),
-            None => request.send_body(outgoing.body),
+            Some(guard) => request.send_body(guard.body(http_request.body)),
+            None => request.send_body(http_request.body),
         };
         sent.await.map_err(CallError::from)
     }
--- a/crates/clients/src/platform.rs
+++ b/crates/clients/src/platform.rs
@@ -73,42 +73,43 @@
         body: &T,
         timeout: Span,
     ) -> Result<HttpResponse, CallError> {
-        let outgoing = HttpRequest::post(self.address, path, encode(body)?);
-        self.http.exchange(outgoing, timeout, MAX_ANSWER).await
+        let request = HttpRequest::post(self.address, path, encode(body)?);
+        self.http.exchange(request, timeout, MAX_ANSWER).await
     }
 
     async fn list<T: DeserializeOwned, U: From<T>>(&self, path: &str) -> Result<Vec<U>, CallError> {
-        let answer = self.get(path, self.timeouts.other).await?.error_for_status()?;
-        Ok(decode::<Vec<T>>(&answer.body)?.into_iter().map(U::from).collect())
+        let response = self.get(path, self.timeouts.other).await?.error_for_status()?;
+        Ok(decode::<Vec<T>>(&response.body)?.into_iter().map(U::from).collect())
     }
 }
 
 impl PlatformLog for PlatformClient {
     async fn append(&self, stream: &str, records: &[NewRecord]) -> Result<LogOffset, CallError> {
         let records = records.iter().map(wire::AppendRecord::from).collect::<Vec<_>>();
-        let answer = self.post(&format!("/log/{stream}"), &records, self.timeouts.log).await?;
-        Ok(LogOffset(decode::<wire::Appended>(&answer.error_for_status()?.body)?.first))
+        let response = self.post(&format!("/log/{stream}"), &records, self.timeouts.log).await?;
+        Ok(LogOffset(decode::<wire::Appended>(&response.error_for_status()?.body)?.first))
     }
 
     async fn read(&self, stream: &str, from: LogOffset, max: u32) -> Result<LogPage, CallError> {
         let path = format!("/log/{stream}?from={}&max={max}", from.0);
-        let answer = self.get(path, self.timeouts.log).await?.error_for_status()?;
-        decode::<wire::Page>(&answer.body).map(LogPage::from)
+        let response = self.get(path, self.timeouts.log).await?.error_for_status()?;
+        decode::<wire::Page>(&response.body).map(LogPage::from)
     }
 }
 
 impl UpstreamOrders for PlatformClient {
     async fn place_order(&self, order: &UpstreamOrder) -> Result<OrderInfo, CallError> {
-        let answer = self.post("/orders", &wire::Order::from(order), self.timeouts.order).await?;
-        decode::<wire::OrderReply>(&answer.error_for_status()?.body).map(OrderInfo::from)
+        let response = self.post("/orders", &wire::Order::from(order), self.timeouts.order).await?;
+        decode::<wire::OrderReply>(&response.error_for_status()?.body).map(OrderInfo::from)
     }
 
     async fn find_order(&self, id: &str) -> Result<Option<OrderInfo>, CallError> {
-        let answer = self.get(format!("/orders/{id}"), self.timeouts.other).await?;
-        if answer.status.as_u16() == 404 {
+        let response = self.get(format!("/orders/{id}"), self.timeouts.other).await?;
+        if response.status.as_u16() == 404 {
             return Ok(None);
         }
-        decode::<wire::OrderReply>(&answer.error_for_status()?.body).map(|reply| Some(reply.into()))
+        decode::<wire::OrderReply>(&response.error_for_status()?.body)
+            .map(|reply| Some(reply.into()))
     }
 
     async fn upstreams(&self) -> Result<Vec<UpstreamInfo>, CallError> {
@@ -123,11 +124,11 @@
 impl UsageSink for PlatformClient {
     async fn report_usage(&self, report: &UsageReport) -> Result<ReportOutcome, CallError> {
         let body = wire::Report::from(report);
-        let answer = self.post("/usage-reports", &body, self.timeouts.other).await?;
-        if answer.status.as_u16() == 409 {
+        let response = self.post("/usage-reports", &body, self.timeouts.other).await?;
+        if response.status.as_u16() == 409 {
             return Ok(ReportOutcome::Conflict);
         }
-        answer.error_for_status().map(|_| ReportOutcome::Accepted)
+        response.error_for_status().map(|_| ReportOutcome::Accepted)
     }
 }
 
@@ -144,9 +145,9 @@
         version: WeightVersion,
     ) -> Result<WeightFetch, CallError> {
         let path = format!("/weights/{model}/{}", version.0);
-        let answer = self.get(path, self.timeouts.weights).await?;
-        match answer.error_for_status() {
-            Ok(answer) => Ok(WeightFetch::Fetched(answer.body.len() as u64)),
+        let response = self.get(path, self.timeouts.weights).await?;
+        match response.error_for_status() {
+            Ok(response) => Ok(WeightFetch::Fetched(response.body.len() as u64)),
             Err(error) if error.failure == CallFailure::Status(429) => {
                 Ok(WeightFetch::RateLimited(error.retry_after.unwrap_or(WEIGHT_PAUSE)))
             }
--- a/crates/clients/tests/failures.rs
+++ b/crates/clients/tests/failures.rs
@@ -183,8 +183,8 @@
 async fn redirect_is_not_followed() {
     let answer = "HTTP/1.1 307 Temporary Redirect\r\nlocation: /again\r\ncontent-length: 0\r\n\r\n";
     let (address, accepted) = start(Script::Keep(String::from(answer))).await;
-    let outgoing = HttpRequest::post(address, "/print", "sheet".into());
-    let answer = http().exchange(outgoing, Span::from_secs(30), 1_024).await.unwrap();
+    let request = HttpRequest::post(address, "/print", "sheet".into());
+    let answer = http().exchange(request, Span::from_secs(30), 1_024).await.unwrap();
     assert_eq!((answer.status.as_u16(), accepted.get()), (307, 1));
 }
 
--- a/crates/clients/tests/guard.rs
+++ b/crates/clients/tests/guard.rs
@@ -103,8 +103,8 @@
         counter.set(counter.get() + 1);
         SendPermit::Granted
     });
-    let outgoing = HttpRequest::post(socket.local_addr().unwrap(), "/orders", "order".into());
-    let error = client.exchange(outgoing, LIMIT, 1_024).await.unwrap_err();
+    let request = HttpRequest::post(socket.local_addr().unwrap(), "/orders", "order".into());
+    let error = client.exchange(request, LIMIT, 1_024).await.unwrap_err();
     assert_eq!((error.failure, checks.get()), (CallFailure::Connect, 0));
 }
 
@@ -124,8 +124,8 @@
     let (address, received) = receive(LENGTH).await;
     let permits = RefCell::new(permits);
     let check = move || permits.borrow_mut().pop().expect("the body has five pieces");
-    let outgoing = HttpRequest::post(address, "/usage-reports", Bytes::from(vec![b'x'; LENGTH]));
-    let result = HttpClient::new(LIMIT).guarded(check).exchange(outgoing, LIMIT, 1_024).await;
+    let request = HttpRequest::post(address, "/usage-reports", Bytes::from(vec![b'x'; LENGTH]));
+    let result = HttpClient::new(LIMIT).guarded(check).exchange(request, LIMIT, 1_024).await;
     assert_eq!(result.err().map(|error| error.failure), failure);
     let arrived = body_of(&received.await.unwrap()).len();
     assert_eq!(arrived == LENGTH, failure.is_none(), "{arrived} bytes arrived");
--- a/crates/clients/tests/reset.rs
+++ b/crates/clients/tests/reset.rs
@@ -12,10 +12,10 @@
 #[actix_rt::test]
 async fn call_that_is_given_up_ends_with_a_reset() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let outgoing = HttpRequest::post(listener.local_addr().unwrap(), "/usage", Bytes::from("{}"));
+    let request = HttpRequest::post(listener.local_addr().unwrap(), "/usage", Bytes::from("{}"));
     let client = HttpClient::with_reset_on_close(Span::from_secs(5), Span::from_secs(4));
     let call = actix_rt::spawn(async move {
-        client.exchange(outgoing, Span::from_millis(300), 100).await.map(|_| ())
+        client.exchange(request, Span::from_millis(300), 100).await.map(|_| ())
     });
     let (mut stream, _) = listener.accept().await.unwrap();
     assert!(call.await.unwrap().is_err(), "nobody answers");
--- a/crates/clients/tests/transfer.rs
+++ b/crates/clients/tests/transfer.rs
@@ -34,11 +34,11 @@
     });
     let counter = TransferCounter::default();
     let http = HttpClient::new(Span::from_secs(5)).counted(counter.clone());
-    let outgoing = match body {
+    let request = match body {
         "" => HttpRequest::get(address, "/log/usage?from=0&max=500"),
         body => HttpRequest::post(address, "/peer/1", Bytes::from_static(body.as_bytes())),
     };
-    http.exchange(outgoing, Span::from_secs(20), 100).await.expect("the answer is whole");
+    http.exchange(request, Span::from_secs(20), 100).await.expect("the answer is whole");
     let received = server.join().expect("the server ends");
     let figures = counter.totals();
     assert_eq!(figures.sent, received.len() as u64, "{received}");
--- a/crates/configuration/src/registry.rs
+++ b/crates/configuration/src/registry.rs
@@ -81,9 +81,9 @@
 
 /// The document in force in an environment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ConfigState<'history> {
+pub struct ConfigState<'registry> {
     /// The document.
-    pub document: &'history VersionedDocument,
+    pub document: &'registry VersionedDocument,
     /// Whether the log has confirmed it.
     pub freshness: Freshness,
 }
@@ -117,13 +117,13 @@
     /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: LogOffset, record: &ConfigRecord) -> ConfigOutcome {
         if let Some(oldest) = self.awaits_from {
-            let ConfigRecord::Snapshot(carry) = record else {
+            let ConfigRecord::Snapshot(snapshot_record) = record else {
                 return ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
             };
-            if carry.snapshot.next > offset {
+            if snapshot_record.snapshot.next > offset {
                 return ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
             }
-            return self.restore(oldest, &carry.snapshot);
+            return self.restore(oldest, &snapshot_record.snapshot);
         }
         if offset < self.log.next {
             return ConfigOutcome::Refused(RefusedReason::AlreadyRead);
--- a/crates/configuration/tests/history.rs
+++ b/crates/configuration/tests/history.rs
@@ -15,9 +15,9 @@
 type Check = fn(&EnvironmentName, &str) -> Result<(), String>;
 const RESTART: u32 = 0;
 
-type History = ConfigRegistry<Check>;
+type Registry = ConfigRegistry<Check>;
 
-fn history() -> History {
+fn registry() -> Registry {
     ConfigRegistry::new(|_, text| match text.contains("invalid") {
         true => Err("it says so".to_owned()),
         false => Ok(()),
@@ -50,7 +50,7 @@
 
 /// Builds a log in which operators race, some documents are invalid, and snapshots come late.
 fn racing_log(rng: &mut ChaCha8Rng) -> Vec<ConfigRecord> {
-    let mut reader = history();
+    let mut reader = registry();
     let mut snapshots: Vec<ConfigSnapshot> = Vec::new();
     let mut log = Vec::new();
     for sequence in 1..=120 {
@@ -85,7 +85,7 @@
 fn versions_agree_and_never_go_back(#[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)] seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let log = racing_log(&mut rng);
-    let mut whole = history();
+    let mut whole = registry();
     let mut accepted = BTreeMap::new();
     for (offset, record) in (0..).map(LogOffset).zip(&log) {
         whole.apply(offset, record);
@@ -93,7 +93,7 @@
             accepted.insert((document.environment.clone(), document.version), document.clone());
         }
     }
-    let mut nodes: Vec<History> = (0..4).map(|_| history()).collect();
+    let mut nodes: Vec<Registry> = (0..4).map(|_| registry()).collect();
     let mut restored = 0;
     for _ in 0..400 {
         let index = rng.random_range(0..nodes.len());
@@ -101,7 +101,7 @@
         let oldest = LogOffset(rng.random_range(0..log.len() as u64));
         let step = rng.random_range(0..20);
         match step {
-            RESTART => nodes[index] = history(),
+            RESTART => nodes[index] = registry(),
             1 => nodes[index].note_retention(oldest),
             2..=4 => {
                 let peer = nodes[rng.random_range(0..nodes.len())].clone();
@@ -149,7 +149,7 @@
 /// Guards against a loser that is accepted, or that is not told what it lost against.
 #[test]
 fn loser_learns_the_winning_version() {
-    let mut node = history();
+    let mut node = registry();
     let accepted = |environment: &str, version| ConfigOutcome::Accepted {
         environment: environment.into(),
         version: ConfigVersion(version),
@@ -181,12 +181,12 @@
 fn copy_of_a_peer_is_marked_until_the_log_confirms_it() {
     let trial = "trial".into();
     let log = [edit(1, "trial", 0, "one"), edit(2, "trial", 1, "two")];
-    let mut peer = history();
+    let mut peer = registry();
     for (offset, record) in (0..).map(LogOffset).zip(&log) {
         peer.apply(offset, record);
     }
     let copy = peer.in_force(&trial).unwrap().document;
-    let mut node = history();
+    let mut node = registry();
     assert_eq!(node.adopt_peer_document(copy), PeerOutcome::Adopted(ConfigVersion(2)));
     assert_eq!(node.adopt_peer_document(copy), PeerOutcome::NotNewer);
     node.apply(LogOffset(0), &log[0]);
@@ -203,25 +203,25 @@
     let trial = "trial".into();
     let log =
         [edit(1, "trial", 0, "one"), edit(2, "trial", 1, "two"), edit(3, "trial", 2, "three")];
-    let mut whole = history();
+    let mut whole = registry();
     let snapshots = [0, 1, 2].map(|offset| {
         whole.apply(LogOffset(offset), &log[offset as usize]);
         whole.snapshot().unwrap().clone()
     });
-    let carry = |index: usize| {
+    let snapshot = |index: usize| {
         ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: snapshots[index].clone() })
     };
-    let mut node = history();
+    let mut node = registry();
     node.note_retention(LogOffset(2));
     let refused = ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
     assert_eq!(node.apply(LogOffset(2), &log[2]), refused);
-    assert_eq!(node.apply(LogOffset(3), &carry(0)), refused);
-    assert_eq!(node.apply(LogOffset(4), &carry(1)), ConfigOutcome::Restored(LogOffset(2)));
+    assert_eq!(node.apply(LogOffset(3), &snapshot(0)), refused);
+    assert_eq!(node.apply(LogOffset(4), &snapshot(1)), ConfigOutcome::Restored(LogOffset(2)));
     node.apply(LogOffset(2), &log[2]);
     assert_eq!(node.version(&trial), ConfigVersion(3));
     // A later snapshot record with an older state does not supersede what the log has shown.
     let ignored = ConfigOutcome::Refused(RefusedReason::NotNeeded);
-    assert_eq!(node.apply(LogOffset(5), &carry(0)), ignored);
+    assert_eq!(node.apply(LogOffset(5), &snapshot(0)), ignored);
     assert_eq!(node.in_force(&trial), whole.in_force(&trial));
 }
 
@@ -229,7 +229,7 @@
 #[test]
 fn rebuilt_snapshot_does_not_revert_a_node() {
     let trial = "trial".into();
-    let mut informed = history();
+    let mut informed = registry();
     informed.apply(LogOffset(0), &edit(1, "trial", 0, "one"));
     let mut holder = informed.clone();
     informed.apply(LogOffset(1), &edit(2, "trial", 1, "two"));
@@ -238,8 +238,8 @@
     }
     let rebuilt = holder.rebuilt_snapshot().unwrap();
     assert_eq!((rebuilt.next, rebuilt.version(&trial)), (LogOffset(8), ConfigVersion(1)));
-    let carry = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: rebuilt });
-    assert_eq!(informed.apply(LogOffset(9), &carry), ConfigOutcome::Restored(LogOffset(8)));
+    let snapshot = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: rebuilt });
+    assert_eq!(informed.apply(LogOffset(9), &snapshot), ConfigOutcome::Restored(LogOffset(8)));
     let state = informed.in_force(&trial).unwrap();
     assert_eq!((state.document.text.as_str(), state.freshness), ("two", Freshness::PossiblyStale));
     assert_eq!(informed.rebuilt_snapshot(), None);
--- a/crates/delivery/src/attempt.rs
+++ b/crates/delivery/src/attempt.rs
@@ -115,9 +115,9 @@
 impl AttemptTracker {
     /// Starts to follow a request that must be answered before `deadline`.
     #[must_use]
-    pub fn new(kind: RequestIdempotency, deadline: Moment, policy: RetryPolicy) -> Self {
+    pub fn new(idempotency: RequestIdempotency, deadline: Moment, policy: RetryPolicy) -> Self {
         Self {
-            idempotency: kind,
+            idempotency,
             policy,
             deadline,
             state: AttemptState::Waiting,
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -211,7 +211,7 @@
                 self.withdraw(request);
                 ClaimActions::new()
             }
-            ClaimEvent::LogAvailabilityChanged(reach) => self.log_changed(reach),
+            ClaimEvent::LogAvailabilityChanged(availability) => self.log_changed(availability),
             ClaimEvent::Tick => self.tick(now, wall),
         }
     }
@@ -219,8 +219,8 @@
     /// Returns when [`ClaimEvent::Tick`] is due, or `None` when no request waits.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let waiting = self.own.values().filter(|ask| ask.state == RequestState::Waiting);
-        waiting.map(|ask| ask.deadline).min()
+        let waiting = self.own.values().filter(|request| request.state == RequestState::Waiting);
+        waiting.map(|request| request.deadline).min()
     }
 
     /// Returns the request that holds `claim` by the log read so far, also after it has ended.
@@ -343,9 +343,9 @@
         }
     }
 
-    fn log_changed(&mut self, reach: LogAvailability) -> ClaimActions {
-        self.log = reach;
-        if reach == LogAvailability::Up {
+    fn log_changed(&mut self, availability: LogAvailability) -> ClaimActions {
+        self.log = availability;
+        if availability == LogAvailability::Up {
             return ClaimActions::new();
         }
         self.withdraw_where(|_| true)
@@ -353,11 +353,13 @@
 
     fn tick(&mut self, now: Moment, wall: WallTime) -> ClaimActions {
         self.held.retain(|_, held| wall < later(held.taken.expires_at, KEEP_AFTER_EXPIRY));
-        let expired = self.withdraw_where(|ask| ask.deadline <= now);
+        let expired = self.withdraw_where(|request| request.deadline <= now);
         let held = &self.held;
-        self.own.retain(|_, ask| {
-            let is_over = wall >= later(ask.taken.expires_at, KEEP_AFTER_EXPIRY);
-            ask.state != RequestState::Withdrawn || !is_over || held.contains_key(&ask.taken.claim)
+        self.own.retain(|_, request| {
+            let is_over = wall >= later(request.taken.expires_at, KEEP_AFTER_EXPIRY);
+            request.state != RequestState::Withdrawn
+                || !is_over
+                || held.contains_key(&request.taken.claim)
         });
         expired
     }
--- a/crates/delivery/src/stream.rs
+++ b/crates/delivery/src/stream.rs
@@ -163,7 +163,7 @@
                 self.current = Some((ExchangeNumber(self.exchanges), upstream));
                 StreamActions::new()
             }
-            StreamEvent::Token { exchange, token: piece } => self.token(exchange, piece),
+            StreamEvent::Token { exchange, token } => self.token(exchange, token),
             StreamEvent::End { exchange, marker } => self.end(exchange, marker),
             StreamEvent::Closed { exchange } if self.is_current(exchange) => self.broken(),
             StreamEvent::Closed { .. } => StreamActions::new(),
@@ -213,22 +213,22 @@
         self.current.is_some_and(|(current, _)| current == exchange)
     }
 
-    fn token(&mut self, exchange: ExchangeNumber, piece: AnswerToken) -> StreamActions {
-        let is_repeat = piece.index < self.next_index;
-        if !self.is_current(exchange) || piece.request != self.request || is_repeat {
+    fn token(&mut self, exchange: ExchangeNumber, answer_token: AnswerToken) -> StreamActions {
+        let is_repeat = answer_token.index < self.next_index;
+        if !self.is_current(exchange) || answer_token.request != self.request || is_repeat {
             self.dropped += 1;
             return StreamActions::new();
         }
-        if piece.index > self.next_index {
+        if answer_token.index > self.next_index {
             // A token between was lost. What follows cannot be delivered without a gap.
             self.dropped += 1;
             return self.broken();
         }
         self.next_index += 1;
-        if !self.versions.contains(&piece.version) {
-            self.versions.push(piece.version);
+        if !self.versions.contains(&answer_token.version) {
+            self.versions.push(answer_token.version);
         }
-        let AnswerToken { index, token, version, .. } = piece;
+        let AnswerToken { index, token, version, .. } = answer_token;
         StreamActions::from_iter([StreamAction::Deliver { index, token, version }])
     }
 
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -227,8 +227,8 @@
                 self.isolation.load_reported(now, upstream, requests, measured_at)
             }
             SuspectEvent::SuspicionReceived(note) => self.suspicion_received(now, wall, note),
-            SuspectEvent::ConvictionReceived(verdict) => {
-                self.conviction_received(now, wall, verdict)
+            SuspectEvent::ConvictionReceived(conviction) => {
+                self.conviction_received(now, wall, conviction)
             }
             SuspectEvent::IsolationReceived(notice) => self.isolation.heard(now, notice),
             SuspectEvent::IsolationEnded(notice) => self.isolation.forget(now, notice),
@@ -318,26 +318,26 @@
         let mut actions = SuspectActions::new();
         for fingerprint in victims {
             let crashed = SmallVec::from_iter([upstream]);
-            let note = Suspicion { fingerprint, crashed, expires_at };
-            actions.extend(self.suspect(now, wall, note));
+            let suspicion = Suspicion { fingerprint, crashed, expires_at };
+            actions.extend(self.suspect(now, wall, suspicion));
         }
         actions.extend(self.isolation.crashed(now, upstream));
         actions
     }
 
     /// Merges a suspicion, spreads it when it is new, and convicts on the second upstream.
-    fn suspect(&mut self, now: Moment, wall: WallTime, note: Suspicion) -> SuspectActions {
-        let fingerprint = note.fingerprint;
-        if wall >= note.expires_at || self.convictions.contains_key(&fingerprint) {
+    fn suspect(&mut self, now: Moment, wall: WallTime, suspicion: Suspicion) -> SuspectActions {
+        let fingerprint = suspicion.fingerprint;
+        if wall >= suspicion.expires_at || self.convictions.contains_key(&fingerprint) {
             return SuspectActions::new();
         }
         let known = self.suspicions.entry(fingerprint).or_insert_with(|| SuspicionState {
             crashed: SmallVec::new(),
-            expires_at: note.expires_at,
+            expires_at: suspicion.expires_at,
         });
-        known.expires_at = known.expires_at.max(note.expires_at);
+        known.expires_at = known.expires_at.max(suspicion.expires_at);
         let before = known.crashed.len();
-        for upstream in note.crashed {
+        for upstream in suspicion.crashed {
             if !known.crashed.contains(&upstream) {
                 known.crashed.push(upstream);
             }
@@ -345,9 +345,9 @@
         let is_new = known.crashed.len() > before;
         if known.crashed.len() >= 2 {
             let expires_at = later(wall, self.policy.lifetime);
-            let verdict = Conviction { fingerprint, expires_at };
-            let mut actions = SuspectActions::from_iter([SuspectAction::Convict(verdict)]);
-            actions.extend(self.conviction_received(now, wall, verdict));
+            let conviction = Conviction { fingerprint, expires_at };
+            let mut actions = SuspectActions::from_iter([SuspectAction::Convict(conviction)]);
+            actions.extend(self.conviction_received(now, wall, conviction));
             return actions;
         }
         if !is_new {
@@ -355,17 +355,17 @@
         }
         let crashed = known.crashed.clone();
         let expires_at = known.expires_at;
-        let note = Suspicion { fingerprint, crashed, expires_at };
-        SuspectActions::from_iter([SuspectAction::BroadcastSuspicion(note)])
+        let suspicion = Suspicion { fingerprint, crashed, expires_at };
+        SuspectActions::from_iter([SuspectAction::BroadcastSuspicion(suspicion)])
     }
 
     fn suspicion_received(
         &mut self,
         now: Moment,
         wall: WallTime,
-        note: Suspicion,
+        suspicion: Suspicion,
     ) -> SuspectActions {
-        let mut actions = self.suspect(now, wall, note);
+        let mut actions = self.suspect(now, wall, suspicion);
         // The node that saw the crash spreads the note, so a hearer does not repeat it.
         actions.retain(|action| !matches!(action, SuspectAction::BroadcastSuspicion(_)));
         actions
@@ -375,32 +375,33 @@
         &mut self,
         now: Moment,
         wall: WallTime,
-        verdict: Conviction,
+        conviction: Conviction,
     ) -> SuspectActions {
-        if wall >= verdict.expires_at {
+        if wall >= conviction.expires_at {
             return SuspectActions::new();
         }
-        let expires_at = self.convictions.entry(verdict.fingerprint).or_insert(verdict.expires_at);
-        *expires_at = (*expires_at).max(verdict.expires_at);
+        let expires_at =
+            self.convictions.entry(conviction.fingerprint).or_insert(conviction.expires_at);
+        *expires_at = (*expires_at).max(conviction.expires_at);
         let retry_after = between(wall, *expires_at);
-        self.suspicions.remove(&verdict.fingerprint);
+        self.suspicions.remove(&conviction.fingerprint);
         let mut actions = SuspectActions::new();
-        for ask in self.isolation.take_waiting(verdict.fingerprint, &mut actions) {
-            actions.push(refuse_convicted(&ask, retry_after));
+        for request in self.isolation.take_waiting(conviction.fingerprint, &mut actions) {
+            actions.push(refuse_convicted(&request, retry_after));
         }
         actions.extend(self.isolation.tick(now));
         actions
     }
 }
 
-fn refuse_convicted(ask: &IsolationRequest, retry_after: Span) -> SuspectAction {
+fn refuse_convicted(request: &IsolationRequest, retry_after: Span) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::Convicted,
-        execution: ask.execution,
+        execution: request.execution,
         retry_after: Some(retry_after),
         message: String::from("the request has crashed upstreams and is blocked"),
     };
-    SuspectAction::Refuse { request: ask.request, refusal }
+    SuspectAction::Refuse { request: request.request, refusal }
 }
 
 const fn later(time: WallTime, span: Span) -> WallTime {
--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -65,35 +65,35 @@
     pub(super) fn enqueue(
         &mut self,
         now: Moment,
-        ask: IsolationRequest,
+        request: IsolationRequest,
         crashed: &[UpstreamKey],
     ) -> SuspectActions {
-        if self.peers.keys().any(|notice| notice.fingerprint == ask.fingerprint) {
+        if self.peers.keys().any(|notice| notice.fingerprint == request.fingerprint) {
             let message = "another node is testing the same request";
-            return SuspectActions::from_iter([refuse(&ask, self.run_time, message)]);
+            return SuspectActions::from_iter([refuse(&request, self.run_time, message)]);
         }
-        let Some(upstream) = self.choose(&ask, crashed) else {
-            let mut held = ask.upstreams.iter().filter(|key| self.is_reserved_by_peer(**key));
-            let in_time = now + self.policy.settle_time + self.run_time <= ask.deadline;
+        let Some(upstream) = self.choose(&request, crashed) else {
+            let mut held = request.upstreams.iter().filter(|key| self.is_reserved_by_peer(**key));
+            let in_time = now + self.policy.settle_time + self.run_time <= request.deadline;
             if in_time && held.next().is_some() {
-                self.parked.push((ask, SmallVec::from_slice(crashed)));
+                self.parked.push((request, SmallVec::from_slice(crashed)));
                 return SuspectActions::new();
             }
             let message =
                 "no upstream can be kept free for a request that was in flight at a crash";
             let retry_after = self.run_time + self.policy.settle_time;
-            return SuspectActions::from_iter([refuse(&ask, retry_after, message)]);
+            return SuspectActions::from_iter([refuse(&request, retry_after, message)]);
         };
         let queued = self
             .slots
             .get(&upstream)
             .map_or(0, |slot| slot.waiting.len() as u64 + u64::from(slot.running.is_some()));
         let wait = self.policy.settle_time + Span(self.run_time.0.saturating_mul(queued));
-        if now + wait + self.run_time > ask.deadline {
+        if now + wait + self.run_time > request.deadline {
             let message = "no upstream is free for an isolated run within the deadline";
-            return SuspectActions::from_iter([refuse(&ask, wait, message)]);
+            return SuspectActions::from_iter([refuse(&request, wait, message)]);
         }
-        let notice = self.notice(upstream, ask.fingerprint);
+        let notice = self.notice(upstream, request.fingerprint);
         let slot = self.slots.entry(upstream).or_insert_with(|| IsolationSlot {
             reserved_at: now,
             seen_empty: false,
@@ -101,7 +101,7 @@
             waiting: VecDeque::new(),
         });
         let crashed = SmallVec::from_slice(crashed);
-        slot.waiting.push_back(WaitingRequest { request: ask, crashed, announced_at: now });
+        slot.waiting.push_back(WaitingRequest { request, crashed, announced_at: now });
         SuspectActions::from_iter([SuspectAction::Reserve(notice)])
     }
 
@@ -157,9 +157,9 @@
             let slot = self.slots.remove(&notice.upstream).expect("the slot was just found");
             actions.extend(self.requeue(now, notice.upstream, slot.waiting));
         }
-        for ask in self.take_waiting(notice.fingerprint, &mut actions) {
+        for request in self.take_waiting(notice.fingerprint, &mut actions) {
             let message = "another node is testing the same request";
-            actions.push(refuse(&ask, self.run_time, message));
+            actions.push(refuse(&request, self.run_time, message));
         }
         actions.extend(self.tick(now));
         actions
@@ -190,8 +190,8 @@
     }
 
     pub(super) fn crashed(&mut self, now: Moment, upstream: UpstreamKey) -> SuspectActions {
-        for (ask, _) in &mut self.parked {
-            ask.upstreams.retain(|found| *found != upstream);
+        for (request, _) in &mut self.parked {
+            request.upstreams.retain(|found| *found != upstream);
         }
         let Some(slot) = self.slots.remove(&upstream) else { return SuspectActions::new() };
         let mut actions = SuspectActions::new();
@@ -208,9 +208,10 @@
         fingerprint: Fingerprint,
         actions: &mut SuspectActions,
     ) -> Vec<IsolationRequest> {
-        let is_meant = |(ask, _): &mut (IsolationRequest, _)| ask.fingerprint == fingerprint;
+        let is_meant =
+            |(request, _): &mut (IsolationRequest, _)| request.fingerprint == fingerprint;
         let parked = self.parked.extract_if(.., is_meant);
-        let mut taken = parked.map(|(ask, _)| ask).collect::<Vec<_>>();
+        let mut taken = parked.map(|(request, _)| request).collect::<Vec<_>>();
         for (upstream, slot) in &mut self.slots {
             let before = taken.len();
             slot.waiting.retain(|waiting| {
@@ -292,10 +293,9 @@
             let start = head.map(|head| head.announced_at + self.policy.settle_time);
             refusals.chain(start)
         });
-        let parked = self
-            .parked
-            .iter()
-            .map(|(ask, _)| ask.deadline - self.run_time - self.policy.settle_time + Span(1));
+        let parked = self.parked.iter().map(|(request, _)| {
+            request.deadline - self.run_time - self.policy.settle_time + Span(1)
+        });
         due.chain(parked).min()
     }
 
@@ -308,24 +308,26 @@
     }
 
     /// Picks the slot of the same fingerprint, else a new one, else the shortest queue.
-    fn choose(&self, ask: &IsolationRequest, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
+    fn choose(&self, request: &IsolationRequest, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
         let usable = |upstream: &UpstreamKey| {
-            ask.upstreams.contains(upstream) && !crashed.contains(upstream)
+            request.upstreams.contains(upstream) && !crashed.contains(upstream)
         };
         let same = self.slots.iter().find(|(_, slot)| {
             let waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
             let running = slot.running.iter().map(|run| run.fingerprint);
-            running.chain(waiting).any(|fingerprint| fingerprint == ask.fingerprint)
+            running.chain(waiting).any(|fingerprint| fingerprint == request.fingerprint)
         });
         if let Some((upstream, _)) = same {
             return Some(*upstream).filter(usable);
         }
-        let live = ask.upstreams.len();
-        let reserved = ask.upstreams.iter().filter(|upstream| self.is_reserved(**upstream)).count();
+        let live = request.upstreams.len();
+        let reserved =
+            request.upstreams.iter().filter(|upstream| self.is_reserved(**upstream)).count();
         // One upstream is left for other requests even when the route has only two.
         let bound = (live / UPSTREAMS_PER_SLOT).max(1).min(live.saturating_sub(1));
         if reserved < bound {
-            let mut free = ask.upstreams.iter().filter(|upstream| !self.is_reserved(**upstream));
+            let mut free =
+                request.upstreams.iter().filter(|upstream| !self.is_reserved(**upstream));
             if let Some(upstream) = free.find(|upstream| usable(upstream)) {
                 return Some(*upstream);
             }
@@ -341,11 +343,11 @@
         waiting: VecDeque<WaitingRequest>,
     ) -> SuspectActions {
         let mut actions = SuspectActions::new();
-        for WaitingRequest { request: mut ask, crashed, .. } in waiting {
-            let notice = self.notice(upstream, ask.fingerprint);
+        for WaitingRequest { mut request, crashed, .. } in waiting {
+            let notice = self.notice(upstream, request.fingerprint);
             actions.push(SuspectAction::Release(notice));
-            ask.upstreams.retain(|found| *found != upstream);
-            actions.extend(self.enqueue(now, ask, &crashed));
+            request.upstreams.retain(|found| *found != upstream);
+            actions.extend(self.enqueue(now, request, &crashed));
         }
         actions
     }
@@ -359,12 +361,12 @@
     }
 }
 
-fn refuse(ask: &IsolationRequest, retry_after: Span, message: &str) -> SuspectAction {
+fn refuse(request: &IsolationRequest, retry_after: Span, message: &str) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::NoUpstream,
-        execution: ask.execution,
+        execution: request.execution,
         retry_after: Some(retry_after),
         message: String::from(message),
     };
-    SuspectAction::Refuse { request: ask.request, refusal }
+    SuspectAction::Refuse { request: request.request, refusal }
 }
--- a/crates/delivery/tests/attempt.rs
+++ b/crates/delivery/tests/attempt.rs
@@ -9,19 +9,19 @@
 const U: UpstreamKey = UpstreamKey(0);
 const DEADLINE: Moment = Moment(10_000_000);
 
-fn tracker(kind: RequestIdempotency) -> AttemptTracker {
-    AttemptTracker::new(kind, DEADLINE, RetryPolicy::default())
+fn tracker(idempotency: RequestIdempotency) -> AttemptTracker {
+    AttemptTracker::new(idempotency, DEADLINE, RetryPolicy::default())
 }
 
 /// Applies the events and returns the actions of the last one in short form.
-fn check(kind: RequestIdempotency, events: &[AttemptEvent], expected: &[&str]) {
-    let mut tracker = tracker(kind);
+fn check(idempotency: RequestIdempotency, events: &[AttemptEvent], expected: &[&str]) {
+    let mut tracker = tracker(idempotency);
     let mut last = Vec::new();
     for event in events {
         let actions = tracker.handle(Moment(1), event.clone());
         last = actions.iter().map(describe).collect::<Vec<_>>();
     }
-    assert_eq!(last, expected, "{kind:?} after {events:?}");
+    assert_eq!(last, expected, "{idempotency:?} after {events:?}");
 }
 
 fn describe(action: &AttemptAction) -> String {
@@ -41,14 +41,14 @@
 #[case::once_only_sent(RequestIdempotency::NonIdempotent, true, &["close", "upstream-failed may-have-run"])]
 #[case::idempotent_sent(RequestIdempotency::Idempotent, true, &["close", "retry"])]
 fn failure_is_retried_only_when_truthful(
-    #[case] kind: RequestIdempotency,
+    #[case] idempotency: RequestIdempotency,
     #[case] sent: bool,
     #[case] expected: &[&str],
 ) {
     let mut events = vec![AttemptEvent::Chosen(U)];
     events.extend(sent.then_some(AttemptEvent::Sending));
     events.push(AttemptEvent::Failed(FailureCause::ConnectionBroken));
-    check(kind, &events, expected);
+    check(idempotency, &events, expected);
 }
 
 #[test]
--- a/crates/delivery/tests/stream.rs
+++ b/crates/delivery/tests/stream.rs
@@ -15,11 +15,11 @@
 const OTHER: RequestId = RequestId { node: Incarnation(1), sequence: 2 };
 const DEADLINE: Moment = Moment(1_000);
 
-fn piece(exchange: u32, request: RequestId, index: u64) -> StreamEvent {
+fn answer_token(exchange: u32, request: RequestId, index: u64) -> StreamEvent {
     let token = format!("t{index}");
     let version = WeightVersion(u64::from(exchange));
-    let piece = AnswerToken { request, index, token, version };
-    StreamEvent::Token { exchange: ExchangeNumber(exchange), token: piece }
+    let answer_token = AnswerToken { request, index, token, version };
+    StreamEvent::Token { exchange: ExchangeNumber(exchange), token: answer_token }
 }
 
 fn end(exchange: u32, tokens: u64) -> StreamEvent {
@@ -57,13 +57,13 @@
 fn pieces_of_other_requests_and_exchanges_are_dropped() {
     let events = vec![
         opened(0),
-        piece(1, OWN, 0),
-        piece(1, OTHER, 1),
-        piece(1, OWN, 0),
+        answer_token(1, OWN, 0),
+        answer_token(1, OTHER, 1),
+        answer_token(1, OWN, 0),
         closed(1),
         opened(1),
-        piece(1, OWN, 1),
-        piece(2, OWN, 1),
+        answer_token(1, OWN, 1),
+        answer_token(2, OWN, 1),
         end(1, 1),
         end(2, 2),
     ];
@@ -71,17 +71,25 @@
 }
 
 #[rstest]
-#[case::missing_piece(piece(1, OWN, 2))]
+#[case::missing_piece(answer_token(1, OWN, 2))]
 #[case::early_end_marker(end(1, 5))]
 #[case::no_end_marker(closed(1))]
 fn truncation_resumes_at_the_offset(#[case] fault: StreamEvent) {
-    let events = vec![opened(0), piece(1, OWN, 0), fault, opened(1), piece(2, OWN, 1), end(2, 2)];
+    let events = vec![
+        opened(0),
+        answer_token(1, OWN, 0),
+        fault,
+        opened(1),
+        answer_token(2, OWN, 1),
+        end(2, 2),
+    ];
     check(events, &["t0", "close 1", "resume 1", "t1", "complete 2"]);
 }
 
 #[test]
 fn exhausted_resumes_end_with_an_explicit_error() {
-    let events = vec![opened(0), closed(1), opened(1), closed(2), opened(2), piece(3, OWN, 0)];
+    let events =
+        vec![opened(0), closed(1), opened(1), closed(2), opened(2), answer_token(3, OWN, 0)];
     check(events, &["close 1", "resume 0", "close 2", "ResumesExhausted"]);
     check(
         vec![opened(0), closed(1), StreamEvent::NoUpstream],
@@ -103,7 +111,8 @@
 #[test]
 fn versions_of_a_resumed_answer_are_all_named() {
     let mut assembler = StreamAssembler::new(OWN, DEADLINE, 1);
-    for event in [opened(0), piece(1, OWN, 0), closed(1), opened(1), piece(2, OWN, 1)] {
+    for event in [opened(0), answer_token(1, OWN, 0), closed(1), opened(1), answer_token(2, OWN, 1)]
+    {
         assembler.handle(Moment(0), event);
     }
     assert_eq!(assembler.versions(), [WeightVersion(1), WeightVersion(2)]);
@@ -133,8 +142,8 @@
                 0 => opened(exchange),
                 1 => closed(exchange),
                 2 => end(exchange, index),
-                3 => piece(exchange, OTHER, index),
-                _ => piece(exchange, OWN, index),
+                3 => answer_token(exchange, OTHER, index),
+                _ => answer_token(exchange, OWN, index),
             };
             for action in assembler.handle(Moment(0), event) {
                 match action {
--- a/crates/delivery/tests/suspect.rs
+++ b/crates/delivery/tests/suspect.rs
@@ -64,8 +64,10 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::BroadcastSuspicion(note) => SuspectEvent::SuspicionReceived(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::ConvictionReceived(verdict),
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    SuspectEvent::SuspicionReceived(suspicion)
+                }
+                SuspectAction::Convict(conviction) => SuspectEvent::ConvictionReceived(conviction),
                 SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
@@ -181,8 +183,8 @@
     }
     assert!(cluster.lost <= 2 * killers.len(), "{} upstreams lost", cluster.lost);
     for killer in &killers {
-        let judgement = cluster.nodes[0].fingerprint_status(cluster.wall(), *killer);
-        assert!(matches!(judgement, FingerprintStatus::Convicted { .. }), "{judgement:?}");
+        let status = cluster.nodes[0].fingerprint_status(cluster.wall(), *killer);
+        assert!(matches!(status, FingerprintStatus::Convicted { .. }), "{status:?}");
     }
     cluster.refused.retain(|refused, _| !killers.contains(refused));
     assert_eq!(cluster.refused, BTreeMap::new(), "no other request is refused");
--- a/crates/dispatch/src/balancer.rs
+++ b/crates/dispatch/src/balancer.rs
@@ -109,10 +109,10 @@
     }
 
     /// Records how a request left its upstream.
-    pub fn finish_request(&mut self, now: Moment, upstream: UpstreamKey, end: ExchangeOutcome) {
+    pub fn finish_request(&mut self, now: Moment, upstream: UpstreamKey, outcome: ExchangeOutcome) {
         let row = &mut self.upstreams[upstream];
         row.own = row.own.saturating_sub(1);
-        row.finish(now, end);
+        row.finish(now, outcome);
     }
 
     /// Records that an engine refused a generation, as it does while it loads the model.
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -86,19 +86,19 @@
     /// Chooses the upstream with the least expected time for a plain request. Suspended upstreams,
     /// then those that failed the request, are used only when no other is left.
     #[must_use]
-    pub fn pick_plain(&self, now: Moment, ask: &PlainPickRequest<'_>) -> Option<UpstreamKey> {
-        let tried = ask.tried.iter().map(|key| self.upstreams[*key].entry.zone.as_str());
+    pub fn pick_plain(&self, now: Moment, request: &PlainPickRequest<'_>) -> Option<UpstreamKey> {
+        let tried = request.tried.iter().map(|key| self.upstreams[*key].entry.zone.as_str());
         let tried: SmallVec<[&str; 4]> = tried.collect();
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
-        for upstream in self.members(ask.service) {
+        for upstream in self.members(request.service) {
             if !self.is_usable(now, *upstream) {
                 continue;
             }
             let row = &self.upstreams[*upstream];
-            let rank = self.rank(now, *upstream, ask.tried);
-            let cost = plain_cost(now, row, &tried, ask)
-                * jitter(ask.jitter_seed, *upstream)
-                * connected_factor(ask.connected, *upstream);
+            let rank = self.rank(now, *upstream, request.tried);
+            let cost = plain_cost(now, row, &tried, request)
+                * jitter(request.jitter_seed, *upstream)
+                * connected_factor(request.connected, *upstream);
             if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
                 best = Some((rank, cost, *upstream));
             }
@@ -111,39 +111,39 @@
     pub fn pick_generation(
         &self,
         now: Moment,
-        ask: &GenerationPickRequest<'_>,
+        request: &GenerationPickRequest<'_>,
     ) -> Option<UpstreamKey> {
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
-        let mut warm = None;
-        for upstream in self.members(ask.service) {
+        let mut warm_engine = None;
+        for upstream in self.members(request.service) {
             let row = &self.upstreams[*upstream];
-            let paused = row.is_model_paused(now, ask.requirement.model);
+            let paused = row.is_model_paused(now, request.requirement.model);
             let full = row.load(now) >= row.entry.slots;
             // Waiting for a suspension to end is better than a run that cannot begin.
             if paused
                 || full
                 || row.is_suspended(now)
-                || !self.accepts(now, *upstream, ask.requirement)
+                || !self.accepts(now, *upstream, request.requirement)
             {
                 continue;
             }
-            let rank = self.rank(now, *upstream, ask.tried);
+            let rank = self.rank(now, *upstream, request.tried);
             let cost = generation_cost(now, row)
-                * jitter(ask.jitter_seed, *upstream)
-                * connected_factor(ask.connected, *upstream);
-            if ask.warm_engine == Some(*upstream) {
-                warm = Some((rank, cost, *upstream));
+                * jitter(request.jitter_seed, *upstream)
+                * connected_factor(request.connected, *upstream);
+            if request.warm_engine == Some(*upstream) {
+                warm_engine = Some((rank, cost, *upstream));
             }
             if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
                 best = Some((rank, cost, *upstream));
             }
         }
         let (rank, cost, upstream) = best?;
-        match warm {
-            Some((warm_rank, warm_cost, warm))
+        match warm_engine {
+            Some((warm_rank, warm_cost, warm_engine))
                 if warm_rank == rank && warm_cost <= cost * WARM_BOUND =>
             {
-                Some(warm)
+                Some(warm_engine)
             }
             _ => Some(upstream),
         }
@@ -151,9 +151,15 @@
 
     /// Tells whether an engine may run a generation now, whatever its load.
     #[must_use]
-    pub fn accepts(&self, now: Moment, upstream: UpstreamKey, need: ModelRequirement<'_>) -> bool {
-        let version = self.upstreams[upstream].entry.version(need.model);
-        self.is_usable(now, upstream) && version.is_some_and(|version| version >= need.min_version)
+    pub fn accepts(
+        &self,
+        now: Moment,
+        upstream: UpstreamKey,
+        requirement: ModelRequirement<'_>,
+    ) -> bool {
+        let version = self.upstreams[upstream].entry.version(requirement.model);
+        self.is_usable(now, upstream)
+            && version.is_some_and(|version| version >= requirement.min_version)
     }
 
     /// Tells whether a generation that runs on an engine should go on at another one, which is known to
@@ -182,13 +188,18 @@
     }
 }
 
-fn plain_cost(now: Moment, row: &UpstreamStats, tried: &[&str], ask: &PlainPickRequest<'_>) -> f64 {
+fn plain_cost(
+    now: Moment,
+    row: &UpstreamStats,
+    tried: &[&str],
+    request: &PlainPickRequest<'_>,
+) -> f64 {
     let time = row.answer_time.unwrap_or(ASSUMED_ANSWER) * row.failure_factor();
     let slots = f64::from(row.entry.slots.max(1));
     let share = f64::from(row.load(now) + 1) / slots;
     // A free slot runs the request at once; beyond that it waits for its share of the queue.
     let wait = if share <= 1.0 { 1.0 + share * SLOT_RISE } else { (1.0 + SLOT_RISE) * share };
-    let zone = if row.entry.zone == ask.zone { 1.0 } else { ZONE_FACTOR };
+    let zone = if row.entry.zone == request.zone { 1.0 } else { ZONE_FACTOR };
     let again = if tried.contains(&row.entry.zone.as_str()) { SAME_ZONE_FACTOR } else { 1.0 };
     time * wait * zone * again
 }
@@ -202,7 +213,7 @@
     if connected.contains(&upstream) { CONNECTED_FACTOR } else { 1.0 }
 }
 
-fn jitter(draw: u64, upstream: UpstreamKey) -> f64 {
-    let weight = rendezvous_weight(u64::from(upstream.0), draw) >> 11;
+fn jitter(seed: u64, upstream: UpstreamKey) -> f64 {
+    let weight = rendezvous_weight(u64::from(upstream.0), seed) >> 11;
     1.0 + JITTER * (weight as f64 / (1u64 << 53) as f64)
 }
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -101,8 +101,8 @@
         self.others_at = now;
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, end: ExchangeOutcome) {
-        match end {
+    pub(crate) fn finish(&mut self, now: Moment, outcome: ExchangeOutcome) {
+        match outcome {
             ExchangeOutcome::Answered(took) => {
                 self.failure_streak = 0;
                 self.failure_share *= 1.0 - OUTCOME_WEIGHT;
--- a/crates/dispatch/src/weight_loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -57,9 +57,9 @@
     /// Returns the bounds for a service with so many engines and models.
     #[must_use]
     pub fn for_service(engines: usize, models: usize) -> Self {
-        let at_once = (engines as f64 * CONCURRENT_SHARE).round() as usize;
+        let max_concurrent = (engines as f64 * CONCURRENT_SHARE).round() as usize;
         Self {
-            max_concurrent: at_once.max(MIN_CONCURRENT),
+            max_concurrent: max_concurrent.max(MIN_CONCURRENT),
             engines_per_model: engines.div_ceil(models.max(1)),
         }
     }
@@ -81,13 +81,15 @@
 pub fn plan_weight_loads(
     now: Moment,
     engines: &[EngineWeights],
-    named: &[(String, WeightVersion)],
-    plan: WeightLoadLimits,
+    newest_versions: &[(String, WeightVersion)],
+    limits: WeightLoadLimits,
 ) -> Vec<WeightLoad> {
     let loading = |engine: &&EngineWeights| engine.is_loading(now);
-    let free = plan.max_concurrent.saturating_sub(engines.iter().filter(loading).count());
-    let mut models: Vec<ModelState<'_>> =
-        named.iter().map(|(model, version)| ModelState::of(engines, model, *version)).collect();
+    let free = limits.max_concurrent.saturating_sub(engines.iter().filter(loading).count());
+    let mut models: Vec<ModelState<'_>> = newest_versions
+        .iter()
+        .map(|(model, version)| ModelState::of(engines, model, *version))
+        .collect();
     let mut taken: HashSet<&str> = HashSet::new();
     let mut orders = Vec::new();
     while orders.len() < free {
@@ -97,7 +99,7 @@
             let idle = engines
                 .iter()
                 .filter(|engine| !engine.is_loading(now) && !taken.contains(engine.id.as_str()));
-            if let Some(engine) = state.choose(idle, named, plan) {
+            if let Some(engine) = state.choose(idle, newest_versions, limits) {
                 chosen = Some((at, engine));
                 break;
             }
@@ -134,16 +136,17 @@
     fn choose<'e>(
         &self,
         engines: impl Iterator<Item = &'e EngineWeights>,
-        named: &[(String, WeightVersion)],
-        plan: WeightLoadLimits,
+        newest_versions: &[(String, WeightVersion)],
+        limits: WeightLoadLimits,
     ) -> Option<&'e EngineWeights> {
         let mut best: Option<((bool, usize, &str), &EngineWeights)> = None;
         for engine in engines {
             let lag = engine.lag(self.model, self.version);
-            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= plan.engines_per_model) {
+            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= limits.engines_per_model) {
                 continue;
             }
-            let rank = (lag <= ACCEPTED_LAG, engine.usable_models(named), engine.id.as_str());
+            let rank =
+                (lag <= ACCEPTED_LAG, engine.usable_models(newest_versions), engine.id.as_str());
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, engine));
             }
@@ -169,9 +172,10 @@
         known.map_or(u64::MAX, |(_, known)| version.0.saturating_sub(known.0))
     }
 
-    fn usable_models(&self, named: &[(String, WeightVersion)]) -> usize {
-        let usable =
-            named.iter().filter(|(name, version)| self.lag(name, *version) <= ACCEPTED_LAG);
+    fn usable_models(&self, newest_versions: &[(String, WeightVersion)]) -> usize {
+        let usable = newest_versions
+            .iter()
+            .filter(|(name, version)| self.lag(name, *version) <= ACCEPTED_LAG);
         usable.count()
     }
 }
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -25,27 +25,27 @@
     }
 }
 
-fn board(count: usize, slots: u32) -> (UpstreamBalancer, Vec<UpstreamKey>) {
-    let mut board = UpstreamBalancer::default();
-    let keys = (0..count).map(|index| board.update(entry(&format!("u{index}"), slots)).0);
+fn balancer(count: usize, slots: u32) -> (UpstreamBalancer, Vec<UpstreamKey>) {
+    let mut balancer = UpstreamBalancer::default();
+    let keys = (0..count).map(|index| balancer.update(entry(&format!("u{index}"), slots)).0);
     let keys = keys.collect();
-    (board, keys)
+    (balancer, keys)
 }
 
-fn generation<'a>(draw: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
-    let need = ModelRequirement { model: "m", min_version: WeightVersion(2) };
+fn generation<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
+    let requirement = ModelRequirement { model: "m", min_version: WeightVersion(2) };
     GenerationPickRequest {
         service: "s",
-        requirement: need,
+        requirement,
         tried,
         warm_engine: None,
         connected: &[],
-        jitter_seed: draw,
+        jitter_seed,
     }
 }
 
-fn plain<'a>(draw: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
-    PlainPickRequest { service: "s", zone: "a", tried, connected: &[], jitter_seed: draw }
+fn plain<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
+    PlainPickRequest { service: "s", zone: "a", tried, connected: &[], jitter_seed }
 }
 
 /// Pattern: a submission of 72 items arrives at nine engines with 8 slots, one at half the speed.
@@ -54,22 +54,22 @@
 /// is filled first.
 #[test]
 fn items_of_a_submission_fill_all_slots_fast_engines_first() {
-    let (mut board, keys) = board(9, 8);
+    let (mut balancer, keys) = balancer(9, 8);
     for key in &keys {
         let time = if *key == keys[0] { 60 } else { 30 };
-        board.record_event_interval(*key, Span::from_millis(time));
+        balancer.record_event_interval(*key, Span::from_millis(time));
     }
     let mut loads = vec![0; 9];
-    for draw in 0..72 {
-        let picked = board.pick_generation(NOW, &generation(draw, &[])).unwrap();
-        board.begin_request(picked);
+    for jitter_seed in 0..72 {
+        let picked = balancer.pick_generation(NOW, &generation(jitter_seed, &[])).unwrap();
+        balancer.begin_request(picked);
         loads[picked.0 as usize] += 1;
-        if draw == 63 {
+        if jitter_seed == 63 {
             assert_eq!(loads[0], 0, "the slow engine waits until the others are full: {loads:?}");
         }
     }
     assert_eq!(loads, vec![8; 9]);
-    assert_eq!(board.pick_generation(NOW, &generation(99, &[])), None);
+    assert_eq!(balancer.pick_generation(NOW, &generation(99, &[])), None);
 }
 
 /// Pattern: a zone is cut off with resets while items wait.
@@ -78,18 +78,18 @@
 /// ms (incident inc-ce4e of derwent-sleeves: 4,885 runs that could not begin).
 #[test]
 fn unreachable_engine_is_left_alone_while_suspended() {
-    let (mut board, keys) = board(1, 8);
+    let (mut balancer, keys) = balancer(1, 8);
     let mut runs = 0;
     for step in 0..400 {
         let now = NOW + Span::from_millis(step * 25);
-        if let Some(picked) = board.pick_generation(now, &generation(step, &[])) {
-            board.begin_request(picked);
-            board.finish_request(now, picked, ExchangeOutcome::TransportError);
+        if let Some(picked) = balancer.pick_generation(now, &generation(step, &[])) {
+            balancer.begin_request(picked);
+            balancer.finish_request(now, picked, ExchangeOutcome::TransportError);
             runs += 1;
         }
     }
     assert!(runs <= 8, "{runs} runs in ten seconds");
-    assert_eq!(board.entry(keys[0]).id, "u0");
+    assert_eq!(balancer.entry(keys[0]).id, "u0");
 }
 
 /// Pattern: two models load in turn on all engines.
@@ -99,23 +99,23 @@
 fn engine_that_loads_one_model_serves_others() {
     let mut engine = entry("u0", 8);
     engine.versions.push((String::from("other"), WeightVersion(2)));
-    let mut board = UpstreamBalancer::default();
-    let (key, _) = board.update(engine);
-    board.record_generation_refusal(NOW, key, "m");
-    assert_eq!(board.pick_generation(NOW, &generation(1, &[])), None);
-    let need = ModelRequirement { model: "other", min_version: WeightVersion(2) };
-    let ask = GenerationPickRequest { requirement: need, ..generation(1, &[]) };
-    assert_eq!(board.pick_generation(NOW, &ask), Some(key));
+    let mut balancer = UpstreamBalancer::default();
+    let (key, _) = balancer.update(engine);
+    balancer.record_generation_refusal(NOW, key, "m");
+    assert_eq!(balancer.pick_generation(NOW, &generation(1, &[])), None);
+    let requirement = ModelRequirement { model: "other", min_version: WeightVersion(2) };
+    let request = GenerationPickRequest { requirement, ..generation(1, &[]) };
+    assert_eq!(balancer.pick_generation(NOW, &request), Some(key));
 }
 
 /// Guards against tokens of a version that is too old for the step.
 #[rstest]
 #[case(2, true)]
 #[case(3, false)]
-fn check_version(#[case] least: u64, #[case] accepted: bool) {
-    let (board, keys) = board(1, 8);
-    let need = ModelRequirement { model: "m", min_version: WeightVersion(least) };
-    assert_eq!(board.accepts(NOW, keys[0], need), accepted);
+fn check_version(#[case] min_version: u64, #[case] accepted: bool) {
+    let (balancer, keys) = balancer(1, 8);
+    let requirement = ModelRequirement { model: "m", min_version: WeightVersion(min_version) };
+    assert_eq!(balancer.accepts(NOW, keys[0], requirement), accepted);
 }
 
 /// Pattern: live callers share a plain service with bursts of reward calls of another node.
@@ -123,12 +123,12 @@
 /// Guards against a choice that ignores the load that upstreams report.
 #[test]
 fn loaded_upstream_is_passed_over() {
-    let (mut board, keys) = board(3, 6);
+    let (mut balancer, keys) = balancer(3, 6);
     for key in &keys[..2] {
-        board.record_load_report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
+        balancer.record_load_report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
     }
-    for draw in 0..50 {
-        assert_eq!(board.pick_plain(NOW, &plain(draw, &[])), Some(keys[2]));
+    for jitter_seed in 0..50 {
+        assert_eq!(balancer.pick_plain(NOW, &plain(jitter_seed, &[])), Some(keys[2]));
     }
 }
 
@@ -137,20 +137,21 @@
 /// Guards against a failing upstream that gets as much as the others.
 #[test]
 fn failing_upstream_gets_less() {
-    let (mut board, keys) = board(3, 6);
+    let (mut balancer, keys) = balancer(3, 6);
     for key in &keys {
         for turn in 0..20 {
-            board.begin_request(*key);
+            balancer.begin_request(*key);
             let failed = *key == keys[0] && turn % 5 < 2;
             let answered = ExchangeOutcome::Answered(Span::from_millis(25));
-            board.finish_request(
+            balancer.finish_request(
                 NOW,
                 *key,
                 if failed { ExchangeOutcome::ServerError } else { answered },
             );
         }
     }
-    let picked = (0..300).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(keys[0]));
+    let picked = (0..300)
+        .filter(|jitter_seed| balancer.pick_plain(NOW, &plain(*jitter_seed, &[])) == Some(keys[0]));
     assert!(picked.count() < 10);
 }
 
@@ -158,9 +159,9 @@
 /// and against one that is refused although the only upstream lives.
 #[test]
 fn tried_upstream_comes_last() {
-    let (board, keys) = board(2, 6);
-    assert_eq!(board.pick_plain(NOW, &plain(1, &[keys[0]])), Some(keys[1]));
-    assert!(board.pick_plain(NOW, &plain(1, &keys)).is_some());
+    let (balancer, keys) = balancer(2, 6);
+    assert_eq!(balancer.pick_plain(NOW, &plain(1, &[keys[0]])), Some(keys[1]));
+    assert!(balancer.pick_plain(NOW, &plain(1, &keys)).is_some());
 }
 
 /// Pattern: zones are cut off from each other, silently, while requests run in all of them.
@@ -169,14 +170,14 @@
 /// hmla-ops: both tries went to zones out of reach).
 #[test]
 fn second_try_goes_to_another_zone() {
-    let mut board = UpstreamBalancer::default();
+    let mut balancer = UpstreamBalancer::default();
     let mut keys = Vec::new();
     for (id, zone) in [("a1", "a"), ("b1", "b"), ("b2", "b"), ("b3", "b")] {
-        keys.push(board.update(UpstreamEntry { zone: String::from(zone), ..entry(id, 6) }).0);
+        keys.push(balancer.update(UpstreamEntry { zone: String::from(zone), ..entry(id, 6) }).0);
     }
-    board.record_load_report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
-    for draw in 0..50 {
-        assert_eq!(board.pick_plain(NOW, &plain(draw, &[keys[1]])), Some(keys[0]));
+    balancer.record_load_report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
+    for jitter_seed in 0..50 {
+        assert_eq!(balancer.pick_plain(NOW, &plain(jitter_seed, &[keys[1]])), Some(keys[0]));
     }
 }
 
@@ -186,11 +187,12 @@
 #[case(0, true)]
 #[case(5, false)]
 fn check_own_zone(#[case] running: u32, #[case] stays: bool) {
-    let mut board = UpstreamBalancer::default();
-    let (own, _) = board.update(entry("a1", 6));
-    board.update(UpstreamEntry { zone: String::from("b"), ..entry("b1", 6) });
-    board.record_load_report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
-    let picked = (0..100).filter(|draw| board.pick_plain(NOW, &plain(*draw, &[])) == Some(own));
+    let mut balancer = UpstreamBalancer::default();
+    let (own, _) = balancer.update(entry("a1", 6));
+    balancer.update(UpstreamEntry { zone: String::from("b"), ..entry("b1", 6) });
+    balancer.record_load_report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
+    let picked = (0..100)
+        .filter(|jitter_seed| balancer.pick_plain(NOW, &plain(*jitter_seed, &[])) == Some(own));
     let own_share = picked.count();
     assert!(if stays { own_share > 90 } else { own_share < 40 }, "{own_share} of 100");
 }
@@ -202,21 +204,21 @@
 #[case(RemovalCause::Lapsed, 2_000, true)]
 #[case(RemovalCause::Lapsed, 2_300, false)]
 fn check_removed(#[case] cause: RemovalCause, #[case] after_ms: u64, #[case] usable: bool) {
-    let (mut board, keys) = board(1, 6);
-    board.remove(NOW, "u0", cause);
+    let (mut balancer, keys) = balancer(1, 6);
+    balancer.remove(NOW, "u0", cause);
     let now = NOW + Span::from_millis(after_ms);
-    assert_eq!(board.is_usable(now, keys[0]), usable);
-    board.update(entry("u0", 6));
-    assert!(board.is_usable(now, keys[0]), "an entry that is back counts again");
+    assert_eq!(balancer.is_usable(now, keys[0]), usable);
+    balancer.update(entry("u0", 6));
+    assert!(balancer.is_usable(now, keys[0]), "an entry that is back counts again");
 }
 
 /// Guards against new work for a draining upstream.
 #[test]
 fn draining_upstream_gets_no_work() {
-    let (mut board, _) = board(1, 6);
-    board.update(UpstreamEntry { state: EntryState::Draining, ..entry("u0", 6) });
-    assert_eq!(board.pick_plain(NOW, &plain(1, &[])), None);
-    assert_eq!(board.pick_generation(NOW, &generation(1, &[])), None);
+    let (mut balancer, _) = balancer(1, 6);
+    balancer.update(UpstreamEntry { state: EntryState::Draining, ..entry("u0", 6) });
+    assert_eq!(balancer.pick_plain(NOW, &plain(1, &[])), None);
+    assert_eq!(balancer.pick_generation(NOW, &generation(1, &[])), None);
 }
 
 /// Pattern: an engine turns three times slower while its runs are long.
@@ -226,8 +228,8 @@
 #[case(90, true)]
 #[case(66, false)]
 fn check_move(#[case] slow_ms: u64, #[case] moves: bool) {
-    let (mut board, keys) = board(2, 8);
-    board.record_event_interval(keys[0], Span::from_millis(slow_ms));
-    board.record_event_interval(keys[1], Span::from_millis(30));
-    assert_eq!(board.should_migrate(NOW, keys[0], keys[1]), moves);
+    let (mut balancer, keys) = balancer(2, 8);
+    balancer.record_event_interval(keys[0], Span::from_millis(slow_ms));
+    balancer.record_event_interval(keys[1], Span::from_millis(30));
+    assert_eq!(balancer.should_migrate(NOW, keys[0], keys[1]), moves);
 }
--- a/crates/experiments/src/fleet/week.rs
+++ b/crates/experiments/src/fleet/week.rs
@@ -102,8 +102,8 @@
         for minute in (0..self.scenario.learn_weeks * 7 * DAY_MINUTES).step_by(5) {
             self.observe(&mut model, &keys, WallTime(learn_from.0 + minute * MINUTE_MILLIS));
         }
-        let mut plan = FleetPlanner::new((0..).map(ZoneKey).take(self.pools.len()));
-        plan.set_service(self.settings(kind));
+        let mut planner = FleetPlanner::new((0..).map(ZoneKey).take(self.pools.len()));
+        planner.set_service(self.settings(kind));
         self.start_static(kind);
         for minute in 0..days * DAY_MINUTES {
             let wall = WallTime(start.0 + minute * MINUTE_MILLIS);
@@ -111,15 +111,15 @@
             let seen = self.observe(&mut model, &keys, wall);
             self.ready(now);
             if minute > 0 {
-                self.reclaim(now, &mut plan);
+                self.reclaim(now, &mut planner);
             }
             if kind != FleetKind::Static {
                 let forecasts = match kind {
                     FleetKind::Reactive => seen.clone(),
-                    _ => self.forecasts(&model, &keys, wall, plan.lookahead(SERVICE)),
+                    _ => self.forecasts(&model, &keys, wall, planner.lookahead(SERVICE)),
                 };
                 // A refused order for cheap upstreams is replaced in the same minute.
-                while self.order(now, &mut plan, &forecasts) {}
+                while self.order(now, &mut planner, &forecasts) {}
             }
             if minute == 0 {
                 // Every fleet starts the week with what it wants already running.
@@ -133,7 +133,7 @@
     fn settings(&self, kind: FleetKind) -> ServiceSettings {
         let scenario = self.scenario;
         let cheap_max = if kind == FleetKind::RegularPlan { 0 } else { POOL_MAX };
-        let start_up = Span::from_secs(scenario.start_up_seconds);
+        let startup = Span::from_secs(scenario.start_up_seconds);
         let pools = (0..).map(ZoneKey).take(self.pools.len()).flat_map(|zone| {
             let pool = |kind, min, max, price| PoolSettings {
                 zone,
@@ -141,7 +141,7 @@
                 min,
                 max,
                 price,
-                startup: start_up,
+                startup,
             };
             [
                 pool(PriceClass::Regular, 1, POOL_MAX, scenario.regular_price),
@@ -235,7 +235,7 @@
         }
     }
 
-    fn reclaim(&mut self, now: Moment, plan: &mut FleetPlanner) {
+    fn reclaim(&mut self, now: Moment, planner: &mut FleetPlanner) {
         let per_minute = self.scenario.reclaims_per_week / (7 * DAY_MINUTES) as f64;
         let (draw, zone) = (
             self.reclaims.random_bool(per_minute),
@@ -251,29 +251,34 @@
         }
         self.outcome.reclaims += 1;
         self.replacing_until = now + Span::from_secs(self.scenario.start_up_seconds);
-        plan.record_reclaim(now, ZoneKey(zone as u32));
+        planner.record_reclaim(now, ZoneKey(zone as u32));
     }
 
     /// Carries the plan's orders out. Returns whether an order for cheap upstreams was refused.
-    fn order(&mut self, now: Moment, plan: &mut FleetPlanner, forecasts: &[ZoneForecast]) -> bool {
+    fn order(
+        &mut self,
+        now: Moment,
+        planner: &mut FleetPlanner,
+        forecasts: &[ZoneForecast],
+    ) -> bool {
         let counts = self.counts();
         let mut was_refused = false;
-        for action in plan.plan(now, forecasts, &counts) {
+        for action in planner.plan(now, forecasts, &counts) {
             self.outcome.orders += 1;
             match action {
-                FleetAction::Start { zone, price_class: kind, count, .. } => {
+                FleetAction::Start { zone, price_class, count, .. } => {
                     let index = zone.0 as usize;
-                    if kind == PriceClass::Cheap && now < self.unavailable[index] {
-                        plan.record_cheap_refusal(now, zone);
+                    if price_class == PriceClass::Cheap && now < self.unavailable[index] {
+                        planner.record_cheap_refusal(now, zone);
                         was_refused = true;
                         continue;
                     }
                     let at = now + Span::from_secs(self.scenario.start_up_seconds);
-                    let pool = &mut self.pools[index][kind as usize];
+                    let pool = &mut self.pools[index][price_class as usize];
                     pool.starting.extend(std::iter::repeat_n(at, count as usize));
                 }
-                FleetAction::Stop { zone, price_class: kind, count, .. } => {
-                    let pool = &mut self.pools[zone.0 as usize][kind as usize];
+                FleetAction::Stop { zone, price_class, count, .. } => {
+                    let pool = &mut self.pools[zone.0 as usize][price_class as usize];
                     let from_starting = pool.starting.len().min(count as usize);
                     pool.starting.truncate(pool.starting.len() - from_starting);
                     pool.running -= count - from_starting as u32;
@@ -286,12 +291,14 @@
     fn counts(&self) -> Vec<UpstreamCount> {
         let mut counts = Vec::new();
         for (zone, pools) in (0..).map(ZoneKey).zip(&self.pools) {
-            for (kind, pool) in [PriceClass::Regular, PriceClass::Cheap].into_iter().zip(pools) {
+            for (price_class, pool) in
+                [PriceClass::Regular, PriceClass::Cheap].into_iter().zip(pools)
+            {
                 let count = pool.running + pool.starting.len() as u32;
                 counts.push(UpstreamCount {
                     service: String::from(SERVICE),
                     zone,
-                    price_class: kind,
+                    price_class,
                     count,
                 });
             }
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -151,7 +151,7 @@
     let authorization = format!("Bearer {key}")
         .parse()
         .change_context_lazy(|| RunFailed(String::from("writing the key as a header")))?;
-    let outgoing = HttpRequest::post(target, path, Bytes::new())
+    let request = HttpRequest::post(target, path, Bytes::new())
         .with_header("authorization".parse().expect("the name is valid"), authorization);
     let http = HttpClient::new(Span::from_secs(5));
     let begin = Instant::now();
@@ -174,12 +174,11 @@
             figures.borrow_mut().not_sent += 1;
             continue;
         }
-        let outgoing =
-            HttpRequest { body: body(arrival.session, number).into(), ..outgoing.clone() };
+        let request = HttpRequest { body: body(arrival.session, number).into(), ..request.clone() };
         let (http, figures) = (http.clone(), Rc::clone(&figures));
         figures.borrow_mut().open += 1;
         actix_rt::spawn(async move {
-            send(&http, outgoing, begin, &arrival, &figures).await;
+            send(&http, request, begin, &arrival, &figures).await;
             figures.borrow_mut().open -= 1;
         });
     }
@@ -192,12 +191,12 @@
 
 async fn send(
     http: &HttpClient,
-    outgoing: HttpRequest,
+    request: HttpRequest,
     begin: Instant,
     arrival: &Arrival,
     figures: &RefCell<LoadFigures>,
 ) {
-    let call = http.stream_all(outgoing, CALL_LIMIT);
+    let call = http.stream_all(request, CALL_LIMIT);
     let patience = arrival.abandoned_after.unwrap_or(Duration::from_micros(CALL_LIMIT.0 * 2));
     let answer = actix_rt::time::timeout(patience, call).await;
     let latency = begin.elapsed().saturating_sub(arrival.due);
--- a/crates/experiments/src/overhead.rs
+++ b/crates/experiments/src/overhead.rs
@@ -119,8 +119,8 @@
 }
 
 async fn call(http: &HttpClient, address: SocketAddr, path: &str) -> RunResult<CallOutcome> {
-    let outgoing = HttpRequest::post(address, path, Bytes::from_static(b"{}"));
-    let answer = http.exchange(outgoing, CALL_LIMIT, 1 << 20).await;
+    let request = HttpRequest::post(address, path, Bytes::from_static(b"{}"));
+    let answer = http.exchange(request, CALL_LIMIT, 1 << 20).await;
     let answer = answer.change_context_lazy(|| RunFailed(format!("a call to {address}")))?;
     match answer.status.as_u16() {
         200 => Ok(CallOutcome::Answered),
--- a/crates/experiments/src/pick_cost.rs
+++ b/crates/experiments/src/pick_cost.rs
@@ -41,18 +41,17 @@
 
 /// Returns the mean time of a choice in microseconds, with starting and finishing the request.
 fn time(policy: &mut impl PickPolicy, upstreams: u32, choices: u64) -> f64 {
-    let distances = (0..u64::from(ZONES)).map(Span::from_millis).collect();
-    let mut table = UpstreamTable::new(TableSettings::default(), distances);
+    let zone_latencies = (0..u64::from(ZONES)).map(Span::from_millis).collect();
+    let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies);
     for index in 0..upstreams {
         let zone = ZoneKey(index % ZONES);
-        let price = PriceClass::Regular;
-        let key =
-            table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class: price });
+        let price_class = PriceClass::Regular;
+        let key = table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class });
         let running = index * 7 % 13;
         let load = LoadMeasurement { running, queued: 0, version: None, measured_at: Moment(1) };
         table.record_load(Moment(1), key, load);
     }
-    let members = RouteUpstreams::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
+    let route_upstreams = RouteUpstreams::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut now = Moment(2);
     let started = Instant::now();
@@ -65,7 +64,9 @@
             min_version: None,
             avoid: &[],
         };
-        let Some(choice) = policy.pick(now, &table, &members, &request, &mut rng) else { continue };
+        let Some(choice) = policy.pick(now, &table, &route_upstreams, &request, &mut rng) else {
+            continue;
+        };
         let work = table.start(now, choice.upstream, request.tokens);
         table.finish(now + Span::from_millis(300), work, RequestOutcome::Completed { tokens: 300 });
     }
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -67,11 +67,11 @@
             ],
         );
     };
-    let limit = Span::from_micros((scenario.fixed_limit_seconds * 1e6) as u64);
+    let timeout = Span::from_micros((scenario.fixed_limit_seconds * 1e6) as u64);
     let rule = CostBenefitRule { tokens_per_second: scenario.tokens_per_second_gained };
     let no_rerun = run_steps(scenario, seed, NoRerun);
     push("no re-run", &no_rerun);
-    push("fixed time limit", &run_steps(scenario, seed, FixedTimeoutRule { timeout: limit }));
+    push("fixed time limit", &run_steps(scenario, seed, FixedTimeoutRule { timeout }));
     let gain = run_steps(scenario, seed, rule);
     push("gain over cost", &gain);
     report.tables.push(table);
--- a/crates/experiments/src/rollout/faults/node.rs
+++ b/crates/experiments/src/rollout/faults/node.rs
@@ -114,11 +114,11 @@
                     self.scores.remove(sample);
                     self.bytes.remove(&sample);
                 }
-                SampleOutcome::DeliveriesReady { trainer, range: offer } => {
+                SampleOutcome::DeliveriesReady { trainer, range } => {
                     let Some(fetch) = self.fetch.take_if(|fetch| fetch.record == Some(id)) else {
                         continue;
                     };
-                    answer = Some((fetch.request, self.table.deliveries(trainer, offer.statement)));
+                    answer = Some((fetch.request, self.table.deliveries(trainer, range.statement)));
                 }
                 SampleOutcome::StatementRefused { .. } => {
                     // The trainer asks again. This node must not state again for it, as it cannot
--- a/crates/experiments/src/rollout/faults/world.rs
+++ b/crates/experiments/src/rollout/faults/world.rs
@@ -94,12 +94,12 @@
         let now = Moment(0);
         let settings =
             WeightSettings { load_timeout: Span::from_secs(3), ..WeightSettings::default() };
-        let mut plan = WeightScheduler::new(now, settings);
+        let mut weights = WeightScheduler::new(now, settings);
         let mut engines = Vec::new();
         for index in 0..scenario.engines {
             let upstream = UpstreamKey(index as u32);
-            plan.engine_joined(upstream, SERVICE, ZoneKey(0));
-            plan.reported(upstream, WeightVersion(1));
+            weights.engine_joined(upstream, SERVICE, ZoneKey(0));
+            weights.reported(upstream, WeightVersion(1));
             let version = WeightVersion(1);
             engines.push(Engine { version, loading: None, away_until: now, streams: Vec::new() });
         }
@@ -117,7 +117,7 @@
             revive: Vec::new(),
             incarnations: count,
             engines,
-            weights: plan,
+            weights,
             scoring: Vec::new(),
             replies: Vec::new(),
             trainer: FaultTrainer::new(TrainerId::from_name("trainer")),
--- a/crates/experiments/src/rollout/steps.rs
+++ b/crates/experiments/src/rollout/steps.rs
@@ -131,23 +131,23 @@
             loads_per_second: scenario.store_loads_per_second,
             ..WeightSettings::default()
         };
-        let mut plan = WeightScheduler::new(now, settings);
+        let mut weights = WeightScheduler::new(now, settings);
         let slow = (f64::from(scenario.engines) * scenario.slow_share).round() as u32;
         let mut engines = Vec::new();
         for index in 0..scenario.engines {
-            plan.engine_joined(UpstreamKey(index), SERVICE, ZoneKey(index % 3));
-            plan.reported(UpstreamKey(index), WeightVersion(1));
+            weights.engine_joined(UpstreamKey(index), SERVICE, ZoneKey(index % 3));
+            weights.reported(UpstreamKey(index), WeightVersion(1));
             let factor = if index < slow { scenario.slow_factor } else { 1.0 };
             let rate = scenario.tokens_per_second / factor;
             let version = WeightVersion(1);
             engines.push(Engine { rate, version, loading: None, streams: Vec::new() });
         }
-        let mut share = TrainerScheduler::default();
+        let mut trainer_scheduler = TrainerScheduler::default();
         let mut trainers = Vec::new();
         for index in 0..scenario.trainers {
             let name = format!("trainer-{index}");
             let id = TrainerId::from_name(&name);
-            share.set_weight(id, 1);
+            trainer_scheduler.set_weight(id, 1);
             trainers.push(Trainer::new(id, name));
         }
         Self {
@@ -155,9 +155,9 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
             table: SampleTable::default(),
-            trainer_scheduler: share,
+            trainer_scheduler,
             stragglers: StragglerDetector::new(rule),
-            weights: plan,
+            weights,
             engines,
             trainers,
             scoring: Vec::new(),
--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -76,15 +76,15 @@
         mode: SpreadMode,
         walks: &[UpstreamWalk],
     ) -> Vec<SentMessage> {
-        let (beat, entries) = match content {
-            MessageContent::Heartbeat(Heartbeat { liveness: beat, upstreams, .. }) => {
-                (beat, upstreams)
+        let (message, entries) = match content {
+            MessageContent::Heartbeat(Heartbeat { liveness: message, upstreams, .. }) => {
+                (message, upstreams)
             }
-            MessageContent::Summary(ZoneSummary { liveness: beat, upstreams, .. }) => {
-                (beat, upstreams)
+            MessageContent::Summary(ZoneSummary { liveness: message, upstreams, .. }) => {
+                (message, upstreams)
             }
         };
-        let sent = self.event(now, PeerEvent::MessageReceived(beat), mode, walks);
+        let sent = self.event(now, PeerEvent::MessageReceived(message), mode, walks);
         for entry in entries {
             self.load_table.merge(now, entry);
         }
@@ -101,13 +101,11 @@
         let mut sent = Vec::new();
         for action in self.table.handle(now, event) {
             match action {
-                PeerAction::SendHeartbeat { to, message: beat } => {
-                    sent.push(self.heartbeat(now, to, beat));
+                PeerAction::SendHeartbeat { to, message } => {
+                    sent.push(self.heartbeat(now, to, message));
                 }
-                PeerAction::SendSummary { to, message: beat }
-                    if mode == SpreadMode::ZoneSummaries =>
-                {
-                    sent.push(self.summary(now, to, beat, walks));
+                PeerAction::SendSummary { to, message } if mode == SpreadMode::ZoneSummaries => {
+                    sent.push(self.summary(now, to, message, walks));
                 }
                 _ => {}
             }
@@ -115,9 +113,9 @@
         sent
     }
 
-    fn heartbeat(&mut self, now: Moment, to: VmKey, beat: LivenessMessage) -> SentMessage {
+    fn heartbeat(&mut self, now: Moment, to: VmKey, message: LivenessMessage) -> SentMessage {
         let heartbeat = Heartbeat {
-            liveness: beat,
+            liveness: message,
             config_version: 1,
             contact_age: base::Span::ZERO,
             upstreams: self.load_table.next_delta(now),
@@ -130,7 +128,7 @@
         &self,
         now: Moment,
         to: VmKey,
-        beat: LivenessMessage,
+        message: LivenessMessage,
         walks: &[UpstreamWalk],
     ) -> SentMessage {
         let mut upstreams = self.load_table.all_updates(now);
@@ -138,7 +136,7 @@
         let own = walks.iter().filter(|walk| walk.zone == self.zone);
         let own = own.map(|walk| walk.name.as_str()).collect::<std::collections::BTreeSet<_>>();
         upstreams.retain(|entry| own.contains(entry.upstream.as_str()));
-        let summary = ZoneSummary { liveness: beat, config_version: 1, upstreams };
+        let summary = ZoneSummary { liveness: message, config_version: 1, upstreams };
         let bytes = encode_message(&PeerMessage::Summary((&summary).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Summary(summary) }
     }
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -147,8 +147,10 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::BroadcastSuspicion(note) => SuspectEvent::SuspicionReceived(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::ConvictionReceived(verdict),
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    SuspectEvent::SuspicionReceived(suspicion)
+                }
+                SuspectAction::Convict(conviction) => SuspectEvent::ConvictionReceived(conviction),
                 SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
@@ -218,7 +220,7 @@
         let mut upstreams = self.upstreams.iter().collect::<Vec<_>>();
         upstreams.sort_by_key(|(_, model)| model.runs.len());
         let deadline = Moment(arrived * STEP.0) + Span::from_millis(self.scenario.deadline_ms);
-        let ask = IsolationRequest {
+        let isolation = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
@@ -226,7 +228,7 @@
             execution: Execution::MayHaveRun,
             upstreams: upstreams.into_iter().map(|(key, _)| *key).collect(),
         };
-        self.apply(node, SuspectEvent::Requested(ask));
+        self.apply(node, SuspectEvent::Requested(isolation));
     }
 
     fn advance(&mut self) {
--- a/crates/experiments/src/traffic/world.rs
+++ b/crates/experiments/src/traffic/world.rs
@@ -53,7 +53,7 @@
     node: usize,
     tokens: u32,
     arrived_at: Moment,
-    request: Option<InFlightRequest>,
+    in_flight: Option<InFlightRequest>,
 }
 
 derive_copy! {
@@ -77,7 +77,7 @@
     engines: Vec<EngineModel>,
     nodes: Vec<Node<P>>,
     /// The delegate's desk of each zone.
-    desks: Vec<LimitAllocator>,
+    allocators: Vec<LimitAllocator>,
     requests: Vec<Request>,
     capacity: ServiceCapacity,
     rng: ChaCha8Rng,
@@ -101,7 +101,7 @@
             }
         }
         let capacity = scenario.capacity();
-        let rate = ServiceCapacity {
+        let service_capacity = ServiceCapacity {
             tokens_per_second: (capacity / u64::from(scenario.nodes)) as u32,
             max_in_service_tokens: (capacity * scenario.target_service_ms
                 / (1_000 * u64::from(scenario.nodes))) as u32,
@@ -110,30 +110,26 @@
         for number in 0..scenario.nodes {
             let zone = ZoneKey(number % zones);
             let distance = Span::from_millis(scenario.zone_distance_ms);
-            let distances =
+            let zone_latencies =
                 (0..zones).map(|other| if other == zone.0 { Span::ZERO } else { distance });
-            let mut table = UpstreamTable::new(TableSettings::default(), distances.collect());
+            let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies.collect());
             table.set_node_count(scenario.nodes);
             for (index, engine) in engines.iter().enumerate() {
-                let (node_hash, price) = (index as u64 + 1, PriceClass::Regular);
-                table.add(UpstreamProperties {
-                    name_hash: node_hash,
-                    zone: engine.zone,
-                    price_class: price,
-                });
+                let (name_hash, price_class) = (index as u64 + 1, PriceClass::Regular);
+                table.add(UpstreamProperties { name_hash, zone: engine.zone, price_class });
             }
-            let members =
+            let upstreams =
                 RouteUpstreams::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
             let me = Incarnation(u64::from(number));
             let is_limited = gate == GateKind::LimitedFair;
             let limits = is_limited.then(|| {
                 let mut limits = RateLimiter::new(me, LimiterSettings::default());
-                let part = zone_limit(scenario, zone.0, zones);
+                let limit = zone_limit(scenario, zone.0, zones);
                 for customer in 0..scenario.customers {
                     limits.set_guaranteed_rate(
                         Moment(0),
                         CustomerKey(customer),
-                        part.guaranteed_rate,
+                        limit.guaranteed_rate,
                     );
                 }
                 limits
@@ -143,19 +139,16 @@
                 GateKind::FirstCome => Gate::FirstCome { waiting: VecDeque::new(), in_service: 0 },
                 GateKind::Fair | GateKind::LimitedFair => {
                     let rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(number) << 32);
-                    Gate::Fair(Box::new(FairQueue::new(QueueSettings::default(), rate, rng)))
+                    Gate::Fair(Box::new(FairQueue::new(
+                        QueueSettings::default(),
+                        service_capacity,
+                        rng,
+                    )))
                 }
             };
-            nodes.push(Node {
-                zone,
-                table,
-                upstreams: members,
-                policy: policy.clone(),
-                gate,
-                limits,
-            });
+            nodes.push(Node { zone, table, upstreams, policy: policy.clone(), gate, limits });
         }
-        let desks = (0..zones).map(|zone| allocator(scenario, zone, zones)).collect();
+        let allocators = (0..zones).map(|zone| allocator(scenario, zone, zones)).collect();
         let mut customer_weights = vec![1.0; scenario.customers as usize];
         customer_weights[0] = aggressor_factor;
         let excess = customer_weights.iter().sum::<f64>() / f64::from(scenario.customers);
@@ -170,9 +163,9 @@
             events: BinaryHeap::new(),
             engines,
             nodes,
-            desks,
+            allocators,
             requests: Vec::new(),
-            capacity: rate,
+            capacity: service_capacity,
             rng: ChaCha8Rng::seed_from_u64(seed),
             measure: RunMeasure::new(warmup, scenario.customers as usize),
         }
@@ -255,7 +248,7 @@
         let node = self.rng.random_range(0..self.nodes.len());
         let (request, arrived_at) = (self.requests.len(), self.now);
         let customer = customer as u32;
-        self.requests.push(Request { customer, node, tokens, arrived_at, request: None });
+        self.requests.push(Request { customer, node, tokens, arrived_at, in_flight: None });
         self.measure.offered(arrived_at, customer);
         let deadline = self.deadline(request);
         if !self.admit(node, customer) {
@@ -269,14 +262,14 @@
                 self.pass_first_come(node);
             }
             Gate::Fair(queue) => {
-                let item = QueuedRequest {
+                let queued = QueuedRequest {
                     ticket: TicketNumber(request as u64),
                     customer: CustomerKey(customer),
                     class: RequestClass::Live,
                     tokens: self.scenario.mean_tokens,
                     deadline,
                 };
-                let actions = queue.handle(self.now, QueueEvent::Offered(item));
+                let actions = queue.handle(self.now, QueueEvent::Offered(queued));
                 self.follow(&actions);
             }
         }
@@ -288,13 +281,13 @@
         let Node { limits, zone, .. } = &mut self.nodes[node];
         let Some(limits) = limits else { return true };
         let (customer, tokens) = (CustomerKey(customer), self.scenario.mean_tokens);
-        let answer = limits.admit(self.now, customer, tokens);
-        for ask in limits.due_requests(self.now) {
-            if let Some(grant) = self.desks[zone.0 as usize].grant(self.now, ask) {
+        let decision = limits.admit(self.now, customer, tokens);
+        for request in limits.due_requests(self.now) {
+            if let Some(grant) = self.allocators[zone.0 as usize].grant(self.now, request) {
                 limits.apply_grant(self.now, grant);
             }
         }
-        answer == LimitDecision::Admitted
+        decision == LimitDecision::Admitted
     }
 
     fn deadline(&self, request: usize) -> Moment {
@@ -340,12 +333,12 @@
         let pick =
             PickRequest { tokens, prompt_tokens: 0, prefix: None, min_version: None, avoid: &[] };
         let node = &mut self.nodes[self.requests[request].node];
-        let Node { table, upstreams: members, policy, .. } = node;
-        let Some(choice) = policy.pick(self.now, table, members, &pick, &mut self.rng) else {
+        let Node { table, upstreams, policy, .. } = node;
+        let Some(choice) = policy.pick(self.now, table, upstreams, &pick, &mut self.rng) else {
             self.refused(request);
             return;
         };
-        self.requests[request].request = Some(table.start(self.now, choice.upstream, tokens));
+        self.requests[request].in_flight = Some(table.start(self.now, choice.upstream, tokens));
         let engine = choice.upstream.0 as usize;
         self.engines[engine].push(self.now, request, self.requests[request].tokens);
         self.plan_done(engine);
@@ -370,11 +363,11 @@
 
     fn completed(&mut self, engine: usize, request: usize) {
         let deadline = self.deadline(request);
-        let Request { customer, node, tokens, arrived_at, request: work } = self.requests[request];
-        let end = RequestOutcome::Completed { tokens };
-        let work = work.expect("a request on an engine was started");
+        let Request { customer, node, tokens, arrived_at, in_flight } = self.requests[request];
+        let outcome = RequestOutcome::Completed { tokens };
+        let in_flight = in_flight.expect("a request on an engine was started");
         let Node { zone, table, gate, .. } = &mut self.nodes[node];
-        table.finish(self.now, work, end);
+        table.finish(self.now, in_flight, outcome);
         let distance = table.zone_latency(self.engines[engine].zone);
         let network =
             if *zone == self.engines[engine].zone { Span::ZERO } else { distance + distance };
@@ -398,12 +391,12 @@
 fn allocator(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitAllocator {
     let vms = vms_of(scenario, zone, zones);
     let me = Incarnation(u64::from(zone));
-    let mut desk = LimitAllocator::new(me, AllocatorSettings::new(vms), Moment(0), vms);
-    let part = zone_limit(scenario, zone, zones);
+    let mut allocator = LimitAllocator::new(me, AllocatorSettings::new(vms), Moment(0), vms);
+    let limit = zone_limit(scenario, zone, zones);
     for customer in 0..scenario.customers {
-        desk.set_zone_limit(CustomerKey(customer), part);
+        allocator.set_zone_limit(CustomerKey(customer), limit);
     }
-    desk
+    allocator
 }
 
 fn vms_of(scenario: &TrafficScenario, zone: u32, zones: u32) -> u32 {
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -140,8 +140,9 @@
         }
     }
 
-    fn pool(&self, zone: ZoneKey, kind: PriceClass) -> Bounds {
-        let pool = self.pools.iter().find(|pool| pool.zone == zone && pool.price_class == kind);
+    fn pool(&self, zone: ZoneKey, price_class: PriceClass) -> Bounds {
+        let pool =
+            self.pools.iter().find(|pool| pool.zone == zone && pool.price_class == price_class);
         pool.map_or(Bounds::NONE, |pool| Bounds {
             min: pool.min.min(MAX_POOL),
             max: pool.max.min(MAX_POOL),
@@ -201,8 +202,8 @@
     #[must_use]
     pub fn lookahead(&self, service: &str) -> Span {
         let Some(settings) = self.services.get(service) else { return Span::ZERO };
-        let start_up = settings.pools.iter().map(|pool| pool.startup).max();
-        start_up.unwrap_or(Span::ZERO) + settings.stop_hold
+        let startup = settings.pools.iter().map(|pool| pool.startup).max();
+        startup.unwrap_or(Span::ZERO) + settings.stop_hold
     }
 
     /// Notes that the platform reclaims the cheap upstreams of `zone`. The caller stops placing work
@@ -230,22 +231,17 @@
             let wanted = self.desired_of(settings, forecasts);
             for (&zone, wanted) in self.zones.iter().zip(wanted) {
                 self.desired.insert((settings.service.clone(), zone), wanted);
-                for (kind, wanted) in
+                for (price_class, wanted) in
                     [(PriceClass::Regular, wanted.regular), (PriceClass::Cheap, wanted.cheap)]
                 {
-                    let key = (settings.service.clone(), zone, kind);
+                    let key = (settings.service.clone(), zone, price_class);
                     let have = count_of(counts, &key);
                     if wanted >= have {
                         self.surplus.remove(&key);
                     }
                     if wanted > have {
                         let (service, count) = (key.0, wanted - have);
-                        actions.push(FleetAction::Start {
-                            service,
-                            zone,
-                            price_class: kind,
-                            count,
-                        });
+                        actions.push(FleetAction::Start { service, zone, price_class, count });
                         continue;
                     }
                     if wanted == have {
@@ -263,7 +259,7 @@
                         actions.push(FleetAction::Stop {
                             service: key.0,
                             zone,
-                            price_class: kind,
+                            price_class,
                             count,
                         });
                     }
@@ -312,9 +308,9 @@
 }
 
 fn count_of(counts: &[UpstreamCount], key: &CountKey) -> u32 {
-    let (service, zone, kind) = key;
+    let (service, zone, price_class) = key;
     let matching = counts
         .iter()
-        .filter(|c| c.service == *service && c.zone == *zone && c.price_class == *kind);
+        .filter(|c| c.service == *service && c.zone == *zone && c.price_class == *price_class);
     matching.map(|c| c.count).sum()
 }
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -11,9 +11,9 @@
 const SERVICE: &str = "draft-models";
 
 fn settings(cheap_price: u32, cheap_max: u32, regular_max: u32) -> ServiceSettings {
-    let pool = |zone, kind, min, max, price| PoolSettings {
+    let pool = |zone, price_class, min, max, price| PoolSettings {
         zone,
-        price_class: kind,
+        price_class,
         min,
         max,
         price,
@@ -49,25 +49,25 @@
 
 impl Platform {
     fn new(settings: ServiceSettings) -> Self {
-        let mut plan = FleetPlanner::new(ZONES);
-        plan.set_service(settings);
-        Self { planner: plan, counts: Vec::new(), orders: 0 }
+        let mut planner = FleetPlanner::new(ZONES);
+        planner.set_service(settings);
+        Self { planner, counts: Vec::new(), orders: 0 }
     }
 
     fn step(&mut self, now: Moment, live: f64, samples: f64) {
         for action in self.planner.plan(now, &forecasts(live, samples), &self.counts) {
             self.orders += 1;
-            let (service, zone, kind, change) = match action {
-                FleetAction::Start { service, zone, price_class: kind, count } => {
-                    (service, zone, kind, i64::from(count))
+            let (service, zone, price_class, change) = match action {
+                FleetAction::Start { service, zone, price_class, count } => {
+                    (service, zone, price_class, i64::from(count))
                 }
-                FleetAction::Stop { service, zone, price_class: kind, count } => {
-                    (service, zone, kind, -i64::from(count))
+                FleetAction::Stop { service, zone, price_class, count } => {
+                    (service, zone, price_class, -i64::from(count))
                 }
             };
-            let is_same = |c: &UpstreamCount| c.zone == zone && c.price_class == kind;
+            let is_same = |c: &UpstreamCount| c.zone == zone && c.price_class == price_class;
             let index = self.counts.iter().position(is_same).unwrap_or_else(|| {
-                self.counts.push(UpstreamCount { service, zone, price_class: kind, count: 0 });
+                self.counts.push(UpstreamCount { service, zone, price_class, count: 0 });
                 self.counts.len() - 1
             });
             let count = &mut self.counts[index].count;
@@ -75,8 +75,8 @@
         }
     }
 
-    fn count(&self, kind: PriceClass, zone: Option<ZoneKey>) -> u32 {
-        let matching = self.counts.iter().filter(|c| c.price_class == kind);
+    fn count(&self, price_class: PriceClass, zone: Option<ZoneKey>) -> u32 {
+        let matching = self.counts.iter().filter(|c| c.price_class == price_class);
         matching.filter(|c| zone.is_none_or(|zone| c.zone == zone)).map(|c| c.count).sum()
     }
 
--- a/crates/hibiscushinge/src/admin.rs
+++ b/crates/hibiscushinge/src/admin.rs
@@ -69,8 +69,8 @@
     }
 }
 
-fn parse<T: serde::de::DeserializeOwned>(answer: &HttpResponse) -> Result<T, CallError> {
-    serde_json::from_slice(&answer.body).map_err(|error| CallError {
+fn parse<T: serde::de::DeserializeOwned>(response: &HttpResponse) -> Result<T, CallError> {
+    serde_json::from_slice(&response.body).map_err(|error| CallError {
         failure: clients::CallFailure::Malformed,
         execution: base::Execution::MayHaveRun,
         retry_after: None,
--- a/crates/hibiscushinge/src/operator.rs
+++ b/crates/hibiscushinge/src/operator.rs
@@ -153,12 +153,12 @@
     async fn read(&self, wanted: Option<RecordId>) -> Result<ReadHistory, OperatorError> {
         let check = check_document as DocumentCheckFn;
         let mut read = ReadHistory { registry: ConfigRegistry::new(check), outcome: None };
-        let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
+        let mut reader = LogReader::new(ReaderSettings::default(), LogOffset(0));
         loop {
-            let page = self.platform.read(CONFIG_STREAM, follower.next_offset(), PAGE).await?;
+            let page = self.platform.read(CONFIG_STREAM, reader.next_offset(), PAGE).await?;
             let is_last = page.records.len() < PAGE as usize;
             read.registry.note_retention(page.first);
-            for action in follower.handle(decode(page)) {
+            for action in reader.handle(decode(page)) {
                 let ReaderAction::Deliver { offset, id, record } = action else { continue };
                 let outcome = read.registry.apply(offset, &record);
                 if wanted == Some(id) {
--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -87,7 +87,7 @@
 /// Runs the control thread until the daemon is drained.
 pub(crate) async fn run(
     shared: Arc<SharedState>,
-    input: mpsc::Receiver<ControlMessage>,
+    messages: mpsc::Receiver<ControlMessage>,
     peer: TcpListener,
     admin: TcpListener,
 ) {
@@ -105,7 +105,7 @@
     fleet::start(&control);
     actix_rt::spawn(tick_loop(Rc::clone(&control)));
     actix_rt::spawn(gauge_loop(Rc::clone(&control)));
-    receive(control, input).await;
+    receive(control, messages).await;
 }
 
 async fn tick_loop(control: Rc<Control>) {
@@ -130,10 +130,10 @@
     }
 }
 
-async fn receive(control: Rc<Control>, mut input: mpsc::Receiver<ControlMessage>) {
-    while let Some(message) = input.recv().await {
+async fn receive(control: Rc<Control>, mut messages: mpsc::Receiver<ControlMessage>) {
+    while let Some(message) = messages.recv().await {
         match message {
-            ControlMessage::UsageMetered(figures) => control.record_usage(&figures),
+            ControlMessage::UsageMetered(usage) => control.record_usage(&usage),
             ControlMessage::Claim { request: ask, reply } => {
                 control.handle_claim_request(ask, reply)
             }
@@ -148,7 +148,7 @@
                 });
             }
             ControlMessage::Suspicion(actions) => control.spread(actions),
-            ControlMessage::Decision(line) => control.state().trace.record(line),
+            ControlMessage::Decision(event) => control.state().trace.record(event),
             ControlMessage::Trainer { request: ask, reply } => {
                 actix_rt::spawn(Rc::clone(&control).handle_trainer_request(ask, reply));
             }
--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -17,8 +17,8 @@
 const BALANCER_NOTICE: Duration = Duration::from_millis(500);
 
 impl Control {
-    pub(crate) fn admin(self: &Rc<Self>, ask: AdminRequest) -> Value {
-        match ask {
+    pub(crate) fn admin(self: &Rc<Self>, request: AdminRequest) -> Value {
+        match request {
             AdminRequest::Status => self.status(self.now()),
             AdminRequest::Usage => self.usage(),
             AdminRequest::Explain(id) => self.state().trace.explain(&id),
@@ -39,9 +39,9 @@
             held.collect::<Vec<_>>()
         };
         let (suspects, convicted, queued_tokens) = {
-            let desk = self.shared.scheduler();
-            let table = desk.suspects();
-            (table.suspicions().count(), table.convictions().count(), desk.queued_tokens())
+            let scheduler = self.shared.scheduler();
+            let table = scheduler.suspects();
+            (table.suspicions().count(), table.convictions().count(), scheduler.queued_tokens())
         };
         let samples = self.state().samples.status();
         let state = self.state();
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -68,16 +68,16 @@
             extra_wait: lease.extra_wait,
         };
         let incarnation = shared.incarnation;
-        let mut keeper =
+        let mut lease_manager =
             LeaseManager::new(settings, scope.clone(), incarnation, LeaseRole::Candidate);
-        keeper.set_claim_delay(claim_delay(incarnation, &scope));
-        let desk_settings = OrderSettings {
+        lease_manager.set_claim_delay(claim_delay(incarnation, &scope));
+        let order_settings = OrderSettings {
             order_timeout: lease.order_timeout,
             query_retry_delay: Span::from_secs(1),
             fencing_support: fencing_support(shared.settings.platform_fencing),
         };
-        let desk = OrderManager::new(desk_settings, scope.clone(), incarnation);
-        Self { scope, lease_manager: keeper, order_manager: desk, was_held: None }
+        let order_manager = OrderManager::new(order_settings, scope.clone(), incarnation);
+        Self { scope, lease_manager, order_manager, was_held: None }
     }
 }
 
@@ -115,10 +115,10 @@
         self: &Rc<Self>,
         scope: &LeaseScope,
         fencing: FencingToken,
-        receiver: FencingSupport,
+        fencing_support: FencingSupport,
     ) -> impl Fn() -> SendPermit + 'static {
         let (control, scope) = (Rc::clone(self), scope.clone());
-        move || match control.permit(&scope, control.now(), receiver) {
+        move || match control.permit(&scope, control.now(), fencing_support) {
             Some(held) if held == fencing => SendPermit::Granted,
             _ => SendPermit::Denied,
         }
@@ -129,11 +129,11 @@
         &self,
         scope: &LeaseScope,
         now: Moment,
-        receiver: FencingSupport,
+        fencing_support: FencingSupport,
     ) -> Option<FencingToken> {
         let state = self.state();
         let found = state.scopes.iter().find(|driver| driver.scope == *scope);
-        found.and_then(|driver| driver.lease_manager.permit(now, receiver).ok())
+        found.and_then(|driver| driver.lease_manager.permit(now, fencing_support).ok())
     }
 
     fn on_authority(self: &Rc<Self>, scope: &LeaseScope, event: StreamEvent<AuthorityRecord>) {
--- a/crates/hibiscushinged/src/control/claims.rs
+++ b/crates/hibiscushinged/src/control/claims.rs
@@ -49,10 +49,10 @@
 impl Control {
     pub(crate) fn handle_claim_request(
         self: &Rc<Self>,
-        ask: ClaimRequest,
+        claim_request: ClaimRequest,
         reply: oneshot::Sender<ClaimDecision>,
     ) {
-        let ClaimRequest { claim, fingerprint, request, deadline } = ask;
+        let ClaimRequest { claim, fingerprint, request, deadline } = claim_request;
         self.state().claims.waiting.insert(request, reply);
         self.claim_event(ClaimEvent::Requested { claim, fingerprint, request, deadline });
     }
@@ -64,16 +64,16 @@
     pub(crate) fn tick_claims(self: &Rc<Self>, now: Moment) {
         let changed = {
             let mut state = self.state();
-            let reach = match state.log.is_down(now) {
+            let availability = match state.log.is_down(now) {
                 true => LogAvailability::Down,
                 false => LogAvailability::Up,
             };
-            let changed = state.claims.log != reach;
-            state.claims.log = reach;
-            changed.then_some(reach)
+            let changed = state.claims.log != availability;
+            state.claims.log = availability;
+            changed.then_some(availability)
         };
-        if let Some(reach) = changed {
-            self.claim_event(ClaimEvent::LogAvailabilityChanged(reach));
+        if let Some(availability) = changed {
+            self.claim_event(ClaimEvent::LogAvailabilityChanged(availability));
         }
         self.claim_event(ClaimEvent::Tick);
         self.drop_abandoned_claims();
@@ -125,8 +125,8 @@
     }
 
     /// Returns whether the request is still there.
-    fn answer_claim(&self, request: RequestId, answer: ClaimDecision) -> bool {
+    fn answer_claim(&self, request: RequestId, decision: ClaimDecision) -> bool {
         let reply = self.state().claims.waiting.remove(&request);
-        reply.is_some_and(|reply| reply.send(answer).is_ok())
+        reply.is_some_and(|reply| reply.send(decision).is_ok())
     }
 }
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -210,18 +210,18 @@
         }
         let own_zone = self.shared.settings.zone.clone();
         let own_zone = config.zone_key(&own_zone);
-        let distances = zone_distances(&config.zones, own_zone, &document);
+        let zone_latencies = zone_distances(&config.zones, own_zone, &document);
         config.document = Some(document.clone());
         drop(state);
 
         let mut view = RoutingView::clone(&self.shared.view.load());
         view.apply(version, &document);
         {
-            let mut desk = self.shared.scheduler();
-            desk.set_zones(own_zone, distances);
+            let mut scheduler = self.shared.scheduler();
+            scheduler.set_zones(own_zone, zone_latencies);
             for customer in &document.customers {
                 let key = view.customer_key(Some(&customer.name));
-                desk.set_weight(now, key, customer.weight);
+                scheduler.set_weight(now, key, customer.weight);
             }
         }
         self.shared.view.store(view.into());
@@ -237,7 +237,7 @@
         if !self.holds(&authority::LeaseScope::Fleet, now) {
             return;
         }
-        let carry = {
+        let latest = {
             let mut state = self.state();
             let config = &mut state.config;
             if !config.snapshot_schedule.poll(now) {
@@ -246,7 +246,7 @@
             let rebuilt = config.registry.rebuilt_snapshot();
             rebuilt.or_else(|| config.registry.snapshot().cloned())
         };
-        if let Some(snapshot) = carry {
+        if let Some(snapshot) = latest {
             let record = ConfigRecord::Snapshot(configuration::ConfigSnapshotRecord { snapshot });
             // A full buffer is reported by `append`; the schedule tries again.
             let _ = self.append(CONFIG_STREAM, &record);
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -169,10 +169,10 @@
         for action in actions {
             match action {
                 FleetAction::Start { service, price_class: kind, count, .. } => {
-                    let price = price_class(kind);
-                    let is_cheap = price == PriceClass::Cheap;
+                    let price_class = price_class(kind);
+                    let is_cheap = price_class == PriceClass::Cheap;
                     let target = OrderTarget::Start { service: service.clone(), is_cheap };
-                    let kind = OrderKind::Start { count, price };
+                    let kind = OrderKind::Start { count, price: price_class };
                     self.give_order(&scope, target, OrderRequest { service, kind });
                 }
                 FleetAction::Stop { service, price_class: kind, count, .. } => {
@@ -203,9 +203,10 @@
             }
         }
         let own_key = config.zone_key(own_zone);
-        let board = &state.peers.load_table;
-        let is_leaving =
-            |name: &str| board.view(now, name).is_some_and(|found| found.report.phase.is_leaving());
+        let load_table = &state.peers.load_table;
+        let is_leaving = |name: &str| {
+            load_table.view(now, name).is_some_and(|found| found.report.phase.is_leaving())
+        };
         let counts = counts(document, own_zone, own_key, listed, is_leaving);
         let actions = fleet.planner.plan(now, &forecasts, &counts);
         let own = actions.into_iter().filter(|action| match action {
@@ -222,11 +223,11 @@
         let zone = state.config.zone_key(own_zone);
         let fleet = &mut state.fleet;
         for service in &fleet.services {
-            let Some(wanted) = fleet.planner.desired(service, zone) else { continue };
-            if fleet.desired.insert(service.clone(), wanted) == Some(wanted) {
+            let Some(desired) = fleet.planner.desired(service, zone) else { continue };
+            if fleet.desired.insert(service.clone(), desired) == Some(desired) {
                 continue;
             }
-            let DesiredCounts { regular, cheap } = wanted;
+            let DesiredCounts { regular, cheap } = desired;
             log_event!(FleetPlanned, zone = own_zone, service, regular, cheap);
             let subject = format!("fleet/{own_zone}/{service}");
             let detail = format!("{regular} regular and {cheap} cheap upstreams wanted");
@@ -241,12 +242,12 @@
         now: Moment,
         document: &EnvironmentDocument,
         listed: &[UpstreamInfo],
-        (service, kind): (&str, fleet::PriceClass),
+        (service, price_class): (&str, fleet::PriceClass),
         count: u32,
     ) {
         let mut staying = Vec::new();
         for info in ordered(document, &self.shared.settings.zone, listed) {
-            if info.service != service || info.cheap != (kind == fleet::PriceClass::Cheap) {
+            if info.service != service || info.cheap != (price_class == fleet::PriceClass::Cheap) {
                 continue;
             }
             let report =
--- a/crates/hibiscushinged/src/control/fleet/tests.rs
+++ b/crates/hibiscushinged/src/control/fleet/tests.rs
@@ -38,9 +38,9 @@
     let [settings] = settings.as_slice() else { panic!("{settings:?}") };
     assert_eq!((settings.service.as_str(), settings.capacity), ("draft-models", 200.0));
     assert_eq!(settings.stop_hold, Span::from_secs(120));
-    let pool = |kind: PriceClass, min: u32, max: u32| PoolSettings {
+    let pool = |price_class: PriceClass, min: u32, max: u32| PoolSettings {
         zone: ZoneKey(0),
-        price_class: kind,
+        price_class,
         min,
         max,
         price: 100,
@@ -62,9 +62,10 @@
     };
     let listed = listed.iter().map(info).collect::<Vec<_>>();
     let counts = counts(&document(), "hobart-a", ZoneKey(0), &listed, |name| name == "marked");
-    let sum = |kind: PriceClass| {
-        let same =
-            counts.iter().filter(|one| one.price_class == kind && one.service == "draft-models");
+    let sum = |price_class: PriceClass| {
+        let same = counts
+            .iter()
+            .filter(|one| one.price_class == price_class && one.service == "draft-models");
         same.map(|one| one.count).sum::<u32>()
     };
     assert_eq!((sum(PriceClass::Regular), sum(PriceClass::Cheap)), (regular, cheap));
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -81,11 +81,11 @@
     let control = Rc::clone(control);
     actix_rt::spawn(async move {
         let kick = control.kick(&stream);
-        let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
+        let mut reader = LogReader::new(ReaderSettings::default(), LogOffset(0));
         let mut started = false;
         let mut news_at = control.now();
         loop {
-            let Ok(page) = control.log.read(&stream, follower.next_offset(), PAGE).await else {
+            let Ok(page) = control.log.read(&stream, reader.next_offset(), PAGE).await else {
                 control.log_failed(&stream);
                 actix_rt::time::sleep(POLL).await;
                 continue;
@@ -98,23 +98,23 @@
             if !started {
                 started = true;
                 // A stream that was trimmed before this process started has no gap to report.
-                follower = LogReader::new(ReaderSettings::default(), page.first);
+                reader = LogReader::new(ReaderSettings::default(), page.first);
                 apply(&control, StreamEvent::ReadingFrom(page.first));
             }
             let retained = apply(&control, StreamEvent::Retained(page.first));
             if let NextRead::From(offset) = retained {
-                follower = LogReader::new(ReaderSettings::default(), offset);
+                reader = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
             let mut next = NextRead::Onwards;
-            for action in follower.handle(decode(page)) {
+            for action in reader.handle(decode(page)) {
                 next = control.apply(&stream, action, behind, &apply);
                 if matches!(next, NextRead::From(_)) {
                     break;
                 }
             }
             if let NextRead::From(offset) = next {
-                follower = LogReader::new(ReaderSettings::default(), offset);
+                reader = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
             if behind {
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -112,8 +112,9 @@
 
     /// Takes the next slot, fairly between trainers.
     fn next_slot(&mut self) -> Option<OpenSlot> {
-        let Self { trainer_scheduler: share, wanted, .. } = self;
-        let trainer = share.select(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
+        let Self { trainer_scheduler, wanted, .. } = self;
+        let trainer = trainer_scheduler
+            .select(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
         wanted.get_mut(&trainer)?.pop_front()
     }
 
@@ -196,12 +197,12 @@
     fn sample_work(&self, open: OpenSlot) -> Option<SampleWork> {
         let entry = self.trainer_entry(open.slot.trainer)?;
         let state = self.state();
-        let opened = state.samples.opened.get(&(open.slot.trainer, open.slot.step))?;
+        let step_prompts = state.samples.opened.get(&(open.slot.trainer, open.slot.step))?;
         Some(SampleWork {
             trainer: entry.name,
             service: entry.service,
-            prompt: opened.prompts.get(open.slot.group as usize)?.clone(),
-            max_tokens: opened.max_tokens,
+            prompt: step_prompts.prompts.get(open.slot.group as usize)?.clone(),
+            max_tokens: step_prompts.max_tokens,
             // Samples of a group must differ, and a replacement must differ from a void one.
             seed: base::rendezvous_weight(slot_hash(open.slot), u64::from(open.generation)),
         })
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -74,8 +74,12 @@
         {
             let actual = made.as_ref().map_or(0, |progress| progress.tracker.tokens());
             let mut state = self.state();
-            let share = &mut state.samples.generation.trainer_scheduler;
-            share.reconcile(attempt.slot.trainer, work.max_tokens.into(), actual.into());
+            let trainer_scheduler = &mut state.samples.generation.trainer_scheduler;
+            trainer_scheduler.reconcile(
+                attempt.slot.trainer,
+                work.max_tokens.into(),
+                actual.into(),
+            );
         }
         let filled = match made {
             Some(progress) => self.fill_slot(&attempt, progress).await,
@@ -113,8 +117,8 @@
             let started = {
                 let now = self.now();
                 self.state().samples.generation.stragglers.started(now, attempt.slot, upstream);
-                let mut desk = self.shared.scheduler();
-                desk.start(now, wall_now(), upstream, left, Some(fingerprint))
+                let mut scheduler = self.shared.scheduler();
+                scheduler.start(now, wall_now(), upstream, left, Some(fingerprint))
             };
             let id = self.stream_id(attempt, exchange);
             let end = self.exchange(attempt, work, &id, address, &mut progress).await;
@@ -214,8 +218,8 @@
         fingerprint: Fingerprint,
         tried: &[UpstreamKey],
     ) -> Option<(UpstreamKey, SocketAddr)> {
-        let judgement = self.shared.scheduler().fingerprint_status(wall_now(), fingerprint);
-        let chosen = match judgement {
+        let status = self.shared.scheduler().fingerprint_status(wall_now(), fingerprint);
+        let chosen = match status {
             FingerprintStatus::Convicted { .. } => None,
             FingerprintStatus::Suspect => self.isolated_engine(work, fingerprint).await,
             FingerprintStatus::Clear => {
@@ -270,7 +274,7 @@
         let now = self.now();
         let (reply, answer) = oneshot::channel();
         let request = self.shared.next_request_id();
-        let ask = IsolationRequest {
+        let isolation = IsolationRequest {
             request,
             fingerprint,
             // No route leads to samples.
@@ -279,8 +283,13 @@
             execution: Execution::MayHaveRun,
             upstreams: SmallVec::new(),
         };
-        let actions =
-            self.shared.scheduler().request_isolation(now, wall_now(), &work.service, ask, reply);
+        let actions = self.shared.scheduler().request_isolation(
+            now,
+            wall_now(),
+            &work.service,
+            isolation,
+            reply,
+        );
         self.spread(actions);
         answer.await.ok()?.ok()
     }
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -32,9 +32,13 @@
             let limit = u64::from(customer.tokens_per_second);
             let rate = limit * u64::from(zone_vms) / u64::from(all_vms);
             let rate = u32::try_from(rate).unwrap_or(u32::MAX);
-            let part = ZoneLimit::with_guaranteed_rate(rate, zone_vms);
-            state.limits.zone_limits.insert(key, part);
-            self.shared.scheduler().limiter().set_guaranteed_rate(now, key, part.guaranteed_rate);
+            let zone_limit = ZoneLimit::with_guaranteed_rate(rate, zone_vms);
+            state.limits.zone_limits.insert(key, zone_limit);
+            self.shared.scheduler().limiter().set_guaranteed_rate(
+                now,
+                key,
+                zone_limit.guaranteed_rate,
+            );
         }
         drop(state);
         self.update_allocator(now);
@@ -42,8 +46,8 @@
 
     pub(crate) fn tick_limits(self: &Rc<Self>, now: Moment) {
         self.update_allocator(now);
-        let asks = self.shared.scheduler().limiter().due_requests(now);
-        if asks.is_empty() {
+        let requests = self.shared.scheduler().limiter().due_requests(now);
+        if requests.is_empty() {
             return;
         }
         let (delegate, is_own) = {
@@ -55,8 +59,12 @@
             (address, table.is_delegate())
         };
         if is_own {
-            let grants = asks.into_iter().filter_map(|ask| {
-                self.state().limits.allocator.as_mut().and_then(|desk| desk.grant(now, ask))
+            let grants = requests.into_iter().filter_map(|request| {
+                self.state()
+                    .limits
+                    .allocator
+                    .as_mut()
+                    .and_then(|allocator| allocator.grant(now, request))
             });
             for grant in grants.collect::<Vec<_>>() {
                 self.shared.scheduler().limiter().apply_grant(now, grant);
@@ -65,13 +73,13 @@
         }
         let Some(delegate) = delegate else { return };
         let view = self.shared.view.load_full();
-        let wire = asks.iter().filter_map(|ask| {
+        let wire = requests.iter().filter_map(|request| {
             Some(WireLimitAsk {
-                node: ask.node.0,
-                customer: String::from(view.customer_name(ask.customer)?),
-                demand: ask.demand,
-                sequence: ask.sequence,
-                held: ask.held.map(|id| (id.delegate.0, id.number)),
+                node: request.node.0,
+                customer: String::from(view.customer_name(request.customer)?),
+                demand: request.demand,
+                sequence: request.sequence,
+                held: request.held.map(|id| (id.delegate.0, id.number)),
             })
         });
         let message = PeerMessage::LimitAsk(wire.collect());
@@ -99,31 +107,32 @@
     }
 
     /// Answers a peer's asks while this node is the delegate.
-    pub(crate) fn grant_limits(&self, asks: Vec<WireLimitAsk>) -> PeerMessage {
+    pub(crate) fn grant_limits(&self, requests: Vec<WireLimitAsk>) -> PeerMessage {
         let now = self.now();
         self.update_allocator(now);
         let view = self.shared.view.load();
         let mut state = self.state();
-        let Some(desk) = state.limits.allocator.as_mut() else { return PeerMessage::Missing };
+        let Some(allocator) = state.limits.allocator.as_mut() else { return PeerMessage::Missing };
         let mut grants = Vec::new();
-        for ask in asks {
-            let customer = view.customer_key(Some(&ask.customer));
-            let held =
-                ask.held.map(|(desk, number)| GrantId { delegate: Incarnation(desk), number });
-            let granted = desk.grant(
+        for request in requests {
+            let customer = view.customer_key(Some(&request.customer));
+            let held = request
+                .held
+                .map(|(allocator, number)| GrantId { delegate: Incarnation(allocator), number });
+            let granted = allocator.grant(
                 now,
                 GrantRequest {
-                    node: Incarnation(ask.node),
+                    node: Incarnation(request.node),
                     customer,
-                    demand: ask.demand,
-                    sequence: ask.sequence,
+                    demand: request.demand,
+                    sequence: request.sequence,
                     held,
                 },
             );
             let Some(grant) = granted else { continue };
             grants.push(WireLimitGrant {
                 node: grant.node.0,
-                customer: ask.customer,
+                customer: request.customer,
                 sequence: grant.sequence,
                 id: (grant.id.delegate.0, grant.id.number),
                 rate: grant.rate,
@@ -144,17 +153,16 @@
         let zone = &state.peers.table.own_identity().zone;
         let live = state.peers.table.live_in_zone(zone).count();
         let live = u32::try_from(live).unwrap_or(u32::MAX);
-        let grant_period = self.shared.settings.timeouts.limit_grant;
-        let settings =
-            AllocatorSettings { grant_duration: grant_period, zone_vms: state.limits.zone_vms };
+        let grant_duration = self.shared.settings.timeouts.limit_grant;
+        let settings = AllocatorSettings { grant_duration, zone_vms: state.limits.zone_vms };
         let me = self.shared.incarnation;
-        let desk = state
+        let allocator = state
             .limits
             .allocator
             .get_or_insert_with(|| LimitAllocator::new(me, settings, now, live));
-        desk.set_live_vms(now, live);
-        for (customer, part) in &state.limits.zone_limits {
-            desk.set_zone_limit(*customer, *part);
+        allocator.set_live_vms(now, live);
+        for (customer, zone_limit) in &state.limits.zone_limits {
+            allocator.set_zone_limit(*customer, *zone_limit);
         }
     }
 }
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -102,8 +102,8 @@
 
 fn wire_order(intent: &OrderIntent, fencing: FencingToken) -> UpstreamOrder {
     let kind = match &intent.kind {
-        OrderKind::Start { count, price } => {
-            clients::OrderKind::Start { count: *count, cheap: *price == PriceClass::Cheap }
+        OrderKind::Start { count, price: price_class } => {
+            clients::OrderKind::Start { count: *count, cheap: *price_class == PriceClass::Cheap }
         }
         OrderKind::Stop { upstream } => clients::OrderKind::Stop { upstream: upstream.clone() },
     };
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -98,10 +98,10 @@
                 let heartbeat = {
                     let (now, state) = (self.now(), self.state());
                     let from = state.peers.table.own_identity().clone();
-                    let beat =
+                    let message =
                         LivenessMessage { from, sequence: 0, refutation: 0, updates: Vec::new() };
                     Heartbeat {
-                        liveness: beat,
+                        liveness: message,
                         config_version: state.config.version().0,
                         contact_age: state.config.contact_age(now),
                         upstreams: Vec::new(),
@@ -142,12 +142,12 @@
         let mut changes = None;
         for action in actions {
             match action {
-                PeerAction::SendHeartbeat { to, message: beat } => {
+                PeerAction::SendHeartbeat { to, message } => {
                     let changes = changes
                         .get_or_insert_with(|| self.state().peers.load_table.next_delta(now));
-                    self.send_heartbeat(now, to, beat, changes.clone());
+                    self.send_heartbeat(now, to, message, changes.clone());
                 }
-                PeerAction::SendSummary { to, message: beat } => self.send_summary(now, to, beat),
+                PeerAction::SendSummary { to, message } => self.send_summary(now, to, message),
                 PeerAction::Changed { vm, state } => self.peer_changed(now, vm, state),
                 PeerAction::Replaced { incarnation, .. } => {
                     self.usage_peer_gone(now, incarnation);
@@ -178,13 +178,13 @@
         self: &Rc<Self>,
         now: Moment,
         to: VmKey,
-        beat: LivenessMessage,
+        message: LivenessMessage,
         upstreams: Vec<LoadUpdate>,
     ) {
         let (address, heartbeat) = {
             let state = self.state();
             let heartbeat = Heartbeat {
-                liveness: beat,
+                liveness: message,
                 config_version: state.config.version().0,
                 contact_age: state.config.contact_age(now),
                 upstreams,
@@ -194,7 +194,7 @@
         self.tell_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
     }
 
-    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, beat: LivenessMessage) {
+    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, message: LivenessMessage) {
         let (address, summary) = {
             let mut state = self.state();
             let state = &mut *state;
@@ -203,7 +203,7 @@
             let upstreams =
                 full.into_iter().filter(|entry| state.watch.is_in_zone(&entry.upstream, own_zone));
             let summary = ZoneSummary {
-                liveness: beat,
+                liveness: message,
                 config_version: state.config.version().0,
                 upstreams: upstreams.collect(),
             };
@@ -239,7 +239,7 @@
             }
             PeerMessage::ConfigFetch => return self.config_copy(),
             PeerMessage::BatchHold(hold) => return self.hold_batch(hold),
-            PeerMessage::LimitAsk(asks) => return self.grant_limits(asks),
+            PeerMessage::LimitAsk(requests) => return self.grant_limits(requests),
             PeerMessage::Suspicions { notes, verdicts, reserved, released } => {
                 self.hear_suspicions(notes, verdicts, &reserved, &released);
             }
@@ -267,12 +267,12 @@
 
     fn heard(
         self: &Rc<Self>,
-        beat: LivenessMessage,
+        message: LivenessMessage,
         config_version: u64,
         upstreams: Vec<LoadUpdate>,
     ) {
-        let address = beat.from.address.parse::<SocketAddr>().ok();
-        self.peer_event(PeerEvent::MessageReceived(beat));
+        let address = message.from.address.parse::<SocketAddr>().ok();
+        self.peer_event(PeerEvent::MessageReceived(message));
         self.learn_entries(upstreams);
         let behind = config_version > self.state().config.version().0;
         if let Some(address) = address.filter(|_| behind) {
@@ -285,7 +285,7 @@
         for entry in entries {
             let name = entry.upstream.clone();
             if self.state().peers.load_table.merge(now, entry) {
-                self.apply_board(now, &name);
+                self.apply_load_report(now, &name);
             }
         }
     }
@@ -334,10 +334,10 @@
         address: SocketAddr,
         message: &PeerMessage,
     ) -> Option<PeerMessage> {
-        let outgoing = HttpRequest::post(address, PEER_PATH, Bytes::from(encode_message(message)));
+        let request = HttpRequest::post(address, PEER_PATH, Bytes::from(encode_message(message)));
         let timeout = self.shared.settings.timeouts.peer;
-        let answer = self.peer_http.exchange(outgoing, timeout, MAX_MESSAGE_BYTES).await.ok()?;
-        decode_message(&answer.error_for_status().ok()?.body).ok()
+        let response = self.peer_http.exchange(request, timeout, MAX_MESSAGE_BYTES).await.ok()?;
+        decode_message(&response.error_for_status().ok()?.body).ok()
     }
 }
 
