--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -22,7 +22,7 @@
     first: u64,
     /// Offset that follows the last record read.
     next: u64,
-    carried: BTreeMap<TrainerId, LogOffset>,
+    last_snapshots: BTreeMap<TrainerId, LogOffset>,
     /// Trainers that opened a step since their last snapshot.
     stepped: BTreeMap<TrainerId, ()>,
     tried: BTreeMap<TrainerId, Moment>,
@@ -41,8 +41,8 @@
         self.stepped.insert(trainer, ());
     }
 
-    fn carried(&mut self, trainer: TrainerId, offset: LogOffset) {
-        self.carried.insert(trainer, offset);
+    fn record_snapshot(&mut self, trainer: TrainerId, offset: LogOffset) {
+        self.last_snapshots.insert(trainer, offset);
         self.stepped.remove(&trainer);
         self.tried.remove(&trainer);
     }
@@ -54,7 +54,7 @@
             return false;
         }
         let middle = LogOffset(u64::midpoint(self.first, self.next));
-        let carried = self.carried.get(&trainer);
+        let carried = self.last_snapshots.get(&trainer);
         let is_old = self.first > 0 && carried.is_none_or(|at| *at < middle);
         is_old || self.stepped.contains_key(&trainer)
     }
@@ -80,24 +80,24 @@
     }
 
     /// Takes a snapshot from the log.
-    pub(crate) fn adopt_trainer(&self, offset: LogOffset, carry: SampleSnapshot) {
-        let SampleSnapshot { snapshot: carry, step_prompts: opened } = carry;
+    pub(crate) fn adopt_trainer(&self, offset: LogOffset, snapshot: SampleSnapshot) {
+        let SampleSnapshot { snapshot, step_prompts } = snapshot;
         let mut state = self.state();
         let samples = &mut state.samples;
-        let trainer = carry.state.id;
-        samples.snapshots.carried(trainer, offset);
+        let trainer = snapshot.state.id;
+        samples.snapshots.record_snapshot(trainer, offset);
         let was_known = samples.table.trainers().any(|(id, _)| id == trainer);
         // The bytes of the samples are held elsewhere, so there is nothing to do for the actions.
-        let _ = samples.table.install_snapshot(&carry);
+        let _ = samples.table.install_snapshot(&snapshot);
         let is_known = samples.table.trainers().any(|(id, _)| id == trainer);
         if was_known || !is_known {
             return;
         }
-        tracing::info!(trainer = trainer.0, until = carry.until.0, "a snapshot was adopted");
+        tracing::info!(trainer = trainer.0, until = snapshot.until.0, "a snapshot was adopted");
         samples.generation.trainer_scheduler.set_weight(trainer, 1);
         samples.generation.slots_opened();
-        for (step, opened) in opened {
-            samples.opened.entry((trainer, step)).or_insert(opened);
+        for (step, step_prompts) in step_prompts {
+            samples.opened.entry((trainer, step)).or_insert(step_prompts);
         }
     }
 
@@ -117,28 +117,25 @@
             due
         };
         for trainer in due {
-            self.carry_trainer(trainer);
+            self.append_trainer_snapshot(trainer);
         }
     }
 
-    fn carry_trainer(self: &Rc<Self>, trainer: TrainerId) {
+    fn append_trainer_snapshot(self: &Rc<Self>, trainer: TrainerId) {
         let entry = {
             let state = self.state();
             let samples = &state.samples;
-            let Some(carry) = samples.table.snapshot(trainer, LogOffset(samples.snapshots.next))
+            let Some(snapshot) = samples.table.snapshot(trainer, LogOffset(samples.snapshots.next))
             else {
                 return;
             };
-            let wanted = carry.state.steps.values().filter(|step| !step.completed);
-            let opened = wanted.filter_map(|step| {
+            let wanted = snapshot.state.steps.values().filter(|step| !step.completed);
+            let step_prompts = wanted.filter_map(|step| {
                 let number = step.shape.step;
                 Some((number, samples.opened.get(&(trainer, number))?.clone()))
             });
-            let opened = opened.collect();
-            SampleEntry::Snapshot(Box::new(SampleSnapshot {
-                snapshot: carry,
-                step_prompts: opened,
-            }))
+            let step_prompts = step_prompts.collect();
+            SampleEntry::Snapshot(Box::new(SampleSnapshot { snapshot, step_prompts }))
         };
         let id = self.state().writer.next_id(SAMPLE_STREAM);
         let length = encode_record(id, &entry).len();
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -148,10 +148,10 @@
                     state.samples.snapshots.read(offset);
                 }
                 match record {
-                    SampleEntry::Record { record, step_prompts: opened } => {
-                        self.sample_record(offset, id, &record, opened);
+                    SampleEntry::Record { record, step_prompts } => {
+                        self.sample_record(offset, id, &record, step_prompts);
                     }
-                    SampleEntry::Snapshot(carry) => self.adopt_trainer(offset, *carry),
+                    SampleEntry::Snapshot(snapshot) => self.adopt_trainer(offset, *snapshot),
                 }
             }
         }
--- a/crates/hibiscushinged/src/control/score.rs
+++ b/crates/hibiscushinged/src/control/score.rs
@@ -80,21 +80,21 @@
         let body = json!({ "prompt": prompt, "sample": text }).to_string();
         // The id is that of the sample, so a scorer can tell a repeated call.
         let id = format!("{:016x}-s{:x}", filled.sample.writer.0, filled.sample.sequence);
-        let outgoing = HttpRequest::post(address, SCORE_PATH, Bytes::from(body)).with_header(
+        let score_request = HttpRequest::post(address, SCORE_PATH, Bytes::from(body)).with_header(
             HeaderName::from_static("x-request-id"),
             HeaderValue::from_str(&id).expect("the id has hexadecimal digits only"),
         );
         let work =
             self.shared.scheduler().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
-        let answer = self.http.exchange(outgoing, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
-        let end = match &answer {
+        let response = self.http.exchange(score_request, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
+        let outcome = match &response {
             Ok(_) => RequestOutcome::Completed { tokens: SCORE_WORK },
             Err(_) => RequestOutcome::Failed,
         };
         let now: Moment = self.now();
-        self.shared.scheduler().finish(now, work, end);
-        let answer = answer.and_then(clients::HttpResponse::error_for_status).ok()?;
-        let found = serde_json::from_slice::<ScoreAnswer>(&answer.body).ok()?;
+        self.shared.scheduler().finish(now, work, outcome);
+        let response = response.and_then(clients::HttpResponse::error_for_status).ok()?;
+        let found = serde_json::from_slice::<ScoreAnswer>(&response.body).ok()?;
         found.score.is_finite().then_some(Score((found.score * 1e6) as i64))
     }
 }
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -44,8 +44,8 @@
         tokio::net::TcpListener::from_std(listener).expect("the listener was made non-blocking");
     let factory = HttpService::build()
         .finish(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         })
         .tcp();
     serve_connections(listener, factory).await;
@@ -71,7 +71,7 @@
 }
 
 fn admin(control: &Rc<Control>, request: &Request) -> Response<BoxBody> {
-    let ask = match request.path() {
+    let admin_request = match request.path() {
         "/admin/ready" => return ready(control),
         "/admin/status" => AdminRequest::Status,
         "/admin/usage" => AdminRequest::Usage,
@@ -85,7 +85,7 @@
             return response::json(StatusCode::NOT_FOUND, &json!({ "error": message }));
         }
     };
-    response::json(StatusCode::OK, &control.admin(ask))
+    response::json(StatusCode::OK, &control.admin(admin_request))
 }
 
 /// Tells the balancer whether to send new requests here.
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -75,17 +75,19 @@
         let (mut reserved, mut released) = (Vec::new(), Vec::new());
         for action in actions {
             match action {
-                SuspectAction::BroadcastSuspicion(note) => notes.push(self.wire_note(&note)),
-                SuspectAction::Convict(verdict) => {
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    notes.push(self.wire_suspicion(&suspicion))
+                }
+                SuspectAction::Convict(conviction) => {
                     log_event!(
                         warn,
                         FingerprintConvicted,
-                        fingerprint = ?verdict.fingerprint,
-                        expires_at_ms = verdict.expires_at.0
+                        fingerprint = ?conviction.fingerprint,
+                        expires_at_ms = conviction.expires_at.0
                     );
-                    verdicts.push(WireConviction::from(&verdict));
+                    verdicts.push(WireConviction::from(&conviction));
                     // Peers hear it as well, so an unreachable log only delays distant zones.
-                    let _ = self.append(CONVICTION_STREAM, &verdict);
+                    let _ = self.append(CONVICTION_STREAM, &conviction);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
                 SuspectAction::Release(notice) => released.push(self.wire_isolation(&notice)),
@@ -108,14 +110,14 @@
         released: &[WireIsolation],
     ) {
         let view = self.shared.view.load_full();
-        for note in notes {
-            let (fingerprint, expires_at) = note.fingerprint_and_expiry();
-            let crashed = note.crashed.iter().filter_map(|name| view.upstream_key(name));
-            let note = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
-            self.handle_suspect_event(SuspectEvent::SuspicionReceived(note));
+        for suspicion in notes {
+            let (fingerprint, expires_at) = suspicion.fingerprint_and_expiry();
+            let crashed = suspicion.crashed.iter().filter_map(|name| view.upstream_key(name));
+            let suspicion = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
+            self.handle_suspect_event(SuspectEvent::SuspicionReceived(suspicion));
         }
-        for verdict in verdicts {
-            self.handle_suspect_event(SuspectEvent::ConvictionReceived(verdict.into()));
+        for conviction in verdicts {
+            self.handle_suspect_event(SuspectEvent::ConvictionReceived(conviction.into()));
         }
         let notice = |wire: &WireIsolation| {
             let upstream = view.upstream_key(&wire.upstream)?;
@@ -130,11 +132,11 @@
         }
     }
 
-    fn wire_note(&self, note: &Suspicion) -> WireSuspicion {
+    fn wire_suspicion(&self, suspicion: &Suspicion) -> WireSuspicion {
         WireSuspicion {
-            fingerprint: note.fingerprint.0,
-            crashed: note.crashed.iter().map(|key| self.upstream_name(*key)).collect(),
-            expires_at_ms: note.expires_at.0,
+            fingerprint: suspicion.fingerprint.0,
+            crashed: suspicion.crashed.iter().map(|key| self.upstream_name(*key)).collect(),
+            expires_at_ms: suspicion.expires_at.0,
         }
     }
 
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -79,19 +79,17 @@
 
 impl StatementWaiters {
     /// Answers the request that waits for a record.
-    pub(crate) fn read(&mut self, id: RecordId, book: &SampleTable, actions: &[SampleOutcome]) {
+    pub(crate) fn read(&mut self, id: RecordId, table: &SampleTable, actions: &[SampleOutcome]) {
         let Some(waiter) = self.waiting.remove(&id) else { return };
         let refused =
             actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
         let step = if refused { StepOutcome::Refused } else { StepOutcome::Taken };
         let offered = actions.iter().find_map(|action| match action {
-            SampleOutcome::DeliveriesReady { trainer, range: offer } => {
-                Some((*trainer, offer.statement))
-            }
+            SampleOutcome::DeliveriesReady { trainer, range } => Some((*trainer, range.statement)),
             _ => None,
         });
         let end = offered.and_then(|(trainer, statement)| {
-            let deliveries = book.deliveries(trainer, statement)?;
+            let deliveries = table.deliveries(trainer, statement)?;
             Some(StatementEnd::Offered { statement, deliveries, step })
         });
         // A request that was given up has dropped its end.
@@ -107,11 +105,11 @@
     /// Answers a trainer, unless it gives up first.
     pub(crate) async fn handle_trainer_request(
         self: Rc<Self>,
-        ask: TrainerRequest,
+        request: TrainerRequest,
         mut reply: oneshot::Sender<Result<Value, Refusal>>,
     ) {
         let answer = async {
-            match ask {
+            match request {
                 TrainerRequest::OpenStep(step) => self.open_step(step).await,
                 TrainerRequest::FetchSamples { trainer, after, version } => {
                     self.fetch_samples(&trainer, after, version).await
@@ -228,10 +226,10 @@
     /// and samples in its hands would be made again.
     fn may_restate(&self, trainer: TrainerId, version: u64, after: Option<u64>) -> bool {
         let state = self.state();
-        let book = &state.samples.table;
-        let stated = book.stated_version(trainer);
+        let table = &state.samples.table;
+        let stated = table.stated_version(trainer);
         let rises = stated.is_none_or(|(stated, _)| version >= stated.0);
-        rises && after.is_none_or(|after| after >= book.acknowledged(trainer).0)
+        rises && after.is_none_or(|after| after >= table.acknowledged(trainer).0)
     }
 
     /// Appends a statement and waits until it is read back.
@@ -340,8 +338,8 @@
                 missing = BytesMissing::Now;
                 continue;
             };
-            let ask = PeerMessage::SampleFetch(filled.sample.into());
-            match self.ask_peer(address, &ask).await {
+            let request = PeerMessage::SampleFetch(filled.sample.into());
+            match self.ask_peer(address, &request).await {
                 Some(PeerMessage::SampleCopy(copy)) if stable_hash(&copy.text) == filled.digest => {
                     return Ok(copy.text);
                 }
--- a/crates/hibiscushinged/src/control/transfer.rs
+++ b/crates/hibiscushinged/src/control/transfer.rs
@@ -21,11 +21,11 @@
 impl ControlTransfer {
     pub(crate) fn status(&self) -> Value {
         let value = |counter: &TransferCounter| {
-            let figures = counter.totals();
+            let totals = counter.totals();
             json!({
-                "exchanges": figures.exchanges,
-                "sent_bytes": figures.sent,
-                "received_bytes": figures.received,
+                "exchanges": totals.exchanges,
+                "sent_bytes": totals.sent,
+                "received_bytes": totals.received,
             })
         };
         json!({
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -70,10 +70,10 @@
 
 impl Control {
     /// Adds the usage of finished requests.
-    pub(crate) fn record_usage(&self, figures: &UsageByCustomer) {
+    pub(crate) fn record_usage(&self, usage: &UsageByCustomer) {
         let now = self.now();
         let mut state = self.state();
-        for (customer, amount) in &figures.0 {
+        for (customer, amount) in &usage.0 {
             // A sum beyond 64 bits is impossible within one batch of 5 s.
             state.usage.meter.record(now, customer, *amount).expect("a batch fits in 64 bits");
         }
@@ -133,7 +133,7 @@
             return;
         };
         self.close_window(fencing);
-        self.append_snapshot(now, fencing);
+        self.append_usage_snapshot(now, fencing);
         self.report_window(now, fencing);
     }
 
@@ -240,7 +240,7 @@
         }
     }
 
-    fn append_snapshot(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
+    fn append_usage_snapshot(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let snapshot = {
             let mut state = self.state();
             let usage = &mut state.usage;
@@ -312,13 +312,13 @@
 }
 
 fn wire_report(report: &WindowReport) -> UsageReport {
-    let figures = report.usage.0.iter().map(|(customer, amount)| {
-        let figures = CustomerUsage {
+    let usage = report.usage.0.iter().map(|(customer, amount)| {
+        let usage = CustomerUsage {
             requests: amount.requests,
             prompt_tokens: amount.prompt_tokens,
             generated_tokens: amount.generated_tokens,
         };
-        (customer.clone(), figures)
+        (customer.clone(), usage)
     });
-    UsageReport { window: report.window.0, fencing: report.fencing, figures: figures.collect() }
+    UsageReport { window: report.window.0, fencing: report.fencing, figures: usage.collect() }
 }
--- a/crates/hibiscushinged/src/control/watch.rs
+++ b/crates/hibiscushinged/src/control/watch.rs
@@ -112,7 +112,7 @@
             return;
         }
         let mut changed = RoutingView::clone(&view);
-        let price = if info.cheap { PriceClass::Cheap } else { PriceClass::Regular };
+        let price_class = if info.cheap { PriceClass::Cheap } else { PriceClass::Regular };
         let speed = self.pool_speed(info);
         let zone = {
             let mut state = self.state();
@@ -124,24 +124,24 @@
             service: info.service.clone(),
             zone_name: info.zone.clone(),
             address: info.address,
-            price_class: price,
+            price_class,
             version: None,
         });
         {
-            let mut desk = self.shared.scheduler();
-            let node_hash = stable_hash(&info.name);
-            let added = desk.add_upstream(
+            let mut scheduler = self.shared.scheduler();
+            let name_hash = stable_hash(&info.name);
+            let added = scheduler.add_upstream(
                 &info.service,
-                routing::UpstreamProperties { name_hash: node_hash, zone, price_class: price },
+                routing::UpstreamProperties { name_hash, zone, price_class },
                 speed,
             );
             assert_eq!(added, key, "view and desk list upstreams in the same order");
             // It takes no work until a watcher has seen it answer.
-            desk.set_state(key, routing::UpstreamState::Down);
+            scheduler.set_state(key, routing::UpstreamState::Down);
         }
         self.shared.view.store(changed.into());
         log_event!(UpstreamChanged, upstream = info.name, zone = info.zone, state = "known");
-        self.apply_board(self.now(), &info.name);
+        self.apply_load_report(self.now(), &info.name);
     }
 
     /// Returns the speed in tokens per second that the document expects of an upstream.
@@ -160,7 +160,7 @@
     pub(crate) fn mark_leaving(self: &Rc<Self>, upstream: &str, cause: LeavingCause) {
         let now = self.now();
         self.state().peers.load_table.mark_leaving(now, upstream, cause);
-        self.apply_board(now, upstream);
+        self.apply_load_report(now, upstream);
     }
 
     fn reclaim_noticed(self: &Rc<Self>, zone: &str) {
@@ -208,7 +208,7 @@
         };
         let now = self.now();
         self.state().peers.load_table.update(now, &target.name, report);
-        self.apply_board(now, &target.name);
+        self.apply_load_report(now, &target.name);
     }
 
     async fn probe_engine(&self, target: &UpstreamTarget) -> LoadReport {
@@ -244,7 +244,7 @@
     }
 
     /// Applies what the board says of an upstream to routing.
-    pub(crate) fn apply_board(self: &Rc<Self>, now: Moment, upstream: &str) {
+    pub(crate) fn apply_load_report(self: &Rc<Self>, now: Moment, upstream: &str) {
         let Some(found) = self.state().peers.load_table.view(now, upstream) else { return };
         let view = self.shared.view.load();
         let Some(key) = view.upstream_key(upstream) else { return };
@@ -262,13 +262,13 @@
             measured_at: now - found.age,
         };
         let actions = {
-            let mut desk = self.shared.scheduler();
-            let before = desk.state(key);
-            desk.set_state(key, state);
+            let mut scheduler = self.shared.scheduler();
+            let before = scheduler.state(key);
+            scheduler.set_state(key, state);
             if before != Some(state) {
                 log_event!(UpstreamChanged, upstream, state = ?state);
             }
-            desk.apply_load_report(now, wall_now(), key, sample)
+            scheduler.apply_load_report(now, wall_now(), key, sample)
         };
         self.spread(actions);
         if view.upstreams.get(key).is_some_and(|target| target.version != version) {
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -102,8 +102,8 @@
     fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingToken>) {
         let view = self.shared.view.load_full();
         let states = {
-            let desk = self.shared.scheduler();
-            let states = view.upstreams.iter().map(|(key, _)| (key, desk.state(key)));
+            let scheduler = self.shared.scheduler();
+            let states = view.upstreams.iter().map(|(key, _)| (key, scheduler.state(key)));
             states.collect::<Vec<_>>()
         };
         let mut state = self.state();
@@ -123,19 +123,19 @@
             }
             let is_own = target.zone_name == self.shared.settings.zone;
             let serves = found == Some(UpstreamState::Up);
-            for (plan, wanted) in
+            for (scheduler, wanted) in
                 [(&mut state.weights.held, true), (&mut state.weights.orders, is_own)]
             {
                 if !wanted {
                     continue;
                 }
                 if !serves {
-                    plan.engine_left(key);
+                    scheduler.engine_left(key);
                     continue;
                 }
-                plan.engine_joined(key, &target.service, zone);
+                scheduler.engine_joined(key, &target.service, zone);
                 if let Some(version) = target.version {
-                    plan.reported(key, version);
+                    scheduler.reported(key, version);
                 }
             }
         }
--- a/crates/hibiscushinged/src/gateway.rs
+++ b/crates/hibiscushinged/src/gateway.rs
@@ -77,12 +77,12 @@
             store = %settings.store.address,
             incarnation = incarnation.0,
         );
-        let (news, changes) = mpsc::unbounded_channel();
+        let (updates, changes) = mpsc::unbounded_channel();
         ready::start(&node)?;
         let traffic = serve::TrafficServer::start(Arc::clone(&node), changes)?;
         let control = Arc::clone(&node);
         std::thread::Builder::new().name(String::from("control")).spawn(move || {
-            actix_rt::System::new().block_on(control::run(control, news));
+            actix_rt::System::new().block_on(control::run(control, updates));
         })?;
         Ok(Self { node, traffic })
     }
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -69,14 +69,14 @@
         Self { traffic: Rc::clone(traffic), upstream, ended: false }
     }
 
-    pub(crate) fn finish(mut self, end: ExchangeOutcome) {
-        self.record(end);
+    pub(crate) fn finish(mut self, outcome: ExchangeOutcome) {
+        self.record(outcome);
     }
 
-    fn record(&mut self, end: ExchangeOutcome) {
+    fn record(&mut self, outcome: ExchangeOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.traffic.node.now();
-            self.traffic.balancer.borrow_mut().finish_request(now, self.upstream, end);
+            self.traffic.balancer.borrow_mut().finish_request(now, self.upstream, outcome);
         }
     }
 }
@@ -96,15 +96,15 @@
 /// the board.
 pub(crate) async fn open_exchange(
     traffic: &Rc<TrafficState>,
-    call: AttemptCall<'_>,
+    request: AttemptCall<'_>,
 ) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
-    let address = traffic.balancer.borrow().entry(call.upstream).address;
+    let address = traffic.balancer.borrow().entry(request.upstream).address;
     let mut head = RequestHead::default();
-    head.method = call.method.clone();
+    head.method = request.method.clone();
     head.uri =
-        call.path.parse().map_err(|error| not_sent(format!("the path is invalid: {error}")))?;
-    head.headers = call.headers;
-    let channel = match traffic.pool.take(traffic.node.now(), call.upstream) {
+        request.path.parse().map_err(|error| not_sent(format!("the path is invalid: {error}")))?;
+    head.headers = request.headers;
+    let channel = match traffic.pool.take(traffic.node.now(), request.upstream) {
         Some(channel) => channel,
         None => {
             traffic.node.metrics.channels_opened.inc();
@@ -122,8 +122,8 @@
             }
         }
     };
-    let mark = call.billed.map(|customer| traffic.node.count_begin(customer));
-    let exchange = match channel.send(head, call.body, call.id).await {
+    let counted = request.billed.map(|customer| traffic.node.count_begin(customer));
+    let exchange = match channel.send(head, request.body, request.id).await {
         Ok(exchange) => exchange,
         Err(fault) => {
             return Err((
@@ -132,21 +132,26 @@
             ));
         }
     };
-    let marks = exchange.metadata();
-    if let Some(load) = marks.load {
-        traffic.balancer.borrow_mut().record_load_report(traffic.node.now(), call.upstream, load);
+    let metadata = exchange.metadata();
+    if let Some(load) = metadata.load {
+        traffic.balancer.borrow_mut().record_load_report(
+            traffic.node.now(),
+            request.upstream,
+            load,
+        );
     }
-    if !marks.not_run {
+    if !metadata.not_run {
         return Ok(exchange);
     }
-    if let Some(mark) = &mark {
-        traffic.node.remove(mark);
+    if let Some(counted) = &counted {
+        traffic.node.remove(counted);
     }
-    let misdirected = marks.misdirected;
+    let misdirected = metadata.misdirected;
     let status = exchange.head().status.as_u16();
-    finish_exchange(traffic, call.upstream, exchange).await;
-    let end = if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Overloaded };
-    Err((AttemptError::NotRun(format!("refused with status {status}")), end))
+    finish_exchange(traffic, request.upstream, exchange).await;
+    let outcome =
+        if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Overloaded };
+    Err((AttemptError::NotRun(format!("refused with status {status}")), outcome))
 }
 
 /// Reads the rest of an answer, whose content is not needed, and keeps the connection.
@@ -170,36 +175,36 @@
 /// Returns a fault when there is no whole answer to pass on.
 pub(crate) async fn whole_exchange(
     traffic: &Rc<TrafficState>,
-    call: AttemptCall<'_>,
+    request: AttemptCall<'_>,
 ) -> Result<WholeAnswer, AttemptError> {
-    let upstream = call.upstream;
-    let place = AttemptGuard::acquire(traffic, upstream);
+    let upstream = request.upstream;
+    let in_flight = AttemptGuard::acquire(traffic, upstream);
     let started = traffic.node.now();
-    let mut exchange = match open_exchange(traffic, call).await {
+    let mut exchange = match open_exchange(traffic, request).await {
         Ok(exchange) => exchange,
-        Err((fault, end)) => {
-            place.finish(end);
-            return Err(fault);
+        Err((error, outcome)) => {
+            in_flight.finish(outcome);
+            return Err(error);
         }
     };
     match read_body(&mut exchange).await {
         Ok(body) => {
             let took = traffic.node.now().since(started);
             let status = exchange.head().status;
-            let end = if status.as_u16() < 500 {
+            let outcome = if status.as_u16() < 500 {
                 ExchangeOutcome::Answered(took)
             } else {
                 ExchangeOutcome::ServerError
             };
-            place.finish(end);
+            in_flight.finish(outcome);
             let headers = platform::relay_headers(exchange.head());
-            let marks = exchange.metadata().clone();
+            let metadata = exchange.metadata().clone();
             traffic.keep_channel(upstream, exchange);
-            Ok(WholeAnswer { status, headers, metadata: marks, body })
+            Ok(WholeAnswer { status, headers, metadata, body })
         }
-        Err(fault) => {
-            place.finish(ExchangeOutcome::TransportError);
-            Err(AttemptError::MaybeRun(fault.to_string()))
+        Err(error) => {
+            in_flight.finish(ExchangeOutcome::TransportError);
+            Err(AttemptError::MaybeRun(error.to_string()))
         }
     }
 }
@@ -228,9 +233,9 @@
     attempt: usize,
     left: Span,
 ) {
-    let board = traffic.balancer.borrow();
-    let entry = board.entry(upstream);
-    let (slots, load) = board.occupancy(traffic.node.now(), &entry.service);
+    let balancer = traffic.balancer.borrow();
+    let entry = balancer.entry(upstream);
+    let (slots, load) = balancer.occupancy(traffic.node.now(), &entry.service);
     log_event!(
         AttemptStarted,
         request,
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -108,9 +108,9 @@
         self.unsent = bytes.freeze();
         for _ in 0..=SKIPPED_ANSWERS {
             let head = self.read_head(&mut codec).await?;
-            let marks = parse_response_head(&head);
+            let metadata = parse_response_head(&head);
             let body = body_state(codec, &method, &head);
-            let mut exchange = Exchange { channel: self, head, metadata: marks, body };
+            let mut exchange = Exchange { channel: self, head, metadata, body };
             if exchange.answers(id) {
                 return Ok(exchange);
             }
--- a/crates/hibiscushinged/src/gateway/control.rs
+++ b/crates/hibiscushinged/src/gateway/control.rs
@@ -53,9 +53,9 @@
 }
 
 /// Runs the control thread until the process ends.
-pub(crate) async fn run(node: Arc<NodeState>, news: mpsc::UnboundedSender<UpstreamUpdate>) {
+pub(crate) async fn run(node: Arc<NodeState>, changes: mpsc::UnboundedSender<UpstreamUpdate>) {
     let control = Rc::new(ControlState::new(node));
-    let upstreams = UpstreamSink { control: Rc::clone(&control), news };
+    let upstreams = UpstreamSink { control: Rc::clone(&control), news: changes };
     let operator = OperatorSink { control: Rc::clone(&control), active: RefCell::default() };
     actix_rt::spawn(follow(Rc::clone(&control), UPSTREAM_TOPIC, upstreams));
     actix_rt::spawn(follow(Rc::clone(&control), OPERATOR_TOPIC, operator));
@@ -121,12 +121,12 @@
     fn apply_config(&self, config: routebook::SiteConfig, offset: u64) {
         let version = config.version;
         let routes = config.routes.len();
-        let mut history = self.active.borrow_mut();
-        if history.apply(config) == ApplyOutcome::NotNewer {
+        let mut active = self.active.borrow_mut();
+        if active.apply(config) == ApplyOutcome::NotNewer {
             return;
         }
         let node = &self.control.node;
-        node.config.store(history.current().cloned());
+        node.config.store(active.current().cloned());
         node.advance_to(NodePhase::Serving);
         log_event!(ConfigApplied, version, offset, routes);
     }
@@ -186,8 +186,8 @@
         }
     }
 
-    fn send(&self, news: UpstreamUpdate) {
-        if self.news.send(news).is_err() {
+    fn send(&self, update: UpstreamUpdate) {
+        if self.news.send(update).is_err() {
             tracing::debug!("the traffic thread has ended");
         }
     }
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -45,7 +45,7 @@
     traffic: Rc<TrafficState>,
     job: Rc<ItemJob>,
     upstream: UpstreamKey,
-    place: AttemptGuard,
+    in_flight: AttemptGuard,
 ) {
     let started = traffic.node.now();
     let resume_after = job.progress.borrow().text.last_event_id();
@@ -53,7 +53,7 @@
     let (submission, item) = (&job.metadata.id, &job.item.id);
     log_event!(ItemStarted, submission, item, upstream = engine, resume_after);
     let (end, exchange_end) = generate(&traffic, &job, upstream, &engine, started).await;
-    place.finish(exchange_end);
+    in_flight.finish(exchange_end);
     traffic.node.metrics.observe_run(traffic.node.now().since(started));
     match end {
         RunEnd::Whole => reward::finish(&traffic, &job).await,
@@ -102,7 +102,7 @@
     started: Moment,
 ) -> (RunEnd, ExchangeOutcome) {
     let last_id = job.progress.borrow().text.last_event_id();
-    let call = UpstreamRequestMetadata {
+    let metadata = UpstreamRequestMetadata {
         id: &job.item.id,
         host: &job.metadata.host,
         customer: Some(&job.metadata.customer),
@@ -110,19 +110,19 @@
         deadline: None,
         resume_after: (last_id > 0).then_some(last_id),
     };
-    let call = AttemptCall {
+    let metadata = AttemptCall {
         upstream,
         id: &job.item.id,
         method: Method::POST,
         path: &job.item.path,
-        headers: item_headers(&job.item.headers, &call),
+        headers: item_headers(&job.item.headers, &metadata),
         body: job.item.body.clone(),
         billed: None,
     };
-    let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, call)).await;
+    let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, metadata)).await;
     let mut exchange = match opened {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err((fault, ExchangeOutcome::Overloaded))) => {
+        Ok(Err((error, ExchangeOutcome::Overloaded))) => {
             let now = traffic.node.now();
             traffic.balancer.borrow_mut().record_generation_refusal(
                 now,
@@ -130,10 +130,10 @@
                 &job.metadata.model,
             );
             // Other models of the engine are not affected.
-            return (RunEnd::Refused(String::from(fault.reason())), ExchangeOutcome::Cancelled);
+            return (RunEnd::Refused(String::from(error.reason())), ExchangeOutcome::Cancelled);
         }
-        Ok(Err((fault, end))) => {
-            return (RunEnd::Interrupted(String::from(fault.reason())), end);
+        Ok(Err((error, end))) => {
+            return (RunEnd::Interrupted(String::from(error.reason())), end);
         }
         Err(_) => {
             return (RunEnd::Interrupted(String::from("no answer")), ExchangeOutcome::TimedOut);
@@ -152,8 +152,8 @@
     }
     if let Some(version) = exchange.metadata().version {
         traffic.balancer.borrow_mut().record_version(upstream, &job.metadata.model, version);
-        if let Err(fault) = job.progress.borrow_mut().text.begin_run(version) {
-            return (RunEnd::Interrupted(fault.to_string()), ExchangeOutcome::Cancelled);
+        if let Err(error) = job.progress.borrow_mut().text.begin_run(version) {
+            return (RunEnd::Interrupted(error.to_string()), ExchangeOutcome::Cancelled);
         }
     }
     match read_events(traffic, job, upstream, &mut exchange).await {
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -39,9 +39,10 @@
         let joined = traffic.store.join(GROUP, &member, &topics, life, generation).await;
         // While the store does not answer, this node goes on with what it has: its appends are
         // conditional, so a successor that runs the same items costs work and nothing else.
-        if let Ok(share) = joined {
-            traffic.partitions.generation.set(share.generation);
-            let parts = share.partitions.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
+        if let Ok(assignment) = joined {
+            traffic.partitions.generation.set(assignment.generation);
+            let parts =
+                assignment.partitions.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
             take_parts(&traffic, &parts.map(|(_, part)| part).collect());
         }
         tokio::time::sleep(JOIN_PERIOD).await;
--- a/crates/hibiscushinged/src/gateway/holder.rs
+++ b/crates/hibiscushinged/src/gateway/holder.rs
@@ -40,12 +40,12 @@
             order_timeout: ORDER_TIMEOUT,
             extra_wait: Span::ZERO,
         };
-        let mut keeper =
+        let mut lease_manager =
             LeaseManager::new(settings, LeaseScope::Fleet, node.incarnation, LeaseRole::Observer);
-        keeper.set_claim_delay(Span(rand::random_range(0..CLAIM_SPREAD.0)));
+        lease_manager.set_claim_delay(Span(rand::random_range(0..CLAIM_SPREAD.0)));
         let rest = if node.settings.first_start { Span::ZERO } else { rest(node) };
         let rests_until = RefCell::new(node.now() + rest);
-        Self { lease_manager: RefCell::new(keeper), rests_until }
+        Self { lease_manager: RefCell::new(lease_manager), rests_until }
     }
 
     /// Returns the number of the lease while this node may act.
--- a/crates/hibiscushinged/src/gateway/items.rs
+++ b/crates/hibiscushinged/src/gateway/items.rs
@@ -87,11 +87,11 @@
     /// prompt or of another model is of no use.
     pub(crate) fn take_kept(
         &mut self,
-        head: &SubmissionMetadata,
+        metadata: &SubmissionMetadata,
         item: &SubmissionItem,
     ) -> Option<GeneratedText> {
-        let kept = self.kept.remove(&(head.customer.clone(), item.id.clone()))?;
-        let same = kept.model == head.model && kept.item.body == item.body;
+        let kept = self.kept.remove(&(metadata.customer.clone(), item.id.clone()))?;
+        let same = kept.model == metadata.model && kept.item.body == item.body;
         same.then_some(kept.text)
     }
 }
--- a/crates/hibiscushinged/src/gateway/items/tests.rs
+++ b/crates/hibiscushinged/src/gateway/items/tests.rs
@@ -10,7 +10,7 @@
 use super::ItemLists;
 use crate::gateway::job::ItemJob;
 
-fn head(submission: &str, customer: &str, model: &str) -> SubmissionMetadata {
+fn metadata(submission: &str, customer: &str, model: &str) -> SubmissionMetadata {
     SubmissionMetadata {
         id: String::from(submission),
         customer: String::from(customer),
@@ -54,11 +54,11 @@
     #[case] taken: bool,
 ) {
     let mut lists = ItemLists::default();
-    let (first, prompt) = (Arc::new(head("s", "brewer", "m")), Arc::new(item("prompt")));
+    let (first, prompt) = (Arc::new(metadata("s", "brewer", "m")), Arc::new(item("prompt")));
     let job = Rc::new(ItemJob::new(0, &first, &prompt, false, None));
     let event = GenerationEvent { id: 1, data: String::from("a"), version: Some(WeightVersion(1)) };
     job.progress.borrow_mut().text.push(&event).unwrap();
     lists.keep(Moment(0), &job);
-    let text = lists.take_kept(&head("later", customer, model), &item(body));
+    let text = lists.take_kept(&metadata("later", customer, model), &item(body));
     assert_eq!(text.map(|text| text.last_event_id()), taken.then_some(1));
 }
--- a/crates/hibiscushinged/src/gateway/job.rs
+++ b/crates/hibiscushinged/src/gateway/job.rs
@@ -57,18 +57,18 @@
 impl ItemJob {
     pub(crate) fn new(
         part: u32,
-        head: &Arc<SubmissionMetadata>,
+        metadata: &Arc<SubmissionMetadata>,
         item: &Arc<SubmissionItem>,
         one_version: bool,
         kept: Option<GeneratedText>,
     ) -> Self {
-        let least = head.min_version;
-        let kept = kept.and_then(|mut text| text.set_min_version(least).ok().map(|()| text));
-        let text = kept.unwrap_or_else(|| GeneratedText::new(least, one_version));
+        let min_version = metadata.min_version;
+        let kept = kept.and_then(|mut text| text.set_min_version(min_version).ok().map(|()| text));
+        let text = kept.unwrap_or_else(|| GeneratedText::new(min_version, one_version));
         let progress = JobProgress { text, failures: 0, tried: SmallVec::new() };
         Self {
             part,
-            metadata: Arc::clone(head),
+            metadata: Arc::clone(metadata),
             item: Arc::clone(item),
             progress: RefCell::new(progress),
             scoring: Cell::new(false),
@@ -107,9 +107,9 @@
 }
 
 /// Returns when the results of a submission are due.
-pub(crate) fn due_at(now: Moment, head: &SubmissionMetadata, route: &RouteSpec) -> Moment {
+pub(crate) fn due_at(now: Moment, metadata: &SubmissionMetadata, route: &RouteSpec) -> Moment {
     let objective = route.completion_objective.unwrap_or(DEFAULT_DUE);
-    let age = wall_now().0.saturating_sub(head.accepted_at.0);
+    let age = wall_now().0.saturating_sub(metadata.accepted_at.0);
     let age = Span::from_millis(u64::try_from(age).unwrap_or(0));
     let rank = Span(RANK_DELAY.0 * u64::from(route.priority));
     now + objective.saturating_sub(age) + rank
--- a/crates/hibiscushinged/src/gateway/lease.rs
+++ b/crates/hibiscushinged/src/gateway/lease.rs
@@ -52,11 +52,11 @@
         let now = control.node.now();
         let draining = control.node.phase() == NodePhase::Draining;
         let actions = {
-            let mut keeper = control.lease.lease_manager.borrow_mut();
+            let mut lease_manager = control.lease.lease_manager.borrow_mut();
             let rested = now >= *control.lease.rests_until.borrow();
             let stands = rested && !draining && control.node.phase() == NodePhase::Serving;
-            keeper.set_role(if stands { LeaseRole::Candidate } else { LeaseRole::Observer });
-            if draining { keeper.resign() } else { keeper.tick(now) }
+            lease_manager.set_role(if stands { LeaseRole::Candidate } else { LeaseRole::Observer });
+            if draining { lease_manager.resign() } else { lease_manager.tick(now) }
         };
         for action in actions {
             act(&control, action);
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -108,8 +108,8 @@
 
     /// Attempts that the route of a path allows, if there is one.
     pub(crate) fn max_attempts(&self, host: &str, path: &str) -> Option<u32> {
-        let book = self.config.load();
-        Some(book.as_ref()?.route(host, path)?.max_attempts)
+        let config = self.config.load();
+        Some(config.as_ref()?.route(host, path)?.max_attempts)
     }
 
     pub(crate) fn window_totals(&self) -> MutexGuard<'_, WindowTotals> {
@@ -147,8 +147,8 @@
     }
 
     /// Takes back a request that the upstream did not run.
-    pub(crate) fn remove(&self, mark: &CountedRequest) {
-        self.window_totals().remove(mark.window, &mark.customer);
+    pub(crate) fn remove(&self, counted: &CountedRequest) {
+        self.window_totals().remove(counted.window, &counted.customer);
     }
 
     /// Records that the store answered.
--- a/crates/hibiscushinged/src/gateway/partition_follower.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower.rs
@@ -86,14 +86,13 @@
         submission: &str,
     ) -> Result<(), CallError> {
         while !self.cache.borrow().is_loaded(submission) {
-            let sent_at = store.node.now();
+            let read_started_at = store.node.now();
             let prefix = submission_prefix(submission);
             let KeySet { items, end, .. } = fetch_keys(store, &self.name, &prefix).await?;
             let records = items.iter().filter_map(|change| self.decode(change));
             let records = records.map(|(_, record)| record).collect();
             let submission = String::from(submission);
-            let read =
-                SubmissionSnapshot { submission, read_started_at: sent_at, log_end: end, records };
+            let read = SubmissionSnapshot { submission, read_started_at, log_end: end, records };
             if self.cache.borrow_mut().apply_snapshot(read) {
                 self.tell_change();
             }
@@ -103,10 +102,10 @@
 
     /// Loads all open submissions, for a node that begins to run them.
     async fn load_open(&self, store: &StoreSession) -> Result<(), CallError> {
-        let sent_at = store.node.now();
+        let read_started_at = store.node.now();
         let KeySet { items: markers, end, .. } =
             fetch_keys(store, &self.name, OPEN_SUBMISSIONS_PREFIX).await?;
-        self.cache.borrow_mut().follow_from(end, sent_at);
+        self.cache.borrow_mut().follow_from(end, read_started_at);
         let open: Vec<&str> = markers
             .iter()
             .map(|marker| marker.key.trim_start_matches(OPEN_SUBMISSIONS_PREFIX))
@@ -148,20 +147,20 @@
     async fn poll(&self, store: &StoreSession, wait: Span) -> Result<bool, CallError> {
         let Some(from) = self.cache.borrow().next_offset() else { return Ok(true) };
         // The copy is complete as of the moment at which the read was sent.
-        let sent_at = store.node.now();
+        let read_started_at = store.node.now();
         match store.read(&self.name.topic, self.name.part, from, wait).await? {
             ReadResponse::Records { records, end } => {
-                let read_to = records.last().map_or(from, |record| record.offset + 1);
+                let next_offset = records.last().map_or(from, |record| record.offset + 1);
                 let changes = records.iter().filter_map(|record| split(&self.name, record));
                 let records = changes.filter_map(|change| self.decode(&change)).collect();
                 let complete = self.cache.borrow_mut().apply_batch(LogBatch {
-                    read_started_at: sent_at,
+                    read_started_at,
                     start_offset: from,
-                    next_offset: read_to,
+                    next_offset,
                     log_end: end,
                     records,
                 });
-                if read_to > from {
+                if next_offset > from {
                     self.tell_change();
                 }
                 Ok(complete)
--- a/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -42,7 +42,7 @@
 }
 
 fn submission() -> Vec<SubmissionRecord> {
-    let head = SubmissionMetadata {
+    let metadata = SubmissionMetadata {
         id: String::from("s"),
         customer: String::from("brewer"),
         host: String::from("h"),
@@ -66,7 +66,7 @@
     });
     let items =
         SubmissionRecord::Items { submission: String::from("s"), first: 0, items: items.collect() };
-    vec![SubmissionRecord::Opened(head), items]
+    vec![SubmissionRecord::Opened(metadata), items]
 }
 
 /// Guards against a copy that counts as complete after one answer of the store, which holds a bounded
@@ -87,8 +87,8 @@
     store.append(SUBMISSION_TOPIC, 0, results.collect());
 
     mirror.catch_up(&traffic.store).await.unwrap();
-    let book = mirror.table();
-    assert_eq!(book.get("s").map(submissions::SubmissionState::result_count), Some(ITEMS));
+    let table = mirror.table();
+    assert_eq!(table.get("s").map(submissions::SubmissionState::result_count), Some(ITEMS));
 }
 
 /// Guards against a copy that stays behind after the store has dropped the history that it needs.
@@ -119,7 +119,7 @@
         let mut records = submission();
         for record in &mut records {
             match record {
-                SubmissionRecord::Opened(head) => head.id = String::from(other),
+                SubmissionRecord::Opened(metadata) => metadata.id = String::from(other),
                 SubmissionRecord::Items { submission, .. } => *submission = String::from(other),
                 _ => {}
             }
@@ -128,9 +128,9 @@
     }
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     mirror.load(&traffic.store, "s").await.unwrap();
-    let book = mirror.table();
-    assert!(book.get("s").is_some());
-    assert_eq!(book.iter().count(), 1);
+    let table = mirror.table();
+    assert!(table.get("s").is_some());
+    assert_eq!(table.iter().count(), 1);
 }
 
 const CONFIG: &str = r#"{"version":1,"routes":[{"name":"draft","host":"h","prefix":"/p/",
--- a/crates/hibiscushinged/src/gateway/plain.rs
+++ b/crates/hibiscushinged/src/gateway/plain.rs
@@ -58,7 +58,7 @@
         left: Span,
     ) -> AttemptCall<'_> {
         let instance = traffic.balancer.borrow().entry(upstream).id.clone();
-        let call = UpstreamRequestMetadata {
+        let metadata = UpstreamRequestMetadata {
             id: self.id,
             host: self.host,
             customer: self.customer,
@@ -71,7 +71,7 @@
             id: self.id,
             method: self.method.clone(),
             path: self.path,
-            headers: forward_headers(self.headers, &call),
+            headers: forward_headers(self.headers, &metadata),
             body: self.body.clone(),
             billed: self.customer,
         }
@@ -146,9 +146,9 @@
 ) -> Option<UpstreamKey> {
     let zone = &traffic.node.settings.zone;
     let connected = &traffic.pool.connected();
-    let draw = rand::random();
-    let ask = PlainPickRequest { service: job.service, zone, tried, connected, jitter_seed: draw };
-    traffic.balancer.borrow().pick_plain(traffic.node.now(), &ask)
+    let jitter_seed = rand::random();
+    let request = PlainPickRequest { service: job.service, zone, tried, connected, jitter_seed };
+    traffic.balancer.borrow().pick_plain(traffic.node.now(), &request)
 }
 
 async fn one_try(
@@ -170,8 +170,8 @@
         upstream: UpstreamKey,
         result: Result<WholeAnswer, AttemptError>,
     ) -> Option<WholeAnswer> {
-        let board = traffic.balancer.borrow();
-        let name = &board.entry(upstream).id;
+        let balancer = traffic.balancer.borrow();
+        let name = &balancer.entry(upstream).id;
         match result {
             Ok(answer) if answer.status.as_u16() < 500 => return Some(answer),
             Ok(answer) => {
@@ -187,17 +187,17 @@
                 }
                 self.failed_answer = Some(answer);
             }
-            Err(fault) => {
-                let ran = matches!(fault, AttemptError::MaybeRun(_));
+            Err(error) => {
+                let ran = matches!(error, AttemptError::MaybeRun(_));
                 log_event!(
                     AttemptFailed,
                     request = job.id,
                     upstream = name,
                     may_have_run = ran,
-                    reason = fault.reason(),
+                    reason = error.reason(),
                 );
                 self.may_have_run |= ran;
-                self.last_reason = Some(String::from(fault.reason()));
+                self.last_reason = Some(String::from(error.reason()));
             }
         }
         None
--- a/crates/hibiscushinged/src/gateway/relay.rs
+++ b/crates/hibiscushinged/src/gateway/relay.rs
@@ -45,7 +45,7 @@
 pub(crate) async fn relay(
     traffic: &Rc<TrafficState>,
     job: &PlainJob<'_>,
-    flight: InFlightGuard,
+    in_flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
     let mut tried: SmallVec<[UpstreamKey; 4]> = SmallVec::new();
     let mut reason = String::from("no upstream is usable");
@@ -55,16 +55,18 @@
         let Some(upstream) = pick(traffic, job, &tried) else { break };
         tried.push(upstream);
         log_attempt(traffic, job.id, upstream, tried.len(), left);
-        let place = AttemptGuard::acquire(traffic, upstream);
+        let in_flight_request = AttemptGuard::acquire(traffic, upstream);
         match begin(traffic, job, upstream, left).await {
-            Ok(exchange) => return Ok(response(traffic, upstream, exchange, place, flight)),
-            Err((AttemptError::NotRun(why), end)) => {
-                place.finish(end);
+            Ok(exchange) => {
+                return Ok(response(traffic, upstream, exchange, in_flight_request, in_flight));
+            }
+            Err((AttemptError::NotRun(why), outcome)) => {
+                in_flight_request.finish(outcome);
                 log_event!(AttemptFailed, request = job.id, may_have_run = false, reason = why);
                 reason = why;
             }
-            Err((AttemptError::MaybeRun(why), end)) => {
-                place.finish(end);
+            Err((AttemptError::MaybeRun(why), outcome)) => {
+                in_flight_request.finish(outcome);
                 log_event!(AttemptFailed, request = job.id, may_have_run = true, reason = why);
                 reason = why;
                 may_have_run = true;
@@ -101,8 +103,8 @@
     traffic: &Rc<TrafficState>,
     upstream: UpstreamKey,
     exchange: Exchange,
-    place: AttemptGuard,
-    flight: InFlightGuard,
+    in_flight_request: AttemptGuard,
+    in_flight: InFlightGuard,
 ) -> Response<BoxBody> {
     let status = exchange.head().status;
     let headers = relay_headers(exchange.head());
@@ -110,8 +112,8 @@
         traffic: Rc::clone(traffic),
         upstream,
         exchange: Some(exchange),
-        place: Some(place),
-        _in_flight: flight,
+        place: Some(in_flight_request),
+        _in_flight: in_flight,
     };
     let body = BodyStream::new(Box::pin(stream::unfold(state, next_chunk)));
     response::with_headers(status, BoxBody::new(body), headers)
@@ -126,17 +128,17 @@
         Ok(None) => {
             let exchange = state.exchange.take()?;
             state.traffic.keep_channel(state.upstream, exchange);
-            if let Some(place) = state.place.take() {
-                place.finish(ExchangeOutcome::Cancelled);
+            if let Some(in_flight_request) = state.place.take() {
+                in_flight_request.finish(ExchangeOutcome::Cancelled);
             }
             None
         }
-        Err(fault) => {
+        Err(error) => {
             state.exchange = None;
-            if let Some(place) = state.place.take() {
-                place.finish(ExchangeOutcome::TransportError);
+            if let Some(in_flight_request) = state.place.take() {
+                in_flight_request.finish(ExchangeOutcome::TransportError);
             }
-            Some((Err(std::io::Error::other(fault.to_string())), state))
+            Some((Err(std::io::Error::other(error.to_string())), state))
         }
     }
 }
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -71,41 +71,41 @@
 /// another node.
 fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionFollower) {
     let part = mirror.name.part;
-    let copy = mirror.cache();
+    let cache = mirror.cache();
     let owned = mirror.is_owned() && !traffic.items.stopped.get();
     // A copy from before this node became the owner may miss the ends of submissions.
-    let may_begin = owned && copy.is_scanned();
+    let may_begin = owned && cache.is_scanned();
     traffic.items.drop_jobs(traffic.node.now(), part, |job| {
-        let Some(submission) = copy.table().get(&job.metadata.id) else { return true };
+        let Some(submission) = cache.table().get(&job.metadata.id) else { return true };
         !owned && !traffic.items.stopped.get()
             || submission.is_ended()
             || submission.is_resolved(&job.item.id)
-            || may_begin && !copy.is_loaded(&job.metadata.id)
+            || may_begin && !cache.is_loaded(&job.metadata.id)
     });
     if !may_begin {
         return;
     }
     let Some(routes) = traffic.node.config.load_full() else { return };
     let mut state = traffic.items.lists.borrow_mut();
-    for submission in copy.open_submissions() {
-        let head = submission.metadata();
-        let Some(route) = routes.route(&head.host, &head.path) else {
+    for submission in cache.open_submissions() {
+        let metadata = submission.metadata();
+        let Some(route) = routes.route(&metadata.host, &metadata.path) else {
             continue;
         };
-        let due = due_at(traffic.node.now(), head, route);
+        let due = due_at(traffic.node.now(), metadata, route);
         let mut groups: HashMap<&str, u32> = HashMap::new();
         for item in submission.items() {
             let next = groups.len() as u32;
             let group = *groups.entry(&item.group).or_insert(next);
-            if submission.is_resolved(&item.id) || state.jobs.contains(&head.id, &item.id) {
+            if submission.is_resolved(&item.id) || state.jobs.contains(&metadata.id, &item.id) {
                 continue;
             }
             let job = Rc::new(ItemJob::new(
                 part,
-                head,
+                metadata,
                 item,
                 route.one_version,
-                state.take_kept(head, item),
+                state.take_kept(metadata, item),
             ));
             state.jobs.insert(&job);
             state.queue.push(due, group, item.expected_tokens, job);
@@ -122,36 +122,39 @@
     let mut state = traffic.items.lists.borrow_mut();
     let state = &mut *state;
     let mut full: BTreeSet<(String, u64)> = BTreeSet::new();
-    let warm = &mut state.warm_engines;
+    let warm_engines = &mut state.warm_engines;
     let connected = traffic.pool.connected();
     state.queue.place(|job| {
-        let head = &job.metadata;
-        let need = (head.model.clone(), head.min_version.0);
-        if full.contains(&need) {
+        let metadata = &job.metadata;
+        let requirement = (metadata.model.clone(), metadata.min_version.0);
+        if full.contains(&requirement) {
             return false;
         }
-        let Some(route) = routes.route(&head.host, &head.path) else { return false };
+        let Some(route) = routes.route(&metadata.host, &metadata.path) else { return false };
         let Some(service) = route.pick_service(rand::random()) else { return false };
         let prompt = job.item.shared_prompt.as_ref();
         let progress = job.progress.borrow();
-        let ask = GenerationPickRequest {
+        let request = GenerationPickRequest {
             service,
-            requirement: ModelRequirement { model: &head.model, min_version: head.min_version },
+            requirement: ModelRequirement {
+                model: &metadata.model,
+                min_version: metadata.min_version,
+            },
             tried: &progress.tried,
-            warm_engine: prompt.and_then(|prompt| warm.get(prompt).copied()),
+            warm_engine: prompt.and_then(|prompt| warm_engines.get(prompt).copied()),
             connected: &connected,
             jitter_seed: rand::random(),
         };
-        let Some(upstream) = traffic.balancer.borrow().pick_generation(now, &ask) else {
-            full.insert(need);
+        let Some(upstream) = traffic.balancer.borrow().pick_generation(now, &request) else {
+            full.insert(requirement);
             return false;
         };
         drop(progress);
         if let Some(prompt) = prompt {
-            if warm.len() >= MOST_PROMPTS {
-                warm.clear();
+            if warm_engines.len() >= MOST_PROMPTS {
+                warm_engines.clear();
             }
-            warm.insert(prompt.clone(), upstream);
+            warm_engines.insert(prompt.clone(), upstream);
         }
         start(job, traffic, upstream);
         true
@@ -189,7 +192,7 @@
         return false;
     }
     let service = traffic.balancer.borrow().entry(from).service.clone();
-    let ask = GenerationPickRequest {
+    let request = GenerationPickRequest {
         service: &service,
         requirement: ModelRequirement {
             model: &job.metadata.model,
@@ -200,17 +203,18 @@
         connected: &traffic.pool.connected(),
         jitter_seed: rand::random(),
     };
-    let board = traffic.balancer.borrow();
-    let picked = board.pick_generation(now, &ask);
-    let Some(to) = picked.filter(|to| *to != from && board.should_migrate(now, from, *to)) else {
+    let balancer = traffic.balancer.borrow();
+    let picked = balancer.pick_generation(now, &request);
+    let Some(to) = picked.filter(|to| *to != from && balancer.should_migrate(now, from, *to))
+    else {
         return false;
     };
     let (submission, item) = (&job.metadata.id, &job.item.id);
-    let (upstream, next) = (&board.entry(from).id, &board.entry(to).id);
+    let (upstream, next) = (&balancer.entry(from).id, &balancer.entry(to).id);
     let events = progress.text.last_event_id();
     let reason = "a faster engine has a free slot";
     log_event!(ItemInterrupted, submission, item, upstream, next, reason, events);
-    drop((board, progress, run));
+    drop((balancer, progress, run));
     if let Some(run) = job.run.take() {
         run.abort.abort();
     }
@@ -219,9 +223,9 @@
 }
 
 fn start(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, upstream: UpstreamKey) {
-    let place = AttemptGuard::acquire(traffic, upstream);
+    let in_flight = AttemptGuard::acquire(traffic, upstream);
     let started_at = traffic.node.now();
-    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, place);
+    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, in_flight);
     let task = actix_rt::spawn(run);
     let run = ItemRun { abort: task.abort_handle(), upstream, started_at };
     job.run.replace(Some(run));
@@ -266,7 +270,7 @@
     let submissions: BTreeSet<&str> =
         results.iter().map(|(submission, _)| submission.as_str()).collect();
     let submissions: Vec<&str> = submissions.into_iter().collect();
-    let build = |book: &SubmissionTable| result_records(book, &results);
+    let build = |table: &SubmissionTable| result_records(table, &results);
     let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, build).await;
     if stored.is_ok() {
         return;
--- a/crates/hibiscushinged/src/gateway/serve.rs
+++ b/crates/hibiscushinged/src/gateway/serve.rs
@@ -150,18 +150,23 @@
 
 async fn serve(traffic: Rc<TrafficState>, mut request: Request) -> Response<BoxBody> {
     let arrived = traffic.node.now();
-    let flight = traffic.node.track_in_flight();
-    let call = parse_request_head(request.head());
+    let in_flight = traffic.node.track_in_flight();
+    let metadata = parse_request_head(request.head());
     let path = request.uri().path_and_query().map_or_else(String::new, ToString::to_string);
-    let result = match read_body(&traffic, &call, &mut request).await {
+    let result = match read_body(&traffic, &metadata, &mut request).await {
         Ok(body) => {
-            let caller =
-                CallerRequest { request: &request, metadata: &call, path: &path, body, arrived };
-            dispatch(&traffic, &caller, flight).await
+            let caller = CallerRequest {
+                request: &request,
+                metadata: &metadata,
+                path: &path,
+                body,
+                arrived,
+            };
+            dispatch(&traffic, &caller, in_flight).await
         }
         Err(refusal) => Err(refusal),
     };
-    let id = call.id.as_deref().unwrap_or_default();
+    let id = metadata.id.as_deref().unwrap_or_default();
     let took_ms = traffic.node.now().since(arrived).as_millis();
     let mut response = match result {
         Ok(response) => {
@@ -175,12 +180,12 @@
             log_event!(
                 RequestRefused,
                 request = id,
-                host = call.host,
+                host = metadata.host,
                 path,
                 code = refusal.code.as_str(),
                 ran = refusal.execution.as_str(),
                 reason = refusal.message,
-                config = traffic.node.config.load().as_ref().map(|book| book.version()),
+                config = traffic.node.config.load().as_ref().map(|config| config.version()),
                 took_ms,
             );
             response::refusal(&refusal)
@@ -192,11 +197,11 @@
 
 async fn read_body(
     traffic: &TrafficState,
-    call: &RequestMetadata,
+    metadata: &RequestMetadata,
     request: &mut Request,
 ) -> Result<Bytes, Refusal> {
-    let book = traffic.node.config.load();
-    let most = book.as_ref().map_or(usize::MAX, |book| book.limits().max_body_bytes);
+    let config = traffic.node.config.load();
+    let most = config.as_ref().map_or(usize::MAX, |config| config.limits().max_body_bytes);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     let reading = async {
@@ -215,7 +220,7 @@
         }
         Ok(())
     };
-    let timeout = call.deadline.unwrap_or(BODY_TIMEOUT);
+    let timeout = metadata.deadline.unwrap_or(BODY_TIMEOUT);
     match tokio::time::timeout(to_duration(timeout), reading).await {
         Ok(result) => result.map(|()| body.freeze()),
         Err(_) => {
@@ -228,20 +233,20 @@
 async fn dispatch(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    flight: InFlightGuard,
+    in_flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let Some(book) = traffic.node.config.load_full() else {
+    let Some(config) = traffic.node.config.load_full() else {
         let message = "this node has no configuration yet";
         return Err(Refusal::not_run(RefusalCode::Isolated, message).with_retry_after(START_PAUSE));
     };
     let target = parse_request_target(&caller.request.head().method, caller.path);
     let submission = match target {
-        RequestTarget::Route => return route_call(traffic, caller, &book, flight).await,
+        RequestTarget::Route => return route_call(traffic, caller, &config, in_flight).await,
         RequestTarget::Results { submission, .. }
         | RequestTarget::ItemBody { submission, .. }
         | RequestTarget::EndSubmission { submission } => submission,
     };
-    let Some(customer) = customer(&book, caller)? else {
+    let Some(customer) = customer(&config, caller)? else {
         return Err(key_refused());
     };
     let inquiry = Inquiry { submission, customer };
@@ -258,13 +263,13 @@
 }
 
 fn customer<'b>(
-    book: &'b ConfigIndex,
+    config: &'b ConfigIndex,
     caller: &CallerRequest<'_>,
 ) -> Result<Option<&'b str>, Refusal> {
-    if !book.needs_keys() {
+    if !config.needs_keys() {
         return Ok(None);
     }
-    let found = caller.metadata.key.and_then(|key| book.customer(key));
+    let found = caller.metadata.key.and_then(|key| config.customer(key));
     found.map(|customer| Some(customer.name.as_str())).ok_or_else(key_refused)
 }
 
@@ -275,29 +280,29 @@
 async fn route_call(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    book: &ConfigIndex,
-    flight: InFlightGuard,
+    config: &ConfigIndex,
+    in_flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let (call, path) = (caller.metadata, caller.path);
-    let Some(route) = book.route(&call.host, path) else {
-        let message = format!("no route of host \"{}\" leads to \"{path}\"", call.host);
+    let (metadata, path) = (caller.metadata, caller.path);
+    let Some(route) = config.route(&metadata.host, path) else {
+        let message = format!("no route of host \"{}\" leads to \"{path}\"", metadata.host);
         return Err(Refusal::not_run(RefusalCode::RouteUnknown, message));
     };
-    let customer = if route.public { None } else { customer(book, caller)? };
-    let id = call.id.as_deref().unwrap_or_default();
-    let timeout = call.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    let customer = if route.public { None } else { customer(config, caller)? };
+    let id = metadata.id.as_deref().unwrap_or_default();
+    let timeout = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
     let deadline = caller.arrived + timeout;
     if route.kind == RequestKind::Submission {
         let Some(customer) = customer else { return Err(key_refused()) };
         // The route's time-out holds for its items; the sender's own deadline bounds the append.
-        let deadline = caller.arrived + call.deadline.unwrap_or(BODY_TIMEOUT);
-        let host = call.host.as_str();
+        let deadline = caller.arrived + metadata.deadline.unwrap_or(BODY_TIMEOUT);
+        let host = metadata.host.as_str();
         let arrival = Arrival { id, customer, host, path, body: &caller.body, deadline };
         return submit::accept(traffic, &arrival).await;
     }
     let job = plain_job(caller, route, customer, id, deadline)?;
     if route.kind == RequestKind::Stream {
-        return relay::relay(traffic, &job, flight).await;
+        return relay::relay(traffic, &job, in_flight).await;
     }
     run_plain(traffic, &job).await.map(response::relayed)
 }
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -73,8 +73,8 @@
     let items: usize = records.iter().map(items_of).sum();
     let mut known = true;
     let submissions = [arrival.id];
-    let stored = commit(traffic, mirror, patience, &submissions, |book| {
-        let opening = opening_records(book, arrival.id, &records);
+    let stored = commit(traffic, mirror, patience, &submissions, |table| {
+        let opening = opening_records(table, arrival.id, &records);
         known = opening.is_none();
         opening
     });
@@ -96,9 +96,9 @@
     Refusal::not_run(RefusalCode::RequestInvalid, error.to_string())
 }
 
-fn unsettled(fault: CommitError) -> Refusal {
+fn unsettled(error: CommitError) -> Refusal {
     let code = RefusalCode::LogUnavailable;
-    match fault {
+    match error {
         CommitError::NotStored => Refusal::not_run(code, "the store does not take the records"),
         CommitError::Unknown => {
             // The status must not promise that the submission will not run.
@@ -205,8 +205,8 @@
     inquiry: &Inquiry<'_>,
     after: u32,
 ) -> Response<BoxBody> {
-    let book = mirror.table();
-    let Some(state) = book.get(inquiry.submission) else {
+    let table = mirror.table();
+    let Some(state) = table.get(inquiry.submission) else {
         return super::response::status(StatusCode::NOT_FOUND);
     };
     let total = state.metadata().item_count;
@@ -226,8 +226,8 @@
 ) -> Result<Response<BoxBody>, Refusal> {
     let mirror = traffic.partitions.of_customer(inquiry.customer);
     require(traffic, mirror, inquiry).await?;
-    let book = mirror.table();
-    let found = book.get(inquiry.submission).and_then(|state| state.item(item));
+    let table = mirror.table();
+    let found = table.get(inquiry.submission).and_then(|state| state.item(item));
     let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
 }
@@ -245,8 +245,8 @@
     require(traffic, mirror, inquiry).await?;
     let submission = inquiry.submission;
     let submissions = [submission];
-    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, |book| {
-        ending_records(book, submission)
+    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, |table| {
+        ending_records(table, submission)
     });
     stored.await.map_err(unsettled)?;
     log_event!(SubmissionEnded, submission, customer = inquiry.customer);
@@ -261,8 +261,8 @@
 ) -> Result<(), Refusal> {
     mirror.follow(&traffic.store);
     refresh(traffic, mirror, inquiry).await?;
-    let book = mirror.table();
-    let state = book.get(inquiry.submission);
+    let table = mirror.table();
+    let state = table.get(inquiry.submission);
     if state.is_some_and(|state| state.metadata().customer == inquiry.customer) {
         return Ok(());
     }
--- a/crates/hibiscushinged/src/gateway/upstreams.rs
+++ b/crates/hibiscushinged/src/gateway/upstreams.rs
@@ -16,8 +16,8 @@
 }
 
 impl TrafficState {
-    fn apply_update(&self, news: UpstreamUpdate) {
-        match news {
+    fn apply_update(&self, update: UpstreamUpdate) {
+        match update {
             UpstreamUpdate::Updated(entry) => {
                 let (id, address) = (entry.id.clone(), entry.address);
                 let state = entry.state;
@@ -45,8 +45,8 @@
     traffic: Rc<TrafficState>,
     mut changes: mpsc::UnboundedReceiver<UpstreamUpdate>,
 ) {
-    while let Some(news) = changes.recv().await {
-        traffic.apply_update(news);
+    while let Some(update) = changes.recv().await {
+        traffic.apply_update(update);
     }
 }
 
--- a/crates/hibiscushinged/src/gateway/usage.rs
+++ b/crates/hibiscushinged/src/gateway/usage.rs
@@ -68,9 +68,9 @@
             log_event!(UsageBatchAppended, windows, newest);
         } else {
             // Totals replace each other, so a write whose answer was lost is made again.
-            let mut tally = control.node.window_totals();
+            let mut window_totals = control.node.window_totals();
             for (window, _) in &changed {
-                tally.mark_changed(*window);
+                window_totals.mark_changed(*window);
             }
         }
         let oldest = WindowNumber(ended.0.saturating_sub(KEPT_WINDOWS));
--- a/crates/hibiscushinged/src/gateway/usage_reports.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -182,13 +182,13 @@
     address: std::net::SocketAddr,
     report: &UsageReport,
 ) -> bool {
-    let Some(mark) = control.lease.identity(&control.node) else { return false };
+    let Some(identity) = control.lease.identity(&control.node) else { return false };
     let client = UsageClient::new(holder_client(control, IDLE_TIME), address);
-    match client.report_usage(&mark, report, ORDER_TIMEOUT).await {
+    match client.report_usage(&identity, report, ORDER_TIMEOUT).await {
         Ok(()) => {
             control.node.metrics.usage_reports.inc();
             let requests: u64 = report.counts.values().sum();
-            let fencing = mark.fencing.0;
+            let fencing = identity.fencing.0;
             log_event!(UsageWindowReported, window = report.window, requests, fencing);
             true
         }
--- a/crates/hibiscushinged/src/gateway/weight_loads.rs
+++ b/crates/hibiscushinged/src/gateway/weight_loads.rs
@@ -48,45 +48,45 @@
 
 /// Orders loads for as long as the process lives, while it holds the lease.
 pub(crate) async fn order_weight_loads(control: Rc<ControlState>) {
-    let desk = Rc::new(WeightLoader::new(&control));
+    let loader = Rc::new(WeightLoader::new(&control));
     loop {
         tokio::time::sleep(PLAN_PERIOD).await;
         if control.lease.permit(&control.node).is_none() {
-            desk.loading.borrow_mut().clear();
+            loader.loading.borrow_mut().clear();
             continue;
         }
-        for order in plan(&control, &desk) {
+        for order in plan(&control, &loader) {
             let now = control.node.now();
             let load = (order.model.clone(), order.version, now);
-            desk.loading.borrow_mut().insert(order.engine.clone(), load);
-            let (control, desk) = (Rc::clone(&control), Rc::clone(&desk));
-            actix_rt::spawn(async move { carry_out(&control, &desk, &order).await });
+            loader.loading.borrow_mut().insert(order.engine.clone(), load);
+            let (control, loader) = (Rc::clone(&control), Rc::clone(&loader));
+            actix_rt::spawn(async move { carry_out(&control, &loader, &order).await });
         }
     }
 }
 
-fn plan(control: &ControlState, desk: &WeightLoader) -> Vec<WeightLoad> {
+fn plan(control: &ControlState, loader: &WeightLoader) -> Vec<WeightLoad> {
     let now = control.node.now();
-    let Some(book) = control.node.config.load_full() else { return Vec::new() };
+    let Some(config) = control.node.config.load_full() else { return Vec::new() };
     let entries = control.entries.borrow();
     let versions = control.versions.borrow();
     let mut orders = Vec::new();
-    for service in book.services() {
+    for service in config.services() {
         let Some(engine) = &service.engine else { continue };
-        let named = named_versions(&versions, &engine.models);
+        let newest_versions = newest_versions(&versions, &engine.models);
         let members = entries
             .values()
             .filter(|entry| entry.service == service.name && entry.state == EntryState::Ready);
-        let engines: Vec<EngineWeights> = members.map(|entry| desk.engine(entry)).collect();
-        let plan = WeightLoadLimits::for_service(engines.len(), engine.models.len());
-        orders.extend(plan_weight_loads(now, &engines, &named, plan));
+        let engines: Vec<EngineWeights> = members.map(|entry| loader.engine(entry)).collect();
+        let limits = WeightLoadLimits::for_service(engines.len(), engine.models.len());
+        orders.extend(plan_weight_loads(now, &engines, &newest_versions, limits));
     }
-    let paused = desk.paused.borrow();
+    let paused = loader.paused.borrow();
     orders.retain(|order| paused.get(&order.engine).is_none_or(|until| now >= *until));
     orders
 }
 
-fn named_versions(
+fn newest_versions(
     versions: &BTreeMap<String, WeightVersion>,
     models: &[String],
 ) -> Vec<(String, WeightVersion)> {
@@ -125,13 +125,13 @@
     }
 }
 
-async fn carry_out(control: &Rc<ControlState>, desk: &WeightLoader, order: &WeightLoad) {
+async fn carry_out(control: &Rc<ControlState>, loader: &WeightLoader, order: &WeightLoad) {
     let entry = control.entries.borrow().get(&order.engine).cloned();
     let Some(entry) = entry else {
-        desk.end(&order.engine, None);
+        loader.end(&order.engine, None);
         return;
     };
-    let done = load(control, desk, order, &entry).await;
+    let done = load(control, loader, order, &entry).await;
     let (engine, model, version) = (&order.engine, &order.model, order.version.0);
     let pause = match done {
         Ok(()) => None,
@@ -140,26 +140,26 @@
             Some(control.node.now() + FAILURE_PAUSE)
         }
     };
-    desk.end(engine, pause);
+    loader.end(engine, pause);
 }
 
 async fn load(
     control: &Rc<ControlState>,
-    desk: &WeightLoader,
+    loader: &WeightLoader,
     order: &WeightLoad,
     entry: &UpstreamEntry,
 ) -> Result<(), String> {
-    let surface = &desk.engines;
-    let report = surface.report(entry.address, ORDER_TIMEOUT).await;
+    let client = &loader.engines;
+    let report = client.report(entry.address, ORDER_TIMEOUT).await;
     let report = report.map_err(|error| error.to_string())?;
     if report.busy {
         return Err(String::from("another order is in progress"));
     }
-    desk.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+    loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
     if holds(&report.versions, order) {
         return Ok(());
     }
-    let Some(mark) = control.lease.identity(&control.node) else {
+    let Some(identity) = control.lease.identity(&control.node) else {
         return Err(String::from("the lease has ended"));
     };
     let request = WeightLoadRequest {
@@ -167,8 +167,8 @@
         model: order.model.clone(),
         version: order.version,
         accepted_orders: report.accepted_orders,
-        holder: mark.holder,
-        fencing: mark.fencing,
+        holder: identity.holder,
+        fencing: identity.fencing,
     };
     log_event!(
         WeightLoadOrdered,
@@ -176,20 +176,20 @@
         model = order.model,
         version = order.version.0,
         accepted_orders = report.accepted_orders,
-        fencing = mark.fencing.0,
+        fencing = identity.fencing.0,
     );
     control.node.metrics.loads_ordered.inc();
-    match surface.load_weights(entry.address, &request, ORDER_TIMEOUT).await {
+    match client.load_weights(entry.address, &request, ORDER_TIMEOUT).await {
         Ok(WeightLoadResponse::Accepted | WeightLoadResponse::Holds) => {}
-        Ok(answer) => return Err(format!("the engine answers {answer:?}")),
+        Ok(response) => return Err(format!("the engine answers {response:?}")),
         // The order may have been accepted, which the reports show.
         Err(error) if error.may_have_run() => {}
         Err(error) => return Err(error.to_string()),
     }
     for asked in 0..MOST_REPORTS {
         tokio::time::sleep(if asked == 0 { FIRST_REPORT } else { REPORT_PERIOD }).await;
-        let Ok(report) = surface.report(entry.address, ORDER_TIMEOUT).await else { continue };
-        desk.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+        let Ok(report) = client.report(entry.address, ORDER_TIMEOUT).await else { continue };
+        loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
         if holds(&report.versions, order) {
             return Ok(());
         }
--- a/crates/hibiscushinged/src/lib.rs
+++ b/crates/hibiscushinged/src/lib.rs
@@ -74,8 +74,8 @@
         let addresses = DaemonAddresses { listen, peer, admin };
         let incarnation = Incarnation(settings.seed.unwrap_or_else(rand::random));
         let clock = ProcessClock::start();
-        let desk = TrafficScheduler::new(incarnation, &settings);
-        let (control, input) = mpsc::channel(settings.bounds.channel_messages as usize);
+        let scheduler = TrafficScheduler::new(incarnation, &settings);
+        let (control, messages) = mpsc::channel(settings.bounds.channel_messages as usize);
         let vm_name = settings.vm_name.clone();
         let metrics = DaemonMetrics::start(settings.metrics, &vm_name)?;
         let shared = Arc::new(SharedState::new(
@@ -83,7 +83,7 @@
             incarnation,
             clock,
             control.clone(),
-            desk,
+            scheduler,
             metrics,
         ));
         let server = traffic::start(Arc::clone(&shared), listener)?;
@@ -92,7 +92,7 @@
             std::thread::Builder::new().name(String::from("control")).spawn(move || {
                 actix_rt::System::new().block_on(async move {
                     tokio::select! {
-                        () = control::run(shared, input, peer_listener, admin_listener) => {}
+                        () = control::run(shared, messages, peer_listener, admin_listener) => {}
                         _ = stopped => {}
                     }
                 });
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -148,12 +148,13 @@
         };
         self.service_of.insert(key, String::from(service));
         let seed = self.rng.random();
-        let desk = self
+        let service_queue = self
             .services
             .entry(String::from(service))
             .or_insert_with(|| ServiceQueue::new(&self.table, self.own_zone, seed));
-        desk.upstreams.push(key);
-        desk.candidates = RouteUpstreams::new(&self.table, self.own_zone, desk.upstreams.clone());
+        service_queue.upstreams.push(key);
+        service_queue.candidates =
+            RouteUpstreams::new(&self.table, self.own_zone, service_queue.upstreams.clone());
         key
     }
 
@@ -184,45 +185,43 @@
         &mut self,
         now: Moment,
         service: &str,
-        ask: AdmissionRequest,
+        request: AdmissionRequest,
         reply: QueueReply,
     ) -> Option<AdmissionTicket> {
         self.last_ticket += 1;
         let ticket = TicketNumber(self.last_ticket);
-        let Some(desk) = self.services.get_mut(service) else {
+        let Some(service_queue) = self.services.get_mut(service) else {
             let message = format!("service \"{service}\" has no upstream");
             let refusal = Refusal::not_run(base::RefusalCode::NoUpstream, message);
             let _ = reply.send(Err(refusal.with_retry_after(Span::from_secs(1))));
             return None;
         };
-        if desk.waiting.len() >= self.max_waiting {
+        if service_queue.waiting.len() >= self.max_waiting {
             let message = "the queue of this node is full";
             let refusal = Refusal::not_run(base::RefusalCode::Overloaded, message);
             let retry_after = Span::from_millis(self.rng.random_range(500..1_500));
             let _ = reply.send(Err(refusal.with_retry_after(retry_after)));
             return None;
         }
-        desk.waiting.insert(ticket, reply);
-        let AdmissionRequest { customer, class, tokens, min_charge: least_charge, deadline } = ask;
-        let item = QueuedRequest { ticket, customer, class, tokens, deadline };
-        let actions = desk.queue.handle(now, QueueEvent::Offered(item));
-        desk.apply(actions);
+        service_queue.waiting.insert(ticket, reply);
+        let AdmissionRequest { customer, class, tokens, min_charge, deadline } = request;
+        let request = QueuedRequest { ticket, customer, class, tokens, deadline };
+        let actions = service_queue.queue.handle(now, QueueEvent::Offered(request));
+        service_queue.apply(actions);
         let service = String::from(service);
-        Some(AdmissionTicket {
-            service,
-            number: ticket,
-            customer,
-            tokens,
-            min_charge: least_charge,
-        })
+        Some(AdmissionTicket { service, number: ticket, customer, tokens, min_charge })
     }
 
     /// Takes the request's tokens from the customer's limit. Open routes have none.
-    pub(crate) fn charge_limit(&mut self, now: Moment, ask: &AdmissionRequest) -> LimitDecision {
-        if ask.customer == OPEN_CALLERS {
+    pub(crate) fn charge_limit(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest,
+    ) -> LimitDecision {
+        if request.customer == OPEN_CALLERS {
             return LimitDecision::Admitted;
         }
-        self.limiter.admit(now, ask.customer, ask.tokens.max(ask.min_charge))
+        self.limiter.admit(now, request.customer, request.tokens.max(request.min_charge))
     }
 
     pub(crate) const fn limiter(&mut self) -> &mut RateLimiter {
@@ -230,18 +229,19 @@
     }
 
     /// Ends a request that was admitted or waits. `tokens` is its true cost, 0 when it did not run.
-    pub(crate) fn release(&mut self, now: Moment, place: &AdmissionTicket, tokens: u32) {
-        if place.customer != OPEN_CALLERS {
-            let charged = place.tokens.max(place.min_charge);
-            let due = tokens.max(place.min_charge);
+    pub(crate) fn release(&mut self, now: Moment, ticket: &AdmissionTicket, tokens: u32) {
+        if ticket.customer != OPEN_CALLERS {
+            let charged = ticket.tokens.max(ticket.min_charge);
+            let due = tokens.max(ticket.min_charge);
             let difference = i64::from(due) - i64::from(charged);
-            self.limiter.reconcile(place.customer, difference);
+            self.limiter.reconcile(ticket.customer, difference);
         }
-        let Some(desk) = self.services.get_mut(&place.service) else { return };
-        desk.waiting.remove(&place.number);
-        let mut actions = desk.queue.handle(now, QueueEvent::CallerDisconnected(place.number));
-        actions.extend(desk.queue.handle(now, QueueEvent::Done { ticket: place.number, tokens }));
-        desk.apply(actions);
+        let Some(service) = self.services.get_mut(&ticket.service) else { return };
+        service.waiting.remove(&ticket.number);
+        let mut actions = service.queue.handle(now, QueueEvent::CallerDisconnected(ticket.number));
+        actions
+            .extend(service.queue.handle(now, QueueEvent::Done { ticket: ticket.number, tokens }));
+        service.apply(actions);
     }
 
     pub(crate) fn pick(
@@ -250,8 +250,8 @@
         service: &str,
         request: &PickRequest<'_>,
     ) -> Option<PickResult> {
-        let desk = self.services.get(service)?;
-        self.picker.pick(now, &self.table, &desk.candidates, request, &mut self.rng)
+        let service_queue = self.services.get(service)?;
+        self.picker.pick(now, &self.table, &service_queue.candidates, request, &mut self.rng)
     }
 
     /// Counts a request as running on an upstream.
@@ -267,15 +267,15 @@
             self.suspects.handle(now, wall, SuspectEvent::Started { upstream, fingerprint });
         }
         let service = self.service_of.get(&upstream);
-        if let Some(desk) = service.and_then(|service| self.services.get_mut(service)) {
-            desk.started += 1;
+        if let Some(service_queue) = service.and_then(|service| self.services.get_mut(service)) {
+            service_queue.started += 1;
         }
         self.table.start(now, upstream, tokens)
     }
 
     /// Requests that this node has started on the upstreams of a service.
     pub(crate) fn started_requests(&self, service: &str) -> u64 {
-        self.services.get(service).map_or(0, |desk| desk.started)
+        self.services.get(service).map_or(0, |service_queue| service_queue.started)
     }
 
     /// Requests of this node that run on an upstream.
@@ -283,11 +283,16 @@
         self.table.own_requests(upstream)
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, work: InFlightRequest, end: RequestOutcome) {
-        if matches!(end, RequestOutcome::Completed { .. }) {
+    pub(crate) fn finish(
+        &mut self,
+        now: Moment,
+        request: InFlightRequest,
+        outcome: RequestOutcome,
+    ) {
+        if matches!(outcome, RequestOutcome::Completed { .. }) {
             self.budget.record_success();
         }
-        self.table.finish(now, work, end);
+        self.table.finish(now, request, outcome);
     }
 
     pub(crate) const fn take_retry(&mut self) -> bool {
@@ -323,22 +328,22 @@
         now: Moment,
         wall: WallTime,
         service: &str,
-        mut ask: IsolationRequest,
+        mut request: IsolationRequest,
         reply: IsolationReply,
     ) -> Vec<SuspectAction> {
-        self.isolated.insert(ask.request, reply);
-        ask.upstreams = self.calm_upstreams(service).into_iter().collect();
-        self.handle_suspect_event(now, wall, SuspectEvent::Requested(ask))
+        self.isolated.insert(request.request, reply);
+        request.upstreams = self.calm_upstreams(service).into_iter().collect();
+        self.handle_suspect_event(now, wall, SuspectEvent::Requested(request))
     }
 
     /// Performs what is due by time.
     pub(crate) fn tick(&mut self, now: Moment, wall: WallTime) -> Vec<SuspectAction> {
         self.table.refresh_max_speed();
         for service in self.services.values_mut() {
-            let rate = service.capacity(&self.table, self.live_nodes);
+            let capacity = service.capacity(&self.table, self.live_nodes);
             let mut actions = service.queue.handle(now, QueueEvent::Tick);
-            if let Some(rate) = rate {
-                actions.extend(service.queue.handle(now, QueueEvent::CapacityChanged(rate)));
+            if let Some(capacity) = capacity {
+                actions.extend(service.queue.handle(now, QueueEvent::CapacityChanged(capacity)));
             }
             service.apply(actions);
         }
@@ -351,9 +356,10 @@
 
     /// Live upstreams of a service, those with least work first.
     fn calm_upstreams(&self, service: &str) -> Vec<UpstreamKey> {
-        let Some(desk) = self.services.get(service) else { return Vec::new() };
+        let Some(service_queue) = self.services.get(service) else { return Vec::new() };
         let is_up = |key: &UpstreamKey| self.table.state(*key) == Some(UpstreamState::Up);
-        let mut upstreams = desk.upstreams.iter().copied().filter(is_up).collect::<Vec<_>>();
+        let mut upstreams =
+            service_queue.upstreams.iter().copied().filter(is_up).collect::<Vec<_>>();
         upstreams.sort_by_key(|key| self.table.backlog(*key));
         upstreams
     }
@@ -389,14 +395,14 @@
 
 impl ServiceQueue {
     fn new(table: &UpstreamTable, own_zone: ZoneKey, seed: u64) -> Self {
-        let rate =
+        let capacity =
             ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: MIN_IN_SERVICE };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
             candidates: RouteUpstreams::new(table, own_zone, []),
             upstreams: Vec::new(),
             started: 0,
-            queue: FairQueue::new(QueueSettings::default(), rate, rng),
+            queue: FairQueue::new(QueueSettings::default(), capacity, rng),
             waiting: HashMap::new(),
         }
     }
@@ -422,8 +428,9 @@
         let unused = (1.0 - others / (total * horizon).max(1.0)).max(0.0);
         let share = unused.max(1.0 / live_nodes as f32);
         let tokens_per_second = (total * share).max(1.0) as u32;
-        let max_in_service = ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
-        Some(ServiceCapacity { tokens_per_second, max_in_service_tokens: max_in_service })
+        let max_in_service_tokens =
+            ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
+        Some(ServiceCapacity { tokens_per_second, max_in_service_tokens })
     }
 
     fn apply(&mut self, actions: QueueActions) {
--- a/crates/hibiscushinged/src/scheduler/tests.rs
+++ b/crates/hibiscushinged/src/scheduler/tests.rs
@@ -27,19 +27,19 @@
 #[case::not_answering(UpstreamState::Down)]
 fn single_request_is_not_refused_as_overload(#[case] state: UpstreamState) {
     let settings = DaemonSettings::parse("daemon.toml", SETTINGS).expect("the settings are valid");
-    let mut desk = TrafficScheduler::new(Incarnation(1), &settings);
+    let mut scheduler = TrafficScheduler::new(Incarnation(1), &settings);
     let (now, wall) = (Moment(1_000_000), WallTime(0));
     let info =
         UpstreamProperties { name_hash: 1, zone: ZoneKey(0), price_class: PriceClass::Regular };
-    let upstream = desk.add_upstream("dieline-index", info, None);
-    desk.set_state(upstream, state);
-    desk.tick(now, wall);
+    let upstream = scheduler.add_upstream("dieline-index", info, None);
+    scheduler.set_state(upstream, state);
+    scheduler.tick(now, wall);
 
     let deadline = now + Span::from_secs(30);
     let class = RequestClass::Live;
-    let ask =
+    let request =
         AdmissionRequest { customer: OPEN_CALLERS, class, tokens: 50, min_charge: 0, deadline };
     let (reply, mut turn) = oneshot::channel();
-    desk.enqueue(now, "dieline-index", ask, reply);
+    scheduler.enqueue(now, "dieline-index", request, reply);
     assert_eq!(turn.try_recv().expect("the request is decided at once"), Ok(()));
 }
--- a/crates/hibiscushinged/src/shared.rs
+++ b/crates/hibiscushinged/src/shared.rs
@@ -57,7 +57,7 @@
         incarnation: Incarnation,
         clock: ProcessClock,
         control: mpsc::Sender<ControlMessage>,
-        desk: TrafficScheduler,
+        scheduler: TrafficScheduler,
         metrics: DaemonMetrics,
     ) -> Self {
         Self {
@@ -67,7 +67,7 @@
             view: ArcSwap::from_pointee(RoutingView::default()),
             control,
             metrics,
-            scheduler: Mutex::new(desk),
+            scheduler: Mutex::new(scheduler),
             lifecycle: Arc::default(),
             last_request: AtomicU64::new(0),
         }
--- a/crates/hibiscushinged/src/trace.rs
+++ b/crates/hibiscushinged/src/trace.rs
@@ -24,8 +24,8 @@
 }
 
 impl DecisionTrace {
-    pub(crate) fn record(&mut self, line: DecisionEvent) {
-        let DecisionEvent { subject, code, detail } = line;
+    pub(crate) fn record(&mut self, event: DecisionEvent) {
+        let DecisionEvent { subject, code, detail } = event;
         if !self.events.contains_key(&subject) {
             self.order.push_back(subject.clone());
         }
@@ -40,10 +40,10 @@
 
     /// Returns the events of a request, sample or order.
     pub(crate) fn explain(&self, subject: &str) -> Value {
-        let Some(lines) = self.events.get(subject) else {
+        let Some(recorded) = self.events.get(subject) else {
             return json!({ "id": subject, "found": false, "events": [] });
         };
-        let events = lines.iter().map(|(code, detail)| {
+        let events = recorded.iter().map(|(code, detail)| {
             json!({ "event": code.number(), "name": code.name(), "detail": detail })
         });
         json!({ "id": subject, "found": true, "events": events.collect::<Vec<_>>() })
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -48,11 +48,11 @@
 }
 
 /// Sends a message that must not be lost, waiting in a task when the channel is full.
-pub(crate) fn tell_control(shared: &SharedState, input: ControlMessage) {
-    let Err(TrySendError::Full(input)) = shared.control.try_send(input) else { return };
+pub(crate) fn tell_control(shared: &SharedState, message: ControlMessage) {
+    let Err(TrySendError::Full(message)) = shared.control.try_send(message) else { return };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
-        let _ = control.send(input).await;
+        let _ = control.send(message).await;
     });
 }
 
@@ -64,12 +64,12 @@
     let (now, wall) = (shared.clock.now(), wall_now());
     let (reply, answer) = oneshot::channel();
     let actions = {
-        let mut desk = shared.scheduler();
-        match desk.fingerprint_status(wall, request.fingerprint) {
+        let mut scheduler = shared.scheduler();
+        match scheduler.fingerprint_status(wall, request.fingerprint) {
             FingerprintStatus::Clear => return Ok(None),
             FingerprintStatus::Convicted { .. } | FingerprintStatus::Suspect => {}
         }
-        let ask = IsolationRequest {
+        let isolation = IsolationRequest {
             request: request.id,
             fingerprint: request.fingerprint,
             route: request.route.key,
@@ -77,7 +77,7 @@
             execution: request.tracker.execution(),
             upstreams: smallvec::SmallVec::new(),
         };
-        desk.request_isolation(now, wall, &request.route.entry.service, ask, reply)
+        scheduler.request_isolation(now, wall, &request.route.entry.service, isolation, reply)
     };
     forward(shared, actions);
     let mut guard = IsolationGuard { shared, request: Some(request.id) };
@@ -166,19 +166,19 @@
 impl Drop for RequestMeter {
     fn drop(&mut self) {
         let tokens = self.amount.generated_tokens + self.amount.prompt_tokens;
-        if let Some(place) = self.ticket.take() {
+        if let Some(ticket) = self.ticket.take() {
             let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-            self.shared.scheduler().release(self.shared.clock.now(), &place, tokens);
+            self.shared.scheduler().release(self.shared.clock.now(), &ticket, tokens);
         }
         let Some(customer) = self.customer.take() else { return };
         if self.amount == UsageAmount::default() {
             return;
         }
-        let mut figures = UsageByCustomer::default();
-        if figures.add(&customer, self.amount).is_err() {
+        let mut usage = UsageByCustomer::default();
+        if usage.add(&customer, self.amount).is_err() {
             return;
         }
-        tell_control(&self.shared, ControlMessage::UsageMetered(figures));
+        tell_control(&self.shared, ControlMessage::UsageMetered(usage));
     }
 }
 
@@ -190,8 +190,8 @@
 
 /// Keeps a decision for `explain`. A full channel drops it, since the log has the same line.
 pub(crate) fn record(shared: &SharedState, id: RequestId, code: base::EventCode, detail: String) {
-    let line = DecisionEvent { subject: format_request_id(id), code, detail };
-    let _ = shared.control.try_send(ControlMessage::Decision(line));
+    let event = DecisionEvent { subject: format_request_id(id), code, detail };
+    let _ = shared.control.try_send(ControlMessage::Decision(event));
 }
 
 /// Time left before the deadline of a request.
--- a/crates/hibiscushinged/src/traffic/caller.rs
+++ b/crates/hibiscushinged/src/traffic/caller.rs
@@ -79,7 +79,7 @@
 ) -> Result<(CallerRequest, RequestWork), Ended> {
     let shared = &worker.shared;
     // Counted before the phase is read, so that a drain either sees the request or refuses it.
-    let flight = shared.track_in_flight();
+    let in_flight = shared.track_in_flight();
     let arrived_at = shared.clock.now();
     request::check_phase(shared)?;
     let view = shared.view.load_full();
@@ -120,24 +120,24 @@
         RoutePriority::Live => RequestClass::Live,
         RoutePriority::Sample => RequestClass::Sample(admission::TrainerKey(u32::MAX)),
     };
-    let ask = AdmissionRequest {
+    let admission = AdmissionRequest {
         customer: view.customer_key(customer),
         class,
         tokens,
         min_charge: view.min_charge(name),
         deadline,
     };
-    meter.ticket = admit(shared, &route.entry.service, ask).await?;
+    meter.ticket = admit(shared, &route.entry.service, admission).await?;
 
-    let kind = match route.entry.idempotent {
+    let idempotency = match route.entry.idempotent {
         true => RequestIdempotency::Idempotent,
         false => RequestIdempotency::NonIdempotent,
     };
     let mut claim = None;
-    if let Some(key) = key.filter(|_| kind == RequestIdempotency::NonIdempotent) {
+    if let Some(key) = key.filter(|_| idempotency == RequestIdempotency::NonIdempotent) {
         let wanted = ClaimKey::of(name, &key);
-        let ask = ClaimRequest { claim: wanted, fingerprint, request: id, deadline };
-        take_claim(shared, ask).await?;
+        let admission = ClaimRequest { claim: wanted, fingerprint, request: id, deadline };
+        take_claim(shared, admission).await?;
         claim = Some(wanted);
     }
     let request = CallerRequest {
@@ -148,17 +148,17 @@
         arrived_at,
         deadline,
         fingerprint,
-        tracker: AttemptTracker::new(kind, deadline, RetryPolicy::default()),
+        tracker: AttemptTracker::new(idempotency, deadline, RetryPolicy::default()),
         claim,
-        _in_flight: flight,
+        _in_flight: in_flight,
         meter,
     };
     Ok((request, work))
 }
 
 fn check_conviction(shared: &SharedState, fingerprint: Fingerprint) -> Result<(), Refusal> {
-    let judgement = shared.scheduler().fingerprint_status(wall_now(), fingerprint);
-    let FingerprintStatus::Convicted { retry_after } = judgement else { return Ok(()) };
+    let status = shared.scheduler().fingerprint_status(wall_now(), fingerprint);
+    let FingerprintStatus::Convicted { retry_after } = status else { return Ok(()) };
     let message = "this request has crashed upstreams and is blocked for a time";
     Err(Refusal::not_run(RefusalCode::Convicted, message).with_retry_after(retry_after))
 }
@@ -167,20 +167,20 @@
 async fn admit(
     shared: &Arc<SharedState>,
     service: &str,
-    ask: AdmissionRequest,
+    request: AdmissionRequest,
 ) -> Result<Option<AdmissionTicket>, Refusal> {
     loop {
-        let answer = shared.scheduler().charge_limit(shared.clock.now(), &ask);
-        match answer {
+        let decision = shared.scheduler().charge_limit(shared.clock.now(), &request);
+        match decision {
             LimitDecision::Admitted => break,
             LimitDecision::Refused(refusal) => return Err(refusal),
             LimitDecision::AwaitGrant => actix_rt::time::sleep(GRANT_POLL).await,
         }
     }
     let (reply, turn) = oneshot::channel();
-    let place = shared.scheduler().enqueue(shared.clock.now(), service, ask, reply);
+    let ticket = shared.scheduler().enqueue(shared.clock.now(), service, request, reply);
     // The guard takes the request out of the queue when its caller disconnects meanwhile.
-    let mut guard = QueueGuard { shared: Arc::clone(shared), ticket: place };
+    let mut guard = QueueGuard { shared: Arc::clone(shared), ticket };
     match turn.await {
         Ok(Ok(())) => Ok(guard.ticket.take()),
         Ok(Err(refusal)) => Err(refusal),
@@ -197,25 +197,25 @@
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
-        if let Some(place) = &self.ticket {
-            self.shared.scheduler().release(self.shared.clock.now(), place, 0);
+        if let Some(ticket) = &self.ticket {
+            self.shared.scheduler().release(self.shared.clock.now(), ticket, 0);
         }
     }
 }
 
-async fn take_claim(shared: &SharedState, ask: ClaimRequest) -> Result<(), Ended> {
+async fn take_claim(shared: &SharedState, request: ClaimRequest) -> Result<(), Ended> {
     let unavailable = || {
         let message = "the claim of the idempotency key cannot be settled now";
         let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
         Ended::Refused(refusal.with_retry_after(Span::from_secs(1)))
     };
-    let (reply, answer) = oneshot::channel();
-    let input = ControlMessage::Claim { request: ask, reply };
-    let mut guard = ClaimGuard { shared, request: Some(ask.request) };
-    shared.control.send(input).await.map_err(|_| unavailable())?;
-    let answer = answer.await;
+    let (reply, decision) = oneshot::channel();
+    let claim_message = ControlMessage::Claim { request, reply };
+    let mut guard = ClaimGuard { shared, request: Some(request.request) };
+    shared.control.send(claim_message).await.map_err(|_| unavailable())?;
+    let decision = decision.await;
     guard.request = None;
-    match answer {
+    match decision {
         Ok(ClaimDecision::Run) => Ok(()),
         Ok(ClaimDecision::Refuse(refusal)) => Err(refusal.into()),
         Ok(ClaimDecision::Replay { status, body }) => Err(Ended::Replayed { status, body }),
--- a/crates/hibiscushinged/src/traffic/choice.rs
+++ b/crates/hibiscushinged/src/traffic/choice.rs
@@ -36,13 +36,13 @@
 pub(crate) fn pick(
     shared: &SharedState,
     request: &CallerRequest,
-    ask: &WorkSize,
+    size: &WorkSize,
 ) -> Result<ChosenUpstream, Refusal> {
     let service = &request.route.entry.service;
     let pick = PickRequest {
-        tokens: ask.tokens,
-        prompt_tokens: ask.prompt_tokens,
-        prefix: ask.prefix,
+        tokens: size.tokens,
+        prompt_tokens: size.prompt_tokens,
+        prefix: size.prefix,
         min_version: None,
         avoid: request.tracker.tried(),
     };
@@ -110,8 +110,8 @@
     request: &CallerRequest,
 ) {
     let (reply, answer) = oneshot::channel();
-    let input = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
-    if shared.control.send(input).await.is_ok() {
+    let message = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    if shared.control.send(message).await.is_ok() {
         let _ = answer.await;
     }
 }
@@ -123,18 +123,18 @@
     request: &CallerRequest,
 ) {
     let (reply, _) = oneshot::channel();
-    let input = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    let message = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
-        let _ = control.send(input).await;
+        let _ = control.send(message).await;
     });
 }
 
 /// Avoids an upstream that refused a connection until its watcher reports it again.
 pub(crate) fn suspect_down(shared: &SharedState, upstream: UpstreamKey) {
-    let mut desk = shared.scheduler();
-    if desk.state(upstream) == Some(UpstreamState::Up) {
-        desk.set_state(upstream, UpstreamState::Suspect);
+    let mut scheduler = shared.scheduler();
+    if scheduler.state(upstream) == Some(UpstreamState::Up) {
+        scheduler.set_state(upstream, UpstreamState::Suspect);
     }
 }
 
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -67,15 +67,15 @@
             self.handle(AttemptEvent::Chosen(upstream));
             let fingerprint = Some(self.request.fingerprint);
             let (now, wall) = (shared.clock.now(), wall_now());
-            let work =
+            let in_flight =
                 shared.scheduler().start(now, wall, upstream, PLAIN_CALL_TOKENS, fingerprint);
             self.running = Some(upstream);
             let result = self.exchange(&chosen).await;
-            let end = match &result {
+            let outcome = match &result {
                 Ok(_) => RequestOutcome::Completed { tokens: PLAIN_CALL_TOKENS },
                 Err(_) => RequestOutcome::Failed,
             };
-            shared.scheduler().finish(shared.clock.now(), work, end);
+            shared.scheduler().finish(shared.clock.now(), in_flight, outcome);
             match result {
                 Ok(found) => {
                     self.settle(upstream);
@@ -94,19 +94,19 @@
         if let Some(upstream) = admitted::isolation(shared, &self.request).await? {
             return choice::isolated(shared, &self.request, upstream);
         }
-        let ask = choice::WorkSize { tokens: PLAIN_CALL_TOKENS, prompt_tokens: 0, prefix: None };
-        choice::pick(shared, &self.request, &ask)
+        let size = choice::WorkSize { tokens: PLAIN_CALL_TOKENS, prompt_tokens: 0, prefix: None };
+        choice::pick(shared, &self.request, &size)
     }
 
     async fn exchange(&self, chosen: &ChosenUpstream) -> Result<HttpResponse, CallError> {
         let path = format!("/{}", self.request.route.entry.path);
-        let mut outgoing = HttpRequest::post(chosen.address, path, self.request.body.clone());
+        let mut request = HttpRequest::post(chosen.address, path, self.request.body.clone());
         if let Ok(id) = HeaderValue::from_str(&format_request_id(self.request.id)) {
-            outgoing = outgoing.with_header(response::REQUEST_ID, id);
+            request = request.with_header(response::REQUEST_ID, id);
         }
         let left = self.request.deadline.since(self.worker.shared.clock.now());
         let longest = self.worker.shared.settings.bounds.answer_bytes as usize;
-        let found = self.worker.http.exchange(outgoing, left, longest).await?;
+        let found = self.worker.http.exchange(request, left, longest).await?;
         if found.status == StatusCode::SERVICE_UNAVAILABLE {
             // The service says that it cannot serve the call, but not that it did not run it.
             return Err(CallError {
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -157,7 +157,7 @@
             self.handle_attempt(AttemptEvent::Chosen(upstream));
             self.assembler.handle(self.now(), StreamEvent::Opened { upstream });
             let tokens = self.body.max_tokens.saturating_sub(self.offset());
-            let work = self.worker.shared.scheduler().start(
+            let in_flight = self.worker.shared.scheduler().start(
                 self.now(),
                 wall_now(),
                 upstream,
@@ -170,7 +170,7 @@
                 ExchangeEnd::Whole => RequestOutcome::Completed { tokens: self.offset() - before },
                 _ => RequestOutcome::Failed,
             };
-            self.worker.shared.scheduler().finish(self.now(), work, work_end);
+            self.worker.shared.scheduler().finish(self.now(), in_flight, work_end);
             self.count_usage();
             match self.after(upstream, end).await {
                 AfterExchange::Done => return None,
@@ -186,12 +186,12 @@
             return choice::isolated(shared, &self.request, upstream);
         }
         let prefix_length = self.body.prompt.len().min(PREFIX_BYTES);
-        let ask = choice::WorkSize {
+        let size = choice::WorkSize {
             tokens: self.body.max_tokens.saturating_sub(self.offset()),
             prompt_tokens: (self.body.prompt.len() / 4) as u32,
             prefix: Some(choice::prefix_hash(&self.body.prompt.as_bytes()[..prefix_length])),
         };
-        choice::pick(shared, &self.request, &ask)
+        choice::pick(shared, &self.request, &size)
     }
 
     /// Runs one exchange and forwards its tokens.
@@ -256,9 +256,9 @@
 
     fn piece(&mut self, index: u32, token: String, version: base::WeightVersion) -> PieceResult {
         let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
-        let piece =
+        let answer_token =
             AnswerToken { request: self.request.id, index: u64::from(index), token, version };
-        self.apply(StreamEvent::Token { exchange, token: piece })
+        self.apply(StreamEvent::Token { exchange, token: answer_token })
     }
 
     fn end(&mut self, tokens: u32, prompt_tokens: u32) -> PieceResult {
--- a/crates/hibiscushinged/src/traffic/trainer.rs
+++ b/crates/hibiscushinged/src/traffic/trainer.rs
@@ -47,7 +47,7 @@
         return Err(unknown(path));
     };
     let trainer = authenticate(worker, name, incoming)?;
-    let ask = match (action, incoming.method()) {
+    let request = match (action, incoming.method()) {
         ("steps", &Method::POST) => {
             let limit = shared.settings.bounds.request_bytes as usize;
             let body = request::read_body(incoming, limit).await?;
@@ -65,8 +65,8 @@
         let refusal = Refusal::not_run(RefusalCode::Draining, "this node is stopping");
         refusal.with_retry_after(Span::from_secs(1))
     };
-    let input = ControlMessage::Trainer { request: ask, reply };
-    shared.control.send(input).await.map_err(|_| unavailable())?;
+    let message = ControlMessage::Trainer { request, reply };
+    shared.control.send(message).await.map_err(|_| unavailable())?;
     answer.await.map_err(|_| unavailable())?
 }
 
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -54,14 +54,15 @@
     pub(crate) fn next_message(
         &mut self,
         now: Moment,
-        notices: Vec<PeerUpdate>,
+        updates: Vec<PeerUpdate>,
     ) -> LivenessMessage {
         let own = self.own;
         let record = self.record_mut(own);
         record.last_sequence += 1;
         record.evidence_at = now;
-        let (from, beat, refutation) = (record.vm.clone(), record.last_sequence, record.refutation);
-        LivenessMessage { from, sequence: beat, refutation, updates: notices }
+        let (from, message, refutation) =
+            (record.vm.clone(), record.last_sequence, record.refutation);
+        LivenessMessage { from, sequence: message, refutation, updates }
     }
 
     pub(crate) fn send_heartbeats(
@@ -83,13 +84,13 @@
         }
         self.heartbeats += u64::from(occasion == Occasion::Period);
         let full = self.heartbeats.is_multiple_of(self.settings.full_every);
-        let notices = if full && occasion == Occasion::Period && !self.deaf {
+        let updates = if full && occasion == Occasion::Period && !self.deaf {
             self.all_updates(now)
         } else {
             let told = spend(&mut self.zone_news, occasion);
             told.into_iter().map(|vm| self.update(now, vm)).collect()
         };
-        let message = self.next_message(now, notices);
+        let message = self.next_message(now, updates);
         for to in targets {
             actions.push(PeerAction::SendHeartbeat { to, message: message.clone() });
         }
@@ -113,8 +114,8 @@
         } else {
             spend(&mut self.fleet_news, occasion)
         };
-        let notices = told.into_iter().map(|vm| self.update(now, vm)).collect();
-        let message = self.next_message(now, notices);
+        let updates = told.into_iter().map(|vm| self.update(now, vm)).collect();
+        let message = self.next_message(now, updates);
         for to in self.summary_targets(now) {
             actions.push(PeerAction::SendSummary { to, message: message.clone() });
         }
@@ -125,38 +126,38 @@
         &mut self,
         now: Moment,
         from: VmKey,
-        notice: PeerUpdate,
+        update: PeerUpdate,
         actions: &mut Actions,
     ) {
-        if notice.vm.name == self.own_identity().name {
-            self.learn_about_self(&notice);
+        if update.vm.name == self.own_identity().name {
+            self.learn_about_self(&update);
             return;
         }
-        let state = PeerState::from(notice.state);
-        let evidence_at = now - notice.age;
-        let Some(vm) = self.find(&notice.vm.name) else {
-            let vm = self.add(now, notice.vm, state);
+        let state = PeerState::from(update.state);
+        let evidence_at = now - update.age;
+        let Some(vm) = self.find(&update.vm.name) else {
+            let vm = self.add(now, update.vm, state);
             let record = self.record_mut(vm);
             record.heard = true;
-            (record.refutation, record.evidence_at) = (notice.refutation, evidence_at);
+            (record.refutation, record.evidence_at) = (update.refutation, evidence_at);
             actions.push(PeerAction::Changed { vm, state });
             self.tell(vm);
             return;
         };
         let record = self.record(vm);
-        if notice.vm.rank() < record.vm.rank() {
+        if update.vm.rank() < record.vm.rank() {
             let to = if state == PeerState::Live { vm } else { from };
             self.inform(now, to, vm, actions);
             return;
         }
-        if notice.vm.rank() > record.vm.rank() {
-            self.replace(vm, notice.vm, actions);
+        if update.vm.rank() > record.vm.rank() {
+            self.replace(vm, update.vm, actions);
         } else {
             let known = (record.refutation, ReportedState::from(record.state));
-            if (notice.refutation, notice.state) <= known {
+            if (update.refutation, update.state) <= known {
                 if state == PeerState::Live && known.1 != ReportedState::Live {
                     self.inform(now, vm, vm, actions);
-                } else if notice.refutation < known.0 {
+                } else if update.refutation < known.0 {
                     self.inform(now, from, vm, actions);
                 }
                 return;
@@ -166,8 +167,8 @@
                 && direct.is_some_and(|age| age <= self.settings.suspect_after())
             {
                 // This node hears the process, which has to refute the accusation itself.
-                let beat = self.next_message(now, vec![notice]);
-                actions.push(PeerAction::SendHeartbeat { to: vm, message: beat });
+                let message = self.next_message(now, vec![update]);
+                actions.push(PeerAction::SendHeartbeat { to: vm, message });
                 return;
             }
         }
@@ -175,7 +176,7 @@
         if record.state != PeerState::Live && state == PeerState::Live {
             record.refuted += 1;
         }
-        record.refutation = notice.refutation;
+        record.refutation = update.refutation;
         record.evidence_at = match state {
             PeerState::Live => now,
             PeerState::Suspect | PeerState::Gone => evidence_at,
@@ -188,9 +189,9 @@
     /// others know otherwise: only the process can refute an accusation, or exceed the generation
     /// of its predecessor.
     pub(crate) fn inform(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
-        let notices = vec![self.update(now, vm)];
-        let beat = self.next_message(now, notices);
-        actions.push(PeerAction::SendHeartbeat { to, message: beat });
+        let updates = vec![self.update(now, vm)];
+        let message = self.next_message(now, updates);
+        actions.push(PeerAction::SendHeartbeat { to, message });
     }
 
     /// Puts a newer process in the place of the one that ran on the VM.
@@ -208,17 +209,17 @@
     }
 
     /// Answers a peer that takes this process for silent, or an older one of this VM for current.
-    fn learn_about_self(&mut self, notice: &PeerUpdate) {
+    fn learn_about_self(&mut self, update: &PeerUpdate) {
         let own = self.own;
         let record = self.record_mut(own);
-        if notice.vm.incarnation != record.vm.incarnation {
-            if notice.vm.rank() > record.vm.rank() {
-                record.vm.generation = notice.vm.generation.saturating_add(1);
+        if update.vm.incarnation != record.vm.incarnation {
+            if update.vm.rank() > record.vm.rank() {
+                record.vm.generation = update.vm.generation.saturating_add(1);
             }
-        } else if notice.state == ReportedState::Live || notice.refutation < record.refutation {
+        } else if update.state == ReportedState::Live || update.refutation < record.refutation {
             return;
         } else {
-            record.refutation = notice.refutation + 1;
+            record.refutation = update.refutation + 1;
         }
         self.tell(own);
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -79,7 +79,7 @@
         match event {
             PeerEvent::Tick => self.tick(now, &mut actions),
             PeerEvent::ListRead(listed) => self.read_list(now, listed, &mut actions),
-            PeerEvent::MessageReceived(beat) => self.receive(now, beat, &mut actions),
+            PeerEvent::MessageReceived(message) => self.receive(now, message, &mut actions),
         }
         if std::mem::take(&mut self.urgent) {
             self.send_heartbeats(now, Occasion::News, &mut actions);
@@ -373,33 +373,33 @@
         self.rebuild_ring();
     }
 
-    fn receive(&mut self, now: Moment, beat: LivenessMessage, actions: &mut Actions) {
-        if beat.from.name == self.own_identity().name {
+    fn receive(&mut self, now: Moment, message: LivenessMessage, actions: &mut Actions) {
+        if message.from.name == self.own_identity().name {
             return;
         }
-        let vm = self.find(&beat.from.name).unwrap_or_else(|| {
-            let vm = self.add(now, beat.from.clone(), PeerState::Live);
+        let vm = self.find(&message.from.name).unwrap_or_else(|| {
+            let vm = self.add(now, message.from.clone(), PeerState::Live);
             actions.push(PeerAction::Changed { vm, state: PeerState::Live });
             vm
         });
         let record = self.record(vm);
-        if record.heard && beat.from.rank() < record.vm.rank() {
+        if record.heard && message.from.rank() < record.vm.rank() {
             // A new process of a VM whose clock went back learns here which generation to exceed.
             self.inform(now, vm, vm, actions);
             return;
         }
-        if beat.from.rank() > record.vm.rank() {
-            self.replace(vm, beat.from.clone(), actions);
-        } else if beat.sequence <= record.last_sequence {
+        if message.from.rank() > record.vm.rank() {
+            self.replace(vm, message.from.clone(), actions);
+        } else if message.sequence <= record.last_sequence {
             return;
         }
         let accusation = self.update(now, vm);
-        let zone = beat.from.zone;
+        let zone = message.from.zone;
         let record = self.record_mut(vm);
-        let news = !record.heard || beat.refutation > record.refutation;
+        let news = !record.heard || message.refutation > record.refutation;
         record.heard = true;
-        record.last_sequence = beat.sequence;
-        record.refutation = record.refutation.max(beat.refutation);
+        record.last_sequence = message.sequence;
+        record.refutation = record.refutation.max(message.refutation);
         record.refuted = 0;
         record.evidence_at = now;
         record.direct_at = Some(now);
@@ -408,14 +408,14 @@
             self.tell(vm);
         } else if revived {
             // Only the process itself can refute what others have accepted.
-            let beat = self.next_message(now, vec![accusation]);
-            actions.push(PeerAction::SendHeartbeat { to: vm, message: beat });
+            let message = self.next_message(now, vec![accusation]);
+            actions.push(PeerAction::SendHeartbeat { to: vm, message });
         }
         if let Some(heard_at) = self.zones.get_mut(&zone) {
             *heard_at = now;
         }
-        for notice in beat.updates {
-            self.learn(now, vm, notice, actions);
+        for update in message.updates {
+            self.learn(now, vm, update, actions);
         }
     }
 }
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -102,8 +102,8 @@
 
     pub(crate) fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
-        for beat in std::mem::take(&mut self.nodes[index].inbox) {
-            self.deliver(index, PeerEvent::MessageReceived(beat));
+        for message in std::mem::take(&mut self.nodes[index].inbox) {
+            self.deliver(index, PeerEvent::MessageReceived(message));
         }
     }
 
@@ -128,16 +128,16 @@
             let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
             if arrival == Some(next) {
-                let (_, (from, to, beat)) = self.flight.pop_first().unwrap();
+                let (_, (from, to, message)) = self.flight.pop_first().unwrap();
                 let to = self.nodes.iter().position(|node| node.identity.name == to).unwrap();
                 if self.cuts.contains(&(from, to)) {
                     continue;
                 }
                 if self.nodes[to].paused {
-                    self.nodes[to].inbox.push(beat);
+                    self.nodes[to].inbox.push(message);
                     continue;
                 }
-                self.deliver(to, PeerEvent::MessageReceived(beat));
+                self.deliver(to, PeerEvent::MessageReceived(message));
                 continue;
             }
             let (_, index) = tick.unwrap();
@@ -179,9 +179,9 @@
         }
         for action in node.table.handle(self.now, event) {
             let name = |vm| node.table.vm(vm).unwrap().vm.name.clone();
-            let (to, beat) = match action {
-                PeerAction::SendHeartbeat { to, message: beat }
-                | PeerAction::SendSummary { to, message: beat } => (name(to), beat),
+            let (to, message) = match action {
+                PeerAction::SendHeartbeat { to, message }
+                | PeerAction::SendSummary { to, message } => (name(to), message),
                 PeerAction::Changed { vm, state } => {
                     node.changes.push((name(vm), state));
                     continue;
@@ -192,10 +192,10 @@
                 }
             };
             node.sent += 1;
-            node.notices += beat.updates.len() as u64;
+            node.notices += message.updates.len() as u64;
             let delay = Span(self.rng.random_range(300..3_000));
             self.sequence += 1;
-            self.flight.insert((self.now + delay, self.sequence), (index, to, beat));
+            self.flight.insert((self.now + delay, self.sequence), (index, to, message));
         }
     }
 }
--- a/crates/membership/tests/upstreams.rs
+++ b/crates/membership/tests/upstreams.rs
@@ -20,7 +20,7 @@
     Moment(0) + Span::from_secs(seconds)
 }
 
-fn board(incarnation: u64) -> LoadTable {
+fn load_table(incarnation: u64) -> LoadTable {
     LoadTable::new(LoadTableSettings::default(), Incarnation(incarnation))
 }
 
@@ -34,16 +34,16 @@
     let upstreams: Vec<String> = (0..55).map(|number| format!("engine-{number}")).collect();
     let upstreams: Vec<&str> = upstreams.iter().map(String::as_str).collect();
     let all = ["vm-a", "vm-b", "vm-c", "vm-d"];
-    let mut plans = all.map(|name| WatchAssignment::new(name.to_owned()));
-    for plan in &mut plans {
-        plan.update(&all, &upstreams);
+    let mut assignments = all.map(|name| WatchAssignment::new(name.to_owned()));
+    for assignment in &mut assignments {
+        assignment.update(&all, &upstreams);
     }
-    let watched: usize = plans.iter().map(|plan| plan.watched().count()).sum();
+    let watched: usize = assignments.iter().map(|assignment| assignment.watched().count()).sum();
     assert_eq!(watched, 55);
-    let orphans: Vec<String> = plans[3].watched().map(str::to_owned).collect();
+    let orphans: Vec<String> = assignments[3].watched().map(str::to_owned).collect();
     let mut taken = Vec::new();
-    for plan in &mut plans[..3] {
-        let change = plan.update(&all[..3], &upstreams);
+    for assignment in &mut assignments[..3] {
+        let change = assignment.update(&all[..3], &upstreams);
         assert!(change.stopped.is_empty());
         taken.extend(change.started);
     }
@@ -54,7 +54,7 @@
 /// Guards against an old copy that comes back younger, and against a loss of age on the way.
 #[test]
 fn newest_measurement_wins_and_keeps_its_age() {
-    let (mut watcher, mut peer) = (board(1), board(2));
+    let (mut watcher, mut peer) = (load_table(1), load_table(2));
     watcher.update(secs(10), "engine", report(5));
     let copy = watcher.next_delta(secs(12));
     assert_eq!(copy[0].age, Span::from_secs(2));
@@ -70,34 +70,34 @@
 #[test]
 fn deltas_are_bounded_and_reach_every_entry() {
     let settings = LoadTableSettings::default();
-    let mut board = board(1);
+    let mut load_table = load_table(1);
     for number in 0..600 {
-        board.update(secs(0), &format!("engine-{number:03}"), report(8));
+        load_table.update(secs(0), &format!("engine-{number:03}"), report(8));
     }
     let mut sent = std::collections::BTreeSet::new();
     for second in 0..30 {
-        let delta = board.next_delta(secs(second));
+        let delta = load_table.next_delta(secs(second));
         assert!(delta.len() <= settings.delta_limit + 600 / settings.full_over);
         sent.extend(delta.into_iter().map(|entry| entry.upstream));
     }
     assert_eq!(sent.len(), 600);
-    let steady = board.next_delta(secs(31));
+    let steady = load_table.next_delta(secs(31));
     assert_eq!(steady.len(), 600 / settings.full_over, "only the repetition is left");
-    assert_eq!(board.all_updates(secs(31)).len(), 600);
+    assert_eq!(load_table.all_updates(secs(31)).len(), 600);
 }
 
 /// Guards against a small change that is sent at once, and a large one that waits.
 #[test]
 fn only_changes_that_matter_are_sent() {
-    let mut board = board(1);
+    let mut load_table = load_table(1);
     // The repetition of one entry out of two goes to "a" at even calls and to "b" at odd ones.
-    board.update(secs(0), "a", report(1));
-    board.update(secs(0), "b", report(80));
-    assert_eq!(names(&board.next_delta(secs(0))), ["a", "b"]);
+    load_table.update(secs(0), "a", report(1));
+    load_table.update(secs(0), "b", report(80));
+    assert_eq!(names(&load_table.next_delta(secs(0))), ["a", "b"]);
     let mut check = |at: u64, running: u32, expected: &[&str]| {
-        board.update(secs(at), "b", report(running));
+        load_table.update(secs(at), "b", report(running));
         assert_eq!(
-            names(&board.next_delta(secs(at))),
+            names(&load_table.next_delta(secs(at))),
             expected,
             "at {at} s with {running} running"
         );
@@ -116,7 +116,7 @@
 /// Guards against a leaving upstream that waits for a heartbeat, or that an older report revives.
 #[test]
 fn leaving_is_urgent_and_stays() {
-    let (mut watcher, mut peer) = (board(1), board(2));
+    let (mut watcher, mut peer) = (load_table(1), load_table(2));
     watcher.update(secs(1), "engine", report(5));
     assert!(watcher.take_urgent(secs(1)).is_empty());
     peer.merge(secs(1), watcher.next_delta(secs(1)).remove(0));
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -152,8 +152,8 @@
     }
 
     /// Returns the desk with which a process goes on after it has acquired the lease.
-    fn take_over(&self, desk: OrderManager) -> OrderManager {
-        desk
+    fn take_over(&self, orders: OrderManager) -> OrderManager {
+        orders
     }
 
     /// Returns an order to send although its intent is not read back.
@@ -203,12 +203,12 @@
             order_timeout: Span(1),
             extra_wait: Span(2),
         };
-        let desk = OrderSettings {
+        let orders = OrderSettings {
             order_timeout: Span(1),
             query_retry_delay: Span(1),
             fencing_support: bounds.receiver,
         };
-        Self { lease, orders: desk, bounds }
+        Self { lease, orders, bounds }
     }
 }
 
@@ -350,8 +350,10 @@
 
     fn describe(&self, state: &AuthorityState) -> String {
         let holds = |process: &ProcessState| {
-            let keeper: &LeaseManager = &process.lease_manager;
-            keeper.held_token(state.now).map_or("-".to_owned(), |fencing| fencing.0.to_string())
+            let lease_manager: &LeaseManager = &process.lease_manager;
+            lease_manager
+                .held_token(state.now)
+                .map_or("-".to_owned(), |fencing| fencing.0.to_string())
         };
         let held: Vec<_> = state.processes.iter().map(holds).collect();
         format!(
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -64,11 +64,11 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let candidacy = LeaseRole::Candidate;
-        let mut keeper = LeaseManager::new(settings.lease, SCOPE, incarnation, candidacy);
-        keeper.restart_from(now, first);
+        let role = LeaseRole::Candidate;
+        let mut lease_manager = LeaseManager::new(settings.lease, SCOPE, incarnation, role);
+        lease_manager.restart_from(now, first);
         Self {
-            lease_manager: keeper,
+            lease_manager,
             order_manager: OrderManager::new(settings.orders, SCOPE, incarnation),
             incarnation,
             next: first,
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -19,7 +19,7 @@
 };
 use base::{Incarnation, LogOffset, RecordId, derive_copy, derive_value};
 
-pub use crate::configuration::process::{AcceptAll, ConfigProcess, History};
+pub use crate::configuration::process::{AcceptAll, ConfigProcess, Registry};
 use crate::{configuration::process::expected_documents, search::Specification};
 
 /// The version in force on a process fell during its life.
@@ -114,7 +114,7 @@
         match &self.0 {
             ConfigRecord::Edit(edit) => (edit.id, edit.base).hash(hasher),
             ConfigRecord::Promote(promote) => (promote.id, promote.target_base).hash(hasher),
-            ConfigRecord::Snapshot(carry) => carry.snapshot.next.hash(hasher),
+            ConfigRecord::Snapshot(record) => record.snapshot.next.hash(hasher),
         }
     }
 }
@@ -131,16 +131,16 @@
     /// Applies a record.
     fn apply(
         &self,
-        history: &mut History,
+        registry: &mut Registry,
         offset: LogOffset,
         record: &ConfigRecord,
     ) -> ConfigOutcome {
-        history.apply(offset, record)
+        registry.apply(offset, record)
     }
 
     /// Takes a peer's copy of a document.
-    fn adopt(&self, history: &mut History, document: &VersionedDocument) {
-        history.adopt_peer_document(document);
+    fn adopt(&self, registry: &mut Registry, document: &VersionedDocument) {
+        registry.adopt_peer_document(document);
     }
 
     /// Returns where a process reads on that continues from a peer's state of the log.
@@ -149,8 +149,8 @@
     }
 
     /// Returns the documents that a process gives to a peer.
-    fn given(&self, history: &History) -> Vec<VersionedDocument> {
-        history.documents().into_iter().cloned().collect()
+    fn given(&self, registry: &Registry) -> Vec<VersionedDocument> {
+        registry.documents().into_iter().cloned().collect()
     }
 }
 
@@ -271,19 +271,19 @@
         }
     }
 
-    fn compose(&self, index: usize, written: u8, history: &History) -> ConfigEntry {
+    fn compose(&self, index: usize, written: u8, registry: &Registry) -> ConfigEntry {
         let (trial, production) = (EnvironmentName::from(TRIAL), EnvironmentName::from(PRODUCTION));
         let id = RecordId {
             writer: Incarnation(FIRST_OPERATOR + index as u64),
             sequence: u64::from(written) + 1,
         };
-        let base = history.version(&trial);
+        let base = registry.version(&trial);
         if index == 1 && self.bounds.work == OperatorWork::EditsAndPromotions {
             return ConfigEntry(ConfigRecord::Promote(ConfigPromote {
                 id,
                 source: trial,
                 source_version: base,
-                target_base: history.version(&production),
+                target_base: registry.version(&production),
                 target: production,
             }));
         }
@@ -308,7 +308,7 @@
             .log
             .iter()
             .filter_map(|entry| match &entry.0 {
-                ConfigRecord::Snapshot(carry) => Some(carry.snapshot.next),
+                ConfigRecord::Snapshot(record) => Some(record.snapshot.next),
                 _ => None,
             })
             .filter(|offset| *offset > state.first_retained)
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -28,13 +28,13 @@
 }
 
 /// The real history with a check that accepts every text.
-pub type History = ConfigRegistry<AcceptAll>;
+pub type Registry = ConfigRegistry<AcceptAll>;
 
 /// A process and what the invariants need to know of its past.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigProcess {
     /// The real history.
-    pub registry: History,
+    pub registry: Registry,
     /// Offset of the next record to read.
     pub(crate) next: LogOffset,
     pub(crate) access: LogAccess,
@@ -132,7 +132,7 @@
                 self.read(&mut next, index);
                 steps.push((ConfigStep::Read(index), next));
             }
-            self.carry_steps(state, index, steps);
+            self.snapshot_steps(state, index, steps);
         } else {
             let mut next = state.clone();
             Rc::make_mut(&mut next.processes[index]).access = LogAccess::Reachable;
@@ -159,7 +159,7 @@
         steps.push((ConfigStep::Restart(index), next));
     }
 
-    fn carry_steps(
+    fn snapshot_steps(
         &self,
         state: &ConfigModelState,
         index: usize,
@@ -171,14 +171,14 @@
         if snapshot.documents.is_empty() {
             return;
         }
-        let carry = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: snapshot.clone() });
-        let carry = Rc::new(ConfigEntry(carry));
+        let entry = ConfigRecord::Snapshot(ConfigSnapshotRecord { snapshot: snapshot.clone() });
+        let entry = Rc::new(ConfigEntry(entry));
         let mut next = ConfigModelState { snapshots_left, ..state.clone() };
-        next.log.push(Rc::clone(&carry));
+        next.log.push(Rc::clone(&entry));
         steps.push((ConfigStep::Carry(index), next));
         if let Some(mut next) = self.fault(state) {
             next.snapshots_left = snapshots_left;
-            next.delayed.push(carry);
+            next.delayed.push(entry);
             steps.push((ConfigStep::CarryDelayed(index), next));
         }
     }
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -93,8 +93,8 @@
 /// Steps that guard an invariant. A test replaces one of them to show that the search notices.
 pub trait SubmissionGuards {
     /// Returns the offset at which an append may be tried.
-    fn append_offset(&self, copy: &PartitionCache, submissions: &[&str]) -> Option<u64> {
-        copy.append_offset(submissions)
+    fn append_offset(&self, cache: &PartitionCache, submissions: &[&str]) -> Option<u64> {
+        cache.append_offset(submissions)
     }
 
     /// Returns the condition that is sent with an append.
--- a/crates/model-check/src/submissions/node.rs
+++ b/crates/model-check/src/submissions/node.rs
@@ -84,17 +84,17 @@
     }
 
     /// Returns what is left to append.
-    fn records(&self, copy: &PartitionCache) -> Option<Vec<SubmissionRecord>> {
+    fn records(&self, cache: &PartitionCache) -> Option<Vec<SubmissionRecord>> {
         match self {
             Self::Open(submission) => {
-                opening_records(copy.table(), submission, &opened(submission))
+                opening_records(cache.table(), submission, &opened(submission))
             }
-            Self::End(submission) => ending_records(copy.table(), submission),
+            Self::End(submission) => ending_records(cache.table(), submission),
             Self::Results(items) => {
                 let results = items.iter().map(|(submission, item)| {
                     (String::from(*submission), ItemResult::errored(*item))
                 });
-                result_records(copy.table(), &results.collect::<Vec<_>>())
+                result_records(cache.table(), &results.collect::<Vec<_>>())
             }
         }
     }
@@ -112,7 +112,7 @@
         shared_prompt: None,
         reward: None,
     });
-    let head = SubmissionMetadata {
+    let metadata = SubmissionMetadata {
         id: text(submission),
         customer: text("brewer"),
         host: text("h"),
@@ -126,7 +126,7 @@
     };
     let items = items.collect();
     vec![
-        SubmissionRecord::Opened(head),
+        SubmissionRecord::Opened(metadata),
         SubmissionRecord::Items { submission: text(submission), first: 0, items },
     ]
 }
@@ -134,8 +134,8 @@
 impl StoreNode {
     pub(crate) fn new(work: Vec<NodeWork>, callers: Vec<&'static str>) -> Self {
         let task = NodeTask::Prepare { behind: false };
-        let copy = PartitionCache::default();
-        Self { cache: copy, work: work.into(), callers, task, reads: Vec::new() }
+        let cache = PartitionCache::default();
+        Self { cache, work: work.into(), callers, task, reads: Vec::new() }
     }
 
     fn read_first_page(&mut self, log: &KeyedLog, submission: &'static str) {
@@ -281,12 +281,12 @@
         return;
     }
     let end = log.end();
-    let read_to = if matches!(step, SubmissionStep::ReadRecord(_)) { from + 1 } else { end };
-    let records = log.read(from, read_to);
+    let next_offset = if matches!(step, SubmissionStep::ReadRecord(_)) { from + 1 } else { end };
+    let records = log.read(from, next_offset);
     node.cache.apply_batch(LogBatch {
         read_started_at: NOW,
         start_offset: from,
-        next_offset: read_to,
+        next_offset,
         log_end: end,
         records,
     });
--- a/crates/model-check/src/submissions/store.rs
+++ b/crates/model-check/src/submissions/store.rs
@@ -136,26 +136,26 @@
 
     /// Tells whether a copy shows every record of its loaded submissions up to its offset, and no other
     /// result than the log at any position.
-    pub(crate) fn agrees_with(&self, copy: &PartitionCache) -> bool {
-        let known = copy.next_offset().unwrap_or_default();
+    pub(crate) fn agrees_with(&self, cache: &PartitionCache) -> bool {
+        let known = cache.next_offset().unwrap_or_default();
         (0..).zip(&self.records).all(|(offset, stored)| match &stored.record {
             // The last record of an acceptance. Before it the submission does not exist yet.
             SubmissionRecord::Items { submission, .. } => {
-                let due = offset < known && copy.is_loaded(submission);
-                !due || copy.table().get(submission).is_some()
+                let due = offset < known && cache.is_loaded(submission);
+                !due || cache.table().get(submission).is_some()
             }
             SubmissionRecord::Result { submission, position, result } => {
-                let state = copy.table().get(submission);
+                let state = cache.table().get(submission);
                 let shown = state.and_then(|state| state.results(*position).next());
                 match shown {
                     Some(shown) => shown.item == result.item,
-                    None => offset >= known || !copy.is_loaded(submission),
+                    None => offset >= known || !cache.is_loaded(submission),
                 }
             }
             SubmissionRecord::Ended { submission } => {
-                let state = copy.table().get(submission);
+                let state = cache.table().get(submission);
                 let shown = state.is_some_and(submissions::SubmissionState::is_ended);
-                shown || offset >= known || !copy.is_loaded(submission)
+                shown || offset >= known || !cache.is_loaded(submission)
             }
             _ => true,
         })
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -144,8 +144,8 @@
     }
 
     /// Returns the fencing number that the ledger takes as valid at the present position.
-    fn valid_claim(&self, _now: Moment, keeper: &LeaseManager) -> Option<FencingToken> {
-        keeper.claim_in_force()
+    fn valid_claim(&self, _now: Moment, lease_manager: &LeaseManager) -> Option<FencingToken> {
+        lease_manager.claim_in_force()
     }
 
     /// Returns the report to send.
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -58,7 +58,7 @@
     /// A report whose clock check has passed and that is not yet written.
     pub(crate) checked: Option<WindowReport>,
     pub(crate) closing: Option<WindowNumber>,
-    pub(crate) carry_tried: Option<Moment>,
+    pub(crate) snapshot_tried_at: Option<Moment>,
     pub(crate) activity: Activity,
     pub(crate) access: LogAccess,
 }
@@ -72,7 +72,7 @@
         (self.replicas.len(), self.replicas.next_deadline()).hash(hasher);
         (self.reports.next_deadline(), self.holds.len()).hash(hasher);
         (self.unchecked.is_some(), self.checked.is_some()).hash(hasher);
-        (self.closing, self.carry_tried, self.activity, self.access).hash(hasher);
+        (self.closing, self.snapshot_tried_at, self.activity, self.access).hash(hasher);
     }
 }
 
@@ -84,13 +84,13 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let mut keeper =
+        let mut lease_manager =
             LeaseManager::new(settings, LeaseScope::Usage, incarnation, LeaseRole::Candidate);
-        keeper.restart_from(now, first);
+        lease_manager.restart_from(now, first);
         let mut ledger = UsageLedger::new();
         ledger.note_retention(first);
         Self {
-            lease_manager: keeper,
+            lease_manager,
             ledger: Rc::new(ledger),
             reports: WindowReporter::new(RETRY),
             pending: PendingBatches::new(RETRY),
@@ -103,7 +103,7 @@
             unchecked: None,
             checked: None,
             closing: None,
-            carry_tried: None,
+            snapshot_tried_at: None,
             activity: Activity::Running,
             access: LogAccess::Reachable,
         }
@@ -170,10 +170,10 @@
             process.closing = due;
             process.queue_usage(UsageRecord::Close(WindowClose { window, fencing }));
         }
-        let may_carry = process.carry_tried.is_none_or(|at| now.since(at) >= RETRY);
-        if may_carry && process.ledger.snapshot_due() {
+        let may_snapshot = process.snapshot_tried_at.is_none_or(|at| now.since(at) >= RETRY);
+        if may_snapshot && process.ledger.snapshot_due() {
             let snapshot = process.ledger.snapshot().expect("no snapshot is awaited");
-            process.carry_tried = Some(now);
+            process.snapshot_tried_at = Some(now);
             process.queue_usage(UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing });
         }
         if let Some(report) = process.reports.poll(now, &process.ledger, fencing) {
@@ -255,10 +255,10 @@
             let process = Rc::make_mut(&mut next.processes[index]);
             process.sequence += 1;
             let id = RecordId { writer: process.incarnation, sequence: process.sequence };
-            let mut figures = UsageByCustomer::default();
+            let mut usage = UsageByCustomer::default();
             let amount = UsageAmount { requests: 1, ..UsageAmount::default() };
-            figures.0.insert(format!("customer {batches_left}"), amount);
-            let batch = UsageBatch { id, usage: figures };
+            usage.0.insert(format!("customer {batches_left}"), amount);
+            let batch = UsageBatch { id, usage };
             process.pending.add(state.now, batch.clone());
             process.queue_usage(UsageRecord::Batch(batch));
             self.settle(&mut next, index);
--- a/crates/model-check/tests/configuration.rs
+++ b/crates/model-check/tests/configuration.rs
@@ -7,8 +7,8 @@
 use model_check::{
     Specification, check_invariants, check_noticed,
     configuration::{
-        AcceptAll, ConfigBounds, ConfigGuards, ConfigModel, ConfigStep, History, NEVER_FALLS,
-        ONE_DOCUMENT, ONE_WINNER, OperatorWork, ProductConfig, SNAPSHOT_YIELDS,
+        AcceptAll, ConfigBounds, ConfigGuards, ConfigModel, ConfigStep, NEVER_FALLS, ONE_DOCUMENT,
+        ONE_WINNER, OperatorWork, ProductConfig, Registry, SNAPSHOT_YIELDS,
     },
 };
 use rand::{RngExt, SeedableRng};
@@ -47,9 +47,9 @@
 struct AnyCopy;
 
 impl ConfigGuards for AnyCopy {
-    fn adopt(&self, history: &mut History, document: &VersionedDocument) {
-        *history = ConfigRegistry::new(AcceptAll);
-        history.adopt_peer_document(document);
+    fn adopt(&self, registry: &mut Registry, document: &VersionedDocument) {
+        *registry = ConfigRegistry::new(AcceptAll);
+        registry.adopt_peer_document(document);
     }
 }
 
@@ -62,12 +62,12 @@
 struct EarlyVersion;
 
 impl ConfigGuards for EarlyVersion {
-    fn given(&self, history: &History) -> Vec<VersionedDocument> {
+    fn given(&self, registry: &Registry) -> Vec<VersionedDocument> {
         let next = |document: &VersionedDocument| {
             let version = document.version.next();
             VersionedDocument { version, ..document.clone() }
         };
-        history.documents().into_iter().map(next).collect()
+        registry.documents().into_iter().map(next).collect()
     }
 }
 
@@ -82,16 +82,16 @@
 impl ConfigGuards for LastEditWins {
     fn apply(
         &self,
-        history: &mut History,
+        registry: &mut Registry,
         offset: LogOffset,
         record: &ConfigRecord,
     ) -> ConfigOutcome {
         let mut record = record.clone();
         if let ConfigRecord::Edit(edit) = &mut record {
-            let read = history.snapshot();
+            let read = registry.snapshot();
             edit.base = read.map(|read| read.version(&edit.environment)).unwrap_or_default();
         }
-        history.apply(offset, &record)
+        registry.apply(offset, &record)
     }
 }
 
@@ -106,15 +106,15 @@
 impl ConfigGuards for SnapshotWins {
     fn apply(
         &self,
-        history: &mut History,
+        registry: &mut Registry,
         offset: LogOffset,
         record: &ConfigRecord,
     ) -> ConfigOutcome {
-        if let ConfigRecord::Snapshot(carry) = record {
-            *history = ConfigRegistry::new(AcceptAll);
-            history.note_retention(carry.snapshot.next);
+        if let ConfigRecord::Snapshot(snapshot) = record {
+            *registry = ConfigRegistry::new(AcceptAll);
+            registry.note_retention(snapshot.snapshot.next);
         }
-        history.apply(offset, record)
+        registry.apply(offset, record)
     }
 }
 
--- a/crates/model-check/tests/submissions.rs
+++ b/crates/model-check/tests/submissions.rs
@@ -57,9 +57,9 @@
 struct PartlyLoaded;
 
 impl SubmissionGuards for PartlyLoaded {
-    fn append_offset(&self, copy: &PartitionCache, submissions: &[&str]) -> Option<u64> {
-        let any = submissions.iter().any(|submission| copy.is_loaded(submission));
-        copy.next_offset().filter(|_| any)
+    fn append_offset(&self, cache: &PartitionCache, submissions: &[&str]) -> Option<u64> {
+        let any = submissions.iter().any(|submission| cache.is_loaded(submission));
+        cache.next_offset().filter(|_| any)
     }
 }
 
@@ -73,8 +73,8 @@
 struct Overtaken;
 
 impl SubmissionGuards for Overtaken {
-    fn read_end(&self, copy: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
-        copy.next_offset().unwrap_or(first_page)
+    fn read_end(&self, cache: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
+        cache.next_offset().unwrap_or(first_page)
     }
 }
 
--- a/crates/model-check/tests/usage.rs
+++ b/crates/model-check/tests/usage.rs
@@ -97,8 +97,8 @@
 struct OwnLeaseOnly;
 
 impl UsageGuards for OwnLeaseOnly {
-    fn valid_claim(&self, now: Moment, keeper: &LeaseManager) -> Option<FencingToken> {
-        keeper.held_token(now)
+    fn valid_claim(&self, now: Moment, lease_manager: &LeaseManager) -> Option<FencingToken> {
+        lease_manager.held_token(now)
     }
 }
 
--- a/crates/process-tests/src/call.rs
+++ b/crates/process-tests/src/call.rs
@@ -25,12 +25,12 @@
     headers: &[(&'static str, String)],
     body: &str,
 ) -> CallAnswer {
-    let mut outgoing = HttpRequest::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
+    let mut request = HttpRequest::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
-        outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
+        request = request.with_header(name.parse().expect("test headers are valid"), value);
     }
-    send(outgoing).await
+    send(request).await
 }
 
 /// Sends a request without a body.
@@ -39,12 +39,12 @@
     path: &str,
     headers: &[(&'static str, String)],
 ) -> CallAnswer {
-    let mut outgoing = HttpRequest::get(address, path);
+    let mut request = HttpRequest::get(address, path);
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
-        outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
+        request = request.with_header(name.parse().expect("test headers are valid"), value);
     }
-    send(outgoing).await
+    send(request).await
 }
 
 /// Reads JSON, or `None` when no answer came.
@@ -59,8 +59,8 @@
     send(HttpRequest::post(address, path, body)).await.status
 }
 
-async fn send(outgoing: HttpRequest) -> CallAnswer {
-    match HttpClient::new(Span::from_secs(5)).stream_all(outgoing, LIMIT).await {
+async fn send(request: HttpRequest) -> CallAnswer {
+    match HttpClient::new(Span::from_secs(5)).stream_all(request, LIMIT).await {
         Ok((status, body)) => CallAnswer { status, body: String::from_utf8_lossy(&body).into() },
         Err(error) => CallAnswer { status: 0, body: error.to_string() },
     }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -252,33 +252,33 @@
 }
 
 impl From<&LivenessMessage> for WireLiveness {
-    fn from(beat: &LivenessMessage) -> Self {
-        let notices = beat.updates.iter().map(|notice| WirePeerUpdate {
-            vm: (&notice.vm).into(),
-            refutation: notice.refutation,
-            age_us: notice.age.0,
-            state: match notice.state {
+    fn from(message: &LivenessMessage) -> Self {
+        let updates = message.updates.iter().map(|update| WirePeerUpdate {
+            vm: (&update.vm).into(),
+            refutation: update.refutation,
+            age_us: update.age.0,
+            state: match update.state {
                 ReportedState::Live => 0,
                 ReportedState::Suspect => 1,
                 ReportedState::Gone => 2,
             },
         });
         Self {
-            from: (&beat.from).into(),
-            beat: beat.sequence,
-            refutation: beat.refutation,
-            notices: notices.collect(),
+            from: (&message.from).into(),
+            beat: message.sequence,
+            refutation: message.refutation,
+            notices: updates.collect(),
         }
     }
 }
 
 impl From<WireLiveness> for LivenessMessage {
     fn from(wire: WireLiveness) -> Self {
-        let notices = wire.notices.into_iter().map(|notice| PeerUpdate {
-            vm: notice.vm.into(),
-            refutation: notice.refutation,
-            age: Span(notice.age_us),
-            state: match notice.state {
+        let updates = wire.notices.into_iter().map(|update| PeerUpdate {
+            vm: update.vm.into(),
+            refutation: update.refutation,
+            age: Span(update.age_us),
+            state: match update.state {
                 0 => ReportedState::Live,
                 1 => ReportedState::Suspect,
                 _ => ReportedState::Gone,
@@ -288,7 +288,7 @@
             from: wire.from.into(),
             sequence: wire.beat,
             refutation: wire.refutation,
-            updates: notices.collect(),
+            updates: updates.collect(),
         }
     }
 }
--- a/crates/protocol/src/record/claims.rs
+++ b/crates/protocol/src/record/claims.rs
@@ -98,8 +98,8 @@
 }
 
 impl From<&Conviction> for WireConviction {
-    fn from(verdict: &Conviction) -> Self {
-        Self { fingerprint: verdict.fingerprint.0, expires_at_ms: verdict.expires_at.0 }
+    fn from(conviction: &Conviction) -> Self {
+        Self { fingerprint: conviction.fingerprint.0, expires_at_ms: conviction.expires_at.0 }
     }
 }
 
--- a/crates/protocol/src/record/config.rs
+++ b/crates/protocol/src/record/config.rs
@@ -87,7 +87,9 @@
                 target: promote.target.0.clone(),
                 target_base: promote.target_base.0,
             },
-            ConfigRecord::Snapshot(carry) => Self::Carry((&carry.snapshot).into()),
+            ConfigRecord::Snapshot(snapshot_record) => {
+                Self::Carry((&snapshot_record.snapshot).into())
+            }
         }
     }
 }
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -135,7 +135,9 @@
                 });
             }
             WireSample::Filled(filled) => SampleRecord::Filled(filled.into()),
-            WireSample::Carry(carry) => return Ok(Self::Snapshot(Box::new(carry.try_into()?))),
+            WireSample::Carry(snapshot) => {
+                return Ok(Self::Snapshot(Box::new(snapshot.try_into()?)));
+            }
             WireSample::Bound { slot, sample, score } => SampleRecord::Bound(SampleBound {
                 slot: slot.into(),
                 sample: sample.into(),
@@ -153,9 +155,9 @@
 
 impl From<&SampleEntry> for WireSample {
     fn from(entry: &SampleEntry) -> Self {
-        let (record, opened) = match entry {
-            SampleEntry::Record { record, step_prompts: opened } => (record, opened),
-            SampleEntry::Snapshot(carry) => return Self::Carry((&**carry).into()),
+        let (record, step_prompts) = match entry {
+            SampleEntry::Record { record, step_prompts } => (record, step_prompts),
+            SampleEntry::Snapshot(snapshot) => return Self::Carry((&**snapshot).into()),
         };
         match record {
             SampleRecord::Stated(stated) => Self::Stated {
@@ -165,7 +167,7 @@
                 version: stated.version.0,
                 staleness_bound: stated.staleness_bound,
                 acknowledged: stated.acknowledged.0,
-                opened: stated.opened.zip(opened.as_ref()).map(|(shape, step)| WireStep {
+                opened: stated.opened.zip(step_prompts.as_ref()).map(|(shape, step)| WireStep {
                     step: shape.step,
                     samples_per_group: shape.samples_per_group,
                     max_tokens: step.max_tokens,
--- a/crates/protocol/src/record/samples/snapshot.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -64,9 +64,9 @@
 }
 
 impl From<&SampleSnapshot> for WireTrainerSnapshot {
-    fn from(carry: &SampleSnapshot) -> Self {
-        let book = &carry.snapshot.state;
-        let bindings = book.bindings.iter().map(|(number, binding)| WireBinding {
+    fn from(snapshot: &SampleSnapshot) -> Self {
+        let state = &snapshot.snapshot.state;
+        let bindings = state.bindings.iter().map(|(number, binding)| WireBinding {
             number: number.0,
             filled: (&binding.filled).into(),
             score: binding.score.map(|score| score.0),
@@ -74,34 +74,36 @@
             void: binding.void.map(WireVoidReason::from),
             pending: binding.pending,
         });
-        let steps = book.steps.values().map(|step| {
-            let opened = carry.step_prompts.iter().find(|(number, _)| *number == step.shape.step);
-            let opened = opened.map(|(_, opened)| opened);
+        let steps = state.steps.values().map(|step| {
+            let step_prompts =
+                snapshot.step_prompts.iter().find(|(number, _)| *number == step.shape.step);
+            let step_prompts = step_prompts.map(|(_, step_prompts)| step_prompts);
             WireStepState {
                 step: step.shape.step,
                 groups: step.shape.groups,
                 samples_per_group: step.shape.samples_per_group,
                 slots: step.slots.iter().map(WireStepSlot::from).collect(),
                 completed: step.completed,
-                max_tokens: opened.map_or(0, |opened| opened.max_tokens),
-                prompts: opened.map_or_else(Vec::new, |opened| opened.prompts.clone()),
+                max_tokens: step_prompts.map_or(0, |step_prompts| step_prompts.max_tokens),
+                prompts: step_prompts
+                    .map_or_else(Vec::new, |step_prompts| step_prompts.prompts.clone()),
             }
         });
         Self {
-            until: carry.snapshot.until.0,
-            trainer: book.id.0,
-            name: book.name.clone(),
-            version: book.version.0,
-            staleness_bound: book.staleness_bound,
-            statements: book.statements,
-            acknowledged: book.acknowledged.0,
-            offered: book.offered.0,
-            offer: book.range.map(|offer| (offer.statement, offer.after.0, offer.until.0)),
-            last_number: book.last_number.0,
+            until: snapshot.snapshot.until.0,
+            trainer: state.id.0,
+            name: state.name.clone(),
+            version: state.version.0,
+            staleness_bound: state.staleness_bound,
+            statements: state.statements,
+            acknowledged: state.acknowledged.0,
+            offered: state.offered.0,
+            offer: state.range.map(|range| (range.statement, range.after.0, range.until.0)),
+            last_number: state.last_number.0,
             bindings: bindings.collect(),
             steps: steps.collect(),
-            retired_below: book.retired_below,
-            retired_until: book.retired_until.0,
+            retired_below: state.retired_below,
+            retired_until: state.retired_until.0,
         }
     }
 }
@@ -122,7 +124,7 @@
             (number, binding)
         });
         let bindings = bindings.collect();
-        let mut opened = Vec::new();
+        let mut step_prompts = Vec::new();
         let mut steps = std::collections::BTreeMap::new();
         for step in wire.steps {
             let slots = u64::from(step.groups) * u64::from(step.samples_per_group);
@@ -132,7 +134,7 @@
             }
             if !step.prompts.is_empty() {
                 let prompts = StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens };
-                opened.push((step.step, prompts));
+                step_prompts.push((step.step, prompts));
             }
             let shape = StepShape {
                 step: step.step,
@@ -142,12 +144,12 @@
             let slots = step.slots.into_iter().map(StepSlot::from).collect();
             steps.insert(step.step, StepState { shape, slots, completed: step.completed });
         }
-        let offer = wire.offer.map(|(statement, after, until)| DeliveryRange {
+        let range = wire.offer.map(|(statement, after, until)| DeliveryRange {
             statement,
             after: DeliveryNumber(after),
             until: DeliveryNumber(until),
         });
-        let book = TrainerState {
+        let state = TrainerState {
             id: TrainerId(wire.trainer),
             name: wire.name,
             version: WeightVersion(wire.version),
@@ -155,17 +157,14 @@
             statements: wire.statements,
             acknowledged: DeliveryNumber(wire.acknowledged),
             offered: DeliveryNumber(wire.offered),
-            range: offer,
+            range,
             last_number: DeliveryNumber(wire.last_number),
             bindings,
             steps,
             retired_below: wire.retired_below,
             retired_until: DeliveryNumber(wire.retired_until),
         };
-        Ok(Self {
-            snapshot: TrainerSnapshot { until: LogOffset(wire.until), state: book },
-            step_prompts: opened,
-        })
+        Ok(Self { snapshot: TrainerSnapshot { until: LogOffset(wire.until), state }, step_prompts })
     }
 }
 
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -77,19 +77,19 @@
 #[must_use]
 pub fn encode_submission_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
-        SubmissionRecord::Opened(head) => {
+        SubmissionRecord::Opened(metadata) => {
             let value = WireSubmissionRecord::Opened {
-                customer: head.customer.clone(),
-                host: head.host.clone(),
-                path: head.path.clone(),
-                model: head.model.clone(),
-                step: head.step,
-                least_version: head.min_version.0,
-                target_groups: head.target_groups,
-                accepted_ms: head.accepted_at.0,
-                items: head.item_count,
+                customer: metadata.customer.clone(),
+                host: metadata.host.clone(),
+                path: metadata.path.clone(),
+                model: metadata.model.clone(),
+                step: metadata.step,
+                least_version: metadata.min_version.0,
+                target_groups: metadata.target_groups,
+                accepted_ms: metadata.accepted_at.0,
+                items: metadata.item_count,
             };
-            (format!("s/{}/o", head.id), Some(encode_message(&value)))
+            (format!("s/{}/o", metadata.id), Some(encode_message(&value)))
         }
         SubmissionRecord::Items { submission, first, items } => {
             let items = items.iter().map(WireItem::from).collect();
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -228,8 +228,8 @@
     UsageByCustomer(entries.collect())
 }
 
-fn wire_figures(figures: &UsageByCustomer) -> Vec<WireFigure> {
-    let entries = figures.0.iter().map(|(customer, amount)| WireFigure {
+fn wire_figures(usage: &UsageByCustomer) -> Vec<WireFigure> {
+    let entries = usage.0.iter().map(|(customer, amount)| WireFigure {
         customer: customer.clone(),
         requests: amount.requests,
         prompt_tokens: amount.prompt_tokens,
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -82,10 +82,10 @@
         base: ConfigVersion(7),
         text: String::from("environment = \"trial\"\n"),
     }));
-    let mut figures = UsageByCustomer::default();
+    let mut usage = UsageByCustomer::default();
     let amount = UsageAmount { requests: 1, prompt_tokens: u64::MAX, generated_tokens: 0 };
-    figures.add("cordial", amount).expect("it fits");
-    check(&UsageRecord::Batch(UsageBatch { id: ID, usage: figures }));
+    usage.add("cordial", amount).expect("it fits");
+    check(&UsageRecord::Batch(UsageBatch { id: ID, usage }));
     check(&Conviction { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
     check(&ClaimEvent::DoneRead(ClaimDone {
         claim: ClaimKey([9; 16]),
@@ -167,7 +167,7 @@
         acknowledged: DeliveryNumber(0),
         opened: Some(shape),
     };
-    let opened = StepPrompts { prompts: vec![String::from("draft a sleeve")], max_tokens: 9 };
+    let step_prompts = StepPrompts { prompts: vec![String::from("draft a sleeve")], max_tokens: 9 };
     let bound = SampleBound { slot: slot(0), sample: filled(0).sample, score: Some(Score(-7)) };
     let voided = SampleVoided { slot: slot(1), sample: filled(1).sample, reason: VoidReason::Lost };
     let records = [
@@ -177,16 +177,16 @@
         SampleRecord::Bound(bound),
         SampleRecord::Voided(voided),
     ];
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     for record in records {
-        book.apply(&record);
-        let opened = matches!(record, SampleRecord::Stated(_)).then(|| opened.clone());
-        check(&SampleEntry::Record { record, step_prompts: opened });
+        table.apply(&record);
+        let step_prompts = matches!(record, SampleRecord::Stated(_)).then(|| step_prompts.clone());
+        check(&SampleEntry::Record { record, step_prompts });
     }
-    book.apply(&SampleRecord::Filled(filled(2)));
-    let carry = book.snapshot(trainer, LogOffset(6)).expect("the trainer is known");
+    table.apply(&SampleRecord::Filled(filled(2)));
+    let snapshot = table.snapshot(trainer, LogOffset(6)).expect("the trainer is known");
     check(&SampleEntry::Snapshot(Box::new(SampleSnapshot {
-        snapshot: carry,
-        step_prompts: vec![(3, opened)],
+        snapshot,
+        step_prompts: vec![(3, step_prompts)],
     })));
 }
--- a/crates/record-log/src/reader.rs
+++ b/crates/record-log/src/reader.rs
@@ -107,19 +107,19 @@
         if page.first_retained > self.next {
             actions.push(self.skip_to(page.first_retained));
         }
-        for fetched in page.records {
-            if fetched.offset < self.next {
+        for decoded in page.records {
+            if decoded.offset < self.next {
                 continue;
             }
-            if fetched.offset > self.next {
-                actions.push(self.skip_to(fetched.offset));
+            if decoded.offset > self.next {
+                actions.push(self.skip_to(decoded.offset));
             }
-            self.next = fetched.offset.next();
-            let (id, record) = match fetched.content {
+            self.next = decoded.offset.next();
+            let (id, record) = match decoded.content {
                 Ok(content) => content,
                 Err(problem) => {
                     self.malformed += 1;
-                    actions.push(ReaderAction::Malformed { offset: fetched.offset, problem });
+                    actions.push(ReaderAction::Malformed { offset: decoded.offset, problem });
                     continue;
                 }
             };
@@ -127,7 +127,7 @@
                 self.repeated += 1;
                 continue;
             }
-            actions.push(ReaderAction::Deliver { offset: fetched.offset, id, record });
+            actions.push(ReaderAction::Deliver { offset: decoded.offset, id, record });
         }
         actions
     }
--- a/crates/record-log/tests/follower.rs
+++ b/crates/record-log/tests/follower.rs
@@ -40,22 +40,22 @@
     #[case] expected: &str,
     #[case] next: u64,
 ) {
-    let mut follower = LogReader::new(ReaderSettings::default(), LogOffset(0));
+    let mut reader = LogReader::new(ReaderSettings::default(), LogOffset(0));
     let mut seen = Vec::new();
     for page in pages {
-        seen.extend(follower.handle(page).iter().map(describe));
+        seen.extend(reader.handle(page).iter().map(describe));
     }
     assert_eq!(seen.join(" "), expected);
-    assert_eq!(follower.next_offset(), LogOffset(next));
-    assert_eq!(follower.malformed(), expected.matches("bad").count() as u64);
+    assert_eq!(reader.next_offset(), LogOffset(next));
+    assert_eq!(reader.malformed(), expected.matches("bad").count() as u64);
 }
 
 /// Guards against memory that grows with the stream.
 #[test]
 fn remembered_ids_are_bounded() {
-    let mut follower = LogReader::new(ReaderSettings { remembered_ids: 2 }, LogOffset(0));
-    let actions = follower.handle(page(0, 0, &[1, 2, 1, 3, 2, 1]));
+    let mut reader = LogReader::new(ReaderSettings { remembered_ids: 2 }, LogOffset(0));
+    let actions = reader.handle(page(0, 0, &[1, 2, 1, 3, 2, 1]));
     let seen: Vec<_> = actions.iter().map(describe).collect();
     assert_eq!(seen, ["1@0", "2@1", "3@3", "1@5"], "only the two newest ids are remembered");
-    assert_eq!(follower.repeated(), 2);
+    assert_eq!(reader.repeated(), 2);
 }
--- a/crates/rollout/src/samples.rs
+++ b/crates/rollout/src/samples.rs
@@ -184,39 +184,43 @@
 impl SampleTable {
     /// Applies the next record of the stream.
     pub fn apply(&mut self, record: &SampleRecord) -> SmallVec<[SampleOutcome; 4]> {
-        let mut actions = SmallVec::new();
+        let mut outcomes = SmallVec::new();
         match record {
-            SampleRecord::Stated(stated) => self.apply_stated(stated, &mut actions),
-            SampleRecord::Filled(filled) => self.apply_filled(filled, &mut actions),
+            SampleRecord::Stated(stated) => self.apply_stated(stated, &mut outcomes),
+            SampleRecord::Filled(filled) => self.apply_filled(filled, &mut outcomes),
             SampleRecord::Bound(bound) => {
                 if let Some(trainer) = self.trainers.get_mut(&bound.slot.trainer) {
-                    trainer.bind(bound, &mut actions);
+                    trainer.bind(bound, &mut outcomes);
                 }
             }
             SampleRecord::Voided(voided) => {
                 if let Some(trainer) = self.trainers.get_mut(&voided.slot.trainer) {
-                    trainer.void(voided, &mut actions);
+                    trainer.void(voided, &mut outcomes);
                 }
             }
         }
-        actions
+        outcomes
     }
 
-    fn apply_stated(&mut self, stated: &TrainerStated, actions: &mut SmallVec<[SampleOutcome; 4]>) {
+    fn apply_stated(
+        &mut self,
+        stated: &TrainerStated,
+        outcomes: &mut SmallVec<[SampleOutcome; 4]>,
+    ) {
         let trainer = self
             .trainers
             .entry(stated.trainer)
             .or_insert_with(|| TrainerState::new(stated.trainer, stated.name.clone()));
-        trainer.state(stated, actions);
+        trainer.state(stated, outcomes);
     }
 
-    fn apply_filled(&mut self, filled: &SampleFilled, actions: &mut SmallVec<[SampleOutcome; 4]>) {
+    fn apply_filled(&mut self, filled: &SampleFilled, outcomes: &mut SmallVec<[SampleOutcome; 4]>) {
         let (slot, sample) = (filled.slot, filled.sample);
         let result = match self.trainers.get_mut(&slot.trainer) {
             Some(trainer) => trainer.fill(filled),
             None => Err(FillRefusal::SlotUnknown),
         };
-        actions.push(match result {
+        outcomes.push(match result {
             Ok(()) => SampleOutcome::Filled { slot, sample },
             Err(reason) => SampleOutcome::FillRefused { slot, sample, reason },
         });
@@ -251,7 +255,7 @@
     /// Tells whether a number after `after` is bound, so that a new statement is worthwhile.
     #[must_use]
     pub fn has_deliveries_after(&self, trainer: TrainerId, after: DeliveryNumber) -> bool {
-        self.trainers.get(&trainer).is_some_and(|book| book.last_number() > after)
+        self.trainers.get(&trainer).is_some_and(|state| state.last_number() > after)
     }
 
     /// Returns the records that void the samples with no holder left, for the caller to append.
@@ -289,6 +293,6 @@
 
     /// Iterates over the trainers and their names.
     pub fn trainers(&self) -> impl Iterator<Item = (TrainerId, &str)> {
-        self.trainers.iter().map(|(&id, book)| (id, book.name()))
+        self.trainers.iter().map(|(&id, state)| (id, state.name()))
     }
 }
--- a/crates/rollout/src/samples/snapshot.rs
+++ b/crates/rollout/src/samples/snapshot.rs
@@ -67,19 +67,19 @@
     /// Takes a snapshot that was read from the log and applies the kept records that follow it.
     ///
     /// A snapshot of a known trainer has no effect, nor has one with unread records after it.
-    pub fn install_snapshot(&mut self, carry: &TrainerSnapshot) -> SmallVec<[SampleOutcome; 4]> {
+    pub fn install_snapshot(&mut self, snapshot: &TrainerSnapshot) -> SmallVec<[SampleOutcome; 4]> {
         let mut actions = SmallVec::new();
-        let id = carry.state.id;
+        let id = snapshot.state.id;
         let Some(gap) = self.gap.as_mut() else { return actions };
-        if self.trainers.contains_key(&id) || carry.until < gap.first {
+        if self.trainers.contains_key(&id) || snapshot.until < gap.first {
             return actions;
         }
         let kept = std::mem::take(&mut gap.kept);
         let (own, others) = kept.into_iter().partition(|(_, record)| trainer_of(record) == id);
         gap.kept = others;
-        self.trainers.insert(id, carry.state.clone());
+        self.trainers.insert(id, snapshot.state.clone());
         let own: VecDeque<(LogOffset, SampleRecord)> = own;
-        for (_, record) in own.iter().filter(|(offset, _)| *offset >= carry.until) {
+        for (_, record) in own.iter().filter(|(offset, _)| *offset >= snapshot.until) {
             actions.extend(self.apply(record));
         }
         actions
--- a/crates/rollout/src/samples/trainer.rs
+++ b/crates/rollout/src/samples/trainer.rs
@@ -121,11 +121,11 @@
         }
     }
 
-    pub(crate) fn state(&mut self, stated: &TrainerStated, actions: &mut Outcomes) {
+    pub(crate) fn state(&mut self, stated: &TrainerStated, outcomes: &mut Outcomes) {
         let is_next = stated.follows == self.statements && stated.name == self.name;
         if !is_next || stated.acknowledged > self.offered {
             let statements = self.statements;
-            actions.push(SampleOutcome::StatementRefused { trainer: self.id, statements });
+            outcomes.push(SampleOutcome::StatementRefused { trainer: self.id, statements });
             return;
         }
         self.statements += 1;
@@ -133,21 +133,21 @@
         self.staleness_bound = stated.staleness_bound;
         self.acknowledged = stated.acknowledged;
         if let Some(shape) = stated.opened {
-            self.open(shape, actions);
+            self.open(shape, outcomes);
         }
-        self.void_undeliverable(actions);
-        let offer = DeliveryRange {
+        self.void_undeliverable(outcomes);
+        let range = DeliveryRange {
             statement: self.statements,
             after: stated.acknowledged,
             until: self.last_number,
         };
         self.offered = self.last_number;
-        self.range = Some(offer);
-        self.complete_steps(actions);
-        actions.push(SampleOutcome::DeliveriesReady { trainer: self.id, range: offer });
+        self.range = Some(range);
+        self.complete_steps(outcomes);
+        outcomes.push(SampleOutcome::DeliveriesReady { trainer: self.id, range });
     }
 
-    fn open(&mut self, shape: StepShape, actions: &mut Outcomes) {
+    fn open(&mut self, shape: StepShape, outcomes: &mut Outcomes) {
         if self.steps.contains_key(&shape.step) {
             return;
         }
@@ -155,17 +155,17 @@
         let unfinished = self.steps.values().filter(|step| !step.completed).count();
         let fits = (1..=MAX_SLOTS).contains(&shape.slots()) && unfinished < MAX_OPEN_STEPS;
         if !fits || step < self.retired_below {
-            actions.push(SampleOutcome::StepRefused { trainer, step });
+            outcomes.push(SampleOutcome::StepRefused { trainer, step });
             return;
         }
         let slot = StepSlot { generation: 0, state: SlotState::Open, replaces: None };
         let slots = vec![slot; shape.slots()];
         self.steps.insert(shape.step, StepState { shape, slots, completed: false });
-        actions.push(SampleOutcome::StepOpened { trainer, step, slots: shape.slots() });
+        outcomes.push(SampleOutcome::StepOpened { trainer, step, slots: shape.slots() });
     }
 
     /// Voids the numbers that the trainer asks for and that are stale now or whose bytes are gone.
-    fn void_undeliverable(&mut self, actions: &mut Outcomes) {
+    fn void_undeliverable(&mut self, outcomes: &mut Outcomes) {
         let asked = DeliveryNumber(self.acknowledged.0 + 1)..;
         let mut found: SmallVec<[(DeliveryNumber, VoidReason); 4]> = SmallVec::new();
         for (&number, binding) in self.bindings.range(asked) {
@@ -179,17 +179,17 @@
             }
         }
         for (number, reason) in found {
-            self.void_number(number, reason, actions);
+            self.void_number(number, reason, outcomes);
         }
-        self.void_unbound(actions);
+        self.void_unbound(outcomes);
     }
 
     /// Reopens filled slots whose sample became stale before it was scored.
-    fn void_unbound(&mut self, actions: &mut Outcomes) {
+    fn void_unbound(&mut self, outcomes: &mut Outcomes) {
         let unbound = self.unbound().filter(|filled| self.is_stale(filled));
         let stale: Vec<_> = unbound.map(|filled| (filled.slot, filled.sample)).collect();
         for (slot, sample) in stale {
-            self.void(&SampleVoided { slot, sample, reason: VoidReason::Stale }, actions);
+            self.void(&SampleVoided { slot, sample, reason: VoidReason::Stale }, outcomes);
         }
     }
 
@@ -219,7 +219,7 @@
         Ok(())
     }
 
-    pub(crate) fn bind(&mut self, bound: &SampleBound, actions: &mut Outcomes) {
+    pub(crate) fn bind(&mut self, bound: &SampleBound, outcomes: &mut Outcomes) {
         let number = DeliveryNumber(self.last_number.0 + 1);
         let Some(slot) = self.slot_mut(bound.slot) else { return };
         let SlotState::Filled(filled) = &slot.state else { return };
@@ -236,17 +236,17 @@
         slot.state = SlotState::Bound(number);
         self.bindings.insert(number, binding);
         self.last_number = number;
-        actions.push(SampleOutcome::Bound { slot: bound.slot, sample: bound.sample, number });
+        outcomes.push(SampleOutcome::Bound { slot: bound.slot, sample: bound.sample, number });
     }
 
-    pub(crate) fn void(&mut self, voided: &SampleVoided, actions: &mut Outcomes) {
+    pub(crate) fn void(&mut self, voided: &SampleVoided, outcomes: &mut Outcomes) {
         let Some(slot) = self.slot_mut(voided.slot) else { return };
         match &slot.state {
             SlotState::Filled(filled) if filled.sample == voided.sample => {
                 slot.state = SlotState::Open;
                 slot.generation += 1;
                 let (slot, sample, reason) = (voided.slot, voided.sample, voided.reason);
-                actions.push(SampleOutcome::Voided { slot, sample, number: None, reason });
+                outcomes.push(SampleOutcome::Voided { slot, sample, number: None, reason });
             }
             &SlotState::Bound(number) => {
                 let offered = self.offered;
@@ -255,7 +255,7 @@
                     return;
                 }
                 if number > offered {
-                    self.void_number(number, voided.reason, actions);
+                    self.void_number(number, voided.reason, outcomes);
                 } else {
                     binding.pending = true;
                 }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn void_number(&mut self, number: DeliveryNumber, reason: VoidReason, actions: &mut Outcomes) {
+    fn void_number(&mut self, number: DeliveryNumber, reason: VoidReason, outcomes: &mut Outcomes) {
         let Some(binding) = self.bindings.get_mut(&number) else { return };
         binding.void = Some(reason);
         let (key, sample) = (binding.filled.slot, binding.filled.sample);
@@ -276,10 +276,10 @@
             slot.generation += 1;
             slot.replaces = Some(number);
         }
-        actions.push(SampleOutcome::Voided { slot: key, sample, number: Some(number), reason });
+        outcomes.push(SampleOutcome::Voided { slot: key, sample, number: Some(number), reason });
     }
 
-    fn complete_steps(&mut self, actions: &mut Outcomes) {
+    fn complete_steps(&mut self, outcomes: &mut Outcomes) {
         let acknowledged = self.acknowledged;
         for (&step, state) in &mut self.steps {
             let has =
@@ -288,7 +288,7 @@
                 continue;
             }
             state.completed = true;
-            actions.push(SampleOutcome::StepCompleted { trainer: self.id, step });
+            outcomes.push(SampleOutcome::StepCompleted { trainer: self.id, step });
         }
         while self.steps.values().filter(|step| step.completed).count() > RETAINED_STEPS {
             // Only the oldest step is retired, so that an unfinished one keeps its successors.
@@ -302,7 +302,7 @@
             let last = self.bindings.iter().rev().find(|(_, b)| of_step(b)).map(|(&n, _)| n);
             self.retired_until = self.retired_until.max(last.unwrap_or(DeliveryNumber(0)));
             self.bindings.retain(|_, binding| !of_step(binding));
-            actions.push(SampleOutcome::StepRetired { trainer: self.id, step });
+            outcomes.push(SampleOutcome::StepRetired { trainer: self.id, step });
         }
     }
 
@@ -325,13 +325,13 @@
     }
 
     pub(crate) fn deliveries(&self, statement: u64) -> Option<Vec<Delivery>> {
-        let offer = self.range.filter(|offer| offer.statement == statement)?;
-        let numbers = DeliveryNumber(offer.after.0 + 1)..=offer.until;
+        let range = self.range.filter(|range| range.statement == statement)?;
+        let numbers = DeliveryNumber(range.after.0 + 1)..=range.until;
         if numbers.is_empty() {
             return Some(Vec::new());
         }
         let mut deliveries = Vec::new();
-        if self.retired_until > offer.after {
+        if self.retired_until > range.after {
             deliveries.push(Delivery::Retired { until: self.retired_until });
         }
         let bound = self.bindings.range(numbers);
