--- a/crates/rollout/tests/book.rs
+++ b/crates/rollout/tests/book.rs
@@ -9,25 +9,25 @@
     SampleVoided, SlotKey, VoidReason,
 };
 
-fn bind(book: &mut SampleTable, slot: SlotKey, sample: RecordId) -> Option<DeliveryNumber> {
+fn bind(table: &mut SampleTable, slot: SlotKey, sample: RecordId) -> Option<DeliveryNumber> {
     let record = SampleRecord::Bound(SampleBound { slot, sample, score: None });
-    book.apply(&record).into_iter().find_map(|action| match action {
+    table.apply(&record).into_iter().find_map(|action| match action {
         SampleOutcome::Bound { number, .. } => Some(number),
         _ => None,
     })
 }
 
-fn fill_and_bind(book: &mut SampleTable, index: u32, generation: u32, sequence: u64) -> RecordId {
+fn fill_and_bind(table: &mut SampleTable, index: u32, generation: u32, sequence: u64) -> RecordId {
     let record = filled(index, generation, sequence, &[(10, 4)]);
     let sample = record.sample;
-    book.apply(&SampleRecord::Filled(record));
-    bind(book, slot(index), sample).expect("the slot is filled by this sample");
+    table.apply(&SampleRecord::Filled(record));
+    bind(table, slot(index), sample).expect("the slot is filled by this sample");
     sample
 }
 
-fn void(book: &mut SampleTable, index: u32, sample: RecordId) {
+fn void(table: &mut SampleTable, index: u32, sample: RecordId) {
     let voided = SampleVoided { slot: slot(index), sample, reason: VoidReason::Lost };
-    book.apply(&SampleRecord::Voided(voided));
+    table.apply(&SampleRecord::Voided(voided));
 }
 
 fn kinds(answer: &[Delivery]) -> Vec<(u64, &'static str)> {
@@ -42,30 +42,30 @@
 
 #[test]
 fn first_fill_in_log_order_wins() {
-    let mut book = SampleTable::default();
-    Trainer::default().open(&mut book, 2);
+    let mut table = SampleTable::default();
+    Trainer::default().open(&mut table, 2);
     let (first, second) = (filled(0, 0, 1, &[(10, 4)]), filled(0, 0, 2, &[(10, 4)]));
-    book.apply(&SampleRecord::Filled(first.clone()));
-    let refused = book.apply(&SampleRecord::Filled(second.clone()));
+    table.apply(&SampleRecord::Filled(first.clone()));
+    let refused = table.apply(&SampleRecord::Filled(second.clone()));
     let expected = SampleOutcome::FillRefused {
         slot: slot(0),
         sample: second.sample,
         reason: FillRefusal::SlotTaken,
     };
     assert_eq!(refused.as_slice(), [expected]);
-    assert_eq!(bind(&mut book, slot(0), second.sample), None, "the loser must get no number");
-    assert_eq!(bind(&mut book, slot(0), first.sample), Some(DeliveryNumber(1)));
-    assert_eq!(bind(&mut book, slot(0), first.sample), None, "a sample must get one number only");
+    assert_eq!(bind(&mut table, slot(0), second.sample), None, "the loser must get no number");
+    assert_eq!(bind(&mut table, slot(0), first.sample), Some(DeliveryNumber(1)));
+    assert_eq!(bind(&mut table, slot(0), first.sample), None, "a sample must get one number only");
 }
 
 #[test]
 fn fill_that_does_not_account_for_every_token_is_refused() {
     fn check(spans: &[(u64, u32)], tokens: u32, expected: FillRefusal) {
-        let mut book = SampleTable::default();
-        Trainer::default().open(&mut book, 1);
+        let mut table = SampleTable::default();
+        Trainer::default().open(&mut table, 1);
         let mut record = filled(0, 0, 1, spans);
         record.tokens = tokens;
-        let actions = book.apply(&SampleRecord::Filled(record));
+        let actions = table.apply(&SampleRecord::Filled(record));
         assert!(
             matches!(&actions[0], SampleOutcome::FillRefused { reason, .. } if *reason == expected)
         );
@@ -77,36 +77,40 @@
 
 #[test]
 fn asking_again_gives_the_same_samples() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 2);
-    fill_and_bind(&mut book, 0, 0, 1);
-    fill_and_bind(&mut book, 1, 0, 2);
-    let first = trainer.fetch(&mut book, 0, 10);
+    trainer.open(&mut table, 2);
+    fill_and_bind(&mut table, 0, 0, 1);
+    fill_and_bind(&mut table, 1, 0, 2);
+    let first = trainer.fetch(&mut table, 0, 10);
     assert_eq!(kinds(&first), [(1, "sample"), (2, "sample")]);
-    assert_eq!(trainer.fetch(&mut book, 0, 10), first);
-    assert_eq!(trainer.fetch(&mut book, 2, 10), []);
-    assert_eq!(trainer.fetch(&mut book, 1, 10), first[1..], "a trainer may return to a checkpoint");
+    assert_eq!(trainer.fetch(&mut table, 0, 10), first);
+    assert_eq!(trainer.fetch(&mut table, 2, 10), []);
+    assert_eq!(
+        trainer.fetch(&mut table, 1, 10),
+        first[1..],
+        "a trainer may return to a checkpoint"
+    );
 }
 
 #[test]
 fn stale_sample_is_void_at_delivery_and_replaced_under_a_new_number() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
+    trainer.open(&mut table, 1);
     let record = filled(0, 0, 1, &[(10, 2), (11, 2)]);
     let sample = record.sample;
-    book.apply(&SampleRecord::Filled(record));
-    bind(&mut book, slot(0), sample);
+    table.apply(&SampleRecord::Filled(record));
+    bind(&mut table, slot(0), sample);
     // The bound is 2 versions and the first half of the sample came from version 10.
-    let answer = trainer.fetch(&mut book, 0, 13);
+    let answer = trainer.fetch(&mut table, 0, 13);
     assert_eq!(kinds(&answer), [(1, "stale")]);
-    let open: Vec<_> = book.open_slots(trainer.id).map(|open| open.generation).collect();
+    let open: Vec<_> = table.open_slots(trainer.id).map(|open| open.generation).collect();
     assert_eq!(open, [1], "the slot must be generated again");
     let again = filled(0, 1, 2, &[(13, 4)]);
-    book.apply(&SampleRecord::Filled(again.clone()));
-    bind(&mut book, slot(0), again.sample);
-    let answer = trainer.fetch(&mut book, 1, 13);
+    table.apply(&SampleRecord::Filled(again.clone()));
+    bind(&mut table, slot(0), again.sample);
+    let answer = trainer.fetch(&mut table, 1, 13);
     assert!(matches!(
         &answer[..],
         [Delivery::Sample { number: DeliveryNumber(2), replaces: Some(DeliveryNumber(1)), .. }]
@@ -115,49 +119,49 @@
 
 #[test]
 fn unscored_sample_that_became_stale_is_generated_again() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
-    book.apply(&SampleRecord::Filled(filled(0, 0, 1, &[(10, 4)])));
-    assert_eq!(trainer.fetch(&mut book, 0, 13), []);
-    assert_eq!(book.open_slots(trainer.id).count(), 1);
+    trainer.open(&mut table, 1);
+    table.apply(&SampleRecord::Filled(filled(0, 0, 1, &[(10, 4)])));
+    assert_eq!(trainer.fetch(&mut table, 0, 13), []);
+    assert_eq!(table.open_slots(trainer.id).count(), 1);
 }
 
 #[test]
 fn sample_void_after_it_was_offered_counts_if_the_trainer_has_it() {
     // A holder may be cut off rather than dead and deliver the sample that others void as lost. If
     // the void counted, the trainer would get the slot twice.
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
-    let sample = fill_and_bind(&mut book, 0, 0, 1);
-    trainer.fetch(&mut book, 0, 10);
-    void(&mut book, 0, sample);
-    assert_eq!(book.open_slots(trainer.id).count(), 0);
-    assert_eq!(trainer.fetch(&mut book, 1, 10), []);
-    assert_eq!(book.open_slots(trainer.id).count(), 0);
+    trainer.open(&mut table, 1);
+    let sample = fill_and_bind(&mut table, 0, 0, 1);
+    trainer.fetch(&mut table, 0, 10);
+    void(&mut table, 0, sample);
+    assert_eq!(table.open_slots(trainer.id).count(), 0);
+    assert_eq!(trainer.fetch(&mut table, 1, 10), []);
+    assert_eq!(table.open_slots(trainer.id).count(), 0);
 }
 
 #[test]
 fn sample_void_after_it_was_offered_is_replaced_if_the_trainer_lacks_it() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
-    let sample = fill_and_bind(&mut book, 0, 0, 1);
-    trainer.fetch(&mut book, 0, 10);
-    void(&mut book, 0, sample);
-    assert_eq!(kinds(&trainer.fetch(&mut book, 0, 10)), [(1, "lost")]);
-    fill_and_bind(&mut book, 0, 1, 2);
-    assert_eq!(kinds(&trainer.fetch(&mut book, 1, 10)), [(2, "sample")]);
+    trainer.open(&mut table, 1);
+    let sample = fill_and_bind(&mut table, 0, 0, 1);
+    trainer.fetch(&mut table, 0, 10);
+    void(&mut table, 0, sample);
+    assert_eq!(kinds(&trainer.fetch(&mut table, 0, 10)), [(1, "lost")]);
+    fill_and_bind(&mut table, 0, 1, 2);
+    assert_eq!(kinds(&trainer.fetch(&mut table, 1, 10)), [(2, "sample")]);
 }
 
 #[test]
 fn sample_is_lost_only_when_all_its_holders_are_gone() {
     fn check(gone: &[u64], expected: usize) {
-        let mut book = SampleTable::default();
-        Trainer::default().open(&mut book, 1);
-        fill_and_bind(&mut book, 0, 0, 1);
-        let lost = book.lost_samples(|holder| gone.contains(&holder.0));
+        let mut table = SampleTable::default();
+        Trainer::default().open(&mut table, 1);
+        fill_and_bind(&mut table, 0, 0, 1);
+        let lost = table.lost_samples(|holder| gone.contains(&holder.0));
         assert_eq!(lost.len(), expected, "gone: {gone:?}");
     }
     check(&[], 0);
@@ -167,55 +171,55 @@
 
 #[test]
 fn statement_appended_late_has_no_effect() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
-    fill_and_bind(&mut book, 0, 0, 1);
+    trainer.open(&mut table, 1);
+    fill_and_bind(&mut table, 0, 0, 1);
     let late = trainer.statement(0, 10, None);
-    trainer.fetch(&mut book, 0, 10);
-    trainer.fetch(&mut book, 1, 12);
-    let before = book.clone();
-    let actions = book.apply(&SampleRecord::Stated(late));
+    trainer.fetch(&mut table, 0, 10);
+    trainer.fetch(&mut table, 1, 12);
+    let before = table.clone();
+    let actions = table.apply(&SampleRecord::Stated(late));
     assert!(matches!(actions.as_slice(), [SampleOutcome::StatementRefused { statements: 3, .. }]));
-    assert_eq!(book, before);
-    assert_eq!(book.stated_version(trainer.id), Some((WeightVersion(12), 2)));
+    assert_eq!(table, before);
+    assert_eq!(table.stated_version(trainer.id), Some((WeightVersion(12), 2)));
 }
 
 #[test]
 fn answer_to_a_statement_that_was_overtaken_is_withheld() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
-    trainer.open(&mut book, 1);
-    trainer.fetch(&mut book, 0, 10);
-    trainer.fetch(&mut book, 0, 10);
-    assert_eq!(book.deliveries(trainer.id, 2), None);
+    trainer.open(&mut table, 1);
+    trainer.fetch(&mut table, 0, 10);
+    trainer.fetch(&mut table, 0, 10);
+    assert_eq!(table.deliveries(trainer.id, 2), None);
 }
 
 #[test]
 fn completed_steps_are_retired_and_said_to_be() {
-    let mut book = SampleTable::default();
+    let mut table = SampleTable::default();
     let mut trainer = Trainer::default();
     for step in 1..=6 {
-        trainer.open_step(&mut book, step, 1);
+        trainer.open_step(&mut table, step, 1);
         let mut record = filled(0, 0, step, &[(10, 4)]);
         record.slot.step = step;
         let (slot, sample) = (record.slot, record.sample);
-        book.apply(&SampleRecord::Filled(record));
-        bind(&mut book, slot, sample);
-        trainer.fetch(&mut book, step - 1, 10);
+        table.apply(&SampleRecord::Filled(record));
+        bind(&mut table, slot, sample);
+        trainer.fetch(&mut table, step - 1, 10);
     }
-    trainer.fetch(&mut book, 6, 10);
-    let answer = trainer.fetch(&mut book, 0, 10);
+    trainer.fetch(&mut table, 6, 10);
+    let answer = trainer.fetch(&mut table, 0, 10);
     let expected = [(2, "retired"), (3, "sample"), (4, "sample"), (5, "sample"), (6, "sample")];
     assert_eq!(kinds(&answer), expected);
 }
 
 #[test]
 fn step_that_would_exhaust_memory_is_refused() {
-    let mut book = SampleTable::default();
-    let actions = Trainer::default().open(&mut book, u32::MAX);
+    let mut table = SampleTable::default();
+    let actions = Trainer::default().open(&mut table, u32::MAX);
     assert!(matches!(actions[0], SampleOutcome::StepRefused { step: 1, .. }));
-    assert_eq!(book.lost_samples(|_: Incarnation| true), []);
+    assert_eq!(table.lost_samples(|_: Incarnation| true), []);
 }
 
 #[test]
@@ -235,17 +239,17 @@
             SampleRecord::Bound(bound),
             SampleRecord::Stated(trainer.statement(1, 10, None)),
         ];
-        let mut carry = None;
+        let mut snapshot = None;
         for (offset, record) in (4..).map(LogOffset).zip(&records) {
             if offset.0 == until {
-                carry = full.snapshot(trainer.id, offset);
+                snapshot = full.snapshot(trainer.id, offset);
             }
             full.apply_at(offset, record);
             if offset.0 >= first {
                 late.apply_at(offset, record);
             }
         }
-        late.install_snapshot(&carry.expect("the snapshot lies among the records"));
+        late.install_snapshot(&snapshot.expect("the snapshot lies among the records"));
         let answer = full.deliveries(trainer.id, 3).filter(|_| expected);
         assert_eq!(late.deliveries(trainer.id, 3), answer, "first {first}, until {until}");
         assert_eq!(late.has_deliveries_after(trainer.id, DeliveryNumber(1)), expected);
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -64,31 +64,31 @@
         }
     }
 
-    pub(crate) fn open(&mut self, book: &mut SampleTable, samples: u32) -> Vec<SampleOutcome> {
-        self.open_step(book, 1, samples)
+    pub(crate) fn open(&mut self, table: &mut SampleTable, samples: u32) -> Vec<SampleOutcome> {
+        self.open_step(table, 1, samples)
     }
 
     pub(crate) fn open_step(
         &mut self,
-        book: &mut SampleTable,
+        table: &mut SampleTable,
         step: u64,
         samples: u32,
     ) -> Vec<SampleOutcome> {
         let shape = StepShape { step, groups: 1, samples_per_group: samples };
         let stated = self.statement(step - 1, 10, Some(shape));
         self.statements += 1;
-        book.apply(&SampleRecord::Stated(stated)).into_iter().collect()
+        table.apply(&SampleRecord::Stated(stated)).into_iter().collect()
     }
 
     pub(crate) fn fetch(
         &mut self,
-        book: &mut SampleTable,
+        table: &mut SampleTable,
         after: u64,
         version: u64,
     ) -> Vec<Delivery> {
         let stated = self.statement(after, version, None);
         self.statements += 1;
-        book.apply(&SampleRecord::Stated(stated));
-        book.deliveries(self.id, self.statements).expect("this is the last statement")
+        table.apply(&SampleRecord::Stated(stated));
+        table.deliveries(self.id, self.statements).expect("this is the last statement")
     }
 }
--- a/crates/routebook/src/index.rs
+++ b/crates/routebook/src/index.rs
@@ -101,13 +101,13 @@
 }
 
 impl CustomerIndex {
-    fn new(rules: Vec<CustomerSpec>) -> Self {
+    fn new(customers: Vec<CustomerSpec>) -> Self {
         let mut keys = HashMap::new();
-        for (at, rule) in rules.iter().enumerate() {
-            for key in &rule.keys {
+        for (at, customer) in customers.iter().enumerate() {
+            for key in &customer.keys {
                 keys.insert(*key, at);
             }
         }
-        Self { customers: rules, keys }
+        Self { customers, keys }
     }
 }
--- a/crates/routebook/src/spec.rs
+++ b/crates/routebook/src/spec.rs
@@ -140,9 +140,9 @@
 
     /// Picks the service for a request by the weights, with `draw` from the whole range of `u32`.
     #[must_use]
-    pub fn pick_service(&self, draw: u32) -> Option<&str> {
+    pub fn pick_service(&self, random: u32) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut rest = (u64::from(draw) * total) >> 32;
+        let mut rest = (u64::from(random) * total) >> 32;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if rest < weight {
--- a/crates/routebook/tests/book.rs
+++ b/crates/routebook/tests/book.rs
@@ -53,8 +53,8 @@
 #[case("shop.example", "/ab", None)]
 #[case("other.example", "/a/b/c", None)]
 fn check_longest_prefix(#[case] host: &str, #[case] path: &str, #[case] expected: Option<&str>) {
-    let book = ConfigIndex::new(config(1));
-    assert_eq!(book.route(host, path).map(|route| route.name.as_str()), expected);
+    let config = ConfigIndex::new(config(1));
+    assert_eq!(config.route(host, path).map(|route| route.name.as_str()), expected);
 }
 
 /// Guards against a key of one customer that opens another customer's requests.
@@ -63,20 +63,20 @@
 #[case("k2", Some("brewer"))]
 #[case("k3", None)]
 fn check_customer(#[case] key: &str, #[case] expected: Option<&str>) {
-    let book = ConfigIndex::new(config(1));
-    let found = book.customer(KeyDigest::of(key)).map(|customer| customer.name.as_str());
+    let config = ConfigIndex::new(config(1));
+    let found = config.customer(KeyDigest::of(key)).map(|customer| customer.name.as_str());
     assert_eq!(found, expected);
 }
 
 /// Guards against a reread of the store that brings an older configuration back into force.
 #[test]
 fn version_only_rises() {
-    let mut history = ActiveConfig::default();
-    assert_eq!(history.apply(config(4)), ApplyOutcome::Applied);
-    assert_eq!(history.apply(config(3)), ApplyOutcome::NotNewer);
-    assert_eq!(history.apply(config(4)), ApplyOutcome::NotNewer);
-    assert_eq!(history.apply(config(9)), ApplyOutcome::Applied);
-    assert_eq!(history.current().map(|book| book.version()), Some(9));
+    let mut active = ActiveConfig::default();
+    assert_eq!(active.apply(config(4)), ApplyOutcome::Applied);
+    assert_eq!(active.apply(config(3)), ApplyOutcome::NotNewer);
+    assert_eq!(active.apply(config(4)), ApplyOutcome::NotNewer);
+    assert_eq!(active.apply(config(9)), ApplyOutcome::Applied);
+    assert_eq!(active.current().map(|config| config.version()), Some(9));
 }
 
 /// Guards against a split that sends requests to a service without weight.
@@ -84,12 +84,12 @@
 #[case(0, "a")]
 #[case(u32::MAX / 10 * 8, "a")]
 #[case(u32::MAX, "b")]
-fn check_split(#[case] draw: u32, #[case] expected: &str) {
-    let mut rule = route("a", "/");
-    rule.targets = smallvec![
+fn check_split(#[case] random: u32, #[case] expected: &str) {
+    let mut route = route("a", "/");
+    route.targets = smallvec![
         WeightedTarget { service: String::from("a"), weight: 90 },
         WeightedTarget { service: String::from("none"), weight: 0 },
         WeightedTarget { service: String::from("b"), weight: 10 },
     ];
-    assert_eq!(rule.pick_service(draw), Some(expected));
+    assert_eq!(route.pick_service(random), Some(expected));
 }
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -26,16 +26,18 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult> {
-        let usable = usable_from(table, members, request, 0).count();
+        let usable = usable_from(table, upstreams, request, 0).count();
         if usable == 0 {
             return None;
         }
         let position = below(rng, usable);
-        usable_from(table, members, request, 0).nth(position).map(|(_, upstream)| choice(upstream))
+        usable_from(table, upstreams, request, 0)
+            .nth(position)
+            .map(|(_, upstream)| choice(upstream))
     }
 }
 
@@ -44,11 +46,11 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         _rng: &mut impl Rng,
     ) -> Option<PickResult> {
-        let (position, upstream) = usable_from(table, members, request, self.next).next()?;
+        let (position, upstream) = usable_from(table, upstreams, request, self.next).next()?;
         self.next = position + 1;
         Some(choice(upstream))
     }
@@ -59,13 +61,13 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult> {
         // The scan starts anywhere and keeps the first minimum, so that ties are spread.
-        let start = below(rng, members.keys().len().max(1));
-        usable_from(table, members, request, start)
+        let start = below(rng, upstreams.keys().len().max(1));
+        usable_from(table, upstreams, request, start)
             .min_by_key(|(_, upstream)| table.own_requests(*upstream))
             .map(|(_, upstream)| choice(upstream))
     }
@@ -74,11 +76,11 @@
 /// Iterates once over the upstreams that accept the request, from position `start` on.
 fn usable_from<'a>(
     table: &'a UpstreamTable,
-    members: &'a RouteUpstreams,
+    upstreams: &'a RouteUpstreams,
     request: &'a PickRequest<'_>,
     start: usize,
 ) -> impl Iterator<Item = (usize, UpstreamKey)> + 'a {
-    let keys = members.keys();
+    let keys = upstreams.keys();
     let positions = (0..keys.len()).map(move |step| (start + step) % keys.len());
     positions.map(|position| (position, keys[position])).filter(|(_, upstream)| {
         table.row(*upstream).is_some_and(|row| request.accepts(*upstream, row))
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -95,12 +95,12 @@
     fn owner(
         &self,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         best: f32,
     ) -> Option<(UpstreamKey, f32)> {
         let bound = best * self.settings.owner_load_bound as f32 / 100.0;
-        for upstream in members.owners(request.prefix?) {
+        for upstream in upstreams.owners(request.prefix?) {
             let Some(row) = table.row(*upstream) else { continue };
             if !request.accepts(*upstream, row) {
                 continue;
@@ -117,13 +117,13 @@
     fn scan(
         &self,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         accepts: impl Fn(UpstreamKey, &UpstreamRow) -> bool,
     ) -> BestCandidates {
         let work = self.work(request);
         let mut found = BestCandidates::new();
-        for upstream in members.keys() {
+        for upstream in upstreams.keys() {
             let Some(row) = table.row(*upstream) else { continue };
             if accepts(*upstream, row) {
                 found.offer(*upstream, cost(table, row, work));
@@ -138,25 +138,25 @@
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult> {
         let PickerSettings { own_zone_samples, other_zone_samples, .. } = self.settings;
         let mut found = BestCandidates::new();
-        self.sample(&mut found, table, members.own_zone(), own_zone_samples, request, rng);
-        self.sample(&mut found, table, members.other_zones(), other_zone_samples, request, rng);
+        self.sample(&mut found, table, upstreams.own_zone(), own_zone_samples, request, rng);
+        self.sample(&mut found, table, upstreams.other_zones(), other_zone_samples, request, rng);
         let Some((_, best)) = found.best else {
             let accepts = |upstream, row: &UpstreamRow| request.accepts(upstream, row);
-            let found = self.scan(table, members, request, accepts);
+            let found = self.scan(table, upstreams, request, accepts);
             if found.best.is_some() {
                 return found.choice(PickReason::FullScan);
             }
             let accepts = |_, row: &UpstreamRow| is_last_resort(request, row);
-            let found = self.scan(table, members, request, accepts);
+            let found = self.scan(table, upstreams, request, accepts);
             return found.choice(PickReason::LastResort);
         };
-        let Some((owner, time)) = self.owner(table, members, request, best) else {
+        let Some((owner, time)) = self.owner(table, upstreams, request, best) else {
             return found.choice(PickReason::EarliestCompletion);
         };
         let compared = found.compared + 1;
--- a/crates/routing/src/route_upstreams.rs
+++ b/crates/routing/src/route_upstreams.rs
@@ -31,7 +31,7 @@
         let known = upstreams.into_iter().filter(|upstream| table.properties(*upstream).is_some());
         let mut keys = known.collect::<Vec<_>>();
         let is_remote = |upstream: UpstreamKey| {
-            table.properties(upstream).is_none_or(|info| info.zone != own_zone)
+            table.properties(upstream).is_none_or(|properties| properties.zone != own_zone)
         };
         keys.sort_by_key(|upstream| (is_remote(*upstream), *upstream));
         let own_zone = keys.iter().filter(|upstream| !is_remote(**upstream)).count();
@@ -64,8 +64,8 @@
 fn owners(table: &UpstreamTable, keys: &[UpstreamKey], group: u64) -> [UpstreamKey; OWNERS] {
     let mut best = [(0, keys[0]); OWNERS];
     for key in keys {
-        let node_hash = table.properties(*key).map_or(0, |info| info.name_hash);
-        let weight = rendezvous_weight(node_hash, group);
+        let name_hash = table.properties(*key).map_or(0, |properties| properties.name_hash);
+        let weight = rendezvous_weight(name_hash, group);
         if weight > best[0].0 {
             best = [(weight, *key), best[0]];
             continue;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -45,11 +45,11 @@
     /// Creates an empty table. `distances` holds the one-way time from this node to each zone, by
     /// [`ZoneKey`].
     #[must_use]
-    pub fn new(settings: TableSettings, distances: Vec<Span>) -> Self {
+    pub fn new(settings: TableSettings, zone_latencies: Vec<Span>) -> Self {
         Self {
             settings,
             rows: Arena::new(),
-            zone_latencies: distances,
+            zone_latencies,
             mean_request: settings.initial_request as f32,
             mean_token_time: 0.0,
             max_speed: settings.initial_speed as f32,
@@ -66,14 +66,14 @@
     }
 
     /// Adds an upstream that takes work.
-    pub fn add(&mut self, info: UpstreamProperties) -> UpstreamKey {
-        self.add_with_speed(info, self.settings.initial_speed)
+    pub fn add(&mut self, properties: UpstreamProperties) -> UpstreamKey {
+        self.add_with_speed(properties, self.settings.initial_speed)
     }
 
     /// Adds an upstream that takes work at an expected speed in tokens per second, which holds until
     /// completed requests show its true one.
-    pub fn add_with_speed(&mut self, info: UpstreamProperties, speed: u32) -> UpstreamKey {
-        self.rows.push(UpstreamRow::new(info, speed.max(1) as f32))
+    pub fn add_with_speed(&mut self, properties: UpstreamProperties, speed: u32) -> UpstreamKey {
+        self.rows.push(UpstreamRow::new(properties, speed.max(1) as f32))
     }
 
     /// Changes whether an upstream may be chosen. Leaving is final, except that it can go down.
@@ -134,15 +134,15 @@
     }
 
     /// Ends a request and learns from it.
-    pub fn finish(&mut self, now: Moment, work: InFlightRequest, end: RequestOutcome) {
-        let Some(row) = self.rows.get_mut(work.upstream) else { return };
+    pub fn finish(&mut self, now: Moment, request: InFlightRequest, outcome: RequestOutcome) {
+        let Some(row) = self.rows.get_mut(request.upstream) else { return };
         row.keep_history(now);
-        row.outstanding = row.outstanding.saturating_sub(work.tokens);
+        row.outstanding = row.outstanding.saturating_sub(request.tokens);
         row.own_requests = row.own_requests.saturating_sub(1);
-        let RequestOutcome::Completed { tokens } = end else { return };
+        let RequestOutcome::Completed { tokens } = outcome else { return };
         self.mean_request += (tokens as f32 - self.mean_request) * MEAN_WEIGHT;
-        let took = now.since(work.started_at).0.max(1) as f32 / 1e6;
-        let backlog = (work.backlog as f32 + row.backlog() as f32) / 2.0;
+        let took = now.since(request.started_at).0.max(1) as f32 / 1e6;
+        let backlog = (request.backlog as f32 + row.backlog() as f32) / 2.0;
         row.learn(tokens as f32, took, backlog, self.mean_request);
         let token_time = took / tokens.max(1) as f32;
         let weight = if self.mean_token_time > 0.0 { MEAN_WEIGHT } else { 1.0 };
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -116,9 +116,9 @@
 }
 
 impl UpstreamRow {
-    pub(crate) const fn new(info: UpstreamProperties, speed: f32) -> Self {
+    pub(crate) const fn new(properties: UpstreamProperties, speed: f32) -> Self {
         Self {
-            properties: info,
+            properties,
             state: UpstreamState::Up,
             reserved: false,
             version: None,
--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -10,14 +10,14 @@
 
 #[test]
 fn choice_among_600_upstreams_does_not_allocate() {
-    let distances = (0..11).map(Span::from_millis).collect();
-    let mut table = UpstreamTable::new(TableSettings::default(), distances);
+    let zone_latencies = (0..11).map(Span::from_millis).collect();
+    let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies);
     for index in 0..600 {
         let zone = ZoneKey(index % 11);
-        let price = PriceClass::Regular;
-        table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class: price });
+        let price_class = PriceClass::Regular;
+        table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class });
     }
-    let members = RouteUpstreams::new(&table, ZoneKey(0), (0..600).map(UpstreamKey));
+    let upstreams = RouteUpstreams::new(&table, ZoneKey(0), (0..600).map(UpstreamKey));
     let mut picker = UpstreamPicker::default();
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut now = Moment(0);
@@ -33,7 +33,7 @@
                 min_version: None,
                 avoid: &[],
             };
-            let Some(choice) = picker.pick(now, &table, &members, &request, &mut rng) else {
+            let Some(choice) = picker.pick(now, &table, &upstreams, &request, &mut rng) else {
                 break;
             };
             picked += 1;
--- a/crates/routing/tests/picker.rs
+++ b/crates/routing/tests/picker.rs
@@ -18,13 +18,13 @@
     let mut table = UpstreamTable::new(TableSettings::default(), vec![Span::ZERO, distance]);
     for (index, zone) in zones.iter().enumerate() {
         let zone = ZoneKey(*zone);
-        let price = PriceClass::Regular;
-        table.add(UpstreamProperties { name_hash: index as u64 + 1, zone, price_class: price });
+        let price_class = PriceClass::Regular;
+        table.add(UpstreamProperties { name_hash: index as u64 + 1, zone, price_class });
     }
     table
 }
 
-fn members(table: &UpstreamTable) -> RouteUpstreams {
+fn upstreams(table: &UpstreamTable) -> RouteUpstreams {
     RouteUpstreams::new(table, ZoneKey(0), (0..table.len() as u32).map(UpstreamKey))
 }
 
@@ -49,10 +49,10 @@
     expected: impl Fn(&[usize]) -> bool,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let members = members(table);
+    let upstreams = upstreams(table);
     let mut counts = vec![0; table.len()];
     for _ in 0..1_000 {
-        let Some(choice) = policy.pick(NOW, table, &members, request, &mut rng) else { continue };
+        let Some(choice) = policy.pick(NOW, table, &upstreams, request, &mut rng) else { continue };
         counts[choice.upstream.0 as usize] += 1;
     }
     assert!(expected(&counts), "choices per upstream: {counts:?}");
@@ -153,8 +153,8 @@
     let request = PickRequest { prompt_tokens: 1_000, prefix: Some(77), ..PLAIN };
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let mut pick = |table: &UpstreamTable| -> PickResult {
-        let members = members(table);
-        let choice = UpstreamPicker::default().pick(NOW, table, &members, &request, &mut rng);
+        let upstreams = upstreams(table);
+        let choice = UpstreamPicker::default().pick(NOW, table, &upstreams, &request, &mut rng);
         choice.expect("an upstream is free")
     };
     let owner = pick(&table);
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -33,12 +33,12 @@
         let path = if safe { "/fetch/x" } else { "/once/x" };
         let node = (caller + number) % world.options.gateways;
         let address = world.nodes.borrow()[node].process.callers();
-        let mut outgoing = HttpRequest::post(address, path, Bytes::from(id.clone().into_bytes()));
+        let mut request = HttpRequest::post(address, path, Bytes::from(id.clone().into_bytes()));
         for (name, value) in SiteFleet::headers(&id) {
             let name = name.parse().expect("names are valid");
-            outgoing = outgoing.with_header(name, value.parse().expect("values are valid"));
+            request = request.with_header(name, value.parse().expect("values are valid"));
         }
-        let answer = client.exchange(outgoing, LIMIT, 1 << 20).await;
+        let answer = client.exchange(request, LIMIT, 1 << 20).await;
         let Ok(answer) = answer else {
             world.count("no answer");
             tokio::time::sleep(Duration::from_millis(30)).await;
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -123,14 +123,14 @@
 }
 
 async fn delete(address: std::net::SocketAddr, path: &str) -> u16 {
-    let mut outgoing = clients::HttpRequest::get(address, path);
-    outgoing.method = "DELETE".parse().expect("the method is valid");
+    let mut request = clients::HttpRequest::get(address, path);
+    request.method = "DELETE".parse().expect("the method is valid");
     for (name, value) in SiteFleet::headers("end") {
         let name = name.parse().expect("names are valid");
-        outgoing = outgoing.with_header(name, value.parse().expect("values are valid"));
+        request = request.with_header(name, value.parse().expect("values are valid"));
     }
     let client = clients::HttpClient::new(base::Span::from_millis(500));
-    let answer = client.exchange(outgoing, base::Span::from_secs(4), 1 << 16).await;
+    let answer = client.exchange(request, base::Span::from_secs(4), 1 << 16).await;
     answer.map_or(0, |answer| answer.status.as_u16())
 }
 
--- a/crates/stand-ins/src/platform/upstreams.rs
+++ b/crates/stand-ins/src/platform/upstreams.rs
@@ -184,8 +184,8 @@
 async fn tell_reclaim(address: SocketAddr, after: Duration) {
     let http = clients::HttpClient::new(base::Span::from_millis(500));
     let body = format!("{{\"after_ms\":{}}}", after.as_millis()).into();
-    let outgoing = clients::HttpRequest::post(address, "/reclaim", body);
-    let _ = http.exchange(outgoing, base::Span::from_secs(1), 1_024).await;
+    let request = clients::HttpRequest::post(address, "/reclaim", body);
+    let _ = http.exchange(request, base::Span::from_secs(1), 1_024).await;
 }
 
 /// Returns the current civil time in milliseconds.
--- a/crates/stand-ins/tests/binary.rs
+++ b/crates/stand-ins/tests/binary.rs
@@ -42,8 +42,8 @@
 async fn printed_address_serves(#[case] kind: &str) {
     let (_process, address) = start(&[kind]);
     let long = Span::from_secs(30);
-    let outgoing = HttpRequest::get(address, "/inspect");
-    let answer = HttpClient::new(long).exchange(outgoing, long, 1 << 20).await.unwrap();
+    let request = HttpRequest::get(address, "/inspect");
+    let answer = HttpClient::new(long).exchange(request, long, 1 << 20).await.unwrap();
     assert!(answer.status.is_success());
 }
 
--- a/crates/stand-ins/tests/platform.rs
+++ b/crates/stand-ins/tests/platform.rs
@@ -25,13 +25,8 @@
 }
 
 async fn post(address: std::net::SocketAddr, path: &str, body: String) {
-    let outgoing = HttpRequest::post(address, path, body.into());
-    HttpClient::new(LONG)
-        .exchange(outgoing, LONG, 1_024)
-        .await
-        .unwrap()
-        .error_for_status()
-        .unwrap();
+    let request = HttpRequest::post(address, path, body.into());
+    HttpClient::new(LONG).exchange(request, LONG, 1_024).await.unwrap().error_for_status().unwrap();
 }
 
 /// Guards against offsets that shift when old records are dropped.
@@ -131,8 +126,8 @@
     assert_eq!(upstreams.len(), 2);
     for upstream in upstreams {
         assert_eq!((upstream.state, upstream.cheap), (UpstreamState::Running, true));
-        let outgoing = HttpRequest::get(upstream.address, "/load");
-        let answer = HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await.unwrap();
+        let request = HttpRequest::get(upstream.address, "/load");
+        let answer = HttpClient::new(LONG).exchange(request, LONG, 1_024).await.unwrap();
         assert!(answer.status.is_success());
     }
     let notice = String::from(r#"{"zone":"hobart-a","after_ms":60000}"#);
@@ -170,9 +165,9 @@
     let service = PlainService::start(PlainOptions::default()).unwrap();
     post(service.address(), "/faults", String::from(fault)).await;
     let (name, value) = ("x-request-id".try_into().unwrap(), "r1".try_into().unwrap());
-    let outgoing = HttpRequest::post(service.address(), "/sheets", "ink".into());
-    let outgoing = outgoing.with_header(name, value);
-    let answer = HttpClient::new(LONG).exchange(outgoing, LONG, 1_024).await;
+    let request = HttpRequest::post(service.address(), "/sheets", "ink".into());
+    let request = request.with_header(name, value);
+    let answer = HttpClient::new(LONG).exchange(request, LONG, 1_024).await;
     match &answer {
         Ok(answer) => assert_eq!(answer.body, plain_body("/sheets", b"ink")),
         Err(error) => assert!(error.may_have_run(), "{error}"),
--- a/crates/submissions/src/cache.rs
+++ b/crates/submissions/src/cache.rs
@@ -83,11 +83,11 @@
     }
 
     /// What follows `end` is read from the log, unless an earlier offset is known.
-    pub fn follow_from(&mut self, end: u64, sent_at: Moment) {
+    pub fn follow_from(&mut self, end: u64, read_started_at: Moment) {
         if self.next.is_none() {
             self.next = Some(end);
             self.begun = end;
-            self.confirmed_at = Some(sent_at);
+            self.confirmed_at = Some(read_started_at);
         }
     }
 
@@ -106,20 +106,21 @@
     }
 
     /// Takes a part of the log, and tells whether the copy was complete when the read began.
-    pub fn apply_batch(&mut self, part: LogBatch) -> bool {
-        let Some(known) = self.next.filter(|known| part.start_offset <= *known) else {
+    pub fn apply_batch(&mut self, batch: LogBatch) -> bool {
+        let Some(known) = self.next.filter(|known| batch.start_offset <= *known) else {
             return true;
         };
-        for (offset, record) in part.records {
+        for (offset, record) in batch.records {
             if offset >= known {
                 self.take(record);
             }
         }
-        self.next = Some(known.max(part.next_offset));
-        if part.next_offset < part.log_end {
+        self.next = Some(known.max(batch.next_offset));
+        if batch.next_offset < batch.log_end {
             return false;
         }
-        let at = self.confirmed_at.map_or(part.read_started_at, |at| at.max(part.read_started_at));
+        let at =
+            self.confirmed_at.map_or(batch.read_started_at, |at| at.max(batch.read_started_at));
         self.confirmed_at = Some(at);
         true
     }
@@ -178,8 +179,8 @@
     fn take(&mut self, record: SubmissionRecord) {
         match &record {
             // Everything about it comes later in the log.
-            SubmissionRecord::Opened(head) => {
-                self.loaded.insert(head.id.clone());
+            SubmissionRecord::Opened(metadata) => {
+                self.loaded.insert(metadata.id.clone());
             }
             SubmissionRecord::Deleted { submission } => {
                 self.loaded.remove(submission);
--- a/crates/submissions/src/plan.rs
+++ b/crates/submissions/src/plan.rs
@@ -11,17 +11,17 @@
 /// Returns the records that accept a submission, unless it is accepted already.
 #[must_use]
 pub fn opening_records(
-    book: &SubmissionTable,
+    table: &SubmissionTable,
     submission: &str,
     records: &[SubmissionRecord],
 ) -> Option<Vec<SubmissionRecord>> {
-    book.get(submission).is_none().then(|| records.to_vec())
+    table.get(submission).is_none().then(|| records.to_vec())
 }
 
 /// Returns the records that end a submission, unless it does not exist or has ended.
 #[must_use]
-pub fn ending_records(book: &SubmissionTable, submission: &str) -> Option<Vec<SubmissionRecord>> {
-    let state = book.get(submission).filter(|state| !state.is_ended())?;
+pub fn ending_records(table: &SubmissionTable, submission: &str) -> Option<Vec<SubmissionRecord>> {
+    let state = table.get(submission).filter(|state| !state.is_ended())?;
     let id = || String::from(submission);
     Some(vec![
         SubmissionRecord::Ended { submission: id() },
@@ -34,14 +34,14 @@
 /// submissions are left out.
 #[must_use]
 pub fn result_records(
-    book: &SubmissionTable,
+    table: &SubmissionTable,
     results: &[(String, ItemResult)],
 ) -> Option<Vec<SubmissionRecord>> {
     let mut positions: HashMap<&str, u32> = HashMap::new();
     let mut given: HashSet<(&str, &str)> = HashSet::new();
     let mut records = Vec::new();
     for (submission, result) in results {
-        let Some(state) = book.get(submission) else { continue };
+        let Some(state) = table.get(submission) else { continue };
         let again = !given.insert((submission, &result.item));
         if again || state.is_ended() || state.is_resolved(&result.item) {
             continue;
--- a/crates/submissions/src/table.rs
+++ b/crates/submissions/src/table.rs
@@ -86,14 +86,14 @@
     /// Takes a record and returns the submission that it changed.
     pub fn apply(&mut self, record: SubmissionRecord) -> Option<String> {
         match record {
-            SubmissionRecord::Opened(head) => {
-                let id = head.id.clone();
+            SubmissionRecord::Opened(metadata) => {
+                let id = metadata.id.clone();
                 let state = self.submissions.entry(id.clone()).or_default();
                 if state.metadata.is_some() {
                     return None;
                 }
-                state.items.resize(head.item_count as usize, None);
-                state.metadata = Some(Arc::new(head));
+                state.items.resize(metadata.item_count as usize, None);
+                state.metadata = Some(Arc::new(metadata));
                 Some(id)
             }
             SubmissionRecord::Items { submission, first, items } => {
--- a/crates/submissions/src/text.rs
+++ b/crates/submissions/src/text.rs
@@ -46,11 +46,11 @@
 impl GeneratedText {
     /// Starts an empty text that only versions from `least` on may generate.
     #[must_use]
-    pub fn new(least: WeightVersion, one_version: bool) -> Self {
+    pub fn new(min_version: WeightVersion, one_version: bool) -> Self {
         Self {
-            min_version: least,
+            min_version,
             one_version,
-            running: least,
+            running: min_version,
             versions: SmallVec::new(),
             output: String::new(),
             last_id: 0,
@@ -109,12 +109,12 @@
     /// # Errors
     ///
     /// Returns the first version of the text that is too old.
-    pub fn set_min_version(&mut self, least: WeightVersion) -> Result<(), TextError> {
-        let stale = self.versions.iter().find(|version| **version < least);
+    pub fn set_min_version(&mut self, min_version: WeightVersion) -> Result<(), TextError> {
+        let stale = self.versions.iter().find(|version| **version < min_version);
         if let Some(version) = stale {
             return Err(TextError::Stale(*version));
         }
-        self.min_version = least;
+        self.min_version = min_version;
         Ok(())
     }
 
--- a/crates/submissions/tests/book.rs
+++ b/crates/submissions/tests/book.rs
@@ -19,7 +19,7 @@
 fn records() -> Vec<SubmissionRecord> {
     let submission = || String::from("s");
     let mut records = vec![
-        SubmissionRecord::Opened(common::head("s", ITEMS)),
+        SubmissionRecord::Opened(common::metadata("s", ITEMS)),
         SubmissionRecord::Items {
             submission: submission(),
             first: 0,
@@ -39,8 +39,8 @@
     records
 }
 
-fn summary(book: &SubmissionTable) -> (u32, Vec<String>, bool) {
-    let state = book.get("s").unwrap();
+fn summary(table: &SubmissionTable) -> (u32, Vec<String>, bool) {
+    let state = table.get("s").unwrap();
     let results = state.results(0).map(|result| result.item.clone()).collect();
     (state.result_count(), results, state.is_open())
 }
@@ -58,49 +58,49 @@
         for record in &records {
             expected.apply(record.clone());
         }
-        let mut book = SubmissionTable::default();
+        let mut table = SubmissionTable::default();
         for index in order.into_iter().chain(repeats) {
-            book.apply(records[index].clone());
+            table.apply(records[index].clone());
         }
-        prop_assert_eq!(summary(&book), summary(&expected));
+        prop_assert_eq!(summary(&table), summary(&expected));
     }
 }
 
 /// Guards against a submission that is handed out before all of its items are known.
 #[test]
 fn incomplete_submission_is_not_known() {
-    let mut book = SubmissionTable::default();
+    let mut table = SubmissionTable::default();
     for record in &records()[..2] {
-        book.apply(record.clone());
+        table.apply(record.clone());
     }
-    assert!(book.get("s").is_none());
-    book.apply(records()[2].clone());
-    assert!(book.get("s").is_some());
+    assert!(table.get("s").is_none());
+    table.apply(records()[2].clone());
+    assert!(table.get("s").is_some());
 }
 
 /// Guards against a second result that replaces the one at a position which was read.
 #[test]
 fn first_result_of_a_position_stays() {
-    let mut book = SubmissionTable::default();
+    let mut table = SubmissionTable::default();
     for record in records() {
-        book.apply(record);
+        table.apply(record);
     }
     let result = ItemResult::errored("other");
     let second = SubmissionRecord::Result { submission: String::from("s"), position: 0, result };
-    assert_eq!(book.apply(second), None);
-    assert_eq!(summary(&book).1[0], "i5");
+    assert_eq!(table.apply(second), None);
+    assert_eq!(summary(&table).1[0], "i5");
 }
 
 /// Guards against results beyond a gap, which would change their positions when it closes.
 #[test]
 fn results_are_listed_up_to_a_gap() {
-    let mut book = SubmissionTable::default();
+    let mut table = SubmissionTable::default();
     for record in records() {
         if !matches!(record, SubmissionRecord::Result { position: 1, .. }) {
-            book.apply(record);
+            table.apply(record);
         }
     }
-    assert_eq!(book.get("s").unwrap().result_count(), 1);
+    assert_eq!(table.get("s").unwrap().result_count(), 1);
 }
 
 fn event(id: u64, version: Option<u64>) -> GenerationEvent {
@@ -131,12 +131,12 @@
 #[case::changes_version_where_one_is_allowed(true, 1, Some(1), Some(2), false)]
 fn check_versions(
     #[case] one_version: bool,
-    #[case] least: u64,
+    #[case] min_version: u64,
     #[case] start: Option<u64>,
     #[case] change: Option<u64>,
     #[case] accepted: bool,
 ) {
-    let mut text = GeneratedText::new(WeightVersion(least), one_version);
+    let mut text = GeneratedText::new(WeightVersion(min_version), one_version);
     let begun = start.map_or(Ok(()), |version| text.begin_run(WeightVersion(version)));
     let pushed =
         begun.and_then(|()| text.push(&event(1, None))).and_then(|()| text.push(&event(2, change)));
--- a/crates/submissions/tests/check.rs
+++ b/crates/submissions/tests/check.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{head, item};
+use common::{item, metadata};
 use rstest::rstest;
 use submissions::{
     SubmissionError, SubmissionRecord, SubmissionTable, check_owner, check_submission,
@@ -39,9 +39,9 @@
 #[case::own("brewer", Ok(()))]
 #[case::other("maltster", Err(SubmissionError::TakenId))]
 fn check_repeated(#[case] customer: &str, #[case] expected: Result<(), SubmissionError>) {
-    let mut book = SubmissionTable::default();
-    book.apply(SubmissionRecord::Opened(head("s", 1)));
+    let mut table = SubmissionTable::default();
+    table.apply(SubmissionRecord::Opened(metadata("s", 1)));
     let items = vec![item("a")];
-    book.apply(SubmissionRecord::Items { submission: String::from("s"), first: 0, items });
-    assert_eq!(check_owner(book.get("s").unwrap(), customer), expected);
+    table.apply(SubmissionRecord::Items { submission: String::from("s"), first: 0, items });
+    assert_eq!(check_owner(table.get("s").unwrap(), customer), expected);
 }
--- a/crates/submissions/tests/common/mod.rs
+++ b/crates/submissions/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use submissions::{SubmissionItem, SubmissionMetadata};
 
 /// Builds what holds for all items of a submission.
-pub(crate) fn head(submission: &str, items: u32) -> SubmissionMetadata {
+pub(crate) fn metadata(submission: &str, items: u32) -> SubmissionMetadata {
     SubmissionMetadata {
         id: String::from(submission),
         customer: String::from("brewer"),
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -267,8 +267,8 @@
             return Err(IgnoredReason::WrongWindow);
         }
         let state = &mut self.state;
-        let figures = std::mem::take(&mut state.open);
-        let closed = ClosedWindow { closed_at: offset, usage: figures, reported: false };
+        let usage = std::mem::take(&mut state.open);
+        let closed = ClosedWindow { closed_at: offset, usage, reported: false };
         state.closed.insert(close.window, closed);
         state.last_closed = Some(close.window);
         state.closes += 1;
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -226,13 +226,13 @@
         replay(&mut prefix, &trial.log[..cut], 0);
         let snapshot = prefix.snapshot().unwrap();
         let fencing = FencingToken(trial.lease);
-        let carry = UsageRecord::Snapshot { snapshot: Box::new(snapshot.clone()), fencing };
+        let record = UsageRecord::Snapshot { snapshot: Box::new(snapshot.clone()), fencing };
 
         // Retention drops the prefix; the carry stands at the end of the log.
         let mut successor = UsageLedger::new();
         successor.note_retention(LogOffset(cut as u64));
         let end = LogOffset(trial.log.len() as u64);
-        let outcome = successor.apply(end, &carry, Some(fencing));
+        let outcome = successor.apply(end, &record, Some(fencing));
         assert_eq!(outcome, LedgerOutcome::Restored(snapshot.next), "seed {seed}, cut {cut}");
         replay(&mut successor, &trial.log, cut);
         assert_eq!(successor.snapshot(), whole.snapshot(), "seed {seed}, cut {cut}");
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -18,9 +18,9 @@
 }
 
 fn batch(sequence: u64) -> UsageBatch {
-    let mut figures = UsageByCustomer::default();
-    figures.add("portal", amount(sequence)).unwrap();
-    UsageBatch { id: id(sequence), usage: figures }
+    let mut usage = UsageByCustomer::default();
+    usage.add("portal", amount(sequence)).unwrap();
+    UsageBatch { id: id(sequence), usage }
 }
 
 /// Guards against a batch that is cut early, late, twice or with inexact sums.
@@ -89,15 +89,15 @@
     ledger.apply(LogOffset(6), &UsageRecord::Close(close), Some(fencing));
     ledger.apply(LogOffset(7), &UsageRecord::Batch(batch(2)), None);
 
-    let mut desk = WindowReporter::new(SECOND);
-    let first = desk.poll(Moment(0), &ledger, fencing).unwrap();
-    assert_eq!(desk.poll(Moment(0), &ledger, fencing), None);
-    assert_eq!(desk.answer(Moment(1), ReportAnswer::Lost), None);
-    assert_eq!(desk.poll(Moment(2), &ledger, fencing), None);
-    let again = desk.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
+    let mut reporter = WindowReporter::new(SECOND);
+    let first = reporter.poll(Moment(0), &ledger, fencing).unwrap();
+    assert_eq!(reporter.poll(Moment(0), &ledger, fencing), None);
+    assert_eq!(reporter.answer(Moment(1), ReportAnswer::Lost), None);
+    assert_eq!(reporter.poll(Moment(2), &ledger, fencing), None);
+    let again = reporter.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
     assert_eq!(again, first);
     assert_eq!(again.usage, batch(1).usage);
-    let reported = desk.answer(Moment(3), ReportAnswer::Accepted).unwrap();
+    let reported = reporter.answer(Moment(3), ReportAnswer::Accepted).unwrap();
     ledger.apply(LogOffset(8), &UsageRecord::Reported(reported), Some(fencing));
     assert_eq!(ledger.pending_report(fencing), None);
     assert_eq!(ledger.window_to_close(WindowNumber(9)), Some(WindowNumber(8)));
--- a/crates/usage/tests/tally.rs
+++ b/crates/usage/tests/tally.rs
@@ -17,12 +17,12 @@
 /// run.
 #[test]
 fn totals_are_written_again_only_when_they_change() {
-    let mut tally = WindowTotals::default();
-    tally.add(WindowNumber(7), "brewer");
-    tally.add(WindowNumber(7), "brewer");
-    tally.add(WindowNumber(8), "studio");
-    tally.remove(WindowNumber(7), "brewer");
-    let changed = tally.take_changed();
+    let mut window_totals = WindowTotals::default();
+    window_totals.add(WindowNumber(7), "brewer");
+    window_totals.add(WindowNumber(7), "brewer");
+    window_totals.add(WindowNumber(8), "studio");
+    window_totals.remove(WindowNumber(7), "brewer");
+    let changed = window_totals.take_changed();
     assert_eq!(
         changed,
         vec![
@@ -30,9 +30,9 @@
             (WindowNumber(8), counts(&[("studio", 1)])),
         ]
     );
-    assert!(tally.take_changed().is_empty());
-    tally.mark_changed(WindowNumber(8));
-    assert_eq!(tally.take_changed().len(), 1);
+    assert!(window_totals.take_changed().is_empty());
+    window_totals.mark_changed(WindowNumber(8));
+    assert_eq!(window_totals.take_changed().len(), 1);
 }
 
 #[rstest]
@@ -51,17 +51,22 @@
 /// derwent-sleeves missed the window before an outage).
 #[test]
 fn window_is_closed_once_every_known_process_has_closed_it() {
-    let mut board = WindowAggregator::default();
+    let mut aggregator = WindowAggregator::default();
     for process in [1, 2] {
-        board.insert(WindowNumber(6), process, counts(&[]), TotalsPhase::Closed);
+        aggregator.insert(WindowNumber(6), process, counts(&[]), TotalsPhase::Closed);
     }
-    board.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
-    assert!(!board.is_closed(WindowNumber(7)), "process 2 may still count");
-    board.insert(WindowNumber(7), 2, counts(&[("brewer", 1)]), TotalsPhase::Open);
-    assert!(!board.is_closed(WindowNumber(7)));
-    board.insert(WindowNumber(7), 2, counts(&[("brewer", 2), ("studio", 1)]), TotalsPhase::Closed);
-    assert!(board.is_closed(WindowNumber(7)));
-    assert_eq!(board.totals(WindowNumber(7)), counts(&[("brewer", 5), ("studio", 1)]));
+    aggregator.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
+    assert!(!aggregator.is_closed(WindowNumber(7)), "process 2 may still count");
+    aggregator.insert(WindowNumber(7), 2, counts(&[("brewer", 1)]), TotalsPhase::Open);
+    assert!(!aggregator.is_closed(WindowNumber(7)));
+    aggregator.insert(
+        WindowNumber(7),
+        2,
+        counts(&[("brewer", 2), ("studio", 1)]),
+        TotalsPhase::Closed,
+    );
+    assert!(aggregator.is_closed(WindowNumber(7)));
+    assert_eq!(aggregator.totals(WindowNumber(7)), counts(&[("brewer", 5), ("studio", 1)]));
 }
 
 /// Pattern: machines are stopped as planned, one after the other, and the store is away when the report is
@@ -71,36 +76,36 @@
 /// the window before an outage).
 #[test]
 fn ended_process_is_not_waited_for() {
-    let mut board = WindowAggregator::default();
+    let mut aggregator = WindowAggregator::default();
     for process in [1, 2] {
-        board.insert(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
+        aggregator.insert(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
     }
-    board.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
-    assert!(!board.is_closed(WindowNumber(6)));
-    board.insert(WindowNumber(6), 2, counts(&[("brewer", 1)]), TotalsPhase::Last);
-    assert!(board.is_closed(WindowNumber(6)));
-    board.insert(WindowNumber(7), 1, counts(&[("brewer", 2)]), TotalsPhase::Closed);
-    assert!(board.is_closed(WindowNumber(7)));
-    assert_eq!(board.totals(WindowNumber(6)), counts(&[("brewer", 1)]));
+    aggregator.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
+    assert!(!aggregator.is_closed(WindowNumber(6)));
+    aggregator.insert(WindowNumber(6), 2, counts(&[("brewer", 1)]), TotalsPhase::Last);
+    assert!(aggregator.is_closed(WindowNumber(6)));
+    aggregator.insert(WindowNumber(7), 1, counts(&[("brewer", 2)]), TotalsPhase::Closed);
+    assert!(aggregator.is_closed(WindowNumber(7)));
+    assert_eq!(aggregator.totals(WindowNumber(6)), counts(&[("brewer", 1)]));
 }
 
 /// Guards against a window that counts as closed before any process is known.
 #[test]
 fn unknown_window_is_not_closed() {
-    let mut board = WindowAggregator::default();
-    assert!(!board.is_closed(WindowNumber(0)));
-    board.insert(WindowNumber(7), 1, counts(&[]), TotalsPhase::Closed);
-    assert!(!board.is_closed(WindowNumber(7)));
+    let mut aggregator = WindowAggregator::default();
+    assert!(!aggregator.is_closed(WindowNumber(0)));
+    aggregator.insert(WindowNumber(7), 1, counts(&[]), TotalsPhase::Closed);
+    assert!(!aggregator.is_closed(WindowNumber(7)));
 }
 
 /// Guards against totals that are kept, here and in the store, for windows long reported.
 #[test]
 fn old_windows_are_named_for_deletion() {
-    let mut board = WindowAggregator::default();
-    board.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
-    board.insert(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
-    board.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
-    assert_eq!(board.forget_before(WindowNumber(7)), vec![(WindowNumber(6), vec![1, 2])]);
-    assert!(board.forget_before(WindowNumber(7)).is_empty());
-    assert_eq!(board.totals(WindowNumber(7)), counts(&[("brewer", 3)]));
+    let mut aggregator = WindowAggregator::default();
+    aggregator.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
+    aggregator.insert(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
+    aggregator.insert(WindowNumber(7), 1, counts(&[("brewer", 3)]), TotalsPhase::Closed);
+    assert_eq!(aggregator.forget_before(WindowNumber(7)), vec![(WindowNumber(6), vec![1, 2])]);
+    assert!(aggregator.forget_before(WindowNumber(7)).is_empty());
+    assert_eq!(aggregator.totals(WindowNumber(7)), counts(&[("brewer", 3)]));
 }
