--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -78,7 +78,7 @@
     expires_at: Moment,
     held: Option<GrantId>,
     sequence: u64,
-    asked_at: Option<Moment>,
+    requested_at: Option<Moment>,
     answered: u64,
     /// Tokens that callers asked for since the last ask.
     wanted: u64,
@@ -175,13 +175,13 @@
         self.buckets.retain(|_, bucket| now.since(bucket.wanted_at) < settings.idle_after);
         let mut requests = Vec::new();
         for (customer, bucket) in &mut self.buckets {
-            if bucket.asked_at.is_some_and(|at| now.since(at) < settings.request_interval) {
+            if bucket.requested_at.is_some_and(|at| now.since(at) < settings.request_interval) {
                 continue;
             }
-            let passed = bucket.asked_at.map_or(settings.request_interval, |at| now.since(at));
+            let passed = bucket.requested_at.map_or(settings.request_interval, |at| now.since(at));
             let demand = bucket.wanted.saturating_mul(1_000_000) / passed.0.max(1);
             bucket.wanted = 0;
-            bucket.asked_at = Some(now);
+            bucket.requested_at = Some(now);
             bucket.sequence += 1;
             requests.push(GrantRequest {
                 node: self.me,
@@ -197,7 +197,7 @@
     /// Takes in a grant. One that answers an ask other than the last is ignored.
     pub fn apply_grant(&mut self, now: Moment, grant: LimitGrant) {
         let Some(bucket) = self.buckets.get_mut(&grant.customer) else { return };
-        let Some(asked_at) = bucket.asked_at else { return };
+        let Some(asked_at) = bucket.requested_at else { return };
         let is_last = grant.sequence == bucket.sequence && grant.sequence > bucket.answered;
         if grant.node != self.me || !is_last {
             return;
@@ -223,7 +223,7 @@
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let due = |bucket: &CustomerBucket| {
-            bucket.asked_at.map_or(Moment(0), |at| at + self.settings.request_interval)
+            bucket.requested_at.map_or(Moment(0), |at| at + self.settings.request_interval)
         };
         self.buckets.values().map(due).min()
     }
@@ -237,7 +237,7 @@
             expires_at: Moment(0),
             held: None,
             sequence: 0,
-            asked_at: None,
+            requested_at: None,
             answered: 0,
             wanted: 0,
             wanted_at: now,
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -254,7 +254,7 @@
         now: Moment,
         lease_manager: &LeaseManager,
         id: OrderId,
-        answer: OrderResponse,
+        response: OrderResponse,
     ) -> SmallVec<[OrderAction; 4]> {
         let Some(fencing) = lease_manager.held_token(now) else { return SmallVec::new() };
         self.examine(now, fencing);
@@ -262,7 +262,7 @@
         if matches!(open.stage, OrderStage::IntentPending | OrderStage::OutcomePending) {
             return SmallVec::new();
         }
-        match answer {
+        match response {
             OrderResponse::State { state, upstreams } => {
                 let scope = self.scope.clone();
                 let outcome = OrderOutcome { id, scope, fencing, state, upstreams };
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -66,8 +66,8 @@
         self.order_manager.tick(now, &self.lease_manager).to_vec()
     }
 
-    fn answer(&mut self, now: Moment, id: OrderId, answer: OrderResponse) -> Vec<OrderAction> {
-        self.order_manager.answer(now, &self.lease_manager, id, answer).to_vec()
+    fn answer(&mut self, now: Moment, id: OrderId, response: OrderResponse) -> Vec<OrderAction> {
+        self.order_manager.answer(now, &self.lease_manager, id, response).to_vec()
     }
 }
 
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -146,8 +146,8 @@
 
 /// Guards against a former holder that goes on after another claim or an unseen part of the log.
 #[rstest]
-#[case::succeeded(|keeper: &mut LeaseManager| keeper.read(at(2), LogOffset(1), &claim(OTHER, 1, 1)), LossCause::Succeeded)]
-#[case::gap(|keeper: &mut LeaseManager| keeper.restart_from(at(2), LogOffset(9)), LossCause::GapInLog)]
+#[case::succeeded(|lease_manager: &mut LeaseManager| lease_manager.read(at(2), LogOffset(1), &claim(OTHER, 1, 1)), LossCause::Succeeded)]
+#[case::gap(|lease_manager: &mut LeaseManager| lease_manager.restart_from(at(2), LogOffset(9)), LossCause::GapInLog)]
 fn a_holder_gives_way(
     #[case] event: fn(&mut LeaseManager) -> smallvec::SmallVec<[LeaseAction; 4]>,
     #[case] cause: LossCause,
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -273,19 +273,21 @@
                 wins
             }
         };
-        let Some(ask) = self.own.get_mut(&taken.holder) else { return ClaimActions::new() };
+        let Some(local_request) = self.own.get_mut(&taken.holder) else {
+            return ClaimActions::new();
+        };
         let request = taken.holder;
         if !wins {
-            let was_waiting = ask.state == RequestState::Waiting;
+            let was_waiting = local_request.state == RequestState::Waiting;
             self.own.remove(&request);
             let Some(held) = self.held.get(&taken.claim).filter(|_| was_waiting) else {
                 return ClaimActions::new();
             };
             return ClaimActions::from_iter([self.answer_loser(held, &taken)]);
         }
-        match ask.state {
+        match local_request.state {
             RequestState::Waiting if wall < taken.expires_at => {
-                ask.state = RequestState::Running;
+                local_request.state = RequestState::Running;
                 ClaimActions::from_iter([ClaimAction::Run(request)])
             }
             RequestState::Waiting => {
@@ -315,14 +317,14 @@
     }
 
     fn ended(&mut self, request: RequestId, outcome: ClaimOutcome) -> ClaimActions {
-        let Some(ask) = self.own.remove(&request) else { return ClaimActions::new() };
+        let Some(local_request) = self.own.remove(&request) else { return ClaimActions::new() };
         let outcome = match outcome {
             ClaimOutcome::Answered { body, .. } if body.len() > self.policy.max_answer => {
                 ClaimOutcome::AnswerNotKept
             }
             outcome => outcome,
         };
-        let claim = ask.taken.claim;
+        let claim = local_request.taken.claim;
         if let Some(held) = self.held.get_mut(&claim)
             && held.taken.holder == request
             && outcome != ClaimOutcome::NotRun
@@ -336,10 +338,10 @@
     }
 
     fn withdraw(&mut self, request: RequestId) {
-        if let Some(ask) = self.own.get_mut(&request)
-            && ask.state == RequestState::Waiting
+        if let Some(local_request) = self.own.get_mut(&request)
+            && local_request.state == RequestState::Waiting
         {
-            ask.state = RequestState::Withdrawn;
+            local_request.state = RequestState::Withdrawn;
         }
     }
 
@@ -365,8 +367,13 @@
     }
 
     fn withdraw_where(&mut self, applies: impl Fn(&LocalRequest) -> bool) -> ClaimActions {
-        let waiting = self.own.iter().filter(|(_, ask)| ask.state == RequestState::Waiting);
-        let requests = waiting.filter(|(_, ask)| applies(ask)).map(|(request, _)| *request);
+        let waiting = self
+            .own
+            .iter()
+            .filter(|(_, local_request)| local_request.state == RequestState::Waiting);
+        let requests = waiting
+            .filter(|(_, local_request)| applies(local_request))
+            .map(|(request, _)| *request);
         let requests = requests.collect::<SmallVec<[RequestId; 8]>>();
         let mut actions = ClaimActions::new();
         for request in requests {
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -212,21 +212,27 @@
                 self.finished(now, upstream, fingerprint)
             }
             SuspectEvent::Crashed(upstream) => self.crashed(now, wall, upstream),
-            SuspectEvent::Requested(ask) => match self.fingerprint_status(wall, ask.fingerprint) {
+            SuspectEvent::Requested(request) => match self
+                .fingerprint_status(wall, request.fingerprint)
+            {
                 FingerprintStatus::Convicted { retry_after } => {
-                    SuspectActions::from_iter([refuse_convicted(&ask, retry_after)])
+                    SuspectActions::from_iter([refuse_convicted(&request, retry_after)])
                 }
                 _ => {
-                    let crashed = self.suspicions.get(&ask.fingerprint);
+                    let crashed = self.suspicions.get(&request.fingerprint);
                     let crashed = crashed.map(|found| found.crashed.clone()).unwrap_or_default();
-                    self.isolation.enqueue(now, ask, &crashed)
+                    self.isolation.enqueue(now, request, &crashed)
                 }
             },
-            SuspectEvent::CallerDisconnected(request) => self.isolation.caller_gone(now, request),
+            SuspectEvent::CallerDisconnected(request) => {
+                self.isolation.caller_disconnected(now, request)
+            }
             SuspectEvent::LoadReported { upstream, requests, measured_at } => {
                 self.isolation.load_reported(now, upstream, requests, measured_at)
             }
-            SuspectEvent::SuspicionReceived(note) => self.suspicion_received(now, wall, note),
+            SuspectEvent::SuspicionReceived(suspicion) => {
+                self.suspicion_received(now, wall, suspicion)
+            }
             SuspectEvent::ConvictionReceived(conviction) => {
                 self.conviction_received(now, wall, conviction)
             }
--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -105,8 +105,12 @@
         SuspectActions::from_iter([SuspectAction::Reserve(notice)])
     }
 
-    pub(super) fn caller_gone(&mut self, now: Moment, request: RequestId) -> SuspectActions {
-        self.parked.retain(|(ask, _)| ask.request != request);
+    pub(super) fn caller_disconnected(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+    ) -> SuspectActions {
+        self.parked.retain(|(parked, _)| parked.request != request);
         let mut actions = SuspectActions::new();
         for (upstream, slot) in &mut self.slots {
             if let Some(run) = &mut slot.running
@@ -259,8 +263,8 @@
             actions.push(SuspectAction::RunIsolated { request, upstream });
         }
         self.slots.retain(|_, slot| slot.running.is_some() || !slot.waiting.is_empty());
-        for (ask, crashed) in std::mem::take(&mut self.parked) {
-            actions.extend(self.enqueue(now, ask, &crashed));
+        for (isolation, crashed) in std::mem::take(&mut self.parked) {
+            actions.extend(self.enqueue(now, isolation, &crashed));
         }
         actions
     }
--- a/crates/delivery/tests/claim.rs
+++ b/crates/delivery/tests/claim.rs
@@ -18,7 +18,7 @@
     RequestId { node: Incarnation(node), sequence }
 }
 
-fn asked(request: RequestId) -> ClaimEvent {
+fn requested(request: RequestId) -> ClaimEvent {
     let claim = ClaimKey::of("derwent", "proof-7");
     let fingerprint = Fingerprint::of("derwent", "proofs", b"print");
     ClaimEvent::Requested { claim, fingerprint, request, deadline: DEADLINE }
@@ -79,25 +79,25 @@
 #[test]
 fn resend_through_another_node_gets_the_first_answer() {
     let mut nodes = Nodes::new(2);
-    nodes.apply(0, 0, asked(request(0, 1)));
+    nodes.apply(0, 0, requested(request(0, 1)));
     nodes.read_all(0);
-    nodes.apply(1, 10, asked(request(1, 1)));
+    nodes.apply(1, 10, requested(request(1, 1)));
     assert_eq!(nodes.runs, [request(0, 1)]);
     let running = (request(1, 1), RefusalCode::AlreadyClaimed, Execution::MayHaveRun);
     assert_eq!(nodes.refusals, [running]);
     let outcome = ClaimOutcome::Answered { status: 200, body: b"sheet".to_vec() };
     nodes.apply(0, 20, ClaimEvent::Ended { request: request(0, 1), outcome });
     nodes.read_all(20);
-    nodes.apply(1, 30, asked(request(1, 2)));
+    nodes.apply(1, 30, requested(request(1, 2)));
     assert_eq!((nodes.runs.len(), nodes.replays), (1, 1));
 }
 
 #[test]
 fn reused_key_with_another_body_is_refused() {
     let mut nodes = Nodes::new(1);
-    nodes.apply(0, 0, asked(request(0, 1)));
+    nodes.apply(0, 0, requested(request(0, 1)));
     nodes.read_all(0);
-    let ClaimEvent::Requested { claim, request, deadline, .. } = asked(request(0, 2)) else {
+    let ClaimEvent::Requested { claim, request, deadline, .. } = requested(request(0, 2)) else {
         unreachable!()
     };
     let fingerprint = Fingerprint::of("derwent", "proofs", b"another");
@@ -108,15 +108,15 @@
 #[test]
 fn log_outage_refuses_truthfully_and_a_late_win_is_released() {
     let mut nodes = Nodes::new(2);
-    nodes.apply(0, 0, asked(request(0, 1)));
+    nodes.apply(0, 0, requested(request(0, 1)));
     nodes.apply(0, 1, ClaimEvent::LogAvailabilityChanged(LogAvailability::Down));
-    nodes.apply(0, 2, asked(request(0, 2)));
+    nodes.apply(0, 2, requested(request(0, 2)));
     let refused = |sequence| (request(0, sequence), RefusalCode::LogUnavailable, Execution::NotRun);
     assert_eq!(nodes.refusals, [refused(1), refused(2)]);
     nodes.apply(0, 3, ClaimEvent::LogAvailabilityChanged(LogAvailability::Up));
     nodes.read_all(3);
     assert_eq!(nodes.runs, [], "a refused request never runs");
-    nodes.apply(1, 4, asked(request(1, 1)));
+    nodes.apply(1, 4, requested(request(1, 1)));
     nodes.read_all(4);
     assert_eq!(nodes.runs, [request(1, 1)]);
 }
@@ -124,7 +124,7 @@
 #[test]
 fn unanswered_append_is_refused_at_the_deadline() {
     let mut nodes = Nodes::new(1);
-    nodes.apply(0, 0, asked(request(0, 1)));
+    nodes.apply(0, 0, requested(request(0, 1)));
     assert_eq!(nodes.tables[0].next_deadline(), Some(DEADLINE));
     let actions = nodes.tables[0].handle(DEADLINE, WallTime(5_000), ClaimEvent::Tick);
     let [ClaimAction::Refuse { refusal, .. }] = actions.as_slice() else { panic!("{actions:?}") };
@@ -134,11 +134,11 @@
 #[test]
 fn claim_starts_afresh_after_its_stated_expiry() {
     let mut nodes = Nodes::new(2);
-    nodes.apply(0, 0, asked(request(0, 1)));
+    nodes.apply(0, 0, requested(request(0, 1)));
     nodes.read_all(0);
-    nodes.apply(1, HOUR_MS - 1, asked(request(1, 1)));
+    nodes.apply(1, HOUR_MS - 1, requested(request(1, 1)));
     assert_eq!(nodes.runs.len(), 1);
-    nodes.apply(1, HOUR_MS, asked(request(1, 2)));
+    nodes.apply(1, HOUR_MS, requested(request(1, 2)));
     nodes.read_all(HOUR_MS);
     assert_eq!(nodes.runs, [request(0, 1), request(1, 2)]);
 }
@@ -155,7 +155,7 @@
         for (node, step) in steps {
             sequence += 1;
             match step {
-                0 => nodes.apply(node, 0, asked(request(node as u64, sequence))),
+                0 => nodes.apply(node, 0, requested(request(node as u64, sequence))),
                 1 => nodes.apply(node, 0, ClaimEvent::LogAvailabilityChanged(LogAvailability::Down)),
                 2 => nodes.apply(node, 0, ClaimEvent::LogAvailabilityChanged(LogAvailability::Up)),
                 3 => {
--- a/crates/delivery/tests/suspect.rs
+++ b/crates/delivery/tests/suspect.rs
@@ -27,7 +27,7 @@
     nodes: Vec<SuspectTable>,
     upstreams: BTreeMap<UpstreamKey, Vec<Run>>,
     messages: Vec<(usize, SuspectEvent)>,
-    asked: BTreeMap<RequestId, Fingerprint>,
+    requested: BTreeMap<RequestId, Fingerprint>,
     sequence: u64,
     lost: usize,
     refused: BTreeMap<Fingerprint, RefusalCode>,
@@ -44,7 +44,7 @@
             nodes: nodes.collect(),
             upstreams: (0..upstreams).map(|key| (UpstreamKey(key), Vec::new())).collect(),
             messages: Vec::new(),
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             sequence: 0,
             lost: 0,
             refused: BTreeMap::new(),
@@ -71,14 +71,14 @@
                 SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
-                    let fingerprint = self.asked[&request];
+                    let fingerprint = self.requested[&request];
                     assert!(self.upstreams[&upstream].is_empty(), "an isolated run is alone");
                     self.run(node, upstream, fingerprint);
                     continue;
                 }
                 SuspectAction::Refuse { request, refusal } => {
                     assert!(refusal.retry_after.is_some());
-                    self.refused.insert(self.asked[&request], refusal.code);
+                    self.refused.insert(self.requested[&request], refusal.code);
                     continue;
                 }
             };
@@ -107,8 +107,8 @@
         }
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
-        self.asked.insert(request, fingerprint);
-        let ask = IsolationRequest {
+        self.requested.insert(request, fingerprint);
+        let isolation = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
@@ -116,7 +116,7 @@
             execution: Execution::NotRun,
             upstreams: live.into(),
         };
-        self.apply(node, SuspectEvent::Requested(ask));
+        self.apply(node, SuspectEvent::Requested(isolation));
     }
 
     fn advance(&mut self, killers: &[Fingerprint]) {
--- a/crates/dispatch/src/weight_loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -76,7 +76,7 @@
     current: usize,
 }
 
-/// Says which loads to order now. `named` holds the newest version of each model.
+/// Says which loads to order now. `newest_versions` holds the newest version of each model.
 #[must_use]
 pub fn plan_weight_loads(
     now: Moment,
--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -76,15 +76,15 @@
         mode: SpreadMode,
         walks: &[UpstreamWalk],
     ) -> Vec<SentMessage> {
-        let (message, entries) = match content {
-            MessageContent::Heartbeat(Heartbeat { liveness: message, upstreams, .. }) => {
-                (message, upstreams)
+        let (liveness, entries) = match content {
+            MessageContent::Heartbeat(Heartbeat { liveness, upstreams, .. }) => {
+                (liveness, upstreams)
             }
-            MessageContent::Summary(ZoneSummary { liveness: message, upstreams, .. }) => {
-                (message, upstreams)
+            MessageContent::Summary(ZoneSummary { liveness, upstreams, .. }) => {
+                (liveness, upstreams)
             }
         };
-        let sent = self.event(now, PeerEvent::MessageReceived(message), mode, walks);
+        let sent = self.event(now, PeerEvent::MessageReceived(liveness), mode, walks);
         for entry in entries {
             self.load_table.merge(now, entry);
         }
@@ -113,9 +113,9 @@
         sent
     }
 
-    fn heartbeat(&mut self, now: Moment, to: VmKey, message: LivenessMessage) -> SentMessage {
+    fn heartbeat(&mut self, now: Moment, to: VmKey, liveness: LivenessMessage) -> SentMessage {
         let heartbeat = Heartbeat {
-            liveness: message,
+            liveness,
             config_version: 1,
             contact_age: base::Span::ZERO,
             upstreams: self.load_table.next_delta(now),
@@ -128,7 +128,7 @@
         &self,
         now: Moment,
         to: VmKey,
-        message: LivenessMessage,
+        liveness: LivenessMessage,
         walks: &[UpstreamWalk],
     ) -> SentMessage {
         let mut upstreams = self.load_table.all_updates(now);
@@ -136,7 +136,7 @@
         let own = walks.iter().filter(|walk| walk.zone == self.zone);
         let own = own.map(|walk| walk.name.as_str()).collect::<std::collections::BTreeSet<_>>();
         upstreams.retain(|entry| own.contains(entry.upstream.as_str()));
-        let summary = ZoneSummary { liveness: message, config_version: 1, upstreams };
+        let summary = ZoneSummary { liveness, config_version: 1, upstreams };
         let bytes = encode_message(&PeerMessage::Summary((&summary).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Summary(summary) }
     }
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -63,7 +63,7 @@
     replacements: VecDeque<(u64, u64)>,
     next_upstream: u32,
     messages: Vec<(usize, SuspectEvent)>,
-    asked: BTreeMap<RequestId, (Fingerprint, u64)>,
+    requested: BTreeMap<RequestId, (Fingerprint, u64)>,
     killers: Vec<Fingerprint>,
     interrupted: BTreeSet<Fingerprint>,
     sequence: u64,
@@ -85,7 +85,7 @@
             replacements: VecDeque::new(),
             next_upstream: 0,
             messages: Vec::new(),
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             killers: killers.collect(),
             interrupted: BTreeSet::new(),
             sequence: 1_000_000,
@@ -154,12 +154,12 @@
                 SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
-                    let (fingerprint, arrived) = self.asked[&request];
+                    let (fingerprint, arrived) = self.requested[&request];
                     self.start(node, upstream, fingerprint, arrived);
                     continue;
                 }
                 SuspectAction::Refuse { request, .. } => {
-                    let (fingerprint, _) = self.asked[&request];
+                    let (fingerprint, _) = self.requested[&request];
                     self.refused(fingerprint);
                     continue;
                 }
@@ -198,7 +198,7 @@
         let node = self.rng.random_range(0..self.nodes.len());
         if self.nodes[node].fingerprint_status(self.wall(), fingerprint) != FingerprintStatus::Clear
         {
-            self.ask(node, fingerprint, arrived);
+            self.request_isolation(node, fingerprint, arrived);
             return;
         }
         let table = &self.nodes[node];
@@ -213,10 +213,10 @@
         self.start(node, first.min(second).1, fingerprint, arrived);
     }
 
-    fn ask(&mut self, node: usize, fingerprint: Fingerprint, arrived: u64) {
+    fn request_isolation(&mut self, node: usize, fingerprint: Fingerprint, arrived: u64) {
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
-        self.asked.insert(request, (fingerprint, arrived));
+        self.requested.insert(request, (fingerprint, arrived));
         let mut upstreams = self.upstreams.iter().collect::<Vec<_>>();
         upstreams.sort_by_key(|(_, model)| model.runs.len());
         let deadline = Moment(arrived * STEP.0) + Span::from_millis(self.scenario.deadline_ms);
--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -134,8 +134,8 @@
     while let Some(message) = messages.recv().await {
         match message {
             ControlMessage::UsageMetered(usage) => control.record_usage(&usage),
-            ControlMessage::Claim { request: ask, reply } => {
-                control.handle_claim_request(ask, reply)
+            ControlMessage::Claim { request, reply } => {
+                control.handle_claim_request(request, reply);
             }
             ControlMessage::ClaimEnded { request, outcome } => {
                 control.claim_ended(request, outcome);
@@ -149,8 +149,8 @@
             }
             ControlMessage::Suspicion(actions) => control.spread(actions),
             ControlMessage::Decision(event) => control.state().trace.record(event),
-            ControlMessage::Trainer { request: ask, reply } => {
-                actix_rt::spawn(Rc::clone(&control).handle_trainer_request(ask, reply));
+            ControlMessage::Trainer { request, reply } => {
+                actix_rt::spawn(Rc::clone(&control).handle_trainer_request(request, reply));
             }
             ControlMessage::Drain(done) => {
                 let control = Rc::clone(&control);
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -210,7 +210,7 @@
         }
         let own_zone = self.shared.settings.zone.clone();
         let own_zone = config.zone_key(&own_zone);
-        let zone_latencies = zone_distances(&config.zones, own_zone, &document);
+        let zone_latencies = zone_latencies(&config.zones, own_zone, &document);
         config.document = Some(document.clone());
         drop(state);
 
@@ -254,26 +254,26 @@
     }
 
     fn apply_key_acceptance(&self, now: Moment) {
-        let service = match self.state().config.is_refusing_keys(now) {
+        let acceptance = match self.state().config.is_refusing_keys(now) {
             true => KeyAcceptance::Refusing,
             false => KeyAcceptance::Accepting,
         };
         let view = self.shared.view.load();
-        if view.key_acceptance == service {
+        if view.key_acceptance == acceptance {
             return;
         }
         let mut changed = RoutingView::clone(&view);
-        changed.key_acceptance = service;
+        changed.key_acceptance = acceptance;
         self.shared.view.store(changed.into());
     }
 }
 
 /// One-way time to a zone of another region. Within a region zones are about a millisecond apart.
-const REGION_DISTANCE: Span = Span::from_millis(30);
-const ZONE_DISTANCE: Span = Span::from_millis(1);
-const OWN_DISTANCE: Span = Span::from_micros(200);
+const REGION_LATENCY: Span = Span::from_millis(30);
+const ZONE_LATENCY: Span = Span::from_millis(1);
+const OWN_LATENCY: Span = Span::from_micros(200);
 
-fn zone_distances(
+fn zone_latencies(
     zones: &Arena<ZoneKey, String>,
     own: ZoneKey,
     document: &EnvironmentDocument,
@@ -281,9 +281,9 @@
     let region = |name: &str| document.zone(name).map(|zone| zone.region.as_str());
     let own_region = zones.get(own).and_then(|name| region(name));
     let distance = |(key, name): (ZoneKey, &String)| match region(name) == own_region {
-        _ if key == own => OWN_DISTANCE,
-        true => ZONE_DISTANCE,
-        false => REGION_DISTANCE,
+        _ if key == own => OWN_LATENCY,
+        true => ZONE_LATENCY,
+        false => REGION_LATENCY,
     };
     zones.iter().map(distance).collect()
 }
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -27,7 +27,7 @@
             }
             OrderAction::Query(id) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
-                actix_rt::spawn(async move { control.ask_order(scope, id).await });
+                actix_rt::spawn(async move { control.query_order(scope, id).await });
             }
             OrderAction::Voided(id) => {
                 let detail = String::from("void: its intent took effect under a later lease");
@@ -66,12 +66,12 @@
         log_event!(OrderIssued, scope = %scope, order = order.id, kind = ?order.kind);
         let detail = format!("{:?} of {} in {}", order.kind, order.service, order.zone);
         self.trace(order.id, base::EventCode::OrderIssued, detail);
-        let answer = match result {
-            Ok(answer) => answer_of(answer),
+        let response = match result {
+            Ok(response) => response_of(response),
             Err(error) if error.failure == CallFailure::Status(409) => OrderResponse::FencingTooLow,
             Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, intent.id, answer);
+        self.order_answered(&scope, intent.id, response);
     }
 
     fn order_permit(&self, scope: &LeaseScope, id: OrderId) -> Option<FencingToken> {
@@ -81,20 +81,20 @@
         driver.order_manager.permit(now, &driver.lease_manager, id).ok()
     }
 
-    async fn ask_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
-        let answer = match self.platform.find_order(&id.to_string()).await {
-            Ok(Some(answer)) => answer_of(answer),
+    async fn query_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
+        let response = match self.platform.find_order(&id.to_string()).await {
+            Ok(Some(response)) => response_of(response),
             Ok(None) => OrderResponse::NotFound,
             Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, id, answer);
+        self.order_answered(&scope, id, response);
     }
 
-    fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, answer: OrderResponse) {
+    fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, response: OrderResponse) {
         let now = self.now();
         self.with_scope(scope, |driver| {
             let actions =
-                driver.order_manager.answer(now, &driver.lease_manager, id, answer).into_vec();
+                driver.order_manager.answer(now, &driver.lease_manager, id, response).into_vec();
             (Vec::new(), actions)
         });
     }
@@ -120,11 +120,11 @@
     }
 }
 
-fn answer_of(answer: clients::OrderInfo) -> OrderResponse {
-    let state = match answer.state {
+fn response_of(response: clients::OrderInfo) -> OrderResponse {
+    let state = match response.state {
         clients::OrderState::Accepted => authority::OrderState::Accepted,
         clients::OrderState::Done => authority::OrderState::Done,
         clients::OrderState::Refused => authority::OrderState::Refused,
     };
-    OrderResponse::State { state, upstreams: answer.upstreams }
+    OrderResponse::State { state, upstreams: response.upstreams }
 }
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -98,10 +98,10 @@
                 let heartbeat = {
                     let (now, state) = (self.now(), self.state());
                     let from = state.peers.table.own_identity().clone();
-                    let message =
+                    let liveness =
                         LivenessMessage { from, sequence: 0, refutation: 0, updates: Vec::new() };
                     Heartbeat {
-                        liveness: message,
+                        liveness,
                         config_version: state.config.version().0,
                         contact_age: state.config.contact_age(now),
                         upstreams: Vec::new(),
@@ -178,13 +178,13 @@
         self: &Rc<Self>,
         now: Moment,
         to: VmKey,
-        message: LivenessMessage,
+        liveness: LivenessMessage,
         upstreams: Vec<LoadUpdate>,
     ) {
         let (address, heartbeat) = {
             let state = self.state();
             let heartbeat = Heartbeat {
-                liveness: message,
+                liveness,
                 config_version: state.config.version().0,
                 contact_age: state.config.contact_age(now),
                 upstreams,
@@ -194,7 +194,7 @@
         self.tell_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
     }
 
-    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, message: LivenessMessage) {
+    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, liveness: LivenessMessage) {
         let (address, summary) = {
             let mut state = self.state();
             let state = &mut *state;
@@ -203,7 +203,7 @@
             let upstreams =
                 full.into_iter().filter(|entry| state.watch.is_in_zone(&entry.upstream, own_zone));
             let summary = ZoneSummary {
-                liveness: message,
+                liveness,
                 config_version: state.config.version().0,
                 upstreams: upstreams.collect(),
             };
@@ -267,12 +267,12 @@
 
     fn heard(
         self: &Rc<Self>,
-        message: LivenessMessage,
+        liveness: LivenessMessage,
         config_version: u64,
         upstreams: Vec<LoadUpdate>,
     ) {
-        let address = message.from.address.parse::<SocketAddr>().ok();
-        self.peer_event(PeerEvent::MessageReceived(message));
+        let address = liveness.from.address.parse::<SocketAddr>().ok();
+        self.peer_event(PeerEvent::MessageReceived(liveness));
         self.learn_entries(upstreams);
         let behind = config_version > self.state().config.version().0;
         if let Some(address) = address.filter(|_| behind) {
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -102,8 +102,8 @@
     }
 
     /// Appends the snapshots that are due and that belong to this node. A repeat is harmless.
-    pub(crate) fn carry_trainers(self: &Rc<Self>, now: Moment) {
-        let owners = self.carry_owners();
+    pub(crate) fn append_trainer_snapshots(self: &Rc<Self>, now: Moment) {
+        let owners = self.snapshot_owners();
         let due = {
             let mut state = self.state();
             let samples = &mut state.samples;
@@ -147,7 +147,7 @@
         let _ = self.append_with_id(SAMPLE_STREAM, id, &entry);
     }
 
-    fn carry_owners(&self) -> SlotOwners {
+    fn snapshot_owners(&self) -> SlotOwners {
         let state = self.state();
         // A suspect may be paused, and a snapshot must not wait for it.
         SlotOwners::of(&state.peers.table, |peer| peer == PeerState::Live)
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -276,7 +276,7 @@
         }
         self.state().samples.next_care = now + CARE_PERIOD;
         self.bind_samples(now, &owners);
-        self.carry_trainers(now);
+        self.append_trainer_snapshots(now);
         if self.state().samples.next_audit > now {
             return;
         }
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -76,7 +76,7 @@
         for action in actions {
             match action {
                 SuspectAction::BroadcastSuspicion(suspicion) => {
-                    notes.push(self.wire_suspicion(&suspicion))
+                    notes.push(self.wire_suspicion(&suspicion));
                 }
                 SuspectAction::Convict(conviction) => {
                     log_event!(
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -275,8 +275,8 @@
 
     async fn send_report(self: Rc<Self>, report: WindowReport) {
         let window = report.window;
-        let receiver = fencing_support(self.shared.settings.platform_fencing);
-        let check = self.lease_check(&LeaseScope::Usage, report.fencing, receiver);
+        let fencing_support = fencing_support(self.shared.settings.platform_fencing);
+        let check = self.lease_check(&LeaseScope::Usage, report.fencing, fencing_support);
         let guarded = self.platform.guarded(check);
         let answer = match guarded.report_usage(&wire_report(&report)).await {
             Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -151,9 +151,9 @@
         let target = self.engine_target(upstream);
         let Some((name, model, address)) = target else { return };
         let scope = own_scope(&self.shared);
-        let receiver = self.engine_fencing(upstream);
+        let fencing_support = self.engine_fencing(upstream);
         let now = self.now();
-        let Some(fencing) = self.permit(&scope, now, receiver) else {
+        let Some(fencing) = self.permit(&scope, now, fencing_support) else {
             // A new holder waits longer towards engines that ignore fencing numbers.
             self.state().weights.orders.load_failed(now, upstream);
             return;
@@ -161,7 +161,7 @@
         let order = WeightLoadOrder { model, version, fencing };
         // The call may first wait for a connection, so the clock is checked again by the last step
         // before the bytes.
-        let guarded = self.engines.guarded(self.lease_check(&scope, fencing, receiver));
+        let guarded = self.engines.guarded(self.lease_check(&scope, fencing, fencing_support));
         let result = guarded.load_version(address, &order).await;
         if result.as_ref().is_err_and(|error| error.failure == CallFailure::Denied) {
             return;
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -96,15 +96,15 @@
 /// the board.
 pub(crate) async fn open_exchange(
     traffic: &Rc<TrafficState>,
-    request: AttemptCall<'_>,
+    call: AttemptCall<'_>,
 ) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
-    let address = traffic.balancer.borrow().entry(request.upstream).address;
+    let address = traffic.balancer.borrow().entry(call.upstream).address;
     let mut head = RequestHead::default();
-    head.method = request.method.clone();
+    head.method = call.method.clone();
     head.uri =
-        request.path.parse().map_err(|error| not_sent(format!("the path is invalid: {error}")))?;
-    head.headers = request.headers;
-    let channel = match traffic.pool.take(traffic.node.now(), request.upstream) {
+        call.path.parse().map_err(|error| not_sent(format!("the path is invalid: {error}")))?;
+    head.headers = call.headers;
+    let channel = match traffic.pool.take(traffic.node.now(), call.upstream) {
         Some(channel) => channel,
         None => {
             traffic.node.metrics.channels_opened.inc();
@@ -122,23 +122,19 @@
             }
         }
     };
-    let counted = request.billed.map(|customer| traffic.node.count_begin(customer));
-    let exchange = match channel.send(head, request.body, request.id).await {
+    let counted = call.billed.map(|customer| traffic.node.count_begin(customer));
+    let exchange = match channel.send(head, call.body, call.id).await {
         Ok(exchange) => exchange,
-        Err(fault) => {
+        Err(error) => {
             return Err((
-                AttemptError::MaybeRun(fault.to_string()),
+                AttemptError::MaybeRun(error.to_string()),
                 ExchangeOutcome::TransportError,
             ));
         }
     };
     let metadata = exchange.metadata();
     if let Some(load) = metadata.load {
-        traffic.balancer.borrow_mut().record_load_report(
-            traffic.node.now(),
-            request.upstream,
-            load,
-        );
+        traffic.balancer.borrow_mut().record_load_report(traffic.node.now(), call.upstream, load);
     }
     if !metadata.not_run {
         return Ok(exchange);
@@ -148,7 +144,7 @@
     }
     let misdirected = metadata.misdirected;
     let status = exchange.head().status.as_u16();
-    finish_exchange(traffic, request.upstream, exchange).await;
+    finish_exchange(traffic, call.upstream, exchange).await;
     let outcome =
         if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Overloaded };
     Err((AttemptError::NotRun(format!("refused with status {status}")), outcome))
@@ -175,15 +171,15 @@
 /// Returns a fault when there is no whole answer to pass on.
 pub(crate) async fn whole_exchange(
     traffic: &Rc<TrafficState>,
-    request: AttemptCall<'_>,
+    call: AttemptCall<'_>,
 ) -> Result<WholeAnswer, AttemptError> {
-    let upstream = request.upstream;
-    let in_flight = AttemptGuard::acquire(traffic, upstream);
+    let upstream = call.upstream;
+    let attempt = AttemptGuard::acquire(traffic, upstream);
     let started = traffic.node.now();
-    let mut exchange = match open_exchange(traffic, request).await {
+    let mut exchange = match open_exchange(traffic, call).await {
         Ok(exchange) => exchange,
         Err((error, outcome)) => {
-            in_flight.finish(outcome);
+            attempt.finish(outcome);
             return Err(error);
         }
     };
@@ -196,14 +192,14 @@
             } else {
                 ExchangeOutcome::ServerError
             };
-            in_flight.finish(outcome);
+            attempt.finish(outcome);
             let headers = platform::relay_headers(exchange.head());
             let metadata = exchange.metadata().clone();
             traffic.keep_channel(upstream, exchange);
             Ok(WholeAnswer { status, headers, metadata, body })
         }
         Err(error) => {
-            in_flight.finish(ExchangeOutcome::TransportError);
+            attempt.finish(ExchangeOutcome::TransportError);
             Err(AttemptError::MaybeRun(error.to_string()))
         }
     }
--- a/crates/hibiscushinged/src/gateway/cleanup.rs
+++ b/crates/hibiscushinged/src/gateway/cleanup.rs
@@ -27,8 +27,8 @@
     loop {
         tokio::time::sleep(PERIOD).await;
         for part in traffic.partitions.owned() {
-            let Some(mirror) = traffic.partitions.get(part) else { continue };
-            if let Err(error) = delete_part(&traffic, mirror).await {
+            let Some(follower) = traffic.partitions.get(part) else { continue };
+            if let Err(error) = delete_part(&traffic, follower).await {
                 tracing::warn!(part, %error, "old submissions stay for now");
             }
         }
@@ -42,9 +42,9 @@
 /// Returns an error when the store does not answer. What is left is deleted at the next look.
 pub(crate) async fn delete_part(
     traffic: &TrafficState,
-    mirror: &PartitionFollower,
+    follower: &PartitionFollower,
 ) -> Result<(), CallError> {
-    let name = &mirror.name;
+    let name = &follower.name;
     let keep = traffic.node.settings.promises.results + MARGIN;
     let oldest = WallTime(wall_now().0 - keep.as_millis() as i64);
     let markers = fetch_keys(&traffic.store, name, EXPIRING_SUBMISSIONS_PREFIX).await?;
--- a/crates/hibiscushinged/src/gateway/commit.rs
+++ b/crates/hibiscushinged/src/gateway/commit.rs
@@ -35,27 +35,27 @@
 /// Returns a fault when the records could not be stored within `patience`.
 pub(crate) async fn commit(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionFollower>,
+    follower: &Rc<PartitionFollower>,
     patience: Span,
     submissions: &[&str],
     mut build: impl FnMut(&SubmissionTable) -> Option<Vec<SubmissionRecord>>,
 ) -> Result<(), CommitError> {
     let until = traffic.node.now() + patience;
-    let _writer = mirror.writing.lock().await;
-    let mut fault = CommitError::NotStored;
+    let _writer = follower.writing.lock().await;
+    let mut failure = CommitError::NotStored;
     // What is known may be old. An append at an old end fails and tells the new one.
-    let mut known = mirror.cache().next_offset().is_some();
+    let mut known = follower.cache().next_offset().is_some();
     loop {
         if traffic.node.now() >= until {
-            return Err(fault);
+            return Err(failure);
         }
         let ready = async {
             if !known {
-                mirror.catch_up(&traffic.store).await?;
+                follower.catch_up(&traffic.store).await?;
             }
             // A copy that had to begin anew while it caught up needs them again.
             for submission in submissions {
-                mirror.load(&traffic.store, submission).await?;
+                follower.load(&traffic.store, submission).await?;
             }
             Ok::<(), CallError>(())
         };
@@ -64,21 +64,21 @@
             continue;
         }
         // A copy that began anew between two loads knows only some of them.
-        let Some(at) = mirror.cache().append_offset(submissions) else { continue };
-        let Some(records) = build(&mirror.table()) else { return Ok(()) };
+        let Some(at) = follower.cache().append_offset(submissions) else { continue };
+        let Some(records) = build(&follower.table()) else { return Ok(()) };
         let bytes = encode(&records);
-        let part = mirror.name.part;
-        let appended = traffic.store.append(&mirror.name.topic, part, Some(at), &bytes).await;
+        let part = follower.name.part;
+        let appended = traffic.store.append(&follower.name.topic, part, Some(at), &bytes).await;
         match appended {
             Ok(AppendResponse::Appended { offset, end }) => {
-                mirror.apply_own_append(offset, end, records);
+                follower.apply_own_append(offset, end, records);
                 return Ok(());
             }
             Ok(AppendResponse::OffsetMismatch { .. }) => known = false,
             Ok(AppendResponse::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
             Err(error) => {
                 if error.may_have_run() {
-                    fault = CommitError::Unknown;
+                    failure = CommitError::Unknown;
                 }
                 known = false;
             }
--- a/crates/hibiscushinged/src/gateway/control.rs
+++ b/crates/hibiscushinged/src/gateway/control.rs
@@ -49,13 +49,13 @@
 /// Entries of upstreams.
 struct UpstreamSink {
     control: Rc<ControlState>,
-    news: mpsc::UnboundedSender<UpstreamUpdate>,
+    updates: mpsc::UnboundedSender<UpstreamUpdate>,
 }
 
 /// Runs the control thread until the process ends.
-pub(crate) async fn run(node: Arc<NodeState>, changes: mpsc::UnboundedSender<UpstreamUpdate>) {
+pub(crate) async fn run(node: Arc<NodeState>, updates: mpsc::UnboundedSender<UpstreamUpdate>) {
     let control = Rc::new(ControlState::new(node));
-    let upstreams = UpstreamSink { control: Rc::clone(&control), news: changes };
+    let upstreams = UpstreamSink { control: Rc::clone(&control), updates };
     let operator = OperatorSink { control: Rc::clone(&control), active: RefCell::default() };
     actix_rt::spawn(follow(Rc::clone(&control), UPSTREAM_TOPIC, upstreams));
     actix_rt::spawn(follow(Rc::clone(&control), OPERATOR_TOPIC, operator));
@@ -187,7 +187,7 @@
     }
 
     fn send(&self, update: UpstreamUpdate) {
-        if self.news.send(update).is_err() {
+        if self.updates.send(update).is_err() {
             tracing::debug!("the traffic thread has ended");
         }
     }
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -45,7 +45,7 @@
     traffic: Rc<TrafficState>,
     job: Rc<ItemJob>,
     upstream: UpstreamKey,
-    in_flight: AttemptGuard,
+    attempt: AttemptGuard,
 ) {
     let started = traffic.node.now();
     let resume_after = job.progress.borrow().text.last_event_id();
@@ -53,7 +53,7 @@
     let (submission, item) = (&job.metadata.id, &job.item.id);
     log_event!(ItemStarted, submission, item, upstream = engine, resume_after);
     let (end, exchange_end) = generate(&traffic, &job, upstream, &engine, started).await;
-    in_flight.finish(exchange_end);
+    attempt.finish(exchange_end);
     traffic.node.metrics.observe_run(traffic.node.now().since(started));
     match end {
         RunEnd::Whole => reward::finish(&traffic, &job).await,
@@ -178,7 +178,7 @@
         let chunk = match tokio::time::timeout(MOST_SILENCE, exchange.chunk()).await {
             Ok(Ok(Some(chunk))) => chunk,
             Ok(Ok(None)) => break,
-            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeOutcome::TransportError)),
+            Ok(Err(error)) => return Err((error.to_string(), ExchangeOutcome::TransportError)),
             Err(_) => return Err((String::from("silence"), ExchangeOutcome::TimedOut)),
         };
         reader.feed(&chunk);
@@ -188,8 +188,8 @@
                 Ok(None) => break,
                 Err(error) => return Err((error.to_string(), ExchangeOutcome::TransportError)),
             };
-            if let Err(fault) = job.progress.borrow_mut().text.push(&event) {
-                return Err((fault.to_string(), ExchangeOutcome::TransportError));
+            if let Err(error) = job.progress.borrow_mut().text.push(&event) {
+                return Err((error.to_string(), ExchangeOutcome::TransportError));
             }
             let now = traffic.node.now();
             if let Some(last) = last_event.replace(now) {
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -83,9 +83,9 @@
     let generation = traffic.partitions.generation.get();
     log_event!(PartitionsAssigned, ?parts, generation);
     for part in parts {
-        if let Some(mirror) = traffic.partitions.get(part) {
-            mirror.follow(&traffic.store);
-            runner::watch(traffic, mirror);
+        if let Some(follower) = traffic.partitions.get(part) {
+            follower.follow(&traffic.store);
+            runner::watch(traffic, follower);
         }
     }
     traffic.items.wake();
--- a/crates/hibiscushinged/src/gateway/partition_follower.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower.rs
@@ -203,16 +203,16 @@
         if self.following.replace(true) {
             return;
         }
-        let (mirror, store) = (Rc::clone(self), Rc::clone(store));
+        let (follower, store) = (Rc::clone(self), Rc::clone(store));
         actix_rt::spawn(async move {
-            while mirror.is_needed(store.node.now()) {
-                if mirror.step(&store).await.is_err() {
+            while follower.is_needed(store.node.now()) {
+                if follower.step(&store).await.is_err() {
                     // The session has logged the failure.
                     tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
-            mirror.cache.borrow_mut().clear();
-            mirror.following.set(false);
+            follower.cache.borrow_mut().clear();
+            follower.following.set(false);
         });
     }
 
--- a/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -76,8 +76,8 @@
     let options = StoreOptions { read_bytes: 2_000, ..Default::default() };
     let store = SiteStore::start(options).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
 
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     let results = (0..ITEMS).map(|position| {
@@ -86,8 +86,8 @@
     });
     store.append(SUBMISSION_TOPIC, 0, results.collect());
 
-    mirror.catch_up(&traffic.store).await.unwrap();
-    let table = mirror.table();
+    follower.catch_up(&traffic.store).await.unwrap();
+    let table = follower.table();
     assert_eq!(table.get("s").map(submissions::SubmissionState::result_count), Some(ITEMS));
 }
 
@@ -96,14 +96,14 @@
 async fn forgotten_history_is_read_again_by_keys() {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     store.forget();
-    mirror.catch_up(&traffic.store).await.unwrap();
-    assert!(!mirror.cache().is_loaded("s"));
-    mirror.load(&traffic.store, "s").await.unwrap();
-    assert!(mirror.table().get("s").is_some());
+    follower.catch_up(&traffic.store).await.unwrap();
+    assert!(!follower.cache().is_loaded("s"));
+    follower.load(&traffic.store, "s").await.unwrap();
+    assert!(follower.table().get("s").is_some());
 }
 
 /// Pattern: a partition of many large submissions, and a small node that is asked for one of them.
@@ -114,7 +114,7 @@
 async fn one_submission_is_read_without_the_others() {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
     for other in ["a", "s1", "z"] {
         let mut records = submission();
         for record in &mut records {
@@ -127,8 +127,8 @@
         store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     }
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
-    mirror.load(&traffic.store, "s").await.unwrap();
-    let table = mirror.table();
+    follower.load(&traffic.store, "s").await.unwrap();
+    let table = follower.table();
     assert!(table.get("s").is_some());
     assert_eq!(table.iter().count(), 1);
 }
@@ -156,12 +156,12 @@
     let traffic = traffic(store.address());
     let config = platform::decode_config(CONFIG.as_bytes()).unwrap();
     traffic.node.config.store(Some(Arc::new(routebook::ConfigIndex::new(config))));
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
     let mut records = submission();
     records.push(SubmissionRecord::OpenMarkerSet { submission: String::from("s") });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
-    mirror.catch_up(&traffic.store).await.unwrap();
+    follower.catch_up(&traffic.store).await.unwrap();
     if ended {
         let id = || String::from("s");
         let records = [
@@ -178,13 +178,13 @@
     }
 
     traffic.partitions.set_owned(&std::collections::BTreeSet::from([0]));
-    crate::gateway::runner::watch(&traffic, mirror);
+    crate::gateway::runner::watch(&traffic, follower);
     tokio::task::yield_now().await;
     assert_eq!(traffic.items.waiting(), 0, "nothing begins before the copy is read");
 
-    let mut changes = mirror.subscribe();
-    mirror.follow(&traffic.store);
-    changes.wait_for(|_| mirror.cache().is_scanned()).await.unwrap();
+    let mut changes = follower.subscribe();
+    follower.follow(&traffic.store);
+    changes.wait_for(|_| follower.cache().is_scanned()).await.unwrap();
     tokio::task::yield_now().await;
     assert_eq!(traffic.items.waiting(), waiting);
 }
@@ -198,17 +198,17 @@
 async fn check_deletion(#[case] accepted_ms: i64, #[case] stays: bool) {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
     let id = || String::from("s");
     let mut records = submission();
     records.push(SubmissionRecord::Ended { submission: id() });
     records
         .push(SubmissionRecord::Expiring { submission: id(), accepted_at: WallTime(accepted_ms) });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
-    mirror.load(&traffic.store, "s").await.unwrap();
-    crate::gateway::cleanup::delete_part(&traffic, mirror).await.unwrap();
-    mirror.catch_up(&traffic.store).await.unwrap();
-    assert_eq!(mirror.table().get("s").is_some(), stays);
+    follower.load(&traffic.store, "s").await.unwrap();
+    crate::gateway::cleanup::delete_part(&traffic, follower).await.unwrap();
+    follower.catch_up(&traffic.store).await.unwrap();
+    assert_eq!(follower.table().get("s").is_some(), stays);
     for key in ["s/s/o", "s/s/i/0", "s/s/e", "z/s"] {
         assert_eq!(store.value(SUBMISSION_TOPIC, 0, key).is_some(), stays, "{key}");
     }
--- a/crates/hibiscushinged/src/gateway/partitions.rs
+++ b/crates/hibiscushinged/src/gateway/partitions.rs
@@ -17,7 +17,7 @@
 
 /// Partitions of submissions.
 pub(crate) struct PartitionSet {
-    mirrors: Vec<Rc<PartitionFollower>>,
+    followers: Vec<Rc<PartitionFollower>>,
     pub(crate) generation: Cell<u64>,
 }
 
@@ -29,31 +29,31 @@
         let mirrors = (0..count).map(|part| {
             Rc::new(PartitionFollower::new(PartitionName { topic: topic.clone(), part }))
         });
-        Self { mirrors: mirrors.collect(), generation: Cell::new(0) }
+        Self { followers: mirrors.collect(), generation: Cell::new(0) }
     }
 
     /// Returns the partition of a customer. All submissions of a customer share one, so that their
     /// owner can go on with the texts of items that return in a later submission.
     pub(crate) fn of_customer(&self, customer: &str) -> &Rc<PartitionFollower> {
-        let index = stable_hash(customer) % self.mirrors.len() as u64;
-        &self.mirrors[index as usize]
+        let index = stable_hash(customer) % self.followers.len() as u64;
+        &self.followers[index as usize]
     }
 
     pub(crate) fn get(&self, part: u32) -> Option<&Rc<PartitionFollower>> {
-        self.mirrors.get(part as usize)
+        self.followers.get(part as usize)
     }
 
     pub(crate) fn owned(&self) -> BTreeSet<u32> {
-        let owned = self.mirrors.iter().filter(|mirror| mirror.is_owned());
-        owned.map(|mirror| mirror.name.part).collect()
+        let owned = self.followers.iter().filter(|follower| follower.is_owned());
+        owned.map(|follower| follower.name.part).collect()
     }
 
     /// Notes which partitions this node owns, and tells whether that changed. The group shares out more
     /// partitions than a small site uses; the others are left out.
     pub(crate) fn set_owned(&self, owned: &BTreeSet<u32>) -> bool {
         let before = self.owned();
-        for mirror in &self.mirrors {
-            mirror.set_owned(owned.contains(&mirror.name.part));
+        for follower in &self.followers {
+            follower.set_owned(owned.contains(&follower.name.part));
         }
         before != self.owned()
     }
--- a/crates/hibiscushinged/src/gateway/relay.rs
+++ b/crates/hibiscushinged/src/gateway/relay.rs
@@ -32,7 +32,7 @@
     traffic: Rc<TrafficState>,
     upstream: UpstreamKey,
     exchange: Option<Exchange>,
-    place: Option<AttemptGuard>,
+    attempt: Option<AttemptGuard>,
     _in_flight: InFlightGuard,
 }
 
@@ -55,18 +55,18 @@
         let Some(upstream) = pick(traffic, job, &tried) else { break };
         tried.push(upstream);
         log_attempt(traffic, job.id, upstream, tried.len(), left);
-        let in_flight_request = AttemptGuard::acquire(traffic, upstream);
+        let attempt = AttemptGuard::acquire(traffic, upstream);
         match begin(traffic, job, upstream, left).await {
             Ok(exchange) => {
-                return Ok(response(traffic, upstream, exchange, in_flight_request, in_flight));
+                return Ok(response(traffic, upstream, exchange, attempt, in_flight));
             }
             Err((AttemptError::NotRun(why), outcome)) => {
-                in_flight_request.finish(outcome);
+                attempt.finish(outcome);
                 log_event!(AttemptFailed, request = job.id, may_have_run = false, reason = why);
                 reason = why;
             }
             Err((AttemptError::MaybeRun(why), outcome)) => {
-                in_flight_request.finish(outcome);
+                attempt.finish(outcome);
                 log_event!(AttemptFailed, request = job.id, may_have_run = true, reason = why);
                 reason = why;
                 may_have_run = true;
@@ -103,7 +103,7 @@
     traffic: &Rc<TrafficState>,
     upstream: UpstreamKey,
     exchange: Exchange,
-    in_flight_request: AttemptGuard,
+    attempt: AttemptGuard,
     in_flight: InFlightGuard,
 ) -> Response<BoxBody> {
     let status = exchange.head().status;
@@ -112,7 +112,7 @@
         traffic: Rc::clone(traffic),
         upstream,
         exchange: Some(exchange),
-        place: Some(in_flight_request),
+        attempt: Some(attempt),
         _in_flight: in_flight,
     };
     let body = BodyStream::new(Box::pin(stream::unfold(state, next_chunk)));
@@ -128,15 +128,15 @@
         Ok(None) => {
             let exchange = state.exchange.take()?;
             state.traffic.keep_channel(state.upstream, exchange);
-            if let Some(in_flight_request) = state.place.take() {
-                in_flight_request.finish(ExchangeOutcome::Cancelled);
+            if let Some(attempt) = state.attempt.take() {
+                attempt.finish(ExchangeOutcome::Cancelled);
             }
             None
         }
         Err(error) => {
             state.exchange = None;
-            if let Some(in_flight_request) = state.place.take() {
-                in_flight_request.finish(ExchangeOutcome::TransportError);
+            if let Some(attempt) = state.attempt.take() {
+                attempt.finish(ExchangeOutcome::TransportError);
             }
             Some((Err(std::io::Error::other(error.to_string())), state))
         }
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -49,17 +49,17 @@
 const MAX_MIGRATIONS: usize = 4;
 
 /// Follows the submissions of an owned partition.
-pub(crate) fn watch(traffic: &Rc<TrafficState>, mirror: &Rc<PartitionFollower>) {
-    let part = mirror.name.part;
+pub(crate) fn watch(traffic: &Rc<TrafficState>, follower: &Rc<PartitionFollower>) {
+    let part = follower.name.part;
     if !traffic.items.lists.borrow_mut().watched.insert(part) {
-        collect(traffic, mirror);
+        collect(traffic, follower);
         return;
     }
-    let (traffic, mirror) = (Rc::clone(traffic), Rc::clone(mirror));
+    let (traffic, follower) = (Rc::clone(traffic), Rc::clone(follower));
     actix_rt::spawn(async move {
-        let mut changes = mirror.subscribe();
+        let mut changes = follower.subscribe();
         loop {
-            collect(&traffic, &mirror);
+            collect(&traffic, &follower);
             if changes.changed().await.is_err() {
                 return;
             }
@@ -69,10 +69,10 @@
 
 /// Takes over open items of a partition, and drops those that are resolved, ended, or owned by
 /// another node.
-fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionFollower) {
-    let part = mirror.name.part;
-    let cache = mirror.cache();
-    let owned = mirror.is_owned() && !traffic.items.stopped.get();
+fn collect(traffic: &Rc<TrafficState>, follower: &PartitionFollower) {
+    let part = follower.name.part;
+    let cache = follower.cache();
+    let owned = follower.is_owned() && !traffic.items.stopped.get();
     // A copy from before this node became the owner may miss the ends of submissions.
     let may_begin = owned && cache.is_scanned();
     traffic.items.drop_jobs(traffic.node.now(), part, |job| {
@@ -223,9 +223,9 @@
 }
 
 fn start(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, upstream: UpstreamKey) {
-    let in_flight = AttemptGuard::acquire(traffic, upstream);
+    let attempt = AttemptGuard::acquire(traffic, upstream);
     let started_at = traffic.node.now();
-    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, in_flight);
+    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, attempt);
     let task = actix_rt::spawn(run);
     let run = ItemRun { abort: task.abort_handle(), upstream, started_at };
     job.run.replace(Some(run));
@@ -265,13 +265,13 @@
 }
 
 async fn store_part(traffic: &Rc<TrafficState>, part: u32) {
-    let Some(mirror) = traffic.partitions.get(part) else { return };
+    let Some(follower) = traffic.partitions.get(part) else { return };
     let Some(results) = traffic.items.lists.borrow_mut().results.remove(&part) else { return };
     let submissions: BTreeSet<&str> =
         results.iter().map(|(submission, _)| submission.as_str()).collect();
     let submissions: Vec<&str> = submissions.into_iter().collect();
     let build = |table: &SubmissionTable| result_records(table, &results);
-    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, build).await;
+    let stored = commit(traffic, follower, COMMIT_PATIENCE, &submissions, build).await;
     if stored.is_ok() {
         return;
     }
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -64,31 +64,31 @@
     arrival: &Arrival<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
     let body = decode_submission(arrival.body).map_err(|error| invalid(&error))?;
-    check_submission(arrival.id, &body.items).map_err(|fault| invalid(&fault))?;
-    let mirror = traffic.partitions.of_customer(arrival.customer);
-    mirror.follow(&traffic.store);
+    check_submission(arrival.id, &body.items).map_err(|error| invalid(&error))?;
+    let follower = traffic.partitions.of_customer(arrival.customer);
+    follower.follow(&traffic.store);
     let records = records(traffic, arrival, body);
     let left = arrival.deadline.since(traffic.node.now());
     let patience = COMMIT_PATIENCE.min(left);
     let items: usize = records.iter().map(items_of).sum();
     let mut known = true;
     let submissions = [arrival.id];
-    let stored = commit(traffic, mirror, patience, &submissions, |table| {
+    let stored = commit(traffic, follower, patience, &submissions, |table| {
         let opening = opening_records(table, arrival.id, &records);
         known = opening.is_none();
         opening
     });
     match stored.await {
         Ok(()) => {
-            if let Some(state) = mirror.table().get(arrival.id) {
-                check_owner(state, arrival.customer).map_err(|fault| invalid(&fault))?;
+            if let Some(state) = follower.table().get(arrival.id) {
+                check_owner(state, arrival.customer).map_err(|error| invalid(&error))?;
             }
             let (submission, customer) = (arrival.id, arrival.customer);
-            let part = mirror.name.part;
+            let part = follower.name.part;
             log_event!(SubmissionAccepted, submission, customer, part, items, repeated = known);
             Ok(super::response::status(StatusCode::ACCEPTED))
         }
-        Err(fault) => Err(unsettled(fault)),
+        Err(error) => Err(unsettled(error)),
     }
 }
 
@@ -171,20 +171,20 @@
     after: u32,
     wait: Span,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    let mut changes = mirror.subscribe();
-    require(traffic, mirror, inquiry).await?;
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    let mut changes = follower.subscribe();
+    require(traffic, follower, inquiry).await?;
     let until = traffic.node.now() + wait;
     loop {
-        let listed = result_count(mirror, inquiry);
+        let listed = result_count(follower, inquiry);
         if listed < after {
             // Another node has listed more than this copy holds.
-            catch_up(traffic, mirror, inquiry).await?;
+            catch_up(traffic, follower, inquiry).await?;
         }
         let left = until.since(traffic.node.now());
-        if listed > after || is_complete(mirror, inquiry) || left == Span::ZERO {
-            refresh(traffic, mirror, inquiry).await?;
-            return Ok(results_answer(mirror, inquiry, after));
+        if listed > after || is_complete(follower, inquiry) || left == Span::ZERO {
+            refresh(traffic, follower, inquiry).await?;
+            return Ok(results_answer(follower, inquiry, after));
         }
         changes.borrow_and_update();
         // A time-out ends the wait as the check above says.
@@ -192,20 +192,20 @@
     }
 }
 
-fn result_count(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
-    mirror.table().get(inquiry.submission).map_or(0, submissions::SubmissionState::result_count)
+fn result_count(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
+    follower.table().get(inquiry.submission).map_or(0, submissions::SubmissionState::result_count)
 }
 
-fn is_complete(mirror: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
-    mirror.table().get(inquiry.submission).is_none_or(|state| !state.is_open())
+fn is_complete(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
+    follower.table().get(inquiry.submission).is_none_or(|state| !state.is_open())
 }
 
 fn results_answer(
-    mirror: &PartitionFollower,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
     after: u32,
 ) -> Response<BoxBody> {
-    let table = mirror.table();
+    let table = follower.table();
     let Some(state) = table.get(inquiry.submission) else {
         return super::response::status(StatusCode::NOT_FOUND);
     };
@@ -224,9 +224,9 @@
     inquiry: &Inquiry<'_>,
     item: &str,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, mirror, inquiry).await?;
-    let table = mirror.table();
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    require(traffic, follower, inquiry).await?;
+    let table = follower.table();
     let found = table.get(inquiry.submission).and_then(|state| state.item(item));
     let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
@@ -241,11 +241,11 @@
     traffic: &Rc<TrafficState>,
     inquiry: &Inquiry<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, mirror, inquiry).await?;
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    require(traffic, follower, inquiry).await?;
     let submission = inquiry.submission;
     let submissions = [submission];
-    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, |table| {
+    let stored = commit(traffic, follower, COMMIT_PATIENCE, &submissions, |table| {
         ending_records(table, submission)
     });
     stored.await.map_err(unsettled)?;
@@ -256,12 +256,12 @@
 /// Makes sure that the submission is known, belongs to the customer, and is fresh.
 async fn require(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionFollower>,
+    follower: &Rc<PartitionFollower>,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
-    mirror.follow(&traffic.store);
-    refresh(traffic, mirror, inquiry).await?;
-    let table = mirror.table();
+    follower.follow(&traffic.store);
+    refresh(traffic, follower, inquiry).await?;
+    let table = follower.table();
     let state = table.get(inquiry.submission);
     if state.is_some_and(|state| state.metadata().customer == inquiry.customer) {
         return Ok(());
@@ -273,29 +273,29 @@
 /// Reads what is new when the copy may be older than other nodes' answers.
 async fn refresh(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionFollower,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     let settle = traffic.node.settings.promises.settle.0 as f64;
     let fresh = Span((settle * FRESH_SHARE) as u64);
-    let age = mirror.cache().staleness(traffic.node.now());
-    if mirror.cache().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
+    let age = follower.cache().staleness(traffic.node.now());
+    if follower.cache().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
         return Ok(());
     }
-    catch_up(traffic, mirror, inquiry).await
+    catch_up(traffic, follower, inquiry).await
 }
 
 async fn catch_up(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionFollower,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     /// Time for which a read is tried before the caller is sent to another node. A small node takes
     /// half a second for a large submission.
     const PATIENCE: Duration = Duration::from_millis(1_200);
     let work = async {
-        mirror.catch_up(&traffic.store).await?;
-        mirror.load(&traffic.store, inquiry.submission).await
+        follower.catch_up(&traffic.store).await?;
+        follower.load(&traffic.store, inquiry.submission).await
     };
     if matches!(tokio::time::timeout(PATIENCE, work).await, Ok(Ok(()))) {
         return Ok(());
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -115,10 +115,10 @@
     }
 
     /// Sets the own zone and the one-way times to all zones, which must precede any upstream.
-    pub(crate) fn set_zones(&mut self, own_zone: ZoneKey, distances: Vec<Span>) {
+    pub(crate) fn set_zones(&mut self, own_zone: ZoneKey, zone_latencies: Vec<Span>) {
         self.own_zone = own_zone;
         if self.table.is_empty() {
-            self.table = UpstreamTable::new(TableSettings::default(), distances);
+            self.table = UpstreamTable::new(TableSettings::default(), zone_latencies);
         }
     }
 
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -147,8 +147,8 @@
     }
 
     /// Returns what a process makes of the receiver's answer to a question.
-    fn understand(&self, answer: OrderResponse) -> OrderResponse {
-        answer
+    fn understand(&self, response: OrderResponse) -> OrderResponse {
+        response
     }
 
     /// Returns the desk with which a process goes on after it has acquired the lease.
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -224,10 +224,10 @@
         if !process.asks.is_empty() {
             let mut next = state.clone();
             let id = next.processes[index].asks.remove(0);
-            let answer = self.steps.understand(next.receiver.state(id));
+            let response = self.steps.understand(next.receiver.state(id));
             let process = &mut next.processes[index];
             let actions =
-                process.order_manager.answer(state.now, &process.lease_manager, id, answer);
+                process.order_manager.answer(state.now, &process.lease_manager, id, response);
             process.queue(actions);
             steps.push((AuthorityStep::Ask(index), next));
         }
@@ -271,10 +271,10 @@
         let now = state.now;
         let mut next = state.clone();
         next.processes[index].checked = None;
-        let answer = self.receive(&mut next, &checked.intent, checked.fencing);
+        let response = self.receive(&mut next, &checked.intent, checked.fencing);
         let process = &mut next.processes[index];
         let actions =
-            process.order_manager.answer(now, &process.lease_manager, checked.intent.id, answer);
+            process.order_manager.answer(now, &process.lease_manager, checked.intent.id, response);
         process.queue(actions);
         steps.push((AuthorityStep::Write(index), next));
         if let Some(mut next) = self.fault(state) {
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -7,8 +7,8 @@
 //! numbers, as in [`crate::authority`]; other orders need a pause. The log shows repeats of a record
 //! to the ledger, which is stricter than the daemon's follower.
 //!
-//! [`LeaseManager`]: authority::LeaseKeeper
-//! [`WindowReporter`]: ::usage::ReportDesk
+//! [`LeaseManager`]: authority::LeaseManager
+//! [`WindowReporter`]: ::usage::WindowReporter
 //! [`PendingBatches`]: ::usage::PendingBatches
 //! [`ReplicaStore`]: ::usage::ReplicaStore
 
--- a/crates/model-check/tests/authority.rs
+++ b/crates/model-check/tests/authority.rs
@@ -143,12 +143,12 @@
 struct HastyOutcome;
 
 impl GuardedSteps for HastyOutcome {
-    fn understand(&self, answer: OrderResponse) -> OrderResponse {
-        match answer {
+    fn understand(&self, response: OrderResponse) -> OrderResponse {
+        match response {
             OrderResponse::NotFound => {
                 OrderResponse::State { state: OrderState::Refused, upstreams: Vec::new() }
             }
-            answer => answer,
+            response => response,
         }
     }
 }
--- a/crates/routebook/src/spec.rs
+++ b/crates/routebook/src/spec.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Picks the service for a request by the weights, with `draw` from the whole range of `u32`.
+    /// Picks the service for a request by the weights, with `random` from the whole range of `u32`.
     #[must_use]
     pub fn pick_service(&self, random: u32) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -42,7 +42,7 @@
 }
 
 impl UpstreamTable {
-    /// Creates an empty table. `distances` holds the one-way time from this node to each zone, by
+    /// Creates an empty table. `zone_latencies` holds the one-way time from this node to each zone, by
     /// [`ZoneKey`].
     #[must_use]
     pub fn new(settings: TableSettings, zone_latencies: Vec<Span>) -> Self {
--- a/crates/submissions/src/text.rs
+++ b/crates/submissions/src/text.rs
@@ -44,7 +44,7 @@
 }
 
 impl GeneratedText {
-    /// Starts an empty text that only versions from `least` on may generate.
+    /// Starts an empty text that only versions from `min_version` on may generate.
     #[must_use]
     pub fn new(min_version: WeightVersion, one_version: bool) -> Self {
         Self {
