--- a/crates/admission/src/desk.rs
+++ b/crates/admission/src/allocator.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Incarnation, Moment, Span, key};
+use base::{CustomerKey, Incarnation, Moment, Span, derive_copy};
 
-use crate::{GrantId, LimitAsk, LimitGrant};
+use crate::{GrantId, GrantRequest, LimitGrant};
 
-key! {
+derive_copy! {
     /// The zone's part of one customer's limit.
-    pub struct ZonePart {
+    pub struct ZoneLimit {
         /// Tokens per second for the whole zone, by its number of entry VMs in the document.
         pub rate: u32,
         /// Tokens per second that each node of the zone may always use. The delegate grants the
         /// rest.
-        pub reserve: u32,
+        pub guaranteed_rate: u32,
     }
 
     /// Settings of the desk.
-    pub struct DeskSettings {
+    pub struct AllocatorSettings {
         /// How long a grant lasts. A new delegate waits as long before it grants.
-        pub grant_period: Span,
+        pub grant_duration: Span,
         /// Entry VMs of the zone in the document.
         pub zone_vms: u32,
     }
@@ -47,61 +47,67 @@
 /// A delegate grants only the part of the zone's rate that belongs to the VMs it sees alive, so
 /// that two delegates on two sides of a partition inside the zone stay below the limit together.
 #[derive(Debug, Clone)]
-pub struct LimitDesk {
+pub struct LimitAllocator {
     me: Incarnation,
-    settings: DeskSettings,
-    parts: BTreeMap<CustomerKey, ZonePart>,
+    settings: AllocatorSettings,
+    limits: BTreeMap<CustomerKey, ZoneLimit>,
     accounts: BTreeMap<(CustomerKey, Incarnation), NodeAccount>,
     live_vms: u32,
-    /// Number of VMs that counts until [`LimitDesk::raise_at`], when `live_vms` replaces it.
+    /// Number of VMs that counts until [`LimitAllocator::raise_at`], when `live_vms` replaces it.
     counted_vms: u32,
     raise_at: Moment,
     next_number: u64,
 }
 
-impl ZonePart {
+impl ZoneLimit {
     /// Part of the zone's rate that its nodes own without a grant.
-    const RESERVE_PERCENT: u64 = 20;
+    const GUARANTEED_PERCENT: u64 = 20;
 
     /// Builds a part of which each of at most `zone_vms` nodes owns an equal reserve, so that none
     /// refuses everything while a new delegate waits. With more nodes alive than `zone_vms`, their
     /// reserves together exceed what the delegate leaves for them.
     #[must_use]
-    pub fn with_reserve(rate: u32, zone_vms: u32) -> Self {
-        let reserve = u64::from(rate) * Self::RESERVE_PERCENT / 100 / u64::from(zone_vms.max(1));
-        Self { rate, reserve: reserve as u32 }
+    pub fn with_guaranteed_rate(rate: u32, zone_vms: u32) -> Self {
+        let guaranteed_rate =
+            u64::from(rate) * Self::GUARANTEED_PERCENT / 100 / u64::from(zone_vms.max(1));
+        Self { rate, guaranteed_rate: guaranteed_rate as u32 }
     }
 }
 
-impl DeskSettings {
+impl AllocatorSettings {
     /// Settings with the usual grant period of 10 s.
     #[must_use]
     pub const fn new(zone_vms: u32) -> Self {
-        Self { grant_period: Span::from_secs(10), zone_vms }
+        Self { grant_duration: Span::from_secs(10), zone_vms }
     }
 }
 
-impl LimitDesk {
+impl LimitAllocator {
     /// Creates the desk of the node `me` that becomes delegate at `now` and sees `live_vms` VMs.
     ///
     /// It grants nothing for one grant period, in which the grants of the delegate before it end.
     #[must_use]
-    pub const fn new(me: Incarnation, settings: DeskSettings, now: Moment, live_vms: u32) -> Self {
+    pub const fn new(
+        me: Incarnation,
+        settings: AllocatorSettings,
+        now: Moment,
+        live_vms: u32,
+    ) -> Self {
         Self {
             me,
             settings,
-            parts: BTreeMap::new(),
+            limits: BTreeMap::new(),
             accounts: BTreeMap::new(),
             live_vms,
             counted_vms: 0,
-            raise_at: Moment(now.0.saturating_add(settings.grant_period.0)),
+            raise_at: Moment(now.0.saturating_add(settings.grant_duration.0)),
             next_number: 1,
         }
     }
 
     /// Sets the zone's part of a customer's limit. Grants above a lowered part run out.
-    pub fn set_part(&mut self, customer: CustomerKey, part: ZonePart) {
-        self.parts.insert(customer, part);
+    pub fn set_zone_limit(&mut self, customer: CustomerKey, limit: ZoneLimit) {
+        self.limits.insert(customer, limit);
     }
 
     /// Notes how many VMs of the zone are alive as the delegate sees it.
@@ -111,7 +117,7 @@
     pub fn set_live_vms(&mut self, now: Moment, live_vms: u32) {
         self.settle(now);
         if live_vms > self.live_vms {
-            self.raise_at = now + self.settings.grant_period;
+            self.raise_at = now + self.settings.grant_duration;
         }
         self.live_vms = live_vms;
         self.counted_vms = self.counted_vms.min(live_vms);
@@ -119,37 +125,37 @@
 
     /// Answers the ask of a node, or returns none for a customer without a limit and for an ask
     /// that is older than one answered before.
-    pub fn ask(&mut self, now: Moment, ask: LimitAsk) -> Option<LimitGrant> {
+    pub fn grant(&mut self, now: Moment, request: GrantRequest) -> Option<LimitGrant> {
         self.settle(now);
-        let part = *self.parts.get(&ask.customer)?;
-        let period = self.settings.grant_period;
-        let account = self.accounts.entry((ask.customer, ask.node)).or_default();
-        if ask.sequence <= account.sequence {
+        let limit = *self.limits.get(&request.customer)?;
+        let duration = self.settings.grant_duration;
+        let account = self.accounts.entry((request.customer, request.node)).or_default();
+        if request.sequence <= account.sequence {
             return None;
         }
-        account.sequence = ask.sequence;
-        account.demand = ask.demand;
+        account.sequence = request.sequence;
+        account.demand = request.demand;
         account.heard_at = Some(now);
         // The node never goes back to a grant older than the one it holds. One that it holds from
         // another delegate says nothing about the grants of this one.
-        let held = ask.held.filter(|id| id.desk == self.me).map_or(0, |id| id.number);
+        let held = request.held.filter(|id| id.delegate == self.me).map_or(0, |id| id.number);
         account.open.retain(|grant| grant.number >= held && grant.expires_at > now);
-        let usable = self.usable(part);
-        let others = self.charged(now, ask.customer, Some(ask.node));
-        let target = self.target(now, ask, usable);
+        let usable = self.usable(limit);
+        let others = self.charged(now, request.customer, Some(request.node));
+        let target = self.target(now, request, usable);
         let rate = target.min(usable.saturating_sub(others));
         let number = self.next_number;
         self.next_number += 1;
-        let account = self.accounts.entry((ask.customer, ask.node)).or_default();
-        account.open.push(OpenGrant { number, rate, expires_at: now + period });
-        let LimitAsk { node, customer, sequence, .. } = ask;
-        let id = GrantId { desk: self.me, number };
-        Some(LimitGrant { node, customer, sequence, id, rate, period })
+        let account = self.accounts.entry((request.customer, request.node)).or_default();
+        account.open.push(OpenGrant { number, rate, expires_at: now + duration });
+        let GrantRequest { node, customer, sequence, .. } = request;
+        let id = GrantId { delegate: self.me, number };
+        Some(LimitGrant { node, customer, sequence, id, rate, duration })
     }
 
     /// Returns the rate that nodes may be using now beside their reserves, in tokens per second.
     #[must_use]
-    pub fn granted(&self, now: Moment, customer: CustomerKey) -> u32 {
+    pub fn granted_rate(&self, now: Moment, customer: CustomerKey) -> u32 {
         self.charged(now, customer, None)
     }
 
@@ -157,17 +163,17 @@
         if now >= self.raise_at {
             self.counted_vms = self.live_vms;
         }
-        let period = self.settings.grant_period;
+        let duration = self.settings.grant_duration;
         self.accounts.retain(|_, account| {
-            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
+            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= duration)
         });
     }
 
-    fn usable(&self, part: ZonePart) -> u32 {
+    fn usable(&self, limit: ZoneLimit) -> u32 {
         let zone_vms = self.settings.zone_vms.max(1);
         let counted = self.counted_vms.min(zone_vms);
-        let reserves = u64::from(part.reserve) * u64::from(zone_vms);
-        let granted = u64::from(part.rate).saturating_sub(reserves);
+        let reserves = u64::from(limit.guaranteed_rate) * u64::from(zone_vms);
+        let granted = u64::from(limit.rate).saturating_sub(reserves);
         (granted * u64::from(counted) / u64::from(zone_vms)) as u32
     }
 
@@ -185,12 +191,12 @@
 
     /// Max-min fair share of the demands, plus an equal part of what is left over, so that a node
     /// with little demand can admit a sudden request.
-    fn target(&self, now: Moment, ask: LimitAsk, usable: u32) -> u32 {
-        let period = self.settings.grant_period;
+    fn target(&self, now: Moment, request: GrantRequest, usable: u32) -> u32 {
+        let duration = self.settings.grant_duration;
         let recent = |account: &&NodeAccount| {
-            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= period)
+            account.heard_at.is_some_and(|heard_at| now.since(heard_at) <= duration)
         };
-        let accounts = self.of(ask.customer).map(|(_, account)| account).filter(recent);
+        let accounts = self.of(request.customer).map(|(_, account)| account).filter(recent);
         let mut demands = accounts.map(|account| account.demand).collect::<Vec<_>>();
         demands.sort_unstable();
         let mut left = usable;
@@ -199,7 +205,7 @@
             let equal = left / (demands.len() - position) as u32;
             share = (*demand).min(equal);
             left -= share;
-            if *demand >= ask.demand {
+            if *demand >= request.demand {
                 break;
             }
         }
--- a/crates/admission/src/share.rs
+++ b/crates/admission/src/limiter.rs
@@ -2,19 +2,21 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Incarnation, Moment, Refusal, RefusalCode, Span, key, plain};
+use base::{
+    CustomerKey, Incarnation, Moment, Refusal, RefusalCode, Span, derive_copy, derive_value,
+};
 
-key! {
+derive_copy! {
     /// Identifier of a grant.
     pub struct GrantId {
         /// The delegate that granted.
-        pub desk: Incarnation,
+        pub delegate: Incarnation,
         /// Number of the grant among those of its delegate, starting at 1.
         pub number: u64,
     }
 
     /// Asks the zone's delegate for a share of a customer's limit.
-    pub struct LimitAsk {
+    pub struct GrantRequest {
         /// The node that asks.
         pub node: Incarnation,
         /// The customer.
@@ -40,13 +42,13 @@
         /// Tokens per second.
         pub rate: u32,
         /// How long the grant lasts, counted from the moment before its ask was sent.
-        pub period: Span,
+        pub duration: Span,
     }
 
     /// Settings of a node's shares.
-    pub struct ShareSettings {
+    pub struct LimiterSettings {
         /// Time between two asks for a customer with demand.
-        pub ask_period: Span,
+        pub request_interval: Span,
         /// A full bucket holds this much time's worth of the rate.
         pub burst: Span,
         /// A customer without demand for this long is no longer asked for.
@@ -56,9 +58,9 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Answer to a request of a customer that has a limit.
-    pub enum LimitAnswer {
+    pub enum LimitDecision {
         /// The tokens are taken from the bucket.
         Admitted,
         /// The node has not heard its first grant. Ask again when it arrives.
@@ -69,14 +71,14 @@
 }
 
 #[derive(Debug, Clone)]
-struct CustomerShare {
+struct CustomerBucket {
     /// Rate that needs no grant.
-    reserve: u32,
+    guaranteed_rate: u32,
     rate: u32,
     expires_at: Moment,
     held: Option<GrantId>,
     sequence: u64,
-    asked_at: Option<Moment>,
+    requested_at: Option<Moment>,
     answered: u64,
     /// Tokens that callers asked for since the last ask.
     wanted: u64,
@@ -89,19 +91,19 @@
 
 /// Shares of the customers' limits on one node, each with a token bucket.
 #[derive(Debug, Clone)]
-pub struct LimitShare {
+pub struct RateLimiter {
     me: Incarnation,
-    settings: ShareSettings,
-    reserves: BTreeMap<CustomerKey, u32>,
-    shares: BTreeMap<CustomerKey, CustomerShare>,
+    settings: LimiterSettings,
+    guaranteed_rates: BTreeMap<CustomerKey, u32>,
+    buckets: BTreeMap<CustomerKey, CustomerBucket>,
 }
 
 const MICRO: i64 = 1_000_000;
 
-impl Default for ShareSettings {
+impl Default for LimiterSettings {
     fn default() -> Self {
         Self {
-            ask_period: Span::from_secs(3),
+            request_interval: Span::from_secs(3),
             // A node's share of a small customer is less than one request a second. A bucket of one
             // second refused 23% of the requests of customers that were below their limit.
             burst: Span::from_secs(10),
@@ -111,126 +113,131 @@
     }
 }
 
-impl LimitShare {
+impl RateLimiter {
     /// Creates the shares of the node `me`.
     #[must_use]
-    pub const fn new(me: Incarnation, settings: ShareSettings) -> Self {
-        Self { me, settings, reserves: BTreeMap::new(), shares: BTreeMap::new() }
+    pub const fn new(me: Incarnation, settings: LimiterSettings) -> Self {
+        Self { me, settings, guaranteed_rates: BTreeMap::new(), buckets: BTreeMap::new() }
     }
 
     /// Sets the rate of a customer that this node may use without a grant, in tokens per second.
-    pub fn set_reserve(&mut self, now: Moment, customer: CustomerKey, reserve: u32) {
-        self.reserves.insert(customer, reserve);
-        let Some(share) = self.shares.get_mut(&customer) else { return };
-        share.fill(now, self.settings.burst);
-        share.reserve = reserve;
+    pub fn set_guaranteed_rate(
+        &mut self,
+        now: Moment,
+        customer: CustomerKey,
+        guaranteed_rate: u32,
+    ) {
+        self.guaranteed_rates.insert(customer, guaranteed_rate);
+        let Some(bucket) = self.buckets.get_mut(&customer) else { return };
+        bucket.fill(now, self.settings.burst);
+        bucket.guaranteed_rate = guaranteed_rate;
     }
 
     /// Takes `tokens` from the bucket of a customer that has a limit.
     ///
     /// A request may overdraw a bucket that holds anything, so that one larger than the bucket can
     /// run at all. The debt is paid before the next request.
-    pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitAnswer {
-        let reserve = self.reserves.get(&customer).copied().unwrap_or(0);
-        let new_share = || CustomerShare::new(now, reserve);
-        let share = self.shares.entry(customer).or_insert_with(new_share);
-        share.wanted = share.wanted.saturating_add(u64::from(tokens));
-        share.wanted_at = now;
-        share.fill(now, self.settings.burst);
-        if share.level > 0 {
-            share.level -= i64::from(tokens) * MICRO;
-            return LimitAnswer::Admitted;
+    pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitDecision {
+        let guaranteed_rate = self.guaranteed_rates.get(&customer).copied().unwrap_or(0);
+        let new_bucket = || CustomerBucket::new(now, guaranteed_rate);
+        let bucket = self.buckets.entry(customer).or_insert_with(new_bucket);
+        bucket.wanted = bucket.wanted.saturating_add(u64::from(tokens));
+        bucket.wanted_at = now;
+        bucket.fill(now, self.settings.burst);
+        if bucket.level > 0 {
+            bucket.level -= i64::from(tokens) * MICRO;
+            return LimitDecision::Admitted;
         }
-        if share.answered == 0 && now < share.first_wanted_at + self.settings.first_wait {
-            return LimitAnswer::AwaitGrant;
+        if bucket.answered == 0 && now < bucket.first_wanted_at + self.settings.first_wait {
+            return LimitDecision::AwaitGrant;
         }
-        let retry_after = match u64::from(share.rate_at(now)) {
-            0 => self.settings.ask_period,
-            rate => Span(share.level.unsigned_abs() / rate + 1),
+        let retry_after = match u64::from(bucket.rate_at(now)) {
+            0 => self.settings.request_interval,
+            rate => Span(bucket.level.unsigned_abs() / rate + 1),
         };
         let message = "the customer's limit is reached";
         let refusal = Refusal::not_run(RefusalCode::LimitReached, message);
-        LimitAnswer::Refused(refusal.with_retry_after(retry_after))
+        LimitDecision::Refused(refusal.with_retry_after(retry_after))
     }
 
     /// Charges the difference between the true and the estimated cost of an admitted request.
-    pub fn correct(&mut self, customer: CustomerKey, difference: i64) {
-        let Some(share) = self.shares.get_mut(&customer) else { return };
+    pub fn reconcile(&mut self, customer: CustomerKey, difference: i64) {
+        let Some(bucket) = self.buckets.get_mut(&customer) else { return };
         let burst = i64::try_from(self.settings.burst.0).unwrap_or(i64::MAX);
-        let rate = i64::from(share.rate) + i64::from(share.reserve);
+        let rate = i64::from(bucket.rate) + i64::from(bucket.guaranteed_rate);
         let full = rate.saturating_mul(burst);
-        share.level = share.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
+        bucket.level = bucket.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
     }
 
     /// Returns the asks that are due at `now`, to be sent to the zone's delegate.
-    pub fn asks(&mut self, now: Moment) -> Vec<LimitAsk> {
+    pub fn due_requests(&mut self, now: Moment) -> Vec<GrantRequest> {
         let settings = self.settings;
-        self.shares.retain(|_, share| now.since(share.wanted_at) < settings.idle_after);
-        let mut asks = Vec::new();
-        for (customer, share) in &mut self.shares {
-            if share.asked_at.is_some_and(|at| now.since(at) < settings.ask_period) {
+        self.buckets.retain(|_, bucket| now.since(bucket.wanted_at) < settings.idle_after);
+        let mut requests = Vec::new();
+        for (customer, bucket) in &mut self.buckets {
+            if bucket.requested_at.is_some_and(|at| now.since(at) < settings.request_interval) {
                 continue;
             }
-            let passed = share.asked_at.map_or(settings.ask_period, |at| now.since(at));
-            let demand = share.wanted.saturating_mul(1_000_000) / passed.0.max(1);
-            share.wanted = 0;
-            share.asked_at = Some(now);
-            share.sequence += 1;
-            asks.push(LimitAsk {
+            let passed = bucket.requested_at.map_or(settings.request_interval, |at| now.since(at));
+            let demand = bucket.wanted.saturating_mul(1_000_000) / passed.0.max(1);
+            bucket.wanted = 0;
+            bucket.requested_at = Some(now);
+            bucket.sequence += 1;
+            requests.push(GrantRequest {
                 node: self.me,
                 customer: *customer,
                 demand: u32::try_from(demand).unwrap_or(u32::MAX),
-                sequence: share.sequence,
-                held: share.held,
+                sequence: bucket.sequence,
+                held: bucket.held,
             });
         }
-        asks
+        requests
     }
 
     /// Takes in a grant. One that answers an ask other than the last is ignored.
-    pub fn granted(&mut self, now: Moment, grant: LimitGrant) {
-        let Some(share) = self.shares.get_mut(&grant.customer) else { return };
-        let Some(asked_at) = share.asked_at else { return };
-        let is_last = grant.sequence == share.sequence && grant.sequence > share.answered;
+    pub fn apply_grant(&mut self, now: Moment, grant: LimitGrant) {
+        let Some(bucket) = self.buckets.get_mut(&grant.customer) else { return };
+        let Some(asked_at) = bucket.requested_at else { return };
+        let is_last = grant.sequence == bucket.sequence && grant.sequence > bucket.answered;
         if grant.node != self.me || !is_last {
             return;
         }
-        share.fill(now, self.settings.burst);
-        share.answered = grant.sequence;
-        share.held = Some(grant.id);
-        share.rate = grant.rate;
-        share.expires_at = asked_at + grant.period;
-        share.fill(now, self.settings.burst);
+        bucket.fill(now, self.settings.burst);
+        bucket.answered = grant.sequence;
+        bucket.held = Some(grant.id);
+        bucket.rate = grant.rate;
+        bucket.expires_at = asked_at + grant.duration;
+        bucket.fill(now, self.settings.burst);
     }
 
     /// Returns the rate in force, in tokens per second.
     #[must_use]
     pub fn rate(&self, now: Moment, customer: CustomerKey) -> u32 {
-        match self.shares.get(&customer) {
-            Some(share) => share.rate_at(now),
-            None => self.reserves.get(&customer).copied().unwrap_or(0),
+        match self.buckets.get(&customer) {
+            Some(bucket) => bucket.rate_at(now),
+            None => self.guaranteed_rates.get(&customer).copied().unwrap_or(0),
         }
     }
 
-    /// Returns when [`LimitShare::asks`] is due, or `None` when no customer has demand.
+    /// Returns when [`RateLimiter::due_requests`] is due, or `None` when no customer has demand.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let due = |share: &CustomerShare| {
-            share.asked_at.map_or(Moment(0), |at| at + self.settings.ask_period)
+        let due = |bucket: &CustomerBucket| {
+            bucket.requested_at.map_or(Moment(0), |at| at + self.settings.request_interval)
         };
-        self.shares.values().map(due).min()
+        self.buckets.values().map(due).min()
     }
 }
 
-impl CustomerShare {
-    const fn new(now: Moment, reserve: u32) -> Self {
+impl CustomerBucket {
+    const fn new(now: Moment, guaranteed_rate: u32) -> Self {
         Self {
-            reserve,
+            guaranteed_rate,
             rate: 0,
             expires_at: Moment(0),
             held: None,
             sequence: 0,
-            asked_at: None,
+            requested_at: None,
             answered: 0,
             wanted: 0,
             wanted_at: now,
@@ -242,7 +249,7 @@
 
     fn rate_at(&self, now: Moment) -> u32 {
         let granted = if now < self.expires_at { self.rate } else { 0 };
-        self.reserve.saturating_add(granted)
+        self.guaranteed_rate.saturating_add(granted)
     }
 
     /// Fills the bucket by the reserve, and by the grant for the time that it was in force, up to
@@ -253,7 +260,7 @@
         };
         let granted_until = now.min(self.expires_at);
         let granted = gain(self.rate, granted_until.since(self.filled_at));
-        let gained = granted.saturating_add(gain(self.reserve, now.since(self.filled_at)));
+        let gained = granted.saturating_add(gain(self.guaranteed_rate, now.since(self.filled_at)));
         self.filled_at = self.filled_at.max(now);
         let full = gain(self.rate_at(now), burst);
         self.level = self.level.saturating_add(gained).min(full);
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -2,28 +2,28 @@
 
 use std::collections::BTreeMap;
 
-use base::{CustomerKey, Moment, Refusal, RefusalCode, Span, key, plain};
+use base::{CustomerKey, Moment, Refusal, RefusalCode, Span, derive_copy, derive_value};
 use rand::RngExt as _;
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
 use crate::{
-    WorkClass,
+    RequestClass,
     ring::{FlowKey, FlowRing},
 };
 
-key! {
+derive_copy! {
     /// Number that the driver gives a waiting request.
     pub struct TicketNumber(pub u64);
 
     /// A request that asks for service.
-    pub struct QueueItem {
+    pub struct QueuedRequest {
         /// The driver's number.
         pub ticket: TicketNumber,
         /// Who pays.
         pub customer: CustomerKey,
         /// Who waits.
-        pub class: WorkClass,
+        pub class: RequestClass,
         /// Estimated cost in tokens.
         pub tokens: u32,
         /// When it must be answered.
@@ -31,11 +31,11 @@
     }
 
     /// What this node may use of the upstreams.
-    pub struct ServiceRate {
+    pub struct ServiceCapacity {
         /// Tokens per second that this node can expect to be served.
         pub tokens_per_second: u32,
         /// Estimated tokens that may be in service at once.
-        pub max_in_service: u32,
+        pub max_in_service_tokens: u32,
     }
 
     /// Settings of the queue.
@@ -52,7 +52,7 @@
     /// Something that concerns the queue.
     pub enum QueueEvent {
         /// A request asks for service.
-        Offered(QueueItem),
+        Offered(QueuedRequest),
         /// A dispatched request has ended.
         Done {
             /// The request.
@@ -61,9 +61,9 @@
             tokens: u32,
         },
         /// The caller of a waiting request has disconnected.
-        CallerGone(TicketNumber),
+        CallerDisconnected(TicketNumber),
         /// The service rate has changed.
-        RateChanged(ServiceRate),
+        CapacityChanged(ServiceCapacity),
         /// A customer's weight has changed. Customers have weight 1 until stated otherwise.
         WeightChanged {
             /// The customer.
@@ -76,7 +76,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// What the driver must do.
     pub enum QueueAction {
         /// Send the request now.
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     settings: QueueSettings,
-    rate: ServiceRate,
+    capacity: ServiceCapacity,
     weights: BTreeMap<CustomerKey, u32>,
     live: FlowRing,
     samples: FlowRing,
@@ -128,7 +128,7 @@
 /// What the estimate of a wait depends on.
 #[derive(Debug, Clone, Copy)]
 struct WaitEstimate {
-    rate: ServiceRate,
+    capacity: ServiceCapacity,
     sample_share: f64,
     in_service_tokens: u64,
     times: ServiceTimes,
@@ -150,10 +150,10 @@
 impl FairQueue {
     /// Creates an empty queue. `rng` spreads the retry times of refusals.
     #[must_use]
-    pub fn new(settings: QueueSettings, rate: ServiceRate, rng: ChaCha8Rng) -> Self {
+    pub fn new(settings: QueueSettings, capacity: ServiceCapacity, rng: ChaCha8Rng) -> Self {
         Self {
             settings,
-            rate,
+            capacity,
             weights: BTreeMap::new(),
             live: FlowRing::default(),
             samples: FlowRing::default(),
@@ -170,23 +170,23 @@
     pub fn handle(&mut self, now: Moment, event: QueueEvent) -> QueueActions {
         let mut actions = QueueActions::new();
         match event {
-            QueueEvent::Offered(item) => {
-                let wait = self.expected_wait(item.customer, item.class);
-                if now + wait + self.estimate().run_time(item.tokens) > item.deadline {
-                    actions.push(self.refuse(item.ticket, wait));
+            QueueEvent::Offered(request) => {
+                let wait = self.expected_wait(request.customer, request.class);
+                if now + wait + self.estimate().run_time(request.tokens) > request.deadline {
+                    actions.push(self.refuse(request.ticket, wait));
                     return actions;
                 }
-                let flow_key = FlowKey { customer: item.customer, class: item.class };
-                let weight = self.weight(item.customer);
-                self.ring(item.class).push(flow_key, weight, item);
+                let flow_key = FlowKey { customer: request.customer, class: request.class };
+                let weight = self.weight(request.customer);
+                self.ring(request.class).push(flow_key, weight, request);
             }
             QueueEvent::Done { ticket, tokens } => self.done(now, ticket, tokens),
-            QueueEvent::CallerGone(ticket) => {
-                self.live.retain(|item, _, _| item.ticket != ticket);
-                self.samples.retain(|item, _, _| item.ticket != ticket);
+            QueueEvent::CallerDisconnected(ticket) => {
+                self.live.retain(|request, _, _| request.ticket != ticket);
+                self.samples.retain(|request, _, _| request.ticket != ticket);
             }
-            QueueEvent::RateChanged(rate) => {
-                self.rate = rate;
+            QueueEvent::CapacityChanged(capacity) => {
+                self.capacity = capacity;
                 self.check(now, &mut actions);
             }
             QueueEvent::WeightChanged { customer, weight } => {
@@ -210,7 +210,7 @@
 
     /// Returns how long a new request would wait before it is dispatched.
     #[must_use]
-    pub fn expected_wait(&self, customer: CustomerKey, class: WorkClass) -> Span {
+    pub fn expected_wait(&self, customer: CustomerKey, class: RequestClass) -> Span {
         let flow_key = FlowKey { customer, class };
         let before = self.ring_of(class).flow_tokens(flow_key);
         self.estimate().wait(class, before, self.weight(customer))
@@ -232,23 +232,23 @@
         self.weights.get(&customer).copied().unwrap_or(1)
     }
 
-    const fn ring(&mut self, class: WorkClass) -> &mut FlowRing {
+    const fn ring(&mut self, class: RequestClass) -> &mut FlowRing {
         match class {
-            WorkClass::Live => &mut self.live,
-            WorkClass::Sample(_) => &mut self.samples,
+            RequestClass::Live => &mut self.live,
+            RequestClass::Sample(_) => &mut self.samples,
         }
     }
 
-    const fn ring_of(&self, class: WorkClass) -> &FlowRing {
+    const fn ring_of(&self, class: RequestClass) -> &FlowRing {
         match class {
-            WorkClass::Live => &self.live,
-            WorkClass::Sample(_) => &self.samples,
+            RequestClass::Live => &self.live,
+            RequestClass::Sample(_) => &self.samples,
         }
     }
 
     fn estimate(&self) -> WaitEstimate {
         WaitEstimate {
-            rate: self.rate,
+            capacity: self.capacity,
             sample_share: f64::from(self.settings.sample_share) / 100.0,
             in_service_tokens: self.in_service_tokens,
             times: self.times,
@@ -261,25 +261,25 @@
         let Some(served) = self.in_service.remove(&ticket) else { return };
         self.in_service_tokens -= u64::from(served.tokens);
         let difference = i64::from(tokens) - i64::from(served.tokens);
-        self.ring(served.flow_key.class).correct(served.flow_key, difference);
+        self.ring(served.flow_key.class).reconcile(served.flow_key, difference);
         if tokens > 0 {
             self.times.learn(now.since(served.started_at));
         }
     }
 
     fn dispatch(&mut self, now: Moment, actions: &mut QueueActions) {
-        while self.in_service_tokens < u64::from(self.rate.max_in_service) {
-            let Some(item) = self.next_item() else { break };
-            if now + self.estimate().run_time(item.tokens) > item.deadline {
-                let wait = self.expected_wait(item.customer, item.class);
-                actions.push(self.refuse(item.ticket, wait));
+        while self.in_service_tokens < u64::from(self.capacity.max_in_service_tokens) {
+            let Some(request) = self.next_item() else { break };
+            if now + self.estimate().run_time(request.tokens) > request.deadline {
+                let wait = self.expected_wait(request.customer, request.class);
+                actions.push(self.refuse(request.ticket, wait));
                 continue;
             }
-            let flow_key = FlowKey { customer: item.customer, class: item.class };
-            let served = ServedItem { flow_key, tokens: item.tokens, started_at: now };
-            self.in_service.insert(item.ticket, served);
-            self.in_service_tokens += u64::from(item.tokens);
-            actions.push(QueueAction::Dispatch(item.ticket));
+            let flow_key = FlowKey { customer: request.customer, class: request.class };
+            let served = ServedItem { flow_key, tokens: request.tokens, started_at: now };
+            self.in_service.insert(request.ticket, served);
+            self.in_service_tokens += u64::from(request.tokens);
+            actions.push(QueueAction::Dispatch(request.ticket));
         }
         if self.in_service.is_empty() {
             self.live.reset();
@@ -287,7 +287,7 @@
         }
     }
 
-    fn next_item(&mut self) -> Option<QueueItem> {
+    fn next_item(&mut self) -> Option<QueuedRequest> {
         let Some(sample_tokens) = self.samples.head_tokens() else {
             self.sample_credit = 0.0;
             return self.live.pop();
@@ -299,10 +299,10 @@
             self.sample_credit -= f64::from(sample_tokens);
             return self.samples.pop();
         }
-        let item = self.live.pop()?;
+        let request = self.live.pop()?;
         let share = f64::from(self.settings.sample_share.min(99)) / 100.0;
-        self.sample_credit += f64::from(item.tokens) * share / (1.0 - share);
-        Some(item)
+        self.sample_credit += f64::from(request.tokens) * share / (1.0 - share);
+        Some(request)
     }
 
     /// Refuses the waiting requests that can no longer be served in time.
@@ -311,14 +311,14 @@
         let estimate = self.estimate();
         let mut late = Vec::new();
         for ring in [&mut self.live, &mut self.samples] {
-            late.extend(ring.retain(|item, before, weight| {
-                let wait = estimate.wait(item.class, before, weight);
-                now + wait + estimate.run_time(item.tokens) <= item.deadline
+            late.extend(ring.retain(|request, before, weight| {
+                let wait = estimate.wait(request.class, before, weight);
+                now + wait + estimate.run_time(request.tokens) <= request.deadline
             }));
         }
-        for item in late {
-            let wait = self.expected_wait(item.customer, item.class);
-            actions.push(self.refuse(item.ticket, wait));
+        for request in late {
+            let wait = self.expected_wait(request.customer, request.class);
+            actions.push(self.refuse(request.ticket, wait));
         }
     }
 
@@ -334,18 +334,18 @@
 impl WaitEstimate {
     /// Wait behind `before` tokens of the same flow. The flow gets its share of the rate, and
     /// never waits for more than everything that is queued.
-    fn wait(&self, class: WorkClass, before: u64, weight: u32) -> Span {
+    fn wait(&self, class: RequestClass, before: u64, weight: u32) -> Span {
         let (queued, active_weight) = match class {
-            WorkClass::Live => self.live,
-            WorkClass::Sample(_) => self.samples,
+            RequestClass::Live => self.live,
+            RequestClass::Sample(_) => self.samples,
         };
         let own_weight = f64::from(weight.max(1));
         let total_weight = (active_weight as f64).max(own_weight);
         let tokens = (before as f64 * total_weight / own_weight).min(queued as f64);
         let tokens = match class {
-            WorkClass::Live if self.samples.0 == 0 => tokens,
-            WorkClass::Live => tokens / (1.0 - self.sample_share.min(0.99)),
-            WorkClass::Sample(_) => {
+            RequestClass::Live if self.samples.0 == 0 => tokens,
+            RequestClass::Live => tokens / (1.0 - self.sample_share.min(0.99)),
+            RequestClass::Sample(_) => {
                 (tokens + self.live.0 as f64).min(tokens / self.sample_share.max(0.01))
             }
         };
@@ -357,7 +357,7 @@
     /// The service is shared, so requests take longer than the rate alone says. An idle service
     /// takes every request that can end in time by its rate.
     fn run_time(&self, tokens: u32) -> Span {
-        let ahead = self.in_service_tokens.min(u64::from(self.rate.max_in_service));
+        let ahead = self.in_service_tokens.min(u64::from(self.capacity.max_in_service_tokens));
         let by_rate = self.time_for(ahead as f64 + f64::from(tokens));
         if self.in_service_tokens == 0 {
             return by_rate;
@@ -366,7 +366,7 @@
     }
 
     fn time_for(&self, tokens: f64) -> Span {
-        let rate = f64::from(self.rate.tokens_per_second.max(1));
+        let rate = f64::from(self.capacity.tokens_per_second.max(1));
         Span::from_micros((tokens / rate * 1e6) as u64)
     }
 }
--- a/crates/admission/src/ring.rs
+++ b/crates/admission/src/ring.rs
@@ -3,16 +3,16 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use base::{CustomerKey, key};
+use base::{CustomerKey, derive_copy};
 
-use crate::QueueItem;
+use crate::QueuedRequest;
 
-key! {
+derive_copy! {
     /// Key of a trainer within one process.
     pub struct TrainerKey(pub u32);
 
     /// Who waits for a request.
-    pub enum WorkClass {
+    pub enum RequestClass {
         /// A caller.
         Live,
         /// A trainer, for a sample.
@@ -23,7 +23,7 @@
     /// one trainer.
     pub(crate) struct FlowKey {
         pub(crate) customer: CustomerKey,
-        pub(crate) class: WorkClass,
+        pub(crate) class: RequestClass,
     }
 }
 
@@ -38,7 +38,7 @@
     weight: u32,
     /// Tokens that the flow may still send in this round. A negative value is a debt.
     deficit: i64,
-    waiting: VecDeque<QueueItem>,
+    waiting: VecDeque<QueuedRequest>,
     waiting_tokens: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl FlowRing {
-    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, item: QueueItem) {
+    pub(crate) fn push(&mut self, flow_key: FlowKey, weight: u32, request: QueuedRequest) {
         let weight = weight.max(1);
         let flow = self.flows.entry(flow_key).or_insert_with(|| Flow {
             weight,
@@ -65,44 +65,44 @@
             self.active_weight += u64::from(weight);
             self.round.push_back(flow_key);
         }
-        flow.waiting.push_back(item);
-        flow.waiting_tokens += u64::from(item.tokens);
-        self.waiting_tokens += u64::from(item.tokens);
+        flow.waiting.push_back(request);
+        flow.waiting_tokens += u64::from(request.tokens);
+        self.waiting_tokens += u64::from(request.tokens);
     }
 
     /// Returns the tokens of the request that [`FlowRing::pop`] takes next.
     pub(crate) fn head_tokens(&mut self) -> Option<u32> {
         let flow_key = self.turn()?;
-        self.flows.get(&flow_key)?.waiting.front().map(|item| item.tokens)
+        self.flows.get(&flow_key)?.waiting.front().map(|request| request.tokens)
     }
 
-    pub(crate) fn pop(&mut self) -> Option<QueueItem> {
+    pub(crate) fn pop(&mut self) -> Option<QueuedRequest> {
         let flow_key = self.turn()?;
         let flow = self.flows.get_mut(&flow_key)?;
-        let item = flow.waiting.pop_front()?;
-        flow.deficit -= i64::from(item.tokens);
-        flow.waiting_tokens -= u64::from(item.tokens);
-        self.waiting_tokens -= u64::from(item.tokens);
+        let request = flow.waiting.pop_front()?;
+        flow.deficit -= i64::from(request.tokens);
+        flow.waiting_tokens -= u64::from(request.tokens);
+        self.waiting_tokens -= u64::from(request.tokens);
         self.leave_if_empty(flow_key);
-        Some(item)
+        Some(request)
     }
 
     /// Removes requests that fail `keeps`, which also gets the tokens waiting before them in
     /// their flow.
     pub(crate) fn retain(
         &mut self,
-        mut keeps: impl FnMut(&QueueItem, u64, u32) -> bool,
-    ) -> Vec<QueueItem> {
+        mut keeps: impl FnMut(&QueuedRequest, u64, u32) -> bool,
+    ) -> Vec<QueuedRequest> {
         let mut removed = Vec::new();
         for flow_key in self.round.iter().copied().collect::<Vec<_>>() {
             let Some(flow) = self.flows.get_mut(&flow_key) else { continue };
             let (mut before, weight) = (0, flow.weight);
-            flow.waiting.retain(|item| {
-                let kept = keeps(item, before, weight);
+            flow.waiting.retain(|request| {
+                let kept = keeps(request, before, weight);
                 if kept {
-                    before += u64::from(item.tokens);
+                    before += u64::from(request.tokens);
                 } else {
-                    removed.push(*item);
+                    removed.push(*request);
                 }
                 kept
             });
@@ -114,7 +114,7 @@
     }
 
     /// Charges a flow the difference between true and estimated cost.
-    pub(crate) fn correct(&mut self, flow_key: FlowKey, difference: i64) {
+    pub(crate) fn reconcile(&mut self, flow_key: FlowKey, difference: i64) {
         let Some(flow) = self.flows.get_mut(&flow_key) else { return };
         let bound = MAX_DEBT_ROUNDS * QUANTUM * i64::from(flow.weight);
         flow.deficit = (flow.deficit - difference).clamp(-bound, bound);
--- a/crates/authority/src/desk.rs
+++ b/crates/authority/src/order.rs
@@ -2,23 +2,23 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::{FencingNumber, Incarnation, Moment, Span, key, plain};
+use base::{FencingToken, Incarnation, Moment, Span, derive_copy, derive_value};
 use smallvec::{SmallVec, smallvec};
 
 use crate::{
-    AuthorityRecord, FencingSupport, LeaseKeeper, OrderId, OrderIntent, OrderKind, OrderOutcome,
-    OrderState, PermitDenial, Scope,
+    AuthorityRecord, FencingSupport, LeaseManager, LeaseScope, OrderId, OrderIntent, OrderKind,
+    OrderOutcome, OrderState, PermitDenial,
 };
 
-key! {
-    /// Times of an [`OrderDesk`] and the nature of the platform as a receiver of orders.
-    pub struct DeskSettings {
+derive_copy! {
+    /// Times of an [`OrderManager`] and the nature of the platform as a receiver of orders.
+    pub struct OrderSettings {
         /// Time without an answer after which the outcome of a request is unknown.
         pub order_timeout: Span,
         /// Wait before the platform is asked again after it could not tell the state of an order.
-        pub ask_retry: Span,
+        pub query_retry_delay: Span,
         /// What the platform does with fencing numbers.
-        pub receiver: FencingSupport,
+        pub fencing_support: FencingSupport,
     }
 
     /// Why a new order was not taken.
@@ -37,9 +37,9 @@
         /// Handed to the driver to be written.
         Sent { deadline: Moment },
         /// The platform is to be asked for the order.
-        AskDue { at: Moment },
+        QueryDue { at: Moment },
         /// The platform was asked for the order.
-        Asked { deadline: Moment },
+        Querying { deadline: Moment },
         /// The outcome is known, and its record is not read back.
         OutcomePending,
     }
@@ -52,7 +52,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A new order.
     pub struct OrderRequest {
         /// Service of the upstreams.
@@ -62,14 +62,14 @@
     }
 
     /// A request of the desk to its driver.
-    pub enum DeskAction {
+    pub enum OrderAction {
         /// Append the record to the stream of the scope.
         Append(AuthorityRecord),
-        /// Call [`OrderDesk::permit`] with the present time and, when it permits, write the order
+        /// Call [`OrderManager::permit`] with the present time and, when it permits, write the order
         /// at once with the number that it returned.
         Send(OrderIntent),
         /// Ask the platform for the state of the order.
-        Ask(OrderId),
+        Query(OrderId),
         /// The outcome of an order is in the log.
         Settled(OrderOutcome),
         /// The intent of an own order took effect under a later lease. The order was never sent and
@@ -78,7 +78,7 @@
     }
 
     /// What a request to the platform brought.
-    pub enum OrderAnswer {
+    pub enum OrderResponse {
         /// The platform stated the outcome.
         State {
             /// State of the order.
@@ -86,7 +86,7 @@
             /// Names of the upstreams concerned.
             upstreams: Vec<String>,
         },
-        /// The platform has no order of this id. Only an answer to [`DeskAction::Ask`].
+        /// The platform has no order of this id. Only an answer to [`OrderAction::Query`].
         NotFound,
         /// The platform has seen a higher fencing number.
         FencingTooLow,
@@ -111,20 +111,20 @@
 /// order that the platform does not know again under the same id. An order that was only delayed
 /// on its way then has no second effect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct OrderDesk {
-    settings: DeskSettings,
-    scope: Scope,
+pub struct OrderManager {
+    settings: OrderSettings,
+    scope: LeaseScope,
     incarnation: Incarnation,
     last_number: u64,
     /// Lease under which the open orders were last examined.
-    tenure: Option<FencingNumber>,
+    tenure: Option<FencingToken>,
     open: BTreeMap<OrderId, OpenOrder>,
 }
 
-impl OrderDesk {
+impl OrderManager {
     /// Creates a desk without open orders.
     #[must_use]
-    pub const fn new(settings: DeskSettings, scope: Scope, incarnation: Incarnation) -> Self {
+    pub const fn new(settings: OrderSettings, scope: LeaseScope, incarnation: Incarnation) -> Self {
         Self { settings, scope, incarnation, last_number: 0, tenure: None, open: BTreeMap::new() }
     }
 
@@ -133,13 +133,15 @@
     /// # Errors
     ///
     /// Refuses while this process does not hold the lease or the outcome of any order is unknown.
-    pub fn order(
+    pub fn submit(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        lease_manager: &LeaseManager,
         request: OrderRequest,
-    ) -> Result<(OrderId, DeskAction), OrderRefusal> {
-        let Some(fencing) = keeper.held(now) else { return Err(OrderRefusal::NotHeld) };
+    ) -> Result<(OrderId, OrderAction), OrderRefusal> {
+        let Some(fencing) = lease_manager.held_token(now) else {
+            return Err(OrderRefusal::NotHeld);
+        };
         self.examine(now, fencing);
         if let Some(id) = self.unknown_outcome() {
             return Err(OrderRefusal::OutcomeUnknown(id));
@@ -155,48 +157,52 @@
             outcome: None,
         };
         self.open.insert(id, open);
-        Ok((id, DeskAction::Append(AuthorityRecord::Intent(intent))))
+        Ok((id, OrderAction::Append(AuthorityRecord::Intent(intent))))
     }
 
     /// Takes the next record of the stream, after the keeper has read it.
     pub fn read(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        lease_manager: &LeaseManager,
         record: &AuthorityRecord,
-    ) -> SmallVec<[DeskAction; 4]> {
+    ) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
         if *record.scope() != self.scope {
             return actions;
         }
         match record {
             AuthorityRecord::Intent(intent) => {
-                actions.extend(self.on_intent(now, keeper, intent));
+                actions.extend(self.on_intent(now, lease_manager, intent));
             }
-            AuthorityRecord::Outcome(outcome) if keeper.is_superseded(outcome.fencing) => {}
+            AuthorityRecord::Outcome(outcome) if lease_manager.is_superseded(outcome.fencing) => {}
             AuthorityRecord::Outcome(outcome) => {
                 if self.open.remove(&outcome.id).is_some() {
-                    actions.push(DeskAction::Settled(outcome.clone()));
+                    actions.push(OrderAction::Settled(outcome.clone()));
                 }
             }
             AuthorityRecord::Claim(_)
             | AuthorityRecord::Renewal(_)
             | AuthorityRecord::Release(_) => {}
         }
-        actions.extend(self.tick(now, keeper));
+        actions.extend(self.tick(now, lease_manager));
         actions
     }
 
     /// Sends and asks what is due, while this process holds the lease.
-    pub fn tick(&mut self, now: Moment, keeper: &LeaseKeeper) -> SmallVec<[DeskAction; 4]> {
+    pub fn tick(
+        &mut self,
+        now: Moment,
+        lease_manager: &LeaseManager,
+    ) -> SmallVec<[OrderAction; 4]> {
         let mut actions = SmallVec::new();
-        let Some(fencing) = keeper.held(now) else { return actions };
+        let Some(fencing) = lease_manager.held_token(now) else { return actions };
         self.examine(now, fencing);
         let settings = self.settings;
-        let may_send = keeper.permit(now, settings.receiver).is_ok();
+        let may_send = lease_manager.permit(now, settings.fencing_support).is_ok();
         for (id, open) in &mut self.open {
             match open.stage {
-                OrderStage::Sent { deadline } | OrderStage::Asked { deadline }
+                OrderStage::Sent { deadline } | OrderStage::Querying { deadline }
                     if deadline <= now =>
                 {
                     open.lose_track(now);
@@ -206,11 +212,11 @@
             match open.stage {
                 OrderStage::SendDue if may_send => {
                     open.stage = OrderStage::Sent { deadline: now + settings.order_timeout };
-                    actions.push(DeskAction::Send(open.intent.clone()));
+                    actions.push(OrderAction::Send(open.intent.clone()));
                 }
-                OrderStage::AskDue { at } if at <= now => {
-                    open.stage = OrderStage::Asked { deadline: now + settings.order_timeout };
-                    actions.push(DeskAction::Ask(*id));
+                OrderStage::QueryDue { at } if at <= now => {
+                    open.stage = OrderStage::Querying { deadline: now + settings.order_timeout };
+                    actions.push(OrderAction::Query(*id));
                 }
                 OrderStage::OutcomePending => actions.extend(open.unappended_outcome()),
                 _ => {}
@@ -228,10 +234,10 @@
     pub fn permit(
         &self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        lease_manager: &LeaseManager,
         id: OrderId,
-    ) -> Result<FencingNumber, PermitDenial> {
-        let fencing = keeper.permit(now, self.settings.receiver)?;
+    ) -> Result<FencingToken, PermitDenial> {
+        let fencing = lease_manager.permit(now, self.settings.fencing_support)?;
         match self.open.get(&id) {
             Some(OpenOrder { stage: OrderStage::Sent { deadline }, .. })
                 if now < *deadline && self.tenure == Some(fencing) =>
@@ -242,41 +248,41 @@
         }
     }
 
-    /// Takes the answer to [`DeskAction::Send`] or [`DeskAction::Ask`].
+    /// Takes the answer to [`OrderAction::Send`] or [`OrderAction::Query`].
     pub fn answer(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        lease_manager: &LeaseManager,
         id: OrderId,
-        answer: OrderAnswer,
-    ) -> SmallVec<[DeskAction; 4]> {
-        let Some(fencing) = keeper.held(now) else { return SmallVec::new() };
+        response: OrderResponse,
+    ) -> SmallVec<[OrderAction; 4]> {
+        let Some(fencing) = lease_manager.held_token(now) else { return SmallVec::new() };
         self.examine(now, fencing);
         let Some(open) = self.open.get_mut(&id) else { return SmallVec::new() };
         if matches!(open.stage, OrderStage::IntentPending | OrderStage::OutcomePending) {
             return SmallVec::new();
         }
-        match answer {
-            OrderAnswer::State { state, upstreams } => {
+        match response {
+            OrderResponse::State { state, upstreams } => {
                 let scope = self.scope.clone();
                 let outcome = OrderOutcome { id, scope, fencing, state, upstreams };
                 open.stage = OrderStage::OutcomePending;
                 open.effect = Effect::Traced;
                 open.outcome = None;
-                return smallvec![DeskAction::Append(AuthorityRecord::Outcome(outcome))];
+                return smallvec![OrderAction::Append(AuthorityRecord::Outcome(outcome))];
             }
-            OrderAnswer::NotFound if matches!(open.stage, OrderStage::Asked { .. }) => {
+            OrderResponse::NotFound if matches!(open.stage, OrderStage::Querying { .. }) => {
                 open.stage = OrderStage::SendDue;
             }
-            OrderAnswer::NotFound => {}
-            OrderAnswer::FencingTooLow | OrderAnswer::Lost => {
-                open.lose_track(now + self.settings.ask_retry);
+            OrderResponse::NotFound => {}
+            OrderResponse::FencingTooLow | OrderResponse::Lost => {
+                open.lose_track(now + self.settings.query_retry_delay);
             }
         }
-        self.tick(now, keeper)
+        self.tick(now, lease_manager)
     }
 
-    /// Records that the writer did not take a record that [`DeskAction::Append`] asked for. An
+    /// Records that the writer did not take a record that [`OrderAction::Append`] asked for. An
     /// intent is forgotten, since it was never sent; an outcome is appended by a later tick.
     pub fn append_refused(&mut self, record: &AuthorityRecord) {
         match record {
@@ -306,23 +312,25 @@
         self.open.len()
     }
 
-    /// Returns when [`OrderDesk::tick`] next has something to do, or `None` while this process does
+    /// Returns when [`OrderManager::tick`] next has something to do, or `None` while this process does
     /// not hold the lease or waits only for the log.
     #[must_use]
-    pub fn next_deadline(&self, now: Moment, keeper: &LeaseKeeper) -> Option<Moment> {
-        let fencing = keeper.held(now)?;
+    pub fn next_deadline(&self, now: Moment, lease_manager: &LeaseManager) -> Option<Moment> {
+        let fencing = lease_manager.held_token(now)?;
         if self.tenure != Some(fencing) && !self.open.is_empty() {
             return Some(now);
         }
         let mut earliest: Option<Moment> = None;
         for open in self.open.values() {
             let deadline = match open.stage {
-                OrderStage::Sent { deadline } | OrderStage::Asked { deadline } => deadline,
-                OrderStage::AskDue { at } => at,
-                OrderStage::SendDue => match keeper.permit(now, self.settings.receiver) {
-                    Err(PermitDenial::ExtraWait(until)) => until,
-                    _ => now,
-                },
+                OrderStage::Sent { deadline } | OrderStage::Querying { deadline } => deadline,
+                OrderStage::QueryDue { at } => at,
+                OrderStage::SendDue => {
+                    match lease_manager.permit(now, self.settings.fencing_support) {
+                        Err(PermitDenial::ExtraWait(until)) => until,
+                        _ => now,
+                    }
+                }
                 OrderStage::OutcomePending if open.outcome.is_some() => now,
                 OrderStage::IntentPending | OrderStage::OutcomePending => continue,
             };
@@ -332,7 +340,7 @@
     }
 
     /// Under a new lease, nothing that was asked or sent before counts.
-    fn examine(&mut self, now: Moment, fencing: FencingNumber) {
+    fn examine(&mut self, now: Moment, fencing: FencingToken) {
         if self.tenure == Some(fencing) {
             return;
         }
@@ -348,20 +356,20 @@
     fn on_intent(
         &mut self,
         now: Moment,
-        keeper: &LeaseKeeper,
+        lease_manager: &LeaseManager,
         intent: &OrderIntent,
-    ) -> Option<DeskAction> {
-        if keeper.is_superseded(intent.fencing) {
+    ) -> Option<OrderAction> {
+        if lease_manager.is_superseded(intent.fencing) {
             if self.open.get(&intent.id)?.stage != OrderStage::IntentPending {
                 return None;
             }
             self.open.remove(&intent.id);
-            return Some(DeskAction::Voided(intent.id));
+            return Some(OrderAction::Voided(intent.id));
         }
-        let held = keeper.held(now);
+        let held = lease_manager.held_token(now);
         let open = self.open.entry(intent.id).or_insert_with(|| OpenOrder {
             intent: intent.clone(),
-            stage: OrderStage::AskDue { at: now },
+            stage: OrderStage::QueryDue { at: now },
             effect: Effect::Untraced,
             outcome: None,
         });
@@ -379,22 +387,22 @@
 
 impl OpenOrder {
     fn lose_track(&mut self, ask_at: Moment) {
-        self.stage = OrderStage::AskDue { at: ask_at };
+        self.stage = OrderStage::QueryDue { at: ask_at };
         self.effect = Effect::Untraced;
     }
 
-    fn unappended_outcome(&mut self) -> Option<DeskAction> {
+    fn unappended_outcome(&mut self) -> Option<OrderAction> {
         let outcome = self.outcome.take()?;
-        Some(DeskAction::Append(AuthorityRecord::Outcome(outcome)))
+        Some(OrderAction::Append(AuthorityRecord::Outcome(outcome)))
     }
 }
 
-impl Default for DeskSettings {
+impl Default for OrderSettings {
     fn default() -> Self {
         Self {
             order_timeout: Span::from_secs(3),
-            ask_retry: Span::from_secs(1),
-            receiver: FencingSupport::Checked,
+            query_retry_delay: Span::from_secs(1),
+            fencing_support: FencingSupport::Checked,
         }
     }
 }
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -1,11 +1,11 @@
-//! Checks of [`OrderDesk`].
+//! Checks of [`OrderManager`].
 
 use authority::{
-    AuthorityRecord, Candidacy, DeskAction, DeskSettings, FencingSupport, LeaseAction, LeaseClaim,
-    LeaseKeeper, LeaseSettings, OrderAnswer, OrderDesk, OrderId, OrderIntent, OrderKind,
-    OrderOutcome, OrderRefusal, OrderRequest, OrderState, PermitDenial, PriceClass, Scope,
+    AuthorityRecord, FencingSupport, LeaseAction, LeaseClaim, LeaseManager, LeaseRole, LeaseScope,
+    LeaseSettings, OrderAction, OrderId, OrderIntent, OrderKind, OrderManager, OrderOutcome,
+    OrderRefusal, OrderRequest, OrderResponse, OrderSettings, OrderState, PermitDenial, PriceClass,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span};
 use rstest::rstest;
 
 const OWN: Incarnation = Incarnation(1);
@@ -16,64 +16,68 @@
     Moment(0) + Span::from_secs(secs)
 }
 
-fn scope() -> Scope {
-    Scope::Zone("hobart-a".to_owned())
+fn scope() -> LeaseScope {
+    LeaseScope::Zone("hobart-a".to_owned())
 }
 
 /// One process with the records that it has read.
 struct Process {
-    keeper: LeaseKeeper,
-    desk: OrderDesk,
+    lease_manager: LeaseManager,
+    order_manager: OrderManager,
     next: LogOffset,
 }
 
 impl Process {
-    fn new(receiver: FencingSupport) -> Self {
+    fn new(fencing_support: FencingSupport) -> Self {
         let settings = LeaseSettings::default();
-        let mut keeper = LeaseKeeper::new(settings, scope(), OWN, Candidacy::Standing);
-        keeper.reading_from(at(0), LogOffset(0));
-        let settings = DeskSettings { receiver, ..DeskSettings::default() };
-        Self { keeper, desk: OrderDesk::new(settings, scope(), OWN), next: LogOffset(0) }
+        let mut lease_manager = LeaseManager::new(settings, scope(), OWN, LeaseRole::Candidate);
+        lease_manager.restart_from(at(0), LogOffset(0));
+        let settings = OrderSettings { fencing_support, ..OrderSettings::default() };
+        Self {
+            lease_manager,
+            order_manager: OrderManager::new(settings, scope(), OWN),
+            next: LogOffset(0),
+        }
     }
 
-    fn read(&mut self, now: Moment, record: &AuthorityRecord) -> Vec<DeskAction> {
-        self.keeper.read(now, self.next, record);
+    fn read(&mut self, now: Moment, record: &AuthorityRecord) -> Vec<OrderAction> {
+        self.lease_manager.read(now, self.next, record);
         self.next = self.next.next();
-        self.desk.read(now, &self.keeper, record).to_vec()
+        self.order_manager.read(now, &self.lease_manager, record).to_vec()
     }
 
-    fn acquire(&mut self, now: Moment) -> FencingNumber {
-        let actions = self.keeper.tick(now);
+    fn acquire(&mut self, now: Moment) -> FencingToken {
+        let actions = self.lease_manager.tick(now);
         let [LeaseAction::Append(claim)] = actions.as_slice() else { panic!("{actions:?}") };
         self.read(now, claim);
-        self.keeper.held(now).expect("the claim is valid")
+        self.lease_manager.held_token(now).expect("the claim is valid")
     }
 
     fn order(&mut self, now: Moment) -> Result<(OrderId, AuthorityRecord), OrderRefusal> {
         let kind = OrderKind::Start { count: 1, price: PriceClass::Regular };
         let request = OrderRequest { service: "draft-models".to_owned(), kind };
-        match self.desk.order(now, &self.keeper, request)? {
-            (id, DeskAction::Append(record)) => Ok((id, record)),
+        match self.order_manager.submit(now, &self.lease_manager, request)? {
+            (id, OrderAction::Append(record)) => Ok((id, record)),
             (_, action) => panic!("unexpected {action:?}"),
         }
     }
 
-    fn tick(&mut self, now: Moment) -> Vec<DeskAction> {
-        self.desk.tick(now, &self.keeper).to_vec()
+    fn tick(&mut self, now: Moment) -> Vec<OrderAction> {
+        self.order_manager.tick(now, &self.lease_manager).to_vec()
     }
 
-    fn answer(&mut self, now: Moment, id: OrderId, answer: OrderAnswer) -> Vec<DeskAction> {
-        self.desk.answer(now, &self.keeper, id, answer).to_vec()
+    fn answer(&mut self, now: Moment, id: OrderId, response: OrderResponse) -> Vec<OrderAction> {
+        self.order_manager.answer(now, &self.lease_manager, id, response).to_vec()
     }
 }
 
-fn state(state: OrderState) -> OrderAnswer {
-    OrderAnswer::State { state, upstreams: vec!["draft-models-3".to_owned()] }
+fn state(state: OrderState) -> OrderResponse {
+    OrderResponse::State { state, upstreams: vec!["draft-models-3".to_owned()] }
 }
 
 /// A process that holds the lease after another process left an intent without outcome.
-fn successor(receiver: FencingSupport) -> (Process, Moment, OrderIntent) {
-    let mut process = Process::new(receiver);
+fn successor(fencing_support: FencingSupport) -> (Process, Moment, OrderIntent) {
+    let mut process = Process::new(fencing_support);
     let claim = LeaseClaim {
         scope: scope(),
         holder: OTHER,
@@ -87,7 +91,7 @@
         scope: scope(),
         service: "draft-models".to_owned(),
         kind: OrderKind::Start { count: 1, price: PriceClass::Regular },
-        fencing: FencingNumber(0),
+        fencing: FencingToken(0),
     };
     assert!(process.read(at(1), &AuthorityRecord::Intent(intent.clone())).is_empty());
     let now = at(15);
@@ -104,17 +108,17 @@
     let fencing = process.acquire(at(0));
     let (id, intent) = process.order(at(1)).expect("the lease is held");
     assert!(process.tick(at(1)).is_empty());
-    let early = process.desk.permit(at(1), &process.keeper, id);
+    let early = process.order_manager.permit(at(1), &process.lease_manager, id);
     assert_eq!(early, Err(PermitDenial::NotWaiting), "the intent is not read back");
     let actions = process.read(at(2), &intent);
-    assert!(matches!(actions.as_slice(), [DeskAction::Send(intent)] if intent.id == id));
-    assert_eq!(process.desk.permit(at(2), &process.keeper, id), Ok(fencing));
+    assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
+    assert_eq!(process.order_manager.permit(at(2), &process.lease_manager, id), Ok(fencing));
     let actions = process.answer(at(3), id, state(OrderState::Accepted));
-    let [DeskAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
-    assert_eq!(process.desk.open_orders(), 1);
+    let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
+    assert_eq!(process.order_manager.open_orders(), 1);
     let actions = process.read(at(3), outcome);
-    assert!(matches!(actions.as_slice(), [DeskAction::Settled(_)]));
-    assert_eq!(process.desk.open_orders(), 0);
+    assert!(matches!(actions.as_slice(), [OrderAction::Settled(_)]));
+    assert_eq!(process.order_manager.open_orders(), 0);
 }
 
 /// Guards against a second order while the fate of the first is open, after a lost answer.
@@ -124,13 +128,13 @@
     process.acquire(at(0));
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
-    assert_eq!(process.desk.next_deadline(at(0), &process.keeper), Some(at(3)));
-    assert_eq!(process.tick(at(3)), [DeskAction::Ask(id)]);
+    assert_eq!(process.order_manager.next_deadline(at(0), &process.lease_manager), Some(at(3)));
+    assert_eq!(process.tick(at(3)), [OrderAction::Query(id)]);
     assert_eq!(process.order(at(3)), Err(OrderRefusal::OutcomeUnknown(id)));
-    assert!(process.answer(at(4), id, OrderAnswer::Lost).is_empty());
-    assert_eq!(process.tick(at(5)), [DeskAction::Ask(id)], "asked again after 1 s");
-    let actions = process.answer(at(5), id, OrderAnswer::NotFound);
-    assert!(matches!(actions.as_slice(), [DeskAction::Send(intent)] if intent.id == id));
+    assert!(process.answer(at(4), id, OrderResponse::Lost).is_empty());
+    assert_eq!(process.tick(at(5)), [OrderAction::Query(id)], "asked again after 1 s");
+    let actions = process.answer(at(5), id, OrderResponse::NotFound);
+    assert!(matches!(actions.as_slice(), [OrderAction::Send(intent)] if intent.id == id));
     assert_eq!(process.order(at(5)), Err(OrderRefusal::OutcomeUnknown(id)));
     process.answer(at(6), id, state(OrderState::Done));
     assert!(process.order(at(6)).is_ok());
@@ -142,46 +146,56 @@
 #[case::refused(FencingSupport::Checked, Some(OrderState::Refused))]
 #[case::not_found(FencingSupport::Checked, None)]
 #[case::not_found_ignored(FencingSupport::Ignored, None)]
-fn a_successor_reconciles(#[case] receiver: FencingSupport, #[case] known: Option<OrderState>) {
-    let (mut process, now, intent) = successor(receiver);
+fn a_successor_reconciles(
+    #[case] fencing_support: FencingSupport,
+    #[case] known: Option<OrderState>,
+) {
+    let (mut process, now, intent) = successor(fencing_support);
     assert_eq!(process.order(now), Err(OrderRefusal::OutcomeUnknown(INHERITED)));
-    assert_eq!(process.desk.open_orders(), 1);
+    assert_eq!(process.order_manager.open_orders(), 1);
     let actions = match known {
         Some(known) => process.answer(now, INHERITED, state(known)),
         None => {
-            let mut sent = process.answer(now, INHERITED, OrderAnswer::NotFound);
-            if receiver == FencingSupport::Ignored {
+            let mut sent = process.answer(now, INHERITED, OrderResponse::NotFound);
+            if fencing_support == FencingSupport::Ignored {
                 assert!(sent.is_empty(), "sent within the extra wait");
-                let from = process.desk.next_deadline(now, &process.keeper).expect("a wait");
+                let from = process
+                    .order_manager
+                    .next_deadline(now, &process.lease_manager)
+                    .expect("a wait");
                 assert_eq!(from, at(45), "30 s after the acquisition");
-                let (keeper, _) = renewed(&process.keeper, process.next, from);
-                process.keeper = keeper;
+                let (lease_manager, _) = renewed(&process.lease_manager, process.next, from);
+                process.lease_manager = lease_manager;
                 sent = process.tick(from);
             }
-            assert_eq!(sent, [DeskAction::Send(intent)], "the same order under the same id");
-            let now = if receiver == FencingSupport::Ignored { at(45) } else { now };
+            assert_eq!(sent, [OrderAction::Send(intent)], "the same order under the same id");
+            let now = if fencing_support == FencingSupport::Ignored { at(45) } else { now };
             process.answer(now, INHERITED, state(OrderState::Accepted))
         }
     };
-    let [DeskAction::Append(AuthorityRecord::Outcome(outcome))] = actions.as_slice() else {
+    let [OrderAction::Append(AuthorityRecord::Outcome(outcome))] = actions.as_slice() else {
         panic!("{actions:?}")
     };
-    assert_eq!((outcome.id, outcome.fencing), (INHERITED, FencingNumber(2)));
-    assert_eq!(process.desk.unknown_outcome(), None);
+    assert_eq!((outcome.id, outcome.fencing), (INHERITED, FencingToken(2)));
+    assert_eq!(process.order_manager.unknown_outcome(), None);
 }
 
 /// Renews until the lease covers `until`.
-fn renewed(keeper: &LeaseKeeper, next: LogOffset, until: Moment) -> (LeaseKeeper, LogOffset) {
-    let (mut keeper, mut next) = (keeper.clone(), next);
-    while keeper.held(until).is_none() {
-        let now = keeper.next_deadline().expect("a renewal is due");
-        for action in keeper.tick(now) {
+fn renewed(
+    lease_manager: &LeaseManager,
+    next: LogOffset,
+    until: Moment,
+) -> (LeaseManager, LogOffset) {
+    let (mut lease_manager, mut next) = (lease_manager.clone(), next);
+    while lease_manager.held_token(until).is_none() {
+        let now = lease_manager.next_deadline().expect("a renewal is due");
+        for action in lease_manager.tick(now) {
             let LeaseAction::Append(record) = action else { panic!("{action:?}") };
-            keeper.read(now, next, &record);
+            lease_manager.read(now, next, &record);
             next = next.next();
         }
     }
-    (keeper, next)
+    (lease_manager, next)
 }
 
 /// Guards against records of a former holder that take effect after its successor's claim.
@@ -190,16 +204,16 @@
     let (mut process, now, intent) = successor(FencingSupport::Checked);
     let late = OrderId { issuer: OTHER, number: 2 };
     process.read(now, &AuthorityRecord::Intent(OrderIntent { id: late, ..intent }));
-    assert_eq!(process.desk.open_orders(), 1, "the late intent was never sent");
+    assert_eq!(process.order_manager.open_orders(), 1, "the late intent was never sent");
     let outcome = OrderOutcome {
         id: INHERITED,
         scope: scope(),
-        fencing: FencingNumber(0),
+        fencing: FencingToken(0),
         state: OrderState::Refused,
         upstreams: Vec::new(),
     };
     process.read(now, &AuthorityRecord::Outcome(outcome));
-    assert_eq!(process.desk.unknown_outcome(), Some(INHERITED));
+    assert_eq!(process.order_manager.unknown_outcome(), Some(INHERITED));
 }
 
 /// Guards against an own intent that is sent although it took effect after another claim.
@@ -216,8 +230,8 @@
         clear_from: LogOffset(1),
     };
     process.read(at(2), &AuthorityRecord::Claim(claim));
-    assert_eq!(process.read(at(2), &intent), [DeskAction::Voided(id)]);
-    assert_eq!(process.desk.open_orders(), 0);
+    assert_eq!(process.read(at(2), &intent), [OrderAction::Voided(id)]);
+    assert_eq!(process.order_manager.open_orders(), 0);
 }
 
 /// Guards against loss when the writer's buffer is full.
@@ -226,13 +240,13 @@
     let mut process = Process::new(FencingSupport::Checked);
     process.acquire(at(0));
     let (_, dropped) = process.order(at(0)).expect("the lease is held");
-    process.desk.append_refused(&dropped);
-    assert_eq!(process.desk.open_orders(), 0);
+    process.order_manager.append_refused(&dropped);
+    assert_eq!(process.order_manager.open_orders(), 0);
     let (id, intent) = process.order(at(0)).expect("the lease is held");
     process.read(at(0), &intent);
     let actions = process.answer(at(1), id, state(OrderState::Done));
-    let [DeskAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
-    process.desk.append_refused(outcome);
+    let [OrderAction::Append(outcome)] = actions.as_slice() else { panic!("{actions:?}") };
+    process.order_manager.append_refused(outcome);
     assert_eq!(process.tick(at(1)), actions, "the outcome is appended again");
     assert!(process.tick(at(1)).is_empty());
 }
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -17,7 +17,7 @@
 use crate::{
     CallError, CallFailure,
     guard::{SendGuard, SendPermit},
-    transfer::{DATE_BYTES, TransferCounter, head_bytes, header_bytes},
+    transfer::{HTTP_DATE_LEN, TransferCounter, head_len, header_len},
 };
 
 /// Longest answer accepted from the platform and from control calls of engines.
@@ -40,7 +40,7 @@
 
 /// A request to be sent. It carries the headers given here and no others of the caller.
 #[derive(Debug, Clone)]
-pub struct Outgoing {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Address of the receiver.
@@ -55,7 +55,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -86,9 +86,9 @@
     /// Builds a client whose connections end with a reset, and are used again until they were idle for
     /// `idle`. Receivers must keep them open for longer.
     #[must_use]
-    pub fn resetting(connect_timeout: Span, idle: Span) -> Self {
+    pub fn with_reset_on_close(connect_timeout: Span, idle: Span) -> Self {
         let connector = Connector::new()
-            .connector(resetting_connector())
+            .connector(reset_on_close_connector())
             .timeout(duration(connect_timeout))
             .conn_keep_alive(duration(idle))
             .limit(0);
@@ -136,21 +136,21 @@
     /// `max_body` or has no `content-length` that confirms it.
     pub async fn exchange(
         &self,
-        outgoing: Outgoing,
+        request: HttpRequest,
         timeout: Span,
         max_body: usize,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         bounded(timeout, async {
-            let response = self.open(outgoing).await?;
+            let response = self.open(request).await?;
             let status = response.status();
             let headers = response.headers().clone();
             let body = read_body(response, max_body).await?;
             if let Some(counter) = &self.transfer {
                 let reason = status.canonical_reason().unwrap_or_default().len();
-                let head = head_bytes("HTTP/1.1 200 ".len() + reason, &headers);
-                counter.add(0, head + body.len());
+                let head = head_len("HTTP/1.1 200 ".len() + reason, &headers);
+                counter.count_bytes(0, head + body.len());
             }
-            Ok(Answer { status, headers, body })
+            Ok(HttpResponse { status, headers, body })
         })
         .await
     }
@@ -162,11 +162,11 @@
     /// Returns an error when the exchange fails or exceeds `timeout`, or the stream breaks off.
     pub async fn stream_all(
         &self,
-        outgoing: Outgoing,
+        request: HttpRequest,
         timeout: Span,
     ) -> Result<(u16, Bytes), CallError> {
         bounded(timeout, async {
-            let mut response = self.open(outgoing).await?;
+            let mut response = self.open(request).await?;
             let mut body = BytesMut::new();
             while let Some(chunk) = response.next().await {
                 let chunk = chunk.map_err(|error| {
@@ -180,33 +180,36 @@
     }
 
     /// Sends a request and returns the answer as soon as its head has arrived.
-    pub(crate) async fn open(&self, outgoing: Outgoing) -> Result<ClientResponse, CallError> {
-        let host = outgoing.address.to_string();
-        let url = format!("http://{host}{}", outgoing.path);
-        let mut request = self.client.request(outgoing.method, url);
-        for (name, value) in outgoing.headers {
+    pub(crate) async fn open(
+        &self,
+        http_request: HttpRequest,
+    ) -> Result<ClientResponse, CallError> {
+        let host = http_request.address.to_string();
+        let url = format!("http://{host}{}", http_request.path);
+        let mut request = self.client.request(http_request.method, url);
+        for (name, value) in http_request.headers {
             request = request.insert_header((name, value));
         }
         if let Some(counter) = &self.transfer {
             // awc adds these headers when it writes the head.
-            let body = outgoing.body.len();
-            let added = header_bytes("host", host.len())
-                + header_bytes("content-length", body.to_string().len())
-                + header_bytes("accept-encoding", "identity".len())
-                + header_bytes("date", DATE_BYTES);
-            let first_line = request.get_method().as_str().len() + outgoing.path.len();
-            let head = head_bytes(first_line + "  HTTP/1.1".len(), request.headers());
-            counter.begin(head + added + body, 0);
+            let body = http_request.body.len();
+            let added = header_len("host", host.len())
+                + header_len("content-length", body.to_string().len())
+                + header_len("accept-encoding", "identity".len())
+                + header_len("date", HTTP_DATE_LEN);
+            let first_line = request.get_method().as_str().len() + http_request.path.len();
+            let head = head_len(first_line + "  HTTP/1.1".len(), request.headers());
+            counter.count_exchange(head + added + body, 0);
         }
         let sent = match &self.guard {
-            Some(guard) => request.send_body(guard.body(outgoing.body)),
-            None => request.send_body(outgoing.body),
+            Some(guard) => request.send_body(guard.body(http_request.body)),
+            None => request.send_body(http_request.body),
         };
         sent.await.map_err(CallError::from)
     }
 }
 
-impl Outgoing {
+impl HttpRequest {
     /// Builds a request without body.
     #[must_use]
     pub fn get(address: SocketAddr, path: impl Into<String>) -> Self {
@@ -228,7 +231,7 @@
     }
 }
 
-impl Answer {
+impl HttpResponse {
     /// Turns a status other than success into an error.
     ///
     /// A 4xx status is a definite refusal. After any other status the request may have taken effect.
@@ -236,7 +239,7 @@
     /// # Errors
     ///
     /// Returns [`CallFailure::Status`] for any status but 2xx.
-    pub fn success(self) -> Result<Self, CallError> {
+    pub fn error_for_status(self) -> Result<Self, CallError> {
         if self.status.is_success() {
             return Ok(self);
         }
@@ -253,7 +256,7 @@
 /// Connects so that a connection which is given up ends with a reset. The network then discards what it
 /// still holds up. After a close, an order that timed out would arrive once the path is free again, when
 /// a successor of its sender may have acted.
-fn resetting_connector() -> impl Service<
+fn reset_on_close_connector() -> impl Service<
     ConnectInfo<Uri>,
     Response = Connection<Uri, TcpStream>,
     Error = ConnectError,
--- a/crates/configuration/src/keys.rs
+++ b/crates/configuration/src/keys.rs
@@ -2,22 +2,22 @@
 
 use std::{collections::BTreeMap, fmt};
 
-use base::{KeyDigest, key, plain};
+use base::{KeyDigest, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::ConfigVersion;
 
-key! {
+derive_copy! {
     /// Answer to a running stream that asks for its key.
     pub enum KeyCheck {
         /// The key still belongs to the customer.
-        Stands,
+        Valid,
         /// The key is withdrawn or belongs to another customer.
         Withdrawn,
     }
 }
 
-plain! {
+derive_value! {
     /// Two customers claim the same key.
     pub struct KeyConflict {
         /// The customer listed first.
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn check(&self, digest: &KeyDigest, customer: &str) -> KeyCheck {
         if self.customer(digest) == Some(customer) {
-            return KeyCheck::Stands;
+            return KeyCheck::Valid;
         }
         KeyCheck::Withdrawn
     }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/registry.rs
@@ -1,13 +1,13 @@
 //! Accepted documents as a function of the log, and peers' copies ahead of it.
 
-use base::{LogOffset, RecordId, plain};
+use base::{LogOffset, RecordId, derive_value};
 
 use crate::{
     ConfigEdit, ConfigPromote, ConfigRecord, ConfigVersion, DocumentCheck, EnvironmentName,
     VersionedDocument,
 };
 
-plain! {
+derive_value! {
     /// Accepted documents of the log prefix that ends before `next`.
     pub struct ConfigSnapshot {
         /// Offset of the first record that the state does not contain.
@@ -61,7 +61,7 @@
 
     /// Whether the log has confirmed the version in force.
     #[derive(Copy)]
-    pub enum Currency {
+    pub enum Freshness {
         /// The version was read from the log.
         Confirmed,
         /// The version came from a peer, and the log has not shown it to this node.
@@ -71,7 +71,7 @@
     /// What became of a peer's copy.
     pub enum PeerOutcome {
         /// The copy is in force.
-        Raised(ConfigVersion),
+        Adopted(ConfigVersion),
         /// The version in force is at least as high.
         NotNewer,
         /// The document is invalid, with the reason.
@@ -81,11 +81,11 @@
 
 /// The document in force in an environment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ConfigState<'history> {
+pub struct ConfigState<'registry> {
     /// The document.
-    pub document: &'history VersionedDocument,
+    pub document: &'registry VersionedDocument,
     /// Whether the log has confirmed it.
-    pub currency: Currency,
+    pub freshness: Freshness,
 }
 
 /// Accepted configuration of every environment.
@@ -93,7 +93,7 @@
 /// The part read from the log is a pure function of the log prefix. Copies of peers may run ahead
 /// of it. The version in force is the higher of the two, so it never goes back.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ConfigHistory<C> {
+pub struct ConfigRegistry<C> {
     check: C,
     log: ConfigSnapshot,
     // Oldest retained offset after a gap, until a snapshot that reaches it is found.
@@ -102,7 +102,7 @@
     ahead: ConfigSnapshot,
 }
 
-impl<C: DocumentCheck> ConfigHistory<C> {
+impl<C: DocumentCheck> ConfigRegistry<C> {
     /// Creates the history of the empty log prefix.
     #[must_use]
     pub fn new(check: C) -> Self {
@@ -117,13 +117,13 @@
     /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: LogOffset, record: &ConfigRecord) -> ConfigOutcome {
         if let Some(oldest) = self.awaits_from {
-            let ConfigRecord::Carry(carry) = record else {
+            let ConfigRecord::Snapshot(snapshot_record) = record else {
                 return ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
             };
-            if carry.snapshot.next > offset {
+            if snapshot_record.snapshot.next > offset {
                 return ConfigOutcome::Refused(RefusedReason::AwaitsSnapshot);
             }
-            return self.restore(oldest, &carry.snapshot);
+            return self.restore(oldest, &snapshot_record.snapshot);
         }
         if offset < self.log.next {
             return ConfigOutcome::Refused(RefusedReason::AlreadyRead);
@@ -133,7 +133,7 @@
             ConfigRecord::Edit(edit) => self.decide_edit(edit),
             ConfigRecord::Promote(promote) => self.decide_promote(promote),
             // The log prefix already determines the state, so a snapshot can never supersede it.
-            ConfigRecord::Carry(_) => Err(ConfigOutcome::Refused(RefusedReason::NotNeeded)),
+            ConfigRecord::Snapshot(_) => Err(ConfigOutcome::Refused(RefusedReason::NotNeeded)),
         };
         match decided {
             Err(outcome) => outcome,
@@ -158,7 +158,7 @@
     /// retained record; documents that are newer come into force in any case.
     pub fn adopt_snapshot(&mut self, snapshot: &ConfigSnapshot) -> ConfigOutcome {
         for document in &snapshot.documents {
-            self.adopt_peer(document);
+            self.adopt_peer_document(document);
         }
         let Some(oldest) = self.awaits_from else {
             return ConfigOutcome::Refused(RefusedReason::NotNeeded);
@@ -167,7 +167,7 @@
     }
 
     /// Takes a peer's copy of a document that is in force there.
-    pub fn adopt_peer(&mut self, document: &VersionedDocument) -> PeerOutcome {
+    pub fn adopt_peer_document(&mut self, document: &VersionedDocument) -> PeerOutcome {
         if document.version <= self.version(&document.environment) {
             return PeerOutcome::NotNewer;
         }
@@ -175,7 +175,7 @@
             return PeerOutcome::Invalid(problem);
         }
         self.ahead.put(document.clone());
-        PeerOutcome::Raised(document.version)
+        PeerOutcome::Adopted(document.version)
     }
 
     /// Returns the document in force, or `None` when the environment has none.
@@ -183,10 +183,10 @@
     pub fn in_force(&self, environment: &EnvironmentName) -> Option<ConfigState<'_>> {
         if self.ahead.version(environment) > self.log.version(environment) {
             let document = self.ahead.document(environment)?;
-            return Some(ConfigState { document, currency: Currency::PossiblyStale });
+            return Some(ConfigState { document, freshness: Freshness::PossiblyStale });
         }
         let document = self.log.document(environment)?;
-        Some(ConfigState { document, currency: Currency::Confirmed })
+        Some(ConfigState { document, freshness: Freshness::Confirmed })
     }
 
     /// Returns the version in force, which is zero when the environment has no document.
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -6,14 +6,14 @@
 
 use std::collections::{BTreeMap, btree_map::Entry};
 
-use base::{Execution, Moment, Refusal, RefusalCode, Span, WallTime, key, plain};
+use base::{Execution, Moment, Refusal, RefusalCode, Span, WallTime, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{ClaimKey, Fingerprint, RequestId};
 
-key! {
+derive_copy! {
     /// Whether the platform's log accepts appends.
-    pub enum LogReach {
+    pub enum LogAvailability {
         /// Appends are answered.
         Up,
         /// Appends fail or are not answered.
@@ -45,7 +45,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// How a claimed request ended.
     pub enum ClaimOutcome {
         /// It was answered, and a resend gets this answer.
@@ -76,7 +76,7 @@
     /// Something that concerns claims.
     pub enum ClaimEvent {
         /// A caller's request with an idempotency key wants to run.
-        Asked {
+        Requested {
             /// The claimed key.
             claim: ClaimKey,
             /// Fingerprint of the request.
@@ -98,9 +98,9 @@
             outcome: ClaimOutcome,
         },
         /// The caller of a waiting request has disconnected.
-        CallerGone(RequestId),
+        CallerDisconnected(RequestId),
         /// The log became reachable or unreachable.
-        LogChanged(LogReach),
+        LogAvailabilityChanged(LogAvailability),
         /// Time has passed.
         Tick,
     }
@@ -142,7 +142,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum AskState {
+enum RequestState {
     /// The claim is not in the log yet and the caller waits.
     Waiting,
     /// The caller has its refusal. The claim is released if it still wins.
@@ -152,19 +152,19 @@
 }
 
 #[derive(Debug, Clone)]
-struct OwnAsk {
+struct LocalRequest {
     taken: ClaimTaken,
     deadline: Moment,
-    state: AskState,
+    state: RequestState,
 }
 
 /// Claims as the log states them, and the requests of this node that wait for theirs.
 #[derive(Debug, Clone)]
 pub struct ClaimTable {
     policy: ClaimPolicy,
-    log: LogReach,
+    log: LogAvailability,
     held: BTreeMap<ClaimKey, HeldClaim>,
-    own: BTreeMap<RequestId, OwnAsk>,
+    own: BTreeMap<RequestId, LocalRequest>,
 }
 
 /// A claim is forgotten this long after its expiry. No request waits that long for its claim, so
@@ -185,13 +185,13 @@
     /// Creates an empty table. The log counts as reachable until stated otherwise.
     #[must_use]
     pub const fn new(policy: ClaimPolicy) -> Self {
-        Self { policy, log: LogReach::Up, held: BTreeMap::new(), own: BTreeMap::new() }
+        Self { policy, log: LogAvailability::Up, held: BTreeMap::new(), own: BTreeMap::new() }
     }
 
     /// Applies one event. `wall` is the civil time of this node.
     pub fn handle(&mut self, now: Moment, wall: WallTime, event: ClaimEvent) -> ClaimActions {
         match event {
-            ClaimEvent::Asked { claim, fingerprint, request, deadline } => {
+            ClaimEvent::Requested { claim, fingerprint, request, deadline } => {
                 let taken = ClaimTaken {
                     claim,
                     fingerprint,
@@ -199,7 +199,7 @@
                     taken_at: wall,
                     expires_at: later(wall, self.policy.lifetime),
                 };
-                self.asked(taken, deadline)
+                self.requested(taken, deadline)
             }
             ClaimEvent::TakenRead(taken) => self.taken_read(wall, taken),
             ClaimEvent::DoneRead(done) => {
@@ -207,11 +207,11 @@
                 ClaimActions::new()
             }
             ClaimEvent::Ended { request, outcome } => self.ended(request, outcome),
-            ClaimEvent::CallerGone(request) => {
+            ClaimEvent::CallerDisconnected(request) => {
                 self.withdraw(request);
                 ClaimActions::new()
             }
-            ClaimEvent::LogChanged(reach) => self.log_changed(reach),
+            ClaimEvent::LogAvailabilityChanged(availability) => self.log_changed(availability),
             ClaimEvent::Tick => self.tick(now, wall),
         }
     }
@@ -219,8 +219,8 @@
     /// Returns when [`ClaimEvent::Tick`] is due, or `None` when no request waits.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
-        let waiting = self.own.values().filter(|ask| ask.state == AskState::Waiting);
-        waiting.map(|ask| ask.deadline).min()
+        let waiting = self.own.values().filter(|request| request.state == RequestState::Waiting);
+        waiting.map(|request| request.deadline).min()
     }
 
     /// Returns the request that holds `claim` by the log read so far, also after it has ended.
@@ -241,16 +241,17 @@
         self.held.is_empty()
     }
 
-    fn asked(&mut self, taken: ClaimTaken, deadline: Moment) -> ClaimActions {
+    fn requested(&mut self, taken: ClaimTaken, deadline: Moment) -> ClaimActions {
         if let Some(held) = self.held.get(&taken.claim)
             && taken.taken_at < held.taken.expires_at
         {
             return ClaimActions::from_iter([self.answer_loser(held, &taken)]);
         }
-        if self.log == LogReach::Down {
+        if self.log == LogAvailability::Down {
             return ClaimActions::from_iter([self.refuse_log_down(taken.holder)]);
         }
-        self.own.insert(taken.holder, OwnAsk { taken, deadline, state: AskState::Waiting });
+        self.own
+            .insert(taken.holder, LocalRequest { taken, deadline, state: RequestState::Waiting });
         ClaimActions::from_iter([ClaimAction::AppendTaken(taken)])
     }
 
@@ -272,32 +273,34 @@
                 wins
             }
         };
-        let Some(ask) = self.own.get_mut(&taken.holder) else { return ClaimActions::new() };
+        let Some(local_request) = self.own.get_mut(&taken.holder) else {
+            return ClaimActions::new();
+        };
         let request = taken.holder;
         if !wins {
-            let was_waiting = ask.state == AskState::Waiting;
+            let was_waiting = local_request.state == RequestState::Waiting;
             self.own.remove(&request);
             let Some(held) = self.held.get(&taken.claim).filter(|_| was_waiting) else {
                 return ClaimActions::new();
             };
             return ClaimActions::from_iter([self.answer_loser(held, &taken)]);
         }
-        match ask.state {
-            AskState::Waiting if wall < taken.expires_at => {
-                ask.state = AskState::Running;
+        match local_request.state {
+            RequestState::Waiting if wall < taken.expires_at => {
+                local_request.state = RequestState::Running;
                 ClaimActions::from_iter([ClaimAction::Run(request)])
             }
-            AskState::Waiting => {
+            RequestState::Waiting => {
                 self.own.remove(&request);
                 let mut actions = ClaimActions::from_iter([self.refuse_log_down(request)]);
                 actions.push(release(&taken));
                 actions
             }
-            AskState::Withdrawn => {
+            RequestState::Withdrawn => {
                 self.own.remove(&request);
                 ClaimActions::from_iter([release(&taken)])
             }
-            AskState::Running => ClaimActions::new(),
+            RequestState::Running => ClaimActions::new(),
         }
     }
 
@@ -314,14 +317,14 @@
     }
 
     fn ended(&mut self, request: RequestId, outcome: ClaimOutcome) -> ClaimActions {
-        let Some(ask) = self.own.remove(&request) else { return ClaimActions::new() };
+        let Some(local_request) = self.own.remove(&request) else { return ClaimActions::new() };
         let outcome = match outcome {
             ClaimOutcome::Answered { body, .. } if body.len() > self.policy.max_answer => {
                 ClaimOutcome::AnswerNotKept
             }
             outcome => outcome,
         };
-        let claim = ask.taken.claim;
+        let claim = local_request.taken.claim;
         if let Some(held) = self.held.get_mut(&claim)
             && held.taken.holder == request
             && outcome != ClaimOutcome::NotRun
@@ -335,16 +338,16 @@
     }
 
     fn withdraw(&mut self, request: RequestId) {
-        if let Some(ask) = self.own.get_mut(&request)
-            && ask.state == AskState::Waiting
+        if let Some(local_request) = self.own.get_mut(&request)
+            && local_request.state == RequestState::Waiting
         {
-            ask.state = AskState::Withdrawn;
+            local_request.state = RequestState::Withdrawn;
         }
     }
 
-    fn log_changed(&mut self, reach: LogReach) -> ClaimActions {
-        self.log = reach;
-        if reach == LogReach::Up {
+    fn log_changed(&mut self, availability: LogAvailability) -> ClaimActions {
+        self.log = availability;
+        if availability == LogAvailability::Up {
             return ClaimActions::new();
         }
         self.withdraw_where(|_| true)
@@ -352,18 +355,25 @@
 
     fn tick(&mut self, now: Moment, wall: WallTime) -> ClaimActions {
         self.held.retain(|_, held| wall < later(held.taken.expires_at, KEEP_AFTER_EXPIRY));
-        let expired = self.withdraw_where(|ask| ask.deadline <= now);
+        let expired = self.withdraw_where(|request| request.deadline <= now);
         let held = &self.held;
-        self.own.retain(|_, ask| {
-            let is_over = wall >= later(ask.taken.expires_at, KEEP_AFTER_EXPIRY);
-            ask.state != AskState::Withdrawn || !is_over || held.contains_key(&ask.taken.claim)
+        self.own.retain(|_, request| {
+            let is_over = wall >= later(request.taken.expires_at, KEEP_AFTER_EXPIRY);
+            request.state != RequestState::Withdrawn
+                || !is_over
+                || held.contains_key(&request.taken.claim)
         });
         expired
     }
 
-    fn withdraw_where(&mut self, applies: impl Fn(&OwnAsk) -> bool) -> ClaimActions {
-        let waiting = self.own.iter().filter(|(_, ask)| ask.state == AskState::Waiting);
-        let requests = waiting.filter(|(_, ask)| applies(ask)).map(|(request, _)| *request);
+    fn withdraw_where(&mut self, applies: impl Fn(&LocalRequest) -> bool) -> ClaimActions {
+        let waiting = self
+            .own
+            .iter()
+            .filter(|(_, local_request)| local_request.state == RequestState::Waiting);
+        let requests = waiting
+            .filter(|(_, local_request)| applies(local_request))
+            .map(|(request, _)| *request);
         let requests = requests.collect::<SmallVec<[RequestId; 8]>>();
         let mut actions = ClaimActions::new();
         for request in requests {
--- a/crates/delivery/src/stream.rs
+++ b/crates/delivery/src/stream.rs
@@ -1,13 +1,13 @@
 //! Builds one whole answer from the streams of one or more upstreams.
 
-use base::{Moment, Span, UpstreamKey, WeightVersion, key, plain};
+use base::{Moment, Span, UpstreamKey, WeightVersion, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{ExchangeNumber, RequestId};
 
-plain! {
+derive_value! {
     /// One token of an answer.
-    pub struct AnswerPiece {
+    pub struct AnswerToken {
         /// The request that the upstream names.
         pub request: RequestId,
         /// Position in the whole answer, starting at 0. A resumed stream starts at its offset.
@@ -26,11 +26,11 @@
             upstream: UpstreamKey,
         },
         /// A piece arrived.
-        Piece {
+        Token {
             /// The exchange that carried it.
             exchange: ExchangeNumber,
             /// The piece.
-            piece: AnswerPiece,
+            token: AnswerToken,
         },
         /// An end marker arrived.
         End {
@@ -85,7 +85,7 @@
     }
 }
 
-key! {
+derive_copy! {
     /// End of an engine's stream.
     pub struct EndMarker {
         /// The request that the upstream names.
@@ -163,7 +163,7 @@
                 self.current = Some((ExchangeNumber(self.exchanges), upstream));
                 StreamActions::new()
             }
-            StreamEvent::Piece { exchange, piece } => self.piece(exchange, piece),
+            StreamEvent::Token { exchange, token } => self.token(exchange, token),
             StreamEvent::End { exchange, marker } => self.end(exchange, marker),
             StreamEvent::Closed { exchange } if self.is_current(exchange) => self.broken(),
             StreamEvent::Closed { .. } => StreamActions::new(),
@@ -213,22 +213,22 @@
         self.current.is_some_and(|(current, _)| current == exchange)
     }
 
-    fn piece(&mut self, exchange: ExchangeNumber, piece: AnswerPiece) -> StreamActions {
-        let is_repeat = piece.index < self.next_index;
-        if !self.is_current(exchange) || piece.request != self.request || is_repeat {
+    fn token(&mut self, exchange: ExchangeNumber, answer_token: AnswerToken) -> StreamActions {
+        let is_repeat = answer_token.index < self.next_index;
+        if !self.is_current(exchange) || answer_token.request != self.request || is_repeat {
             self.dropped += 1;
             return StreamActions::new();
         }
-        if piece.index > self.next_index {
+        if answer_token.index > self.next_index {
             // A token between was lost. What follows cannot be delivered without a gap.
             self.dropped += 1;
             return self.broken();
         }
         self.next_index += 1;
-        if !self.versions.contains(&piece.version) {
-            self.versions.push(piece.version);
+        if !self.versions.contains(&answer_token.version) {
+            self.versions.push(answer_token.version);
         }
-        let AnswerPiece { index, token, version, .. } = piece;
+        let AnswerToken { index, token, version, .. } = answer_token;
         StreamActions::from_iter([StreamAction::Deliver { index, token, version }])
     }
 
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use base::{Execution, Incarnation, Moment, Refusal, RouteKey, Span, UpstreamKey, WallTime};
-use base::{RefusalCode, key, plain};
+use base::{RefusalCode, derive_copy, derive_value};
 use smallvec::SmallVec;
 
 use crate::{Fingerprint, RequestId};
@@ -16,9 +16,9 @@
 
 use isolation::IsolationQueue;
 
-key! {
-    /// Content of the log record `Verdict`, also spread in digests.
-    pub struct Verdict {
+derive_copy! {
+    /// Content of the log record `Conviction`, also spread in digests.
+    pub struct Conviction {
         /// The blocked fingerprint.
         pub fingerprint: Fingerprint,
         /// When the block ends.
@@ -26,7 +26,7 @@
     }
 
     /// What is known about a fingerprint.
-    pub enum Judgement {
+    pub enum FingerprintStatus {
         /// It may run anywhere.
         Clear,
         /// It may run only in isolation.
@@ -61,9 +61,9 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Suspicion of one fingerprint, spread to the other nodes.
-    pub struct SuspectNote {
+    pub struct Suspicion {
         /// The suspected fingerprint.
         pub fingerprint: Fingerprint,
         /// Upstreams that crashed while it was in flight there.
@@ -73,7 +73,7 @@
     }
 
     /// A suspect that wants to run.
-    pub struct IsolationAsk {
+    pub struct IsolationRequest {
         /// The request.
         pub request: RequestId,
         /// Its fingerprint.
@@ -107,11 +107,11 @@
         /// An upstream crashed.
         Crashed(UpstreamKey),
         /// A suspect wants to run.
-        Asked(IsolationAsk),
+        Requested(IsolationRequest),
         /// The caller of a suspect has disconnected.
-        CallerGone(RequestId),
+        CallerDisconnected(RequestId),
         /// A load report was measured.
-        LoadSeen {
+        LoadReported {
             /// The upstream.
             upstream: UpstreamKey,
             /// Requests that run or wait there, of all nodes.
@@ -120,11 +120,11 @@
             measured_at: Moment,
         },
         /// Another node spread a suspicion.
-        NoteHeard(SuspectNote),
+        SuspicionReceived(Suspicion),
         /// A conviction was read from the log or heard from another node.
-        VerdictHeard(Verdict),
+        ConvictionReceived(Conviction),
         /// Another node keeps an upstream free.
-        IsolationHeard(IsolationNotice),
+        IsolationReceived(IsolationNotice),
         /// Another node no longer keeps an upstream free.
         IsolationEnded(IsolationNotice),
         /// Time has passed.
@@ -134,9 +134,9 @@
     /// What the driver must do.
     pub enum SuspectAction {
         /// Spread a suspicion to the other nodes at once.
-        SpreadNote(SuspectNote),
+        BroadcastSuspicion(Suspicion),
         /// Append a conviction to the stream `verdicts` and spread it.
-        Convict(Verdict),
+        Convict(Conviction),
         /// Choose this upstream for no request and announce that to the other nodes.
         Reserve(IsolationNotice),
         /// The upstream may be chosen again.
@@ -162,7 +162,7 @@
 pub type SuspectActions = SmallVec<[SuspectAction; 4]>;
 
 #[derive(Debug, Clone)]
-struct Suspicion {
+struct SuspicionState {
     crashed: SmallVec<[UpstreamKey; 2]>,
     expires_at: WallTime,
 }
@@ -172,7 +172,7 @@
 pub struct SuspectTable {
     policy: SuspectPolicy,
     in_flight: BTreeMap<UpstreamKey, Vec<Fingerprint>>,
-    suspicions: BTreeMap<Fingerprint, Suspicion>,
+    suspicions: BTreeMap<Fingerprint, SuspicionState>,
     convictions: BTreeMap<Fingerprint, WallTime>,
     isolation: IsolationQueue,
 }
@@ -212,23 +212,31 @@
                 self.finished(now, upstream, fingerprint)
             }
             SuspectEvent::Crashed(upstream) => self.crashed(now, wall, upstream),
-            SuspectEvent::Asked(ask) => match self.judge(wall, ask.fingerprint) {
-                Judgement::Convicted { retry_after } => {
-                    SuspectActions::from_iter([refuse_convicted(&ask, retry_after)])
+            SuspectEvent::Requested(request) => match self
+                .fingerprint_status(wall, request.fingerprint)
+            {
+                FingerprintStatus::Convicted { retry_after } => {
+                    SuspectActions::from_iter([refuse_convicted(&request, retry_after)])
                 }
                 _ => {
-                    let crashed = self.suspicions.get(&ask.fingerprint);
+                    let crashed = self.suspicions.get(&request.fingerprint);
                     let crashed = crashed.map(|found| found.crashed.clone()).unwrap_or_default();
-                    self.isolation.ask(now, ask, &crashed)
+                    self.isolation.enqueue(now, request, &crashed)
                 }
             },
-            SuspectEvent::CallerGone(request) => self.isolation.caller_gone(now, request),
-            SuspectEvent::LoadSeen { upstream, requests, measured_at } => {
-                self.isolation.load_seen(now, upstream, requests, measured_at)
+            SuspectEvent::CallerDisconnected(request) => {
+                self.isolation.caller_disconnected(now, request)
             }
-            SuspectEvent::NoteHeard(note) => self.note_heard(now, wall, note),
-            SuspectEvent::VerdictHeard(verdict) => self.verdict_heard(now, wall, verdict),
-            SuspectEvent::IsolationHeard(notice) => self.isolation.heard(now, notice),
+            SuspectEvent::LoadReported { upstream, requests, measured_at } => {
+                self.isolation.load_reported(now, upstream, requests, measured_at)
+            }
+            SuspectEvent::SuspicionReceived(suspicion) => {
+                self.suspicion_received(now, wall, suspicion)
+            }
+            SuspectEvent::ConvictionReceived(conviction) => {
+                self.conviction_received(now, wall, conviction)
+            }
+            SuspectEvent::IsolationReceived(notice) => self.isolation.heard(now, notice),
             SuspectEvent::IsolationEnded(notice) => self.isolation.forget(now, notice),
             SuspectEvent::Tick => {
                 self.suspicions.retain(|_, suspicion| wall < suspicion.expires_at);
@@ -240,15 +248,19 @@
 
     /// Tells how a request with this fingerprint must be treated.
     #[must_use]
-    pub fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> Judgement {
+    pub fn fingerprint_status(
+        &self,
+        wall: WallTime,
+        fingerprint: Fingerprint,
+    ) -> FingerprintStatus {
         if let Some(expires_at) = self.convictions.get(&fingerprint)
             && wall < *expires_at
         {
-            return Judgement::Convicted { retry_after: between(wall, *expires_at) };
+            return FingerprintStatus::Convicted { retry_after: between(wall, *expires_at) };
         }
         match self.suspicions.get(&fingerprint) {
-            Some(suspicion) if wall < suspicion.expires_at => Judgement::Suspect,
-            _ => Judgement::Clear,
+            Some(suspicion) if wall < suspicion.expires_at => FingerprintStatus::Suspect,
+            _ => FingerprintStatus::Clear,
         }
     }
 
@@ -259,8 +271,8 @@
     }
 
     /// Returns the suspicions that are in force, for a peer that joins.
-    pub fn notes(&self) -> impl Iterator<Item = SuspectNote> {
-        self.suspicions.iter().map(|(fingerprint, suspicion)| SuspectNote {
+    pub fn suspicions(&self) -> impl Iterator<Item = Suspicion> {
+        self.suspicions.iter().map(|(fingerprint, suspicion)| Suspicion {
             fingerprint: *fingerprint,
             crashed: suspicion.crashed.clone(),
             expires_at: suspicion.expires_at,
@@ -268,9 +280,9 @@
     }
 
     /// Returns the convictions that are in force, for digests.
-    pub fn verdicts(&self) -> impl Iterator<Item = Verdict> {
+    pub fn convictions(&self) -> impl Iterator<Item = Conviction> {
         let convictions = self.convictions.iter();
-        convictions.map(|(fingerprint, expires_at)| Verdict {
+        convictions.map(|(fingerprint, expires_at)| Conviction {
             fingerprint: *fingerprint,
             expires_at: *expires_at,
         })
@@ -312,26 +324,26 @@
         let mut actions = SuspectActions::new();
         for fingerprint in victims {
             let crashed = SmallVec::from_iter([upstream]);
-            let note = SuspectNote { fingerprint, crashed, expires_at };
-            actions.extend(self.suspect(now, wall, note));
+            let suspicion = Suspicion { fingerprint, crashed, expires_at };
+            actions.extend(self.suspect(now, wall, suspicion));
         }
         actions.extend(self.isolation.crashed(now, upstream));
         actions
     }
 
     /// Merges a suspicion, spreads it when it is new, and convicts on the second upstream.
-    fn suspect(&mut self, now: Moment, wall: WallTime, note: SuspectNote) -> SuspectActions {
-        let fingerprint = note.fingerprint;
-        if wall >= note.expires_at || self.convictions.contains_key(&fingerprint) {
+    fn suspect(&mut self, now: Moment, wall: WallTime, suspicion: Suspicion) -> SuspectActions {
+        let fingerprint = suspicion.fingerprint;
+        if wall >= suspicion.expires_at || self.convictions.contains_key(&fingerprint) {
             return SuspectActions::new();
         }
-        let known = self
-            .suspicions
-            .entry(fingerprint)
-            .or_insert_with(|| Suspicion { crashed: SmallVec::new(), expires_at: note.expires_at });
-        known.expires_at = known.expires_at.max(note.expires_at);
+        let known = self.suspicions.entry(fingerprint).or_insert_with(|| SuspicionState {
+            crashed: SmallVec::new(),
+            expires_at: suspicion.expires_at,
+        });
+        known.expires_at = known.expires_at.max(suspicion.expires_at);
         let before = known.crashed.len();
-        for upstream in note.crashed {
+        for upstream in suspicion.crashed {
             if !known.crashed.contains(&upstream) {
                 known.crashed.push(upstream);
             }
@@ -339,9 +351,9 @@
         let is_new = known.crashed.len() > before;
         if known.crashed.len() >= 2 {
             let expires_at = later(wall, self.policy.lifetime);
-            let verdict = Verdict { fingerprint, expires_at };
-            let mut actions = SuspectActions::from_iter([SuspectAction::Convict(verdict)]);
-            actions.extend(self.verdict_heard(now, wall, verdict));
+            let conviction = Conviction { fingerprint, expires_at };
+            let mut actions = SuspectActions::from_iter([SuspectAction::Convict(conviction)]);
+            actions.extend(self.conviction_received(now, wall, conviction));
             return actions;
         }
         if !is_new {
@@ -349,42 +361,53 @@
         }
         let crashed = known.crashed.clone();
         let expires_at = known.expires_at;
-        let note = SuspectNote { fingerprint, crashed, expires_at };
-        SuspectActions::from_iter([SuspectAction::SpreadNote(note)])
+        let suspicion = Suspicion { fingerprint, crashed, expires_at };
+        SuspectActions::from_iter([SuspectAction::BroadcastSuspicion(suspicion)])
     }
 
-    fn note_heard(&mut self, now: Moment, wall: WallTime, note: SuspectNote) -> SuspectActions {
-        let mut actions = self.suspect(now, wall, note);
+    fn suspicion_received(
+        &mut self,
+        now: Moment,
+        wall: WallTime,
+        suspicion: Suspicion,
+    ) -> SuspectActions {
+        let mut actions = self.suspect(now, wall, suspicion);
         // The node that saw the crash spreads the note, so a hearer does not repeat it.
-        actions.retain(|action| !matches!(action, SuspectAction::SpreadNote(_)));
+        actions.retain(|action| !matches!(action, SuspectAction::BroadcastSuspicion(_)));
         actions
     }
 
-    fn verdict_heard(&mut self, now: Moment, wall: WallTime, verdict: Verdict) -> SuspectActions {
-        if wall >= verdict.expires_at {
+    fn conviction_received(
+        &mut self,
+        now: Moment,
+        wall: WallTime,
+        conviction: Conviction,
+    ) -> SuspectActions {
+        if wall >= conviction.expires_at {
             return SuspectActions::new();
         }
-        let expires_at = self.convictions.entry(verdict.fingerprint).or_insert(verdict.expires_at);
-        *expires_at = (*expires_at).max(verdict.expires_at);
+        let expires_at =
+            self.convictions.entry(conviction.fingerprint).or_insert(conviction.expires_at);
+        *expires_at = (*expires_at).max(conviction.expires_at);
         let retry_after = between(wall, *expires_at);
-        self.suspicions.remove(&verdict.fingerprint);
+        self.suspicions.remove(&conviction.fingerprint);
         let mut actions = SuspectActions::new();
-        for ask in self.isolation.take_waiting(verdict.fingerprint, &mut actions) {
-            actions.push(refuse_convicted(&ask, retry_after));
+        for request in self.isolation.take_waiting(conviction.fingerprint, &mut actions) {
+            actions.push(refuse_convicted(&request, retry_after));
         }
         actions.extend(self.isolation.tick(now));
         actions
     }
 }
 
-fn refuse_convicted(ask: &IsolationAsk, retry_after: Span) -> SuspectAction {
+fn refuse_convicted(request: &IsolationRequest, retry_after: Span) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::Convicted,
-        execution: ask.execution,
+        execution: request.execution,
         retry_after: Some(retry_after),
         message: String::from("the request has crashed upstreams and is blocked"),
     };
-    SuspectAction::Refuse { request: ask.request, refusal }
+    SuspectAction::Refuse { request: request.request, refusal }
 }
 
 const fn later(time: WallTime, span: Span) -> WallTime {
--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -8,7 +8,7 @@
 use base::{Incarnation, Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use smallvec::SmallVec;
 
-use super::{IsolationAsk, IsolationNotice, SuspectAction, SuspectActions, SuspectPolicy};
+use super::{IsolationNotice, IsolationRequest, SuspectAction, SuspectActions, SuspectPolicy};
 use crate::{Fingerprint, RequestId};
 
 /// At most one upstream in this many is kept free for suspects, so that other requests keep
@@ -16,8 +16,8 @@
 const UPSTREAMS_PER_SLOT: usize = 4;
 
 #[derive(Debug, Clone)]
-struct WaitingAsk {
-    ask: IsolationAsk,
+struct WaitingRequest {
+    request: IsolationRequest,
     crashed: SmallVec<[UpstreamKey; 2]>,
     announced_at: Moment,
 }
@@ -35,7 +35,7 @@
     reserved_at: Moment,
     seen_empty: bool,
     running: Option<IsolatedRun>,
-    waiting: VecDeque<WaitingAsk>,
+    waiting: VecDeque<WaitingRequest>,
 }
 
 #[derive(Debug, Clone)]
@@ -45,7 +45,7 @@
     run_time: Span,
     slots: BTreeMap<UpstreamKey, IsolationSlot>,
     /// Asks that wait until another node gives up one of the places that it holds.
-    parked: Vec<(IsolationAsk, SmallVec<[UpstreamKey; 2]>)>,
+    parked: Vec<(IsolationRequest, SmallVec<[UpstreamKey; 2]>)>,
     peers: BTreeMap<IsolationNotice, Moment>,
 }
 
@@ -62,38 +62,38 @@
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn enqueue(
         &mut self,
         now: Moment,
-        ask: IsolationAsk,
+        request: IsolationRequest,
         crashed: &[UpstreamKey],
     ) -> SuspectActions {
-        if self.peers.keys().any(|notice| notice.fingerprint == ask.fingerprint) {
+        if self.peers.keys().any(|notice| notice.fingerprint == request.fingerprint) {
             let message = "another node is testing the same request";
-            return SuspectActions::from_iter([refuse(&ask, self.run_time, message)]);
+            return SuspectActions::from_iter([refuse(&request, self.run_time, message)]);
         }
-        let Some(upstream) = self.choose(&ask, crashed) else {
-            let mut held = ask.upstreams.iter().filter(|key| self.is_reserved_by_peer(**key));
-            let in_time = now + self.policy.settle_time + self.run_time <= ask.deadline;
+        let Some(upstream) = self.choose(&request, crashed) else {
+            let mut held = request.upstreams.iter().filter(|key| self.is_reserved_by_peer(**key));
+            let in_time = now + self.policy.settle_time + self.run_time <= request.deadline;
             if in_time && held.next().is_some() {
-                self.parked.push((ask, SmallVec::from_slice(crashed)));
+                self.parked.push((request, SmallVec::from_slice(crashed)));
                 return SuspectActions::new();
             }
             let message =
                 "no upstream can be kept free for a request that was in flight at a crash";
             let retry_after = self.run_time + self.policy.settle_time;
-            return SuspectActions::from_iter([refuse(&ask, retry_after, message)]);
+            return SuspectActions::from_iter([refuse(&request, retry_after, message)]);
         };
         let queued = self
             .slots
             .get(&upstream)
             .map_or(0, |slot| slot.waiting.len() as u64 + u64::from(slot.running.is_some()));
         let wait = self.policy.settle_time + Span(self.run_time.0.saturating_mul(queued));
-        if now + wait + self.run_time > ask.deadline {
+        if now + wait + self.run_time > request.deadline {
             let message = "no upstream is free for an isolated run within the deadline";
-            return SuspectActions::from_iter([refuse(&ask, wait, message)]);
+            return SuspectActions::from_iter([refuse(&request, wait, message)]);
         }
-        let notice = self.notice(upstream, ask.fingerprint);
+        let notice = self.notice(upstream, request.fingerprint);
         let slot = self.slots.entry(upstream).or_insert_with(|| IsolationSlot {
             reserved_at: now,
             seen_empty: false,
@@ -101,12 +101,16 @@
             waiting: VecDeque::new(),
         });
         let crashed = SmallVec::from_slice(crashed);
-        slot.waiting.push_back(WaitingAsk { ask, crashed, announced_at: now });
+        slot.waiting.push_back(WaitingRequest { request, crashed, announced_at: now });
         SuspectActions::from_iter([SuspectAction::Reserve(notice)])
     }
 
-    pub(super) fn caller_gone(&mut self, now: Moment, request: RequestId) -> SuspectActions {
-        self.parked.retain(|(ask, _)| ask.request != request);
+    pub(super) fn caller_disconnected(
+        &mut self,
+        now: Moment,
+        request: RequestId,
+    ) -> SuspectActions {
+        self.parked.retain(|(parked, _)| parked.request != request);
         let mut actions = SuspectActions::new();
         for (upstream, slot) in &mut self.slots {
             if let Some(run) = &mut slot.running
@@ -114,11 +118,11 @@
             {
                 run.caller_present = false;
             }
-            let found = slot.waiting.iter().position(|waiting| waiting.ask.request == request);
+            let found = slot.waiting.iter().position(|waiting| waiting.request.request == request);
             let Some(waiting) = found.and_then(|position| slot.waiting.remove(position)) else {
                 continue;
             };
-            let fingerprint = waiting.ask.fingerprint;
+            let fingerprint = waiting.request.fingerprint;
             let node = self.me;
             let notice = IsolationNotice { node, upstream: *upstream, fingerprint };
             release(&mut actions, slot, notice);
@@ -127,7 +131,7 @@
         actions
     }
 
-    pub(super) fn load_seen(
+    pub(super) fn load_reported(
         &mut self,
         now: Moment,
         upstream: UpstreamKey,
@@ -155,11 +159,11 @@
             && slot.running.is_none()
         {
             let slot = self.slots.remove(&notice.upstream).expect("the slot was just found");
-            actions.extend(self.ask_again(now, notice.upstream, slot.waiting));
+            actions.extend(self.requeue(now, notice.upstream, slot.waiting));
         }
-        for ask in self.take_waiting(notice.fingerprint, &mut actions) {
+        for request in self.take_waiting(notice.fingerprint, &mut actions) {
             let message = "another node is testing the same request";
-            actions.push(refuse(&ask, self.run_time, message));
+            actions.push(refuse(&request, self.run_time, message));
         }
         actions.extend(self.tick(now));
         actions
@@ -190,15 +194,15 @@
     }
 
     pub(super) fn crashed(&mut self, now: Moment, upstream: UpstreamKey) -> SuspectActions {
-        for (ask, _) in &mut self.parked {
-            ask.upstreams.retain(|found| *found != upstream);
+        for (request, _) in &mut self.parked {
+            request.upstreams.retain(|found| *found != upstream);
         }
         let Some(slot) = self.slots.remove(&upstream) else { return SuspectActions::new() };
         let mut actions = SuspectActions::new();
         if let Some(run) = slot.running {
             actions.push(SuspectAction::Release(self.notice(upstream, run.fingerprint)));
         }
-        actions.extend(self.ask_again(now, upstream, slot.waiting));
+        actions.extend(self.requeue(now, upstream, slot.waiting));
         actions
     }
 
@@ -207,16 +211,17 @@
         &mut self,
         fingerprint: Fingerprint,
         actions: &mut SuspectActions,
-    ) -> Vec<IsolationAsk> {
-        let is_meant = |(ask, _): &mut (IsolationAsk, _)| ask.fingerprint == fingerprint;
+    ) -> Vec<IsolationRequest> {
+        let is_meant =
+            |(request, _): &mut (IsolationRequest, _)| request.fingerprint == fingerprint;
         let parked = self.parked.extract_if(.., is_meant);
-        let mut taken = parked.map(|(ask, _)| ask).collect::<Vec<_>>();
+        let mut taken = parked.map(|(request, _)| request).collect::<Vec<_>>();
         for (upstream, slot) in &mut self.slots {
             let before = taken.len();
             slot.waiting.retain(|waiting| {
-                let matches = waiting.ask.fingerprint == fingerprint;
+                let matches = waiting.request.fingerprint == fingerprint;
                 if matches {
-                    taken.push(waiting.ask.clone());
+                    taken.push(waiting.request.clone());
                 }
                 !matches
             });
@@ -236,14 +241,14 @@
             let (node, upstream) = (self.me, *upstream);
             let mut position = 0;
             while let Some(waiting) = slot.waiting.get(position) {
-                if now + self.run_time <= waiting.ask.deadline {
+                if now + self.run_time <= waiting.request.deadline {
                     position += 1;
                     continue;
                 }
                 let waiting = slot.waiting.remove(position).expect("the position was just read");
                 let message = "no upstream became free for an isolated run in time";
-                actions.push(refuse(&waiting.ask, self.run_time, message));
-                let fingerprint = waiting.ask.fingerprint;
+                actions.push(refuse(&waiting.request, self.run_time, message));
+                let fingerprint = waiting.request.fingerprint;
                 release(&mut actions, slot, IsolationNotice { node, upstream, fingerprint });
             }
             let Some(head) = slot.waiting.front() else { continue };
@@ -251,15 +256,15 @@
             if slot.running.is_some() || !slot.seen_empty || !settled {
                 continue;
             }
-            let (request, fingerprint) = (head.ask.request, head.ask.fingerprint);
+            let (request, fingerprint) = (head.request.request, head.request.fingerprint);
             slot.waiting.pop_front();
             let run = IsolatedRun { request, fingerprint, started_at: now, caller_present: true };
             slot.running = Some(run);
             actions.push(SuspectAction::RunIsolated { request, upstream });
         }
         self.slots.retain(|_, slot| slot.running.is_some() || !slot.waiting.is_empty());
-        for (ask, crashed) in std::mem::take(&mut self.parked) {
-            actions.extend(self.ask(now, ask, &crashed));
+        for (isolation, crashed) in std::mem::take(&mut self.parked) {
+            actions.extend(self.enqueue(now, isolation, &crashed));
         }
         actions
     }
@@ -275,7 +280,7 @@
 
     pub(super) fn own_notices(&self) -> impl Iterator<Item = IsolationNotice> {
         self.slots.iter().flat_map(|(upstream, slot)| {
-            let waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+            let waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
             let running = slot.running.iter().map(|run| run.fingerprint);
             running.chain(waiting).map(|fingerprint| self.notice(*upstream, fingerprint))
         })
@@ -285,16 +290,16 @@
         let slots = self.slots.values();
         let due = slots.flat_map(|slot| {
             let refusals = slot.waiting.iter();
-            let refusals = refusals.map(|waiting| waiting.ask.deadline - self.run_time + Span(1));
+            let refusals =
+                refusals.map(|waiting| waiting.request.deadline - self.run_time + Span(1));
             let head = slot.waiting.front();
             let head = head.filter(|_| slot.seen_empty && slot.running.is_none());
             let start = head.map(|head| head.announced_at + self.policy.settle_time);
             refusals.chain(start)
         });
-        let parked = self
-            .parked
-            .iter()
-            .map(|(ask, _)| ask.deadline - self.run_time - self.policy.settle_time + Span(1));
+        let parked = self.parked.iter().map(|(request, _)| {
+            request.deadline - self.run_time - self.policy.settle_time + Span(1)
+        });
         due.chain(parked).min()
     }
 
@@ -307,24 +312,26 @@
     }
 
     /// Picks the slot of the same fingerprint, else a new one, else the shortest queue.
-    fn choose(&self, ask: &IsolationAsk, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
+    fn choose(&self, request: &IsolationRequest, crashed: &[UpstreamKey]) -> Option<UpstreamKey> {
         let usable = |upstream: &UpstreamKey| {
-            ask.upstreams.contains(upstream) && !crashed.contains(upstream)
+            request.upstreams.contains(upstream) && !crashed.contains(upstream)
         };
         let same = self.slots.iter().find(|(_, slot)| {
-            let waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+            let waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
             let running = slot.running.iter().map(|run| run.fingerprint);
-            running.chain(waiting).any(|fingerprint| fingerprint == ask.fingerprint)
+            running.chain(waiting).any(|fingerprint| fingerprint == request.fingerprint)
         });
         if let Some((upstream, _)) = same {
             return Some(*upstream).filter(usable);
         }
-        let live = ask.upstreams.len();
-        let reserved = ask.upstreams.iter().filter(|upstream| self.is_reserved(**upstream)).count();
+        let live = request.upstreams.len();
+        let reserved =
+            request.upstreams.iter().filter(|upstream| self.is_reserved(**upstream)).count();
         // One upstream is left for other requests even when the route has only two.
         let bound = (live / UPSTREAMS_PER_SLOT).max(1).min(live.saturating_sub(1));
         if reserved < bound {
-            let mut free = ask.upstreams.iter().filter(|upstream| !self.is_reserved(**upstream));
+            let mut free =
+                request.upstreams.iter().filter(|upstream| !self.is_reserved(**upstream));
             if let Some(upstream) = free.find(|upstream| usable(upstream)) {
                 return Some(*upstream);
             }
@@ -333,18 +340,18 @@
         own.min_by_key(|(_, slot)| slot.waiting.len()).map(|(upstream, _)| *upstream)
     }
 
-    fn ask_again(
+    fn requeue(
         &mut self,
         now: Moment,
         upstream: UpstreamKey,
-        waiting: VecDeque<WaitingAsk>,
+        waiting: VecDeque<WaitingRequest>,
     ) -> SuspectActions {
         let mut actions = SuspectActions::new();
-        for WaitingAsk { mut ask, crashed, .. } in waiting {
-            let notice = self.notice(upstream, ask.fingerprint);
+        for WaitingRequest { mut request, crashed, .. } in waiting {
+            let notice = self.notice(upstream, request.fingerprint);
             actions.push(SuspectAction::Release(notice));
-            ask.upstreams.retain(|found| *found != upstream);
-            actions.extend(self.ask(now, ask, &crashed));
+            request.upstreams.retain(|found| *found != upstream);
+            actions.extend(self.enqueue(now, request, &crashed));
         }
         actions
     }
@@ -352,18 +359,18 @@
 
 /// Withdraws a notice unless another request with the same fingerprint still needs it.
 fn release(actions: &mut SuspectActions, slot: &IsolationSlot, notice: IsolationNotice) {
-    let mut waiting = slot.waiting.iter().map(|waiting| waiting.ask.fingerprint);
+    let mut waiting = slot.waiting.iter().map(|waiting| waiting.request.fingerprint);
     if !waiting.any(|fingerprint| fingerprint == notice.fingerprint) {
         actions.push(SuspectAction::Release(notice));
     }
 }
 
-fn refuse(ask: &IsolationAsk, retry_after: Span, message: &str) -> SuspectAction {
+fn refuse(request: &IsolationRequest, retry_after: Span, message: &str) -> SuspectAction {
     let refusal = Refusal {
         code: RefusalCode::NoUpstream,
-        execution: ask.execution,
+        execution: request.execution,
         retry_after: Some(retry_after),
         message: String::from(message),
     };
-    SuspectAction::Refuse { request: ask.request, refusal }
+    SuspectAction::Refuse { request: request.request, refusal }
 }
--- a/crates/delivery/tests/suspect.rs
+++ b/crates/delivery/tests/suspect.rs
@@ -4,8 +4,8 @@
 
 use base::{Execution, Incarnation, Moment, RefusalCode, RouteKey, Span, UpstreamKey, WallTime};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectEvent, SuspectPolicy,
-    SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectEvent,
+    SuspectPolicy, SuspectTable,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
     nodes: Vec<SuspectTable>,
     upstreams: BTreeMap<UpstreamKey, Vec<Run>>,
     messages: Vec<(usize, SuspectEvent)>,
-    asked: BTreeMap<RequestId, Fingerprint>,
+    requested: BTreeMap<RequestId, Fingerprint>,
     sequence: u64,
     lost: usize,
     refused: BTreeMap<Fingerprint, RefusalCode>,
@@ -44,7 +44,7 @@
             nodes: nodes.collect(),
             upstreams: (0..upstreams).map(|key| (UpstreamKey(key), Vec::new())).collect(),
             messages: Vec::new(),
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             sequence: 0,
             lost: 0,
             refused: BTreeMap::new(),
@@ -64,19 +64,21 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::SpreadNote(note) => SuspectEvent::NoteHeard(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::VerdictHeard(verdict),
-                SuspectAction::Reserve(notice) => SuspectEvent::IsolationHeard(notice),
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    SuspectEvent::SuspicionReceived(suspicion)
+                }
+                SuspectAction::Convict(conviction) => SuspectEvent::ConvictionReceived(conviction),
+                SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
-                    let fingerprint = self.asked[&request];
+                    let fingerprint = self.requested[&request];
                     assert!(self.upstreams[&upstream].is_empty(), "an isolated run is alone");
                     self.run(node, upstream, fingerprint);
                     continue;
                 }
                 SuspectAction::Refuse { request, refusal } => {
                     assert!(refusal.retry_after.is_some());
-                    self.refused.insert(self.asked[&request], refusal.code);
+                    self.refused.insert(self.requested[&request], refusal.code);
                     continue;
                 }
             };
@@ -94,7 +96,8 @@
 
     fn send(&mut self, node: usize, fingerprint: Fingerprint) {
         let live = self.upstreams.keys().copied().collect::<Vec<_>>();
-        if self.nodes[node].judge(self.wall(), fingerprint) == Judgement::Clear {
+        if self.nodes[node].fingerprint_status(self.wall(), fingerprint) == FingerprintStatus::Clear
+        {
             let free = live.into_iter().filter(|key| !self.nodes[node].is_reserved(*key));
             let free = free.collect::<Vec<_>>();
             assert!(!free.is_empty(), "other requests always find an upstream");
@@ -104,8 +107,8 @@
         }
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
-        self.asked.insert(request, fingerprint);
-        let ask = IsolationAsk {
+        self.requested.insert(request, fingerprint);
+        let isolation = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
@@ -113,7 +116,7 @@
             execution: Execution::NotRun,
             upstreams: live.into(),
         };
-        self.apply(node, SuspectEvent::Asked(ask));
+        self.apply(node, SuspectEvent::Requested(isolation));
     }
 
     fn advance(&mut self, killers: &[Fingerprint]) {
@@ -140,7 +143,7 @@
             let requests = self.upstreams[&upstream].len() as u32;
             let measured_at = self.now();
             for node in 0..self.nodes.len() {
-                let seen = SuspectEvent::LoadSeen { upstream, requests, measured_at };
+                let seen = SuspectEvent::LoadReported { upstream, requests, measured_at };
                 self.apply(node, seen);
             }
         }
@@ -180,8 +183,8 @@
     }
     assert!(cluster.lost <= 2 * killers.len(), "{} upstreams lost", cluster.lost);
     for killer in &killers {
-        let judgement = cluster.nodes[0].judge(cluster.wall(), *killer);
-        assert!(matches!(judgement, Judgement::Convicted { .. }), "{judgement:?}");
+        let status = cluster.nodes[0].fingerprint_status(cluster.wall(), *killer);
+        assert!(matches!(status, FingerprintStatus::Convicted { .. }), "{status:?}");
     }
     cluster.refused.retain(|refused, _| !killers.contains(refused));
     assert_eq!(cluster.refused, BTreeMap::new(), "no other request is refused");
@@ -196,9 +199,12 @@
         cluster.run(0, UpstreamKey(upstream), suspect);
         cluster.apply(0, SuspectEvent::Crashed(UpstreamKey(upstream)));
     }
-    let convicted = Judgement::Convicted { retry_after: Span::from_secs(600) };
-    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), convicted);
-    assert_eq!(cluster.nodes[0].judge(WallTime(600_000), suspect), Judgement::Clear);
+    let convicted = FingerprintStatus::Convicted { retry_after: Span::from_secs(600) };
+    assert_eq!(cluster.nodes[0].fingerprint_status(WallTime(0), suspect), convicted);
+    assert_eq!(
+        cluster.nodes[0].fingerprint_status(WallTime(600_000), suspect),
+        FingerprintStatus::Clear
+    );
 }
 
 #[test]
@@ -212,7 +218,10 @@
     for (node, message) in std::mem::take(&mut cluster.messages) {
         cluster.apply(node, message);
     }
-    assert_eq!(cluster.nodes[0].judge(WallTime(0), suspect), Judgement::Suspect);
+    assert_eq!(
+        cluster.nodes[0].fingerprint_status(WallTime(0), suspect),
+        FingerprintStatus::Suspect
+    );
 }
 
 #[test]
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use base::{Span, WeightVersion, key, plain};
+use base::{Span, WeightVersion, derive_copy, derive_value};
 
-key! {
+derive_copy! {
     /// State of an upstream by its own entry.
     pub enum EntryState {
         /// It takes requests.
@@ -14,7 +14,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// Entry of one upstream.
     pub struct UpstreamEntry {
         /// Identifier of the upstream, which it checks on each request that names one.
@@ -35,11 +35,11 @@
         pub versions: Vec<(String, WeightVersion)>,
         /// Start of the upstream in Unix milliseconds. A later start under the same id has lost all
         /// state.
-        pub born: Option<u64>,
+        pub started_at_ms: Option<u64>,
         /// Whether it can be reclaimed.
         pub cheap: bool,
         /// Time left until it is reclaimed, once that is known.
-        pub leaves_in: Option<Span>,
+        pub time_to_reclaim: Option<Span>,
     }
 }
 
--- a/crates/dispatch/src/loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -6,11 +6,11 @@
 
 use std::collections::HashSet;
 
-use base::{Moment, Span, WeightVersion, key, plain};
+use base::{Moment, Span, WeightVersion, derive_copy, derive_value};
 
-plain! {
+derive_value! {
     /// An engine of one service, as the plan sees it.
-    pub struct EngineLoad {
+    pub struct EngineWeights {
         /// Identifier of the engine.
         pub id: String,
         /// Versions by model.
@@ -20,7 +20,7 @@
     }
 
     /// A load to be ordered.
-    pub struct LoadOrder {
+    pub struct WeightLoad {
         /// Engine.
         pub engine: String,
         /// Model.
@@ -30,22 +30,22 @@
     }
 }
 
-key! {
+derive_copy! {
     /// Bounds of a plan.
-    pub struct LoadPlan {
+    pub struct WeightLoadLimits {
         /// Engines that may load at once. The weight store slows down beyond.
-        pub at_once: usize,
+        pub max_concurrent: usize,
         /// Engines that each model keeps at the newest version.
-        pub current: usize,
+        pub engines_per_model: usize,
     }
 }
 
 /// Part of the engines that may load at once. On the sheets the store slows down beyond about a fifth
 /// of them.
-const AT_ONCE_SHARE: f64 = 0.21;
+const CONCURRENT_SHARE: f64 = 0.21;
 
 /// Least number of engines that may load at once, also when few are left.
-const LEAST_AT_ONCE: usize = 2;
+const MIN_CONCURRENT: usize = 2;
 
 /// Versions behind the newest one that a step still accepts.
 const ACCEPTED_LAG: u64 = 1;
@@ -53,12 +53,15 @@
 /// Time after which a load that shows no effect no longer counts as in progress.
 const LOAD_LIFE: Span = Span::from_secs(4);
 
-impl LoadPlan {
+impl WeightLoadLimits {
     /// Returns the bounds for a service with so many engines and models.
     #[must_use]
-    pub fn of(engines: usize, models: usize) -> Self {
-        let at_once = (engines as f64 * AT_ONCE_SHARE).round() as usize;
-        Self { at_once: at_once.max(LEAST_AT_ONCE), current: engines.div_ceil(models.max(1)) }
+    pub fn for_service(engines: usize, models: usize) -> Self {
+        let max_concurrent = (engines as f64 * CONCURRENT_SHARE).round() as usize;
+        Self {
+            max_concurrent: max_concurrent.max(MIN_CONCURRENT),
+            engines_per_model: engines.div_ceil(models.max(1)),
+        }
     }
 }
 
@@ -73,18 +76,20 @@
     current: usize,
 }
 
-/// Says which loads to order now. `named` holds the newest version of each model.
+/// Says which loads to order now. `newest_versions` holds the newest version of each model.
 #[must_use]
-pub fn plan_loads(
+pub fn plan_weight_loads(
     now: Moment,
-    engines: &[EngineLoad],
-    named: &[(String, WeightVersion)],
-    plan: LoadPlan,
-) -> Vec<LoadOrder> {
-    let loading = |engine: &&EngineLoad| engine.is_loading(now);
-    let free = plan.at_once.saturating_sub(engines.iter().filter(loading).count());
-    let mut models: Vec<ModelState<'_>> =
-        named.iter().map(|(model, version)| ModelState::of(engines, model, *version)).collect();
+    engines: &[EngineWeights],
+    newest_versions: &[(String, WeightVersion)],
+    limits: WeightLoadLimits,
+) -> Vec<WeightLoad> {
+    let loading = |engine: &&EngineWeights| engine.is_loading(now);
+    let free = limits.max_concurrent.saturating_sub(engines.iter().filter(loading).count());
+    let mut models: Vec<ModelState<'_>> = newest_versions
+        .iter()
+        .map(|(model, version)| ModelState::of(engines, model, *version))
+        .collect();
     let mut taken: HashSet<&str> = HashSet::new();
     let mut orders = Vec::new();
     while orders.len() < free {
@@ -94,7 +99,7 @@
             let idle = engines
                 .iter()
                 .filter(|engine| !engine.is_loading(now) && !taken.contains(engine.id.as_str()));
-            if let Some(engine) = state.choose(idle, named, plan) {
+            if let Some(engine) = state.choose(idle, newest_versions, limits) {
                 chosen = Some((at, engine));
                 break;
             }
@@ -106,7 +111,7 @@
         }
         state.current += 1;
         taken.insert(&engine.id);
-        orders.push(LoadOrder {
+        orders.push(WeightLoad {
             engine: engine.id.clone(),
             model: String::from(state.model),
             version: state.version,
@@ -116,7 +121,7 @@
 }
 
 impl<'a> ModelState<'a> {
-    fn of(engines: &[EngineLoad], model: &'a str, version: WeightVersion) -> Self {
+    fn of(engines: &[EngineWeights], model: &'a str, version: WeightVersion) -> Self {
         let lags = engines.iter().map(|engine| engine.lag(model, version));
         let (mut usable, mut current) = (0, 0);
         for lag in lags {
@@ -130,17 +135,18 @@
     /// models, or else one that the next version would make unusable.
     fn choose<'e>(
         &self,
-        engines: impl Iterator<Item = &'e EngineLoad>,
-        named: &[(String, WeightVersion)],
-        plan: LoadPlan,
-    ) -> Option<&'e EngineLoad> {
-        let mut best: Option<((bool, usize, &str), &EngineLoad)> = None;
+        engines: impl Iterator<Item = &'e EngineWeights>,
+        newest_versions: &[(String, WeightVersion)],
+        limits: WeightLoadLimits,
+    ) -> Option<&'e EngineWeights> {
+        let mut best: Option<((bool, usize, &str), &EngineWeights)> = None;
         for engine in engines {
             let lag = engine.lag(self.model, self.version);
-            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= plan.current) {
+            if lag == 0 || (lag <= ACCEPTED_LAG && self.current >= limits.engines_per_model) {
                 continue;
             }
-            let rank = (lag <= ACCEPTED_LAG, engine.usable_models(named), engine.id.as_str());
+            let rank =
+                (lag <= ACCEPTED_LAG, engine.usable_models(newest_versions), engine.id.as_str());
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, engine));
             }
@@ -149,7 +155,7 @@
     }
 }
 
-impl EngineLoad {
+impl EngineWeights {
     fn is_loading(&self, now: Moment) -> bool {
         self.loading.as_ref().is_some_and(|(_, _, at)| now.since(*at) < LOAD_LIFE)
     }
@@ -166,9 +172,10 @@
         known.map_or(u64::MAX, |(_, known)| version.0.saturating_sub(known.0))
     }
 
-    fn usable_models(&self, named: &[(String, WeightVersion)]) -> usize {
-        let usable =
-            named.iter().filter(|(name, version)| self.lag(name, *version) <= ACCEPTED_LAG);
+    fn usable_models(&self, newest_versions: &[(String, WeightVersion)]) -> usize {
+        let usable = newest_versions
+            .iter()
+            .filter(|(name, version)| self.lag(name, *version) <= ACCEPTED_LAG);
         usable.count()
     }
 }
--- a/crates/experiments/src/kills/world.rs
+++ b/crates/experiments/src/kills/world.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use protocol::{UsageEntry, decode_record};
 use rand::{RngExt, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
 const REPLACED_AFTER: Span = Span::from_secs(30);
 const POLL: Span = Span::from_millis(500);
 const WINDOW: Span = Span::from_secs(20);
-const LEASE: FencingNumber = FencingNumber(0);
+const LEASE: FencingToken = FencingToken(0);
 /// Incarnations of one place differ by this.
 const PLACE_STRIDE: u64 = 100;
 
@@ -232,7 +232,7 @@
         if reads {
             for record in &self.log[node.read..] {
                 if let UsageRecord::Batch(batch) = record {
-                    node.seen_in_log(batch.id);
+                    node.mark_committed(batch.id);
                 }
             }
             node.read = self.log.len();
@@ -288,7 +288,7 @@
                 if let Some(node) = &mut self.nodes[to]
                     && node.incarnation == origin
                 {
-                    node.pending.held(id, holder);
+                    node.pending.mark_held(id, holder);
                 }
             }
             Message::Append { from, origin, ticket, records } => {
@@ -342,8 +342,8 @@
         };
         for (incarnation, answered) in &self.answered {
             let customer = UsageNode::customer(*incarnation);
-            let closed = ledger.windows().map(|(_, closed)| &closed.figures);
-            let figures = closed.chain([ledger.open_figures()]);
+            let closed = ledger.windows().map(|(_, closed)| &closed.usage);
+            let figures = closed.chain([ledger.open_usage()]);
             let billed = figures.map(|figures| figures.get(&customer).requests).sum::<u64>();
             let batches = in_batches.iter().filter(|(id, _)| id.writer == *incarnation);
             let batched = batches.map(|(_, requests)| requests).sum::<u64>();
--- a/crates/experiments/src/pick_cost.rs
+++ b/crates/experiments/src/pick_cost.rs
@@ -6,8 +6,9 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LeastOutstanding, LoadSample, PickPolicy, PickRequest, RandomPick, RoundRobin, RouteMembers,
-    RoutePicker, TableSettings, UpstreamInfo, UpstreamPrice, UpstreamTable, WorkEnd,
+    LeastOutstanding, LoadMeasurement, PickPolicy, PickRequest, PriceClass, RandomPick,
+    RequestOutcome, RoundRobin, RouteUpstreams, TableSettings, UpstreamPicker, UpstreamProperties,
+    UpstreamTable,
 };
 
 use crate::{
@@ -22,7 +23,7 @@
     let upstreams = flags.upstreams.unwrap_or(600);
     let choices = flags.choices.unwrap_or(2_000_000);
     let mut table = ReportTable::new("policy", &["us per choice"]);
-    let picker = time(&mut RoutePicker::default(), upstreams, choices);
+    let picker = time(&mut UpstreamPicker::default(), upstreams, choices);
     table.push("route picker", vec![picker]);
     // The baselines scan all upstreams, so fewer choices give a steady mean.
     let fewer = (choices / 20).max(1);
@@ -40,17 +41,17 @@
 
 /// Returns the mean time of a choice in microseconds, with starting and finishing the request.
 fn time(policy: &mut impl PickPolicy, upstreams: u32, choices: u64) -> f64 {
-    let distances = (0..u64::from(ZONES)).map(Span::from_millis).collect();
-    let mut table = UpstreamTable::new(TableSettings::default(), distances);
+    let zone_latencies = (0..u64::from(ZONES)).map(Span::from_millis).collect();
+    let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies);
     for index in 0..upstreams {
         let zone = ZoneKey(index % ZONES);
-        let price = UpstreamPrice::Regular;
-        let key = table.add(UpstreamInfo { node_hash: u64::from(index), zone, price });
+        let price_class = PriceClass::Regular;
+        let key = table.add(UpstreamProperties { name_hash: u64::from(index), zone, price_class });
         let running = index * 7 % 13;
-        let load = LoadSample { running, queued: 0, version: None, measured_at: Moment(1) };
-        table.report(Moment(1), key, load);
+        let load = LoadMeasurement { running, queued: 0, version: None, measured_at: Moment(1) };
+        table.record_load(Moment(1), key, load);
     }
-    let members = RouteMembers::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
+    let route_upstreams = RouteUpstreams::new(&table, ZoneKey(0), (0..upstreams).map(UpstreamKey));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut now = Moment(2);
     let started = Instant::now();
@@ -63,9 +64,11 @@
             min_version: None,
             avoid: &[],
         };
-        let Some(choice) = policy.pick(now, &table, &members, &request, &mut rng) else { continue };
+        let Some(choice) = policy.pick(now, &table, &route_upstreams, &request, &mut rng) else {
+            continue;
+        };
         let work = table.start(now, choice.upstream, request.tokens);
-        table.finish(now + Span::from_millis(300), work, WorkEnd::Completed { tokens: 300 });
+        table.finish(now + Span::from_millis(300), work, RequestOutcome::Completed { tokens: 300 });
     }
     started.elapsed().as_secs_f64() * 1e6 / choices.max(1) as f64
 }
--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -2,8 +2,8 @@
 
 use base::{Incarnation, Moment, VmKey, WeightVersion};
 use membership::{
-    BoardSettings, Heartbeat, ListedVm, LoadReport, PeerAction, PeerBeat, PeerEvent, PeerSettings,
-    PeerTable, UpstreamBoard, UpstreamPhase, VmIdentity, ZoneSummary,
+    Heartbeat, ListedVm, LivenessMessage, LoadReport, LoadTable, LoadTableSettings, PeerAction,
+    PeerEvent, PeerSettings, PeerTable, UpstreamPhase, VmIdentity, ZoneSummary,
 };
 use protocol::{PeerMessage, encode_message};
 use rand::{RngExt as _, SeedableRng as _};
@@ -25,7 +25,7 @@
 
 pub(super) struct SpreadNode {
     pub(super) table: PeerTable,
-    pub(super) board: UpstreamBoard,
+    pub(super) load_table: LoadTable,
     pub(super) zone: String,
     pub(super) watched: Vec<usize>,
 }
@@ -46,7 +46,7 @@
         let own = VmIdentity { name, zone: ring_zone, address, generation: 1, incarnation };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, Moment(0)),
-            board: UpstreamBoard::new(BoardSettings::default(), incarnation),
+            load_table: LoadTable::new(LoadTableSettings::default(), incarnation),
             zone,
             watched: Vec::new(),
         }
@@ -76,13 +76,17 @@
         mode: SpreadMode,
         walks: &[UpstreamWalk],
     ) -> Vec<SentMessage> {
-        let (beat, entries) = match content {
-            MessageContent::Heartbeat(Heartbeat { beat, upstreams, .. }) => (beat, upstreams),
-            MessageContent::Summary(ZoneSummary { beat, upstreams, .. }) => (beat, upstreams),
+        let (liveness, entries) = match content {
+            MessageContent::Heartbeat(Heartbeat { liveness, upstreams, .. }) => {
+                (liveness, upstreams)
+            }
+            MessageContent::Summary(ZoneSummary { liveness, upstreams, .. }) => {
+                (liveness, upstreams)
+            }
         };
-        let sent = self.event(now, PeerEvent::BeatReceived(beat), mode, walks);
+        let sent = self.event(now, PeerEvent::MessageReceived(liveness), mode, walks);
         for entry in entries {
-            self.board.learned(now, entry);
+            self.load_table.merge(now, entry);
         }
         sent
     }
@@ -97,11 +101,11 @@
         let mut sent = Vec::new();
         for action in self.table.handle(now, event) {
             match action {
-                PeerAction::SendHeartbeat { to, beat } => {
-                    sent.push(self.heartbeat(now, to, beat));
+                PeerAction::SendHeartbeat { to, message } => {
+                    sent.push(self.heartbeat(now, to, message));
                 }
-                PeerAction::SendSummary { to, beat } if mode == SpreadMode::ZoneSummaries => {
-                    sent.push(self.summary(now, to, beat, walks));
+                PeerAction::SendSummary { to, message } if mode == SpreadMode::ZoneSummaries => {
+                    sent.push(self.summary(now, to, message, walks));
                 }
                 _ => {}
             }
@@ -109,12 +113,12 @@
         sent
     }
 
-    fn heartbeat(&mut self, now: Moment, to: VmKey, beat: PeerBeat) -> SentMessage {
+    fn heartbeat(&mut self, now: Moment, to: VmKey, liveness: LivenessMessage) -> SentMessage {
         let heartbeat = Heartbeat {
-            beat,
+            liveness,
             config_version: 1,
             contact_age: base::Span::ZERO,
-            upstreams: self.board.delta(now),
+            upstreams: self.load_table.next_delta(now),
         };
         let bytes = encode_message(&PeerMessage::Heartbeat((&heartbeat).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Heartbeat(heartbeat) }
@@ -124,15 +128,15 @@
         &self,
         now: Moment,
         to: VmKey,
-        beat: PeerBeat,
+        liveness: LivenessMessage,
         walks: &[UpstreamWalk],
     ) -> SentMessage {
-        let mut upstreams = self.board.full(now);
+        let mut upstreams = self.load_table.all_updates(now);
         // Names start with their zone here; the daemon looks the zone up.
         let own = walks.iter().filter(|walk| walk.zone == self.zone);
         let own = own.map(|walk| walk.name.as_str()).collect::<std::collections::BTreeSet<_>>();
         upstreams.retain(|entry| own.contains(entry.upstream.as_str()));
-        let summary = ZoneSummary { beat, config_version: 1, upstreams };
+        let summary = ZoneSummary { liveness, config_version: 1, upstreams };
         let bytes = encode_message(&PeerMessage::Summary((&summary).into())).len();
         SentMessage { to: self.name_of(to), bytes, content: MessageContent::Summary(summary) }
     }
--- a/crates/experiments/src/state_spread/world.rs
+++ b/crates/experiments/src/state_spread/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use base::{Moment, Span};
-use membership::{ListState, ListedVm, WatchPlan};
+use membership::{ListState, ListedVm, WatchAssignment};
 
 use super::{
     SpreadMode, SpreadSize,
@@ -68,7 +68,7 @@
         for (index, walk) in self.walks.iter().enumerate() {
             let live = self.nodes.iter().filter(|node| node.zone == walk.zone);
             let live = live.map(|node| node.table.own_identity().name.as_str());
-            let Some(watcher) = WatchPlan::watcher(&walk.name, live) else { continue };
+            let Some(watcher) = WatchAssignment::watcher(&walk.name, live) else { continue };
             let watcher = self.by_name[watcher];
             self.nodes[watcher].watched.push(index);
         }
@@ -91,7 +91,7 @@
             if now >= begin && now.0.is_multiple_of(1_000_000) {
                 for node in &self.nodes {
                     asked += self.walks.len() as u64;
-                    for (_, view) in node.board.iter(now) {
+                    for (_, view) in node.load_table.iter(now) {
                         known += 1;
                         age_ms += view.age.0 as f64 / 1_000.0;
                     }
@@ -122,7 +122,7 @@
         let reports = self.walks.iter_mut().map(UpstreamWalk::next_report).collect::<Vec<_>>();
         for node in &mut self.nodes {
             for index in &node.watched {
-                node.board.measured(now, &self.walks[*index].name, reports[*index]);
+                node.load_table.update(now, &self.walks[*index].name, reports[*index]);
             }
         }
     }
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -5,8 +5,8 @@
 
 use base::{Execution, Incarnation, Moment, RouteKey, Span, UpstreamKey, WallTime};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectEvent, SuspectPolicy,
-    SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectEvent,
+    SuspectPolicy, SuspectTable,
 };
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -63,7 +63,7 @@
     replacements: VecDeque<(u64, u64)>,
     next_upstream: u32,
     messages: Vec<(usize, SuspectEvent)>,
-    asked: BTreeMap<RequestId, (Fingerprint, u64)>,
+    requested: BTreeMap<RequestId, (Fingerprint, u64)>,
     killers: Vec<Fingerprint>,
     interrupted: BTreeSet<Fingerprint>,
     sequence: u64,
@@ -85,7 +85,7 @@
             replacements: VecDeque::new(),
             next_upstream: 0,
             messages: Vec::new(),
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             killers: killers.collect(),
             interrupted: BTreeSet::new(),
             sequence: 1_000_000,
@@ -147,17 +147,19 @@
         let (now, wall) = (self.now(), self.wall());
         for action in self.nodes[node].handle(now, wall, event) {
             let message = match action {
-                SuspectAction::SpreadNote(note) => SuspectEvent::NoteHeard(note),
-                SuspectAction::Convict(verdict) => SuspectEvent::VerdictHeard(verdict),
-                SuspectAction::Reserve(notice) => SuspectEvent::IsolationHeard(notice),
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    SuspectEvent::SuspicionReceived(suspicion)
+                }
+                SuspectAction::Convict(conviction) => SuspectEvent::ConvictionReceived(conviction),
+                SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
-                    let (fingerprint, arrived) = self.asked[&request];
+                    let (fingerprint, arrived) = self.requested[&request];
                     self.start(node, upstream, fingerprint, arrived);
                     continue;
                 }
                 SuspectAction::Refuse { request, .. } => {
-                    let (fingerprint, _) = self.asked[&request];
+                    let (fingerprint, _) = self.requested[&request];
                     self.refused(fingerprint);
                     continue;
                 }
@@ -194,8 +196,9 @@
     /// Sends a request through any node to the free upstream with the fewest requests of two.
     fn send(&mut self, fingerprint: Fingerprint, arrived: u64) {
         let node = self.rng.random_range(0..self.nodes.len());
-        if self.nodes[node].judge(self.wall(), fingerprint) != Judgement::Clear {
-            self.ask(node, fingerprint, arrived);
+        if self.nodes[node].fingerprint_status(self.wall(), fingerprint) != FingerprintStatus::Clear
+        {
+            self.request_isolation(node, fingerprint, arrived);
             return;
         }
         let table = &self.nodes[node];
@@ -210,14 +213,14 @@
         self.start(node, first.min(second).1, fingerprint, arrived);
     }
 
-    fn ask(&mut self, node: usize, fingerprint: Fingerprint, arrived: u64) {
+    fn request_isolation(&mut self, node: usize, fingerprint: Fingerprint, arrived: u64) {
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
-        self.asked.insert(request, (fingerprint, arrived));
+        self.requested.insert(request, (fingerprint, arrived));
         let mut upstreams = self.upstreams.iter().collect::<Vec<_>>();
         upstreams.sort_by_key(|(_, model)| model.runs.len());
         let deadline = Moment(arrived * STEP.0) + Span::from_millis(self.scenario.deadline_ms);
-        let ask = IsolationAsk {
+        let isolation = IsolationRequest {
             request,
             fingerprint,
             route: RouteKey(0),
@@ -225,7 +228,7 @@
             execution: Execution::MayHaveRun,
             upstreams: upstreams.into_iter().map(|(key, _)| *key).collect(),
         };
-        self.apply(node, SuspectEvent::Asked(ask));
+        self.apply(node, SuspectEvent::Requested(isolation));
     }
 
     fn advance(&mut self) {
@@ -266,7 +269,7 @@
         let Some(requests) = seen else { return };
         let measured_at = self.now() - Span::from_millis(self.scenario.report_lag_ms);
         for node in 0..self.nodes.len() {
-            self.apply(node, SuspectEvent::LoadSeen { upstream, requests, measured_at });
+            self.apply(node, SuspectEvent::LoadReported { upstream, requests, measured_at });
         }
     }
 
--- a/crates/experiments/src/traffic/world.rs
+++ b/crates/experiments/src/traffic/world.rs
@@ -6,15 +6,16 @@
 };
 
 use admission::{
-    DeskSettings, FairQueue, LimitAnswer, LimitDesk, LimitShare, QueueAction, QueueEvent,
-    QueueItem, QueueSettings, ServiceRate, ShareSettings, TicketNumber, WorkClass, ZonePart,
+    AllocatorSettings, FairQueue, LimitAllocator, LimitDecision, LimiterSettings, QueueAction,
+    QueueEvent, QueueSettings, QueuedRequest, RateLimiter, RequestClass, ServiceCapacity,
+    TicketNumber, ZoneLimit,
 };
-use base::{CustomerKey, Incarnation, Moment, Span, UpstreamKey, ZoneKey, key};
+use base::{CustomerKey, Incarnation, Moment, Span, UpstreamKey, ZoneKey, derive_copy};
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LoadSample, PickPolicy, PickRequest, RouteMembers, StartedWork, TableSettings, UpstreamInfo,
-    UpstreamPrice, UpstreamTable, WorkEnd,
+    InFlightRequest, LoadMeasurement, PickPolicy, PickRequest, PriceClass, RequestOutcome,
+    RouteUpstreams, TableSettings, UpstreamProperties, UpstreamTable,
 };
 
 use super::{engine::EngineModel, measure::RunMeasure, scenario::TrafficScenario};
@@ -41,10 +42,10 @@
 struct Node<P> {
     zone: ZoneKey,
     table: UpstreamTable,
-    members: RouteMembers,
+    upstreams: RouteUpstreams,
     policy: P,
     gate: Gate,
-    limits: Option<LimitShare>,
+    limits: Option<RateLimiter>,
 }
 
 struct Request {
@@ -52,10 +53,10 @@
     node: usize,
     tokens: u32,
     arrived_at: Moment,
-    work: Option<StartedWork>,
+    in_flight: Option<InFlightRequest>,
 }
 
-key! {
+derive_copy! {
     enum Event {
         Arrival,
         EngineDone { engine: usize, generation: u64 },
@@ -76,9 +77,9 @@
     engines: Vec<EngineModel>,
     nodes: Vec<Node<P>>,
     /// The delegate's desk of each zone.
-    desks: Vec<LimitDesk>,
+    allocators: Vec<LimitAllocator>,
     requests: Vec<Request>,
-    rate: ServiceRate,
+    capacity: ServiceCapacity,
     rng: ChaCha8Rng,
     measure: RunMeasure,
 }
@@ -100,32 +101,36 @@
             }
         }
         let capacity = scenario.capacity();
-        let rate = ServiceRate {
+        let service_capacity = ServiceCapacity {
             tokens_per_second: (capacity / u64::from(scenario.nodes)) as u32,
-            max_in_service: (capacity * scenario.target_service_ms
+            max_in_service_tokens: (capacity * scenario.target_service_ms
                 / (1_000 * u64::from(scenario.nodes))) as u32,
         };
         let mut nodes = Vec::new();
         for number in 0..scenario.nodes {
             let zone = ZoneKey(number % zones);
             let distance = Span::from_millis(scenario.zone_distance_ms);
-            let distances =
+            let zone_latencies =
                 (0..zones).map(|other| if other == zone.0 { Span::ZERO } else { distance });
-            let mut table = UpstreamTable::new(TableSettings::default(), distances.collect());
-            table.set_nodes(scenario.nodes);
+            let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies.collect());
+            table.set_node_count(scenario.nodes);
             for (index, engine) in engines.iter().enumerate() {
-                let (node_hash, price) = (index as u64 + 1, UpstreamPrice::Regular);
-                table.add(UpstreamInfo { node_hash, zone: engine.zone, price });
+                let (name_hash, price_class) = (index as u64 + 1, PriceClass::Regular);
+                table.add(UpstreamProperties { name_hash, zone: engine.zone, price_class });
             }
-            let members =
-                RouteMembers::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
+            let upstreams =
+                RouteUpstreams::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
             let me = Incarnation(u64::from(number));
             let is_limited = gate == GateKind::LimitedFair;
             let limits = is_limited.then(|| {
-                let mut limits = LimitShare::new(me, ShareSettings::default());
-                let part = zone_part(scenario, zone.0, zones);
+                let mut limits = RateLimiter::new(me, LimiterSettings::default());
+                let limit = zone_limit(scenario, zone.0, zones);
                 for customer in 0..scenario.customers {
-                    limits.set_reserve(Moment(0), CustomerKey(customer), part.reserve);
+                    limits.set_guaranteed_rate(
+                        Moment(0),
+                        CustomerKey(customer),
+                        limit.guaranteed_rate,
+                    );
                 }
                 limits
             });
@@ -134,12 +139,16 @@
                 GateKind::FirstCome => Gate::FirstCome { waiting: VecDeque::new(), in_service: 0 },
                 GateKind::Fair | GateKind::LimitedFair => {
                     let rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(number) << 32);
-                    Gate::Fair(Box::new(FairQueue::new(QueueSettings::default(), rate, rng)))
+                    Gate::Fair(Box::new(FairQueue::new(
+                        QueueSettings::default(),
+                        service_capacity,
+                        rng,
+                    )))
                 }
             };
-            nodes.push(Node { zone, table, members, policy: policy.clone(), gate, limits });
+            nodes.push(Node { zone, table, upstreams, policy: policy.clone(), gate, limits });
         }
-        let desks = (0..zones).map(|zone| desk(scenario, zone, zones)).collect();
+        let allocators = (0..zones).map(|zone| allocator(scenario, zone, zones)).collect();
         let mut customer_weights = vec![1.0; scenario.customers as usize];
         customer_weights[0] = aggressor_factor;
         let excess = customer_weights.iter().sum::<f64>() / f64::from(scenario.customers);
@@ -154,9 +163,9 @@
             events: BinaryHeap::new(),
             engines,
             nodes,
-            desks,
+            allocators,
             requests: Vec::new(),
-            rate,
+            capacity: service_capacity,
             rng: ChaCha8Rng::seed_from_u64(seed),
             measure: RunMeasure::new(warmup, scenario.customers as usize),
         }
@@ -200,9 +209,9 @@
                 self.plan(Span::from_millis(self.scenario.report_period_ms), Event::Measure);
             }
             Event::Reported { engine, running, queued, measured_at } => {
-                let load = LoadSample { running, queued, version: None, measured_at };
+                let load = LoadMeasurement { running, queued, version: None, measured_at };
                 for node in &mut self.nodes {
-                    node.table.report(self.now, UpstreamKey(engine as u32), load);
+                    node.table.record_load(self.now, UpstreamKey(engine as u32), load);
                 }
             }
             Event::GateTick { node } => {
@@ -214,7 +223,7 @@
             }
             Event::Refresh => {
                 for node in &mut self.nodes {
-                    node.table.refresh();
+                    node.table.refresh_max_speed();
                 }
                 self.plan(Span::from_secs(1), Event::Refresh);
             }
@@ -239,7 +248,7 @@
         let node = self.rng.random_range(0..self.nodes.len());
         let (request, arrived_at) = (self.requests.len(), self.now);
         let customer = customer as u32;
-        self.requests.push(Request { customer, node, tokens, arrived_at, work: None });
+        self.requests.push(Request { customer, node, tokens, arrived_at, in_flight: None });
         self.measure.offered(arrived_at, customer);
         let deadline = self.deadline(request);
         if !self.admit(node, customer) {
@@ -253,14 +262,14 @@
                 self.pass_first_come(node);
             }
             Gate::Fair(queue) => {
-                let item = QueueItem {
+                let queued = QueuedRequest {
                     ticket: TicketNumber(request as u64),
                     customer: CustomerKey(customer),
-                    class: WorkClass::Live,
+                    class: RequestClass::Live,
                     tokens: self.scenario.mean_tokens,
                     deadline,
                 };
-                let actions = queue.handle(self.now, QueueEvent::Offered(item));
+                let actions = queue.handle(self.now, QueueEvent::Offered(queued));
                 self.follow(&actions);
             }
         }
@@ -272,13 +281,13 @@
         let Node { limits, zone, .. } = &mut self.nodes[node];
         let Some(limits) = limits else { return true };
         let (customer, tokens) = (CustomerKey(customer), self.scenario.mean_tokens);
-        let answer = limits.admit(self.now, customer, tokens);
-        for ask in limits.asks(self.now) {
-            if let Some(grant) = self.desks[zone.0 as usize].ask(self.now, ask) {
-                limits.granted(self.now, grant);
+        let decision = limits.admit(self.now, customer, tokens);
+        for request in limits.due_requests(self.now) {
+            if let Some(grant) = self.allocators[zone.0 as usize].grant(self.now, request) {
+                limits.apply_grant(self.now, grant);
             }
         }
-        answer == LimitAnswer::Admitted
+        decision == LimitDecision::Admitted
     }
 
     fn deadline(&self, request: usize) -> Moment {
@@ -304,7 +313,7 @@
             let Gate::FirstCome { waiting, in_service } = &mut self.nodes[node].gate else {
                 return;
             };
-            if *in_service >= u64::from(self.rate.max_in_service) {
+            if *in_service >= u64::from(self.capacity.max_in_service_tokens) {
                 return;
             }
             let Some(request) = waiting.pop_front() else { return };
@@ -324,12 +333,12 @@
         let pick =
             PickRequest { tokens, prompt_tokens: 0, prefix: None, min_version: None, avoid: &[] };
         let node = &mut self.nodes[self.requests[request].node];
-        let Node { table, members, policy, .. } = node;
-        let Some(choice) = policy.pick(self.now, table, members, &pick, &mut self.rng) else {
+        let Node { table, upstreams, policy, .. } = node;
+        let Some(choice) = policy.pick(self.now, table, upstreams, &pick, &mut self.rng) else {
             self.refused(request);
             return;
         };
-        self.requests[request].work = Some(table.start(self.now, choice.upstream, tokens));
+        self.requests[request].in_flight = Some(table.start(self.now, choice.upstream, tokens));
         let engine = choice.upstream.0 as usize;
         self.engines[engine].push(self.now, request, self.requests[request].tokens);
         self.plan_done(engine);
@@ -354,12 +363,12 @@
 
     fn completed(&mut self, engine: usize, request: usize) {
         let deadline = self.deadline(request);
-        let Request { customer, node, tokens, arrived_at, work } = self.requests[request];
-        let end = WorkEnd::Completed { tokens };
-        let work = work.expect("a request on an engine was started");
+        let Request { customer, node, tokens, arrived_at, in_flight } = self.requests[request];
+        let outcome = RequestOutcome::Completed { tokens };
+        let in_flight = in_flight.expect("a request on an engine was started");
         let Node { zone, table, gate, .. } = &mut self.nodes[node];
-        table.finish(self.now, work, end);
-        let distance = table.distance(self.engines[engine].zone);
+        table.finish(self.now, in_flight, outcome);
+        let distance = table.zone_latency(self.engines[engine].zone);
         let network =
             if *zone == self.engines[engine].zone { Span::ZERO } else { distance + distance };
         let ended_at = self.now + network;
@@ -379,24 +388,24 @@
     }
 }
 
-fn desk(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitDesk {
+fn allocator(scenario: &TrafficScenario, zone: u32, zones: u32) -> LimitAllocator {
     let vms = vms_of(scenario, zone, zones);
     let me = Incarnation(u64::from(zone));
-    let mut desk = LimitDesk::new(me, DeskSettings::new(vms), Moment(0), vms);
-    let part = zone_part(scenario, zone, zones);
+    let mut allocator = LimitAllocator::new(me, AllocatorSettings::new(vms), Moment(0), vms);
+    let limit = zone_limit(scenario, zone, zones);
     for customer in 0..scenario.customers {
-        desk.set_part(CustomerKey(customer), part);
+        allocator.set_zone_limit(CustomerKey(customer), limit);
     }
-    desk
+    allocator
 }
 
 fn vms_of(scenario: &TrafficScenario, zone: u32, zones: u32) -> u32 {
     (0..scenario.nodes).filter(|node| node % zones == zone).count() as u32
 }
 
-fn zone_part(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZonePart {
+fn zone_limit(scenario: &TrafficScenario, zone: u32, zones: u32) -> ZoneLimit {
     let vms = vms_of(scenario, zone, zones);
     let share = scenario.capacity() / u64::from(scenario.customers);
     let rate = (share * u64::from(vms) / u64::from(scenario.nodes)) as u32;
-    ZonePart::with_reserve(rate, vms)
+    ZoneLimit::with_guaranteed_rate(rate, vms)
 }
--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -10,7 +10,7 @@
 mod limits;
 mod orders;
 mod peers;
-mod sample_carry;
+mod sample_snapshot;
 mod sample_store;
 mod samples;
 mod score;
@@ -41,10 +41,10 @@
 
 use crate::{
     clock::wall_now,
-    input::ControlInput,
+    control_message::ControlMessage,
     shared::SharedState,
     telemetry::log_event,
-    trace::{DecisionLine, DecisionTrace},
+    trace::{DecisionEvent, DecisionTrace},
 };
 
 /// Period of the timers of all state machines. It bounds how late a timer can act.
@@ -87,7 +87,7 @@
 /// Runs the control thread until the daemon is drained.
 pub(crate) async fn run(
     shared: Arc<SharedState>,
-    input: mpsc::Receiver<ControlInput>,
+    messages: mpsc::Receiver<ControlMessage>,
     peer: TcpListener,
     admin: TcpListener,
 ) {
@@ -105,7 +105,7 @@
     fleet::start(&control);
     actix_rt::spawn(tick_loop(Rc::clone(&control)));
     actix_rt::spawn(gauge_loop(Rc::clone(&control)));
-    receive(control, input).await;
+    receive(control, messages).await;
 }
 
 async fn tick_loop(control: Rc<Control>) {
@@ -119,38 +119,40 @@
 
 async fn gauge_loop(control: Rc<Control>) {
     loop {
-        let queued_tokens = control.shared.desk().queued_tokens();
-        control.shared.metrics.load(control.shared.in_flight(), queued_tokens);
+        let queued_tokens = control.shared.scheduler().queued_tokens();
+        control.shared.metrics.gauge_load(control.shared.in_flight(), queued_tokens);
         {
             let (now, state) = (control.now(), control.state());
             let buffered = state.writer.buffered_records();
-            control.shared.metrics.log(state.log.silence(now), buffered);
+            control.shared.metrics.gauge_log(state.log.silence(now), buffered);
         }
         actix_rt::time::sleep(GAUGE_PERIOD).await;
     }
 }
 
-async fn receive(control: Rc<Control>, mut input: mpsc::Receiver<ControlInput>) {
-    while let Some(message) = input.recv().await {
+async fn receive(control: Rc<Control>, mut messages: mpsc::Receiver<ControlMessage>) {
+    while let Some(message) = messages.recv().await {
         match message {
-            ControlInput::Metered(figures) => control.metered(&figures),
-            ControlInput::Claim { ask, reply } => control.claim_asked(ask, reply),
-            ControlInput::ClaimEnded { request, outcome } => {
+            ControlMessage::UsageMetered(usage) => control.record_usage(&usage),
+            ControlMessage::Claim { request, reply } => {
+                control.handle_claim_request(request, reply);
+            }
+            ControlMessage::ClaimEnded { request, outcome } => {
                 control.claim_ended(request, outcome);
             }
-            ControlInput::CrashCheck { upstream, fingerprint, reply } => {
+            ControlMessage::CrashCheck { upstream, fingerprint, reply } => {
                 let control = Rc::clone(&control);
                 actix_rt::spawn(async move {
                     control.check_crash(upstream, fingerprint).await;
                     let _ = reply.send(());
                 });
             }
-            ControlInput::Suspicion(actions) => control.spread(actions),
-            ControlInput::Decision(line) => control.state().trace.record(line),
-            ControlInput::Trainer { ask, reply } => {
-                actix_rt::spawn(Rc::clone(&control).trainer_asked(ask, reply));
+            ControlMessage::Suspicion(actions) => control.spread(actions),
+            ControlMessage::Decision(event) => control.state().trace.record(event),
+            ControlMessage::Trainer { request, reply } => {
+                actix_rt::spawn(Rc::clone(&control).handle_trainer_request(request, reply));
             }
-            ControlInput::Drain(done) => {
+            ControlMessage::Drain(done) => {
                 let control = Rc::clone(&control);
                 actix_rt::spawn(async move {
                     control.drain().await;
@@ -216,7 +218,7 @@
         record: &T,
     ) -> Result<RecordId, BufferFull> {
         let id = self.state().writer.next_id(stream);
-        self.append_as(stream, id, record)?;
+        self.append_with_id(stream, id, record)?;
         Ok(id)
     }
 
@@ -225,14 +227,14 @@
     /// # Errors
     ///
     /// Returns [`BufferFull`] like [`Control::append`].
-    pub(crate) fn append_as<T: StreamRecord>(
+    pub(crate) fn append_with_id<T: StreamRecord>(
         self: &Rc<Self>,
         stream: &str,
         id: RecordId,
         record: &T,
     ) -> Result<(), BufferFull> {
         let data = encode_record(id, record);
-        let result = self.state().writer.append_as(stream, id, data);
+        let result = self.state().writer.append_with_id(stream, id, data);
         if let Err(full) = &result {
             log_event!(warn, LogBufferFull, stream, records = full.records, bytes = full.bytes);
         }
@@ -242,13 +244,13 @@
 
     /// Keeps a decision for `explain`.
     pub(crate) fn trace(&self, subject: String, code: base::EventCode, detail: String) {
-        self.state().trace.record(DecisionLine { subject, code, detail });
+        self.state().trace.record(DecisionEvent { subject, code, detail });
     }
 
     fn tick(self: &Rc<Self>) {
         let now = self.now();
         self.pump_writer();
-        let actions = self.shared.desk().tick(now, wall_now());
+        let actions = self.shared.scheduler().tick(now, wall_now());
         self.spread(actions);
         self.tick_config(now);
         self.tick_scopes(now);
@@ -271,7 +273,7 @@
             batch_bytes: bounds.batch_bytes as usize,
             buffer_records: bounds.log_records as usize,
             buffer_bytes: bounds.log_bytes as usize,
-            answer_timeout: settings.timeouts.log + base::Span::from_millis(500),
+            ack_timeout: settings.timeouts.log + base::Span::from_millis(500),
             ..WriterSettings::default()
         };
         Self {
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use authority::{
-    AuthorityRecord, Candidacy, DeskAction, DeskSettings, FencingSupport, LeaseAction, LeaseKeeper,
-    LeaseSettings, OrderDesk, Scope,
+    AuthorityRecord, FencingSupport, LeaseAction, LeaseManager, LeaseRole, LeaseScope,
+    LeaseSettings, OrderAction, OrderManager, OrderSettings,
 };
-use base::{FencingNumber, Incarnation, LogOffset, Moment, Span, rendezvous_weight};
+use base::{FencingToken, Incarnation, LogOffset, Moment, Span, rendezvous_weight};
 use clients::SendPermit;
 use document::FencingCheck;
 
@@ -25,22 +25,22 @@
 
 /// One scope on this node.
 pub(crate) struct ScopeDriver {
-    pub(crate) scope: Scope,
-    pub(crate) keeper: LeaseKeeper,
-    pub(crate) desk: OrderDesk,
-    was_held: Option<FencingNumber>,
+    pub(crate) scope: LeaseScope,
+    pub(crate) lease_manager: LeaseManager,
+    pub(crate) order_manager: OrderManager,
+    was_held: Option<FencingToken>,
 }
 
 /// Creates the scopes of a node: its own zone, `usage` and `fleet`.
 pub(crate) fn drivers(shared: &SharedState) -> Vec<ScopeDriver> {
-    let zone = Scope::Zone(shared.settings.zone.clone());
-    let scopes = [zone, Scope::Usage, Scope::Fleet];
-    let driver = |scope: Scope| ScopeDriver::new(shared, scope);
+    let zone = LeaseScope::Zone(shared.settings.zone.clone());
+    let scopes = [zone, LeaseScope::Usage, LeaseScope::Fleet];
+    let driver = |scope: LeaseScope| ScopeDriver::new(shared, scope);
     scopes.into_iter().map(driver).collect()
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
-    for scope in [Scope::Zone(control.shared.settings.zone.clone()), Scope::Fleet] {
+    for scope in [LeaseScope::Zone(control.shared.settings.zone.clone()), LeaseScope::Fleet] {
         let stream = scope.stream();
         follow::<AuthorityRecord>(control, stream, move |control, event| {
             control.on_authority(&scope, event);
@@ -50,15 +50,15 @@
 }
 
 /// Returns the stream that carries the lease records of a scope.
-fn stream_of(scope: &Scope) -> String {
+fn stream_of(scope: &LeaseScope) -> String {
     match scope {
-        Scope::Usage => String::from(USAGE_STREAM),
-        Scope::Zone(_) | Scope::Fleet => scope.stream(),
+        LeaseScope::Usage => String::from(USAGE_STREAM),
+        LeaseScope::Zone(_) | LeaseScope::Fleet => scope.stream(),
     }
 }
 
 impl ScopeDriver {
-    fn new(shared: &SharedState, scope: Scope) -> Self {
+    fn new(shared: &SharedState, scope: LeaseScope) -> Self {
         let lease = &shared.settings.lease;
         let settings = LeaseSettings {
             term: lease.term,
@@ -68,16 +68,16 @@
             extra_wait: lease.extra_wait,
         };
         let incarnation = shared.incarnation;
-        let mut keeper =
-            LeaseKeeper::new(settings, scope.clone(), incarnation, Candidacy::Standing);
-        keeper.set_claim_delay(claim_delay(incarnation, &scope));
-        let desk_settings = DeskSettings {
+        let mut lease_manager =
+            LeaseManager::new(settings, scope.clone(), incarnation, LeaseRole::Candidate);
+        lease_manager.set_claim_delay(claim_delay(incarnation, &scope));
+        let order_settings = OrderSettings {
             order_timeout: lease.order_timeout,
-            ask_retry: Span::from_secs(1),
-            receiver: fencing_support(shared.settings.platform_fencing),
+            query_retry_delay: Span::from_secs(1),
+            fencing_support: fencing_support(shared.settings.platform_fencing),
         };
-        let desk = OrderDesk::new(desk_settings, scope.clone(), incarnation);
-        Self { scope, keeper, desk, was_held: None }
+        let order_manager = OrderManager::new(order_settings, scope.clone(), incarnation);
+        Self { scope, lease_manager, order_manager, was_held: None }
     }
 }
 
@@ -89,23 +89,23 @@
     }
 }
 
-fn claim_delay(incarnation: Incarnation, scope: &Scope) -> Span {
+fn claim_delay(incarnation: Incarnation, scope: &LeaseScope) -> Span {
     let scope_number = match scope {
-        Scope::Zone(_) => 0,
-        Scope::Usage => 1,
-        Scope::Fleet => 2,
+        LeaseScope::Zone(_) => 0,
+        LeaseScope::Usage => 1,
+        LeaseScope::Fleet => 2,
     };
     Span(rendezvous_weight(incarnation.0, scope_number) % CLAIM_SPREAD.0)
 }
 
 impl Control {
     /// Tells whether this node holds the lease of a scope now.
-    pub(crate) fn holds(&self, scope: &Scope, now: Moment) -> bool {
+    pub(crate) fn holds(&self, scope: &LeaseScope, now: Moment) -> bool {
         self.fencing(scope, now).is_some()
     }
 
     /// Returns the fencing number while this node holds the lease of a scope.
-    pub(crate) fn fencing(&self, scope: &Scope, now: Moment) -> Option<FencingNumber> {
+    pub(crate) fn fencing(&self, scope: &LeaseScope, now: Moment) -> Option<FencingToken> {
         self.permit(scope, now, FencingSupport::Checked)
     }
 
@@ -113,12 +113,12 @@
     /// engines. It grants them while this node holds the scope under `fencing`.
     pub(crate) fn lease_check(
         self: &Rc<Self>,
-        scope: &Scope,
-        fencing: FencingNumber,
-        receiver: FencingSupport,
+        scope: &LeaseScope,
+        fencing: FencingToken,
+        fencing_support: FencingSupport,
     ) -> impl Fn() -> SendPermit + 'static {
         let (control, scope) = (Rc::clone(self), scope.clone());
-        move || match control.permit(&scope, control.now(), receiver) {
+        move || match control.permit(&scope, control.now(), fencing_support) {
             Some(held) if held == fencing => SendPermit::Granted,
             _ => SendPermit::Denied,
         }
@@ -127,16 +127,16 @@
     /// Returns the fencing number under which an order may go to this kind of receiver now.
     pub(crate) fn permit(
         &self,
-        scope: &Scope,
+        scope: &LeaseScope,
         now: Moment,
-        receiver: FencingSupport,
-    ) -> Option<FencingNumber> {
+        fencing_support: FencingSupport,
+    ) -> Option<FencingToken> {
         let state = self.state();
         let found = state.scopes.iter().find(|driver| driver.scope == *scope);
-        found.and_then(|driver| driver.keeper.permit(now, receiver).ok())
+        found.and_then(|driver| driver.lease_manager.permit(now, fencing_support).ok())
     }
 
-    fn on_authority(self: &Rc<Self>, scope: &Scope, event: StreamEvent<AuthorityRecord>) {
+    fn on_authority(self: &Rc<Self>, scope: &LeaseScope, event: StreamEvent<AuthorityRecord>) {
         match event {
             StreamEvent::ReadingFrom(offset) => self.lease_reading_from(scope, offset),
             StreamEvent::Retained(_) => {}
@@ -146,23 +146,24 @@
         }
     }
 
-    pub(crate) fn lease_reading_from(self: &Rc<Self>, scope: &Scope, offset: LogOffset) {
+    pub(crate) fn lease_reading_from(self: &Rc<Self>, scope: &LeaseScope, offset: LogOffset) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            (driver.keeper.reading_from(now, offset).into_vec(), Vec::new())
+            (driver.lease_manager.restart_from(now, offset).into_vec(), Vec::new())
         });
     }
 
     pub(crate) fn lease_record(
         self: &Rc<Self>,
-        scope: &Scope,
+        scope: &LeaseScope,
         offset: LogOffset,
         record: &AuthorityRecord,
     ) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            let lease_actions = driver.keeper.read(now, offset, record).into_vec();
-            let desk_actions = driver.desk.read(now, &driver.keeper, record).into_vec();
+            let lease_actions = driver.lease_manager.read(now, offset, record).into_vec();
+            let desk_actions =
+                driver.order_manager.read(now, &driver.lease_manager, record).into_vec();
             (lease_actions, desk_actions)
         });
     }
@@ -170,14 +171,14 @@
     pub(crate) fn tick_scopes(self: &Rc<Self>, now: Moment) {
         for scope in self.scope_names() {
             self.with_scope(&scope, |driver| {
-                let lease_actions = driver.keeper.tick(now).into_vec();
-                let desk_actions = driver.desk.tick(now, &driver.keeper).into_vec();
+                let lease_actions = driver.lease_manager.tick(now).into_vec();
+                let desk_actions = driver.order_manager.tick(now, &driver.lease_manager).into_vec();
                 (lease_actions, desk_actions)
             });
         }
     }
 
-    fn scope_names(&self) -> Vec<Scope> {
+    fn scope_names(&self) -> Vec<LeaseScope> {
         let state = self.state();
         state.scopes.iter().map(|driver| driver.scope.clone()).collect()
     }
@@ -185,15 +186,17 @@
     /// Gives up all leases, as a planned stop requires.
     pub(crate) fn resign(self: &Rc<Self>) {
         for scope in self.scope_names() {
-            self.with_scope(&scope, |driver| (driver.keeper.resign().into_vec(), Vec::new()));
+            self.with_scope(&scope, |driver| {
+                (driver.lease_manager.resign().into_vec(), Vec::new())
+            });
         }
     }
 
     /// Runs one decision on a scope and performs its actions.
     pub(crate) fn with_scope(
         self: &Rc<Self>,
-        scope: &Scope,
-        decide: impl FnOnce(&mut ScopeDriver) -> (Vec<LeaseAction>, Vec<DeskAction>),
+        scope: &LeaseScope,
+        decide: impl FnOnce(&mut ScopeDriver) -> (Vec<LeaseAction>, Vec<OrderAction>),
     ) {
         let (lease_actions, desk_actions) = {
             let mut state = self.state();
@@ -219,34 +222,34 @@
         }
     }
 
-    fn note_held(&self, scope: &Scope, fencing: Option<FencingNumber>) {
+    fn note_held(&self, scope: &LeaseScope, fencing: Option<FencingToken>) {
         let mut state = self.state();
         if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
             driver.was_held = fencing;
         }
     }
 
-    fn append_lease(self: &Rc<Self>, scope: &Scope, record: &AuthorityRecord) {
+    fn append_lease(self: &Rc<Self>, scope: &LeaseScope, record: &AuthorityRecord) {
         if self.append_authority(scope, record).is_err() {
             let mut state = self.state();
             if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
-                driver.keeper.append_refused();
+                driver.lease_manager.append_refused();
             }
         }
     }
 
     pub(crate) fn append_authority(
         self: &Rc<Self>,
-        scope: &Scope,
+        scope: &LeaseScope,
         record: &AuthorityRecord,
     ) -> Result<(), record_log::BufferFull> {
         let stream = stream_of(scope);
         match scope {
-            Scope::Usage => {
+            LeaseScope::Usage => {
                 let entry = protocol::UsageEntry::Lease(record.clone());
                 self.append(&stream, &entry).map(drop)
             }
-            Scope::Zone(_) | Scope::Fleet => self.append(&stream, record).map(drop),
+            LeaseScope::Zone(_) | LeaseScope::Fleet => self.append(&stream, record).map(drop),
         }
     }
 }
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -13,7 +13,8 @@
 
 use base::{EventCode, Moment, Span, UpstreamKey, WeightVersion};
 use rollout::{
-    GainOverCost, OpenSlot, SlotKey, StragglerAction, StragglerPolicy, TrainerId, TrainerShare,
+    CostBenefitRule, OpenSlot, SlotKey, StragglerAction, StragglerDetector, TrainerId,
+    TrainerScheduler,
 };
 use tokio::sync::Notify;
 
@@ -22,7 +23,7 @@
         Control,
         slots::{SlotOwners, slot_hash},
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -41,8 +42,8 @@
 
 /// Slots that this node makes.
 pub(crate) struct GenerationDriver {
-    pub(crate) share: TrainerShare,
-    pub(crate) policy: StragglerPolicy<GainOverCost>,
+    pub(crate) trainer_scheduler: TrainerScheduler,
+    pub(crate) stragglers: StragglerDetector<CostBenefitRule>,
     running: BTreeMap<SlotKey, SlotRun>,
     wanted: BTreeMap<TrainerId, VecDeque<OpenSlot>>,
     owners: Option<SlotOwners>,
@@ -79,8 +80,8 @@
 impl GenerationDriver {
     pub(crate) fn new() -> Self {
         Self {
-            share: TrainerShare::default(),
-            policy: StragglerPolicy::new(GainOverCost::default()),
+            trainer_scheduler: TrainerScheduler::default(),
+            stragglers: StragglerDetector::new(CostBenefitRule::default()),
             running: BTreeMap::new(),
             wanted: BTreeMap::new(),
             owners: None,
@@ -111,13 +112,14 @@
 
     /// Takes the next slot, fairly between trainers.
     fn next_slot(&mut self) -> Option<OpenSlot> {
-        let Self { share, wanted, .. } = self;
-        let trainer = share.next(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
+        let Self { trainer_scheduler, wanted, .. } = self;
+        let trainer = trainer_scheduler
+            .select(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
         wanted.get_mut(&trainer)?.pop_front()
     }
 
     fn add_attempt(&mut self, open: OpenSlot, work: &SampleWork) -> Rc<SampleAttempt> {
-        self.share.charge(open.slot.trainer, u64::from(work.max_tokens));
+        self.trainer_scheduler.charge(open.slot.trainer, u64::from(work.max_tokens));
         self.last_attempt += 1;
         let attempt = Rc::new(SampleAttempt {
             slot: open.slot,
@@ -146,10 +148,10 @@
 impl Control {
     /// Starts attempts at open slots of this node.
     pub(crate) fn place_samples(self: &Rc<Self>, now: Moment, owners: &SlotOwners) {
-        if self.shared.phase() != ServicePhase::Serving {
+        if self.shared.phase() != NodePhase::Serving {
             return;
         }
-        let live_callers_wait = self.shared.desk().queued_tokens() > 0;
+        let live_callers_wait = self.shared.scheduler().queued_tokens() > 0;
         let limit = if live_callers_wait { MIN_SLOTS } else { MAX_SLOTS };
         self.scan_slots(now, owners);
         loop {
@@ -183,8 +185,8 @@
         generation.next_scan = now + SCAN_PERIOD;
         generation.owners = Some(owners.clone());
         generation.wanted.clear();
-        for (trainer, _) in samples.book.trainers() {
-            let open = samples.book.open_slots(trainer);
+        for (trainer, _) in samples.table.trainers() {
+            let open = samples.table.open_slots(trainer);
             let open = open.filter(|open| {
                 !generation.running.contains_key(&open.slot) && owners.owns(open.slot)
             });
@@ -195,12 +197,12 @@
     fn sample_work(&self, open: OpenSlot) -> Option<SampleWork> {
         let entry = self.trainer_entry(open.slot.trainer)?;
         let state = self.state();
-        let opened = state.samples.opened.get(&(open.slot.trainer, open.slot.step))?;
+        let step_prompts = state.samples.opened.get(&(open.slot.trainer, open.slot.step))?;
         Some(SampleWork {
             trainer: entry.name,
             service: entry.service,
-            prompt: opened.prompts.get(open.slot.group as usize)?.clone(),
-            max_tokens: opened.max_tokens,
+            prompt: step_prompts.prompts.get(open.slot.group as usize)?.clone(),
+            max_tokens: step_prompts.max_tokens,
             // Samples of a group must differ, and a replacement must differ from a void one.
             seed: base::rendezvous_weight(slot_hash(open.slot), u64::from(open.generation)),
         })
@@ -220,7 +222,7 @@
             let mut state = self.state();
             let generation = &mut state.samples.generation;
             let free = MAX_SLOTS.saturating_sub(generation.running());
-            generation.policy.poll(now, free)
+            generation.stragglers.poll(now, free)
         };
         for action in actions {
             let StragglerAction::Rerun { slot, avoid } = action else { continue };
@@ -245,7 +247,7 @@
         let generation = &mut state.samples.generation;
         generation.unwant(slot);
         // Cancelled attempts hear of it below, whether the policy counts them or not.
-        let _ = generation.policy.filled_elsewhere(slot);
+        let _ = generation.stragglers.cancel_slot(slot);
         let Some(run) = generation.running.remove(&slot) else { return };
         for attempt in run.attempts {
             attempt.stop();
@@ -271,7 +273,7 @@
         let generation = &mut state.samples.generation;
         if let Some(upstream) = winner.upstream.get() {
             // The losers are all attempts of the run but this one.
-            let _ = generation.policy.finished(now, winner.slot, upstream, tokens);
+            let _ = generation.stragglers.finished(now, winner.slot, upstream, tokens);
         }
         let Some(run) = generation.running.get(&winner.slot) else { return };
         for attempt in run.attempts.iter().filter(|one| one.number != winner.number) {
@@ -281,6 +283,6 @@
 
     /// Returns the trainer's version and staleness bound.
     fn trainer_version(&self, slot: SlotKey) -> Option<(WeightVersion, u64)> {
-        self.state().samples.book.stated_version(slot.trainer)
+        self.state().samples.table.stated_version(slot.trainer)
     }
 }
