--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -2,36 +2,38 @@
 
 use std::rc::Rc;
 
-use authority::{DeskAction, OrderAnswer, OrderId, OrderIntent, OrderKind, PriceClass, Scope};
-use base::FencingNumber;
+use authority::{
+    LeaseScope, OrderAction, OrderId, OrderIntent, OrderKind, OrderResponse, PriceClass,
+};
+use base::FencingToken;
 use clients::{CallFailure, SendPermit, UpstreamOrder, UpstreamOrders as _};
 
 use crate::{control::Control, telemetry::log_event};
 
 impl Control {
-    pub(crate) fn perform_order(self: &Rc<Self>, scope: &Scope, action: DeskAction) {
+    pub(crate) fn perform_order(self: &Rc<Self>, scope: &LeaseScope, action: OrderAction) {
         match action {
-            DeskAction::Append(record) => {
+            OrderAction::Append(record) => {
                 if self.append_authority(scope, &record).is_err() {
                     self.with_scope(scope, |driver| {
-                        driver.desk.append_refused(&record);
+                        driver.order_manager.append_refused(&record);
                         (Vec::new(), Vec::new())
                     });
                 }
             }
-            DeskAction::Send(intent) => {
+            OrderAction::Send(intent) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
                 actix_rt::spawn(async move { control.send_order(scope, intent).await });
             }
-            DeskAction::Ask(id) => {
+            OrderAction::Query(id) => {
                 let (control, scope) = (Rc::clone(self), scope.clone());
-                actix_rt::spawn(async move { control.ask_order(scope, id).await });
+                actix_rt::spawn(async move { control.query_order(scope, id).await });
             }
-            DeskAction::Voided(id) => {
+            OrderAction::Voided(id) => {
                 let detail = String::from("void: its intent took effect under a later lease");
                 self.trace(id.to_string(), base::EventCode::OrderSettled, detail);
             }
-            DeskAction::Settled(outcome) => {
+            OrderAction::Settled(outcome) => {
                 self.fleet_settled(&outcome);
                 log_event!(
                     OrderSettled,
@@ -46,7 +48,7 @@
         }
     }
 
-    async fn send_order(self: Rc<Self>, scope: Scope, intent: OrderIntent) {
+    async fn send_order(self: Rc<Self>, scope: LeaseScope, intent: OrderIntent) {
         let Some(fencing) = self.order_permit(&scope, intent.id) else { return };
         let order = wire_order(&intent, fencing);
         // The call may first wait for a connection, so the clock is checked again by the last step
@@ -64,48 +66,49 @@
         log_event!(OrderIssued, scope = %scope, order = order.id, kind = ?order.kind);
         let detail = format!("{:?} of {} in {}", order.kind, order.service, order.zone);
         self.trace(order.id, base::EventCode::OrderIssued, detail);
-        let answer = match result {
-            Ok(answer) => answer_of(answer),
-            Err(error) if error.failure == CallFailure::Status(409) => OrderAnswer::FencingTooLow,
-            Err(_) => OrderAnswer::Lost,
+        let response = match result {
+            Ok(response) => response_of(response),
+            Err(error) if error.failure == CallFailure::Status(409) => OrderResponse::FencingTooLow,
+            Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, intent.id, answer);
+        self.order_answered(&scope, intent.id, response);
     }
 
-    fn order_permit(&self, scope: &Scope, id: OrderId) -> Option<FencingNumber> {
+    fn order_permit(&self, scope: &LeaseScope, id: OrderId) -> Option<FencingToken> {
         let now = self.now();
         let state = self.state();
         let driver = state.scopes.iter().find(|driver| driver.scope == *scope)?;
-        driver.desk.permit(now, &driver.keeper, id).ok()
+        driver.order_manager.permit(now, &driver.lease_manager, id).ok()
     }
 
-    async fn ask_order(self: Rc<Self>, scope: Scope, id: OrderId) {
-        let answer = match self.platform.find_order(&id.to_string()).await {
-            Ok(Some(answer)) => answer_of(answer),
-            Ok(None) => OrderAnswer::NotFound,
-            Err(_) => OrderAnswer::Lost,
+    async fn query_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
+        let response = match self.platform.find_order(&id.to_string()).await {
+            Ok(Some(response)) => response_of(response),
+            Ok(None) => OrderResponse::NotFound,
+            Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, id, answer);
+        self.order_answered(&scope, id, response);
     }
 
-    fn order_answered(self: &Rc<Self>, scope: &Scope, id: OrderId, answer: OrderAnswer) {
+    fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, response: OrderResponse) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            let actions = driver.desk.answer(now, &driver.keeper, id, answer).into_vec();
+            let actions =
+                driver.order_manager.answer(now, &driver.lease_manager, id, response).into_vec();
             (Vec::new(), actions)
         });
     }
 }
 
-fn wire_order(intent: &OrderIntent, fencing: FencingNumber) -> UpstreamOrder {
+fn wire_order(intent: &OrderIntent, fencing: FencingToken) -> UpstreamOrder {
     let kind = match &intent.kind {
-        OrderKind::Start { count, price } => {
-            clients::OrderKind::Start { count: *count, cheap: *price == PriceClass::Cheap }
+        OrderKind::Start { count, price: price_class } => {
+            clients::OrderKind::Start { count: *count, cheap: *price_class == PriceClass::Cheap }
         }
         OrderKind::Stop { upstream } => clients::OrderKind::Stop { upstream: upstream.clone() },
     };
     let zone = match &intent.scope {
-        Scope::Zone(name) => name.clone(),
+        LeaseScope::Zone(name) => name.clone(),
         other => other.to_string(),
     };
     UpstreamOrder {
@@ -117,11 +120,11 @@
     }
 }
 
-fn answer_of(answer: clients::OrderAnswer) -> OrderAnswer {
-    let state = match answer.state {
+fn response_of(response: clients::OrderInfo) -> OrderResponse {
+    let state = match response.state {
         clients::OrderState::Accepted => authority::OrderState::Accepted,
         clients::OrderState::Done => authority::OrderState::Done,
         clients::OrderState::Refused => authority::OrderState::Refused,
     };
-    OrderAnswer::State { state, upstreams: answer.upstreams }
+    OrderResponse::State { state, upstreams: response.upstreams }
 }
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -4,11 +4,11 @@
 
 use base::{Moment, VmKey};
 use bytes::Bytes;
-use clients::{Outgoing, VmList as _, VmState};
+use clients::{HttpRequest, VmList as _, VmState};
 use configuration::ConfigSnapshot;
 use membership::{
-    BoardSettings, Heartbeat, ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings,
-    PeerState, PeerTable, UpstreamBoard, UpstreamEntry, VmIdentity, ZoneSummary,
+    Heartbeat, ListState, ListedVm, LivenessMessage, LoadTable, LoadTableSettings, LoadUpdate,
+    PeerAction, PeerEvent, PeerSettings, PeerState, PeerTable, VmIdentity, ZoneSummary,
 };
 use protocol::{
     MAX_MESSAGE_BYTES, PeerMessage, WireConfigCopy, WireSnapshot, WireUpstream, decode_message,
@@ -29,7 +29,7 @@
 /// Peers and upstream states as this node knows them.
 pub(crate) struct PeerDriver {
     pub(crate) table: PeerTable,
-    pub(crate) board: UpstreamBoard,
+    pub(crate) load_table: LoadTable,
     pub(crate) malformed: u64,
     fetching: bool,
 }
@@ -57,7 +57,7 @@
         };
         Self {
             table: PeerTable::new(PeerSettings::default(), own, now),
-            board: UpstreamBoard::new(BoardSettings::default(), shared.incarnation),
+            load_table: LoadTable::new(LoadTableSettings::default(), shared.incarnation),
             malformed: 0,
             fetching: false,
         }
@@ -83,7 +83,7 @@
         if due {
             self.peer_event(PeerEvent::Tick);
         }
-        let urgent = self.state().peers.board.urgent(now);
+        let urgent = self.state().peers.load_table.take_urgent(now);
         if !urgent.is_empty() {
             self.send_urgent(&urgent);
         }
@@ -98,9 +98,10 @@
                 let heartbeat = {
                     let (now, state) = (self.now(), self.state());
                     let from = state.peers.table.own_identity().clone();
-                    let beat = PeerBeat { from, beat: 0, refutation: 0, notices: Vec::new() };
+                    let liveness =
+                        LivenessMessage { from, sequence: 0, refutation: 0, updates: Vec::new() };
                     Heartbeat {
-                        beat,
+                        liveness,
                         config_version: state.config.version().0,
                         contact_age: state.config.contact_age(now),
                         upstreams: Vec::new(),
@@ -141,12 +142,12 @@
         let mut changes = None;
         for action in actions {
             match action {
-                PeerAction::SendHeartbeat { to, beat } => {
-                    let changes =
-                        changes.get_or_insert_with(|| self.state().peers.board.delta(now));
-                    self.send_heartbeat(now, to, beat, changes.clone());
+                PeerAction::SendHeartbeat { to, message } => {
+                    let changes = changes
+                        .get_or_insert_with(|| self.state().peers.load_table.next_delta(now));
+                    self.send_heartbeat(now, to, message, changes.clone());
                 }
-                PeerAction::SendSummary { to, beat } => self.send_summary(now, to, beat),
+                PeerAction::SendSummary { to, message } => self.send_summary(now, to, message),
                 PeerAction::Changed { vm, state } => self.peer_changed(now, vm, state),
                 PeerAction::Replaced { incarnation, .. } => {
                     self.usage_peer_gone(now, incarnation);
@@ -154,7 +155,7 @@
             }
         }
         let live = self.state().peers.live_count();
-        self.shared.desk().set_live_nodes(live);
+        self.shared.scheduler().set_live_nodes(live);
     }
 
     fn peer_changed(self: &Rc<Self>, now: Moment, vm: VmKey, state: PeerState) {
@@ -177,13 +178,13 @@
         self: &Rc<Self>,
         now: Moment,
         to: VmKey,
-        beat: PeerBeat,
-        upstreams: Vec<UpstreamEntry>,
+        liveness: LivenessMessage,
+        upstreams: Vec<LoadUpdate>,
     ) {
         let (address, heartbeat) = {
             let state = self.state();
             let heartbeat = Heartbeat {
-                beat,
+                liveness,
                 config_version: state.config.version().0,
                 contact_age: state.config.contact_age(now),
                 upstreams,
@@ -193,16 +194,16 @@
         self.tell_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
     }
 
-    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, beat: PeerBeat) {
+    fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, liveness: LivenessMessage) {
         let (address, summary) = {
             let mut state = self.state();
             let state = &mut *state;
             let own_zone = &state.peers.table.own_identity().zone;
-            let full = state.peers.board.full(now);
+            let full = state.peers.load_table.all_updates(now);
             let upstreams =
                 full.into_iter().filter(|entry| state.watch.is_in_zone(&entry.upstream, own_zone));
             let summary = ZoneSummary {
-                beat,
+                liveness,
                 config_version: state.config.version().0,
                 upstreams: upstreams.collect(),
             };
@@ -212,7 +213,7 @@
     }
 
     /// Sends changes that must not wait for the next heartbeat to all peers.
-    fn send_urgent(self: &Rc<Self>, upstreams: &[UpstreamEntry]) {
+    fn send_urgent(self: &Rc<Self>, upstreams: &[LoadUpdate]) {
         let upstreams = upstreams.iter().map(WireUpstream::from).collect();
         self.tell_all_peers(&PeerMessage::Upstreams(upstreams));
     }
@@ -234,11 +235,11 @@
             PeerMessage::Heartbeat(wire) => self.heartbeat(wire.into()),
             PeerMessage::Summary(wire) => self.summary(wire.into()),
             PeerMessage::Upstreams(entries) => {
-                self.learn_entries(entries.into_iter().map(UpstreamEntry::from));
+                self.learn_entries(entries.into_iter().map(LoadUpdate::from));
             }
             PeerMessage::ConfigFetch => return self.config_copy(),
             PeerMessage::BatchHold(hold) => return self.hold_batch(hold),
-            PeerMessage::LimitAsk(asks) => return self.grant_limits(asks),
+            PeerMessage::LimitAsk(requests) => return self.grant_limits(requests),
             PeerMessage::Suspicions { notes, verdicts, reserved, released } => {
                 self.hear_suspicions(notes, verdicts, &reserved, &released);
             }
@@ -254,19 +255,24 @@
 
     fn heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) {
         let now = self.now();
-        self.state().config.note_relayed(now, heartbeat.contact_age);
-        self.heard(heartbeat.beat, heartbeat.config_version, heartbeat.upstreams);
+        self.state().config.note_peer_contact(now, heartbeat.contact_age);
+        self.heard(heartbeat.liveness, heartbeat.config_version, heartbeat.upstreams);
     }
 
     fn summary(self: &Rc<Self>, summary: ZoneSummary) {
         let now = self.now();
         self.state().config.note_contact(now);
-        self.heard(summary.beat, summary.config_version, summary.upstreams);
+        self.heard(summary.liveness, summary.config_version, summary.upstreams);
     }
 
-    fn heard(self: &Rc<Self>, beat: PeerBeat, config_version: u64, upstreams: Vec<UpstreamEntry>) {
-        let address = beat.from.address.parse::<SocketAddr>().ok();
-        self.peer_event(PeerEvent::BeatReceived(beat));
+    fn heard(
+        self: &Rc<Self>,
+        liveness: LivenessMessage,
+        config_version: u64,
+        upstreams: Vec<LoadUpdate>,
+    ) {
+        let address = liveness.from.address.parse::<SocketAddr>().ok();
+        self.peer_event(PeerEvent::MessageReceived(liveness));
         self.learn_entries(upstreams);
         let behind = config_version > self.state().config.version().0;
         if let Some(address) = address.filter(|_| behind) {
@@ -274,12 +280,12 @@
         }
     }
 
-    fn learn_entries(self: &Rc<Self>, entries: impl IntoIterator<Item = UpstreamEntry>) {
+    fn learn_entries(self: &Rc<Self>, entries: impl IntoIterator<Item = LoadUpdate>) {
         let now = self.now();
         for entry in entries {
             let name = entry.upstream.clone();
-            if self.state().peers.board.learned(now, entry) {
-                self.apply_board(now, &name);
+            if self.state().peers.load_table.merge(now, entry) {
+                self.apply_load_report(now, &name);
             }
         }
     }
@@ -302,7 +308,7 @@
     fn config_copy(&self) -> PeerMessage {
         let state = self.state();
         PeerMessage::ConfigCopy(WireConfigCopy {
-            snapshot: state.config.history.snapshot().map(WireSnapshot::from),
+            snapshot: state.config.registry.snapshot().map(WireSnapshot::from),
             in_force: (&state.config.in_force()).into(),
         })
     }
@@ -328,10 +334,10 @@
         address: SocketAddr,
         message: &PeerMessage,
     ) -> Option<PeerMessage> {
-        let outgoing = Outgoing::post(address, PEER_PATH, Bytes::from(encode_message(message)));
+        let request = HttpRequest::post(address, PEER_PATH, Bytes::from(encode_message(message)));
         let timeout = self.shared.settings.timeouts.peer;
-        let answer = self.peer_http.exchange(outgoing, timeout, MAX_MESSAGE_BYTES).await.ok()?;
-        decode_message(&answer.success().ok()?.body).ok()
+        let response = self.peer_http.exchange(request, timeout, MAX_MESSAGE_BYTES).await.ok()?;
+        decode_message(&response.error_for_status().ok()?.body).ok()
     }
 }
 
--- a/crates/hibiscushinged/src/control/sample_carry.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -4,8 +4,8 @@
 
 use base::{LogOffset, Moment, Span};
 use membership::PeerState;
-use protocol::{MAX_MESSAGE_BYTES, SampleCarry, SampleEntry, encode_record};
-use rollout::{SampleBook, TrainerId};
+use protocol::{MAX_MESSAGE_BYTES, SampleEntry, SampleSnapshot, encode_record};
+use rollout::{SampleTable, TrainerId};
 
 use crate::control::{Control, slots::SlotOwners, streams::SAMPLE_STREAM};
 
@@ -17,18 +17,18 @@
 
 /// When the trainers were last carried.
 #[derive(Debug, Default)]
-pub(crate) struct CarryTracker {
+pub(crate) struct SnapshotTracker {
     /// Oldest retained offset.
     first: u64,
     /// Offset that follows the last record read.
     next: u64,
-    carried: BTreeMap<TrainerId, LogOffset>,
+    last_snapshots: BTreeMap<TrainerId, LogOffset>,
     /// Trainers that opened a step since their last snapshot.
     stepped: BTreeMap<TrainerId, ()>,
     tried: BTreeMap<TrainerId, Moment>,
 }
 
-impl CarryTracker {
+impl SnapshotTracker {
     pub(crate) fn retained(&mut self, first: LogOffset) {
         self.first = first.0;
     }
@@ -41,8 +41,8 @@
         self.stepped.insert(trainer, ());
     }
 
-    fn carried(&mut self, trainer: TrainerId, offset: LogOffset) {
-        self.carried.insert(trainer, offset);
+    fn record_snapshot(&mut self, trainer: TrainerId, offset: LogOffset) {
+        self.last_snapshots.insert(trainer, offset);
         self.stepped.remove(&trainer);
         self.tried.remove(&trainer);
     }
@@ -54,7 +54,7 @@
             return false;
         }
         let middle = LogOffset(u64::midpoint(self.first, self.next));
-        let carried = self.carried.get(&trainer);
+        let carried = self.last_snapshots.get(&trainer);
         let is_old = self.first > 0 && carried.is_none_or(|at| *at < middle);
         is_old || self.stepped.contains_key(&trainer)
     }
@@ -66,12 +66,12 @@
         let slots = {
             let mut state = self.state();
             let samples = &mut state.samples;
-            samples.book = match offset {
-                LogOffset(0) => SampleBook::default(),
-                _ => SampleBook::after_gap(offset),
+            samples.table = match offset {
+                LogOffset(0) => SampleTable::default(),
+                _ => SampleTable::starting_at(offset),
             };
             samples.opened.clear();
-            samples.carries = CarryTracker::default();
+            samples.snapshots = SnapshotTracker::default();
             samples.generation.slots()
         };
         for slot in slots {
@@ -80,61 +80,62 @@
     }
 
     /// Takes a snapshot from the log.
-    pub(crate) fn adopt_trainer(&self, offset: LogOffset, carry: SampleCarry) {
-        let SampleCarry { carry, opened } = carry;
+    pub(crate) fn adopt_trainer(&self, offset: LogOffset, snapshot: SampleSnapshot) {
+        let SampleSnapshot { snapshot, step_prompts } = snapshot;
         let mut state = self.state();
         let samples = &mut state.samples;
-        let trainer = carry.book.id;
-        samples.carries.carried(trainer, offset);
-        let was_known = samples.book.trainers().any(|(id, _)| id == trainer);
+        let trainer = snapshot.state.id;
+        samples.snapshots.record_snapshot(trainer, offset);
+        let was_known = samples.table.trainers().any(|(id, _)| id == trainer);
         // The bytes of the samples are held elsewhere, so there is nothing to do for the actions.
-        let _ = samples.book.adopt(&carry);
-        let is_known = samples.book.trainers().any(|(id, _)| id == trainer);
+        let _ = samples.table.install_snapshot(&snapshot);
+        let is_known = samples.table.trainers().any(|(id, _)| id == trainer);
         if was_known || !is_known {
             return;
         }
-        tracing::info!(trainer = trainer.0, until = carry.until.0, "a snapshot was adopted");
-        samples.generation.share.set_weight(trainer, 1);
+        tracing::info!(trainer = trainer.0, until = snapshot.until.0, "a snapshot was adopted");
+        samples.generation.trainer_scheduler.set_weight(trainer, 1);
         samples.generation.slots_opened();
-        for (step, opened) in opened {
-            samples.opened.entry((trainer, step)).or_insert(opened);
+        for (step, step_prompts) in step_prompts {
+            samples.opened.entry((trainer, step)).or_insert(step_prompts);
         }
     }
 
     /// Appends the snapshots that are due and that belong to this node. A repeat is harmless.
-    pub(crate) fn carry_trainers(self: &Rc<Self>, now: Moment) {
-        let owners = self.carry_owners();
+    pub(crate) fn append_trainer_snapshots(self: &Rc<Self>, now: Moment) {
+        let owners = self.snapshot_owners();
         let due = {
             let mut state = self.state();
             let samples = &mut state.samples;
-            let trainers = samples.book.trainers().map(|(id, _)| id);
+            let trainers = samples.table.trainers().map(|(id, _)| id);
             let due =
-                trainers.filter(|id| samples.carries.is_due(now, *id) && owners.owns_item(id.0));
+                trainers.filter(|id| samples.snapshots.is_due(now, *id) && owners.owns_item(id.0));
             let due = due.collect::<Vec<_>>();
             for trainer in &due {
-                samples.carries.tried.insert(*trainer, now);
+                samples.snapshots.tried.insert(*trainer, now);
             }
             due
         };
         for trainer in due {
-            self.carry_trainer(trainer);
+            self.append_trainer_snapshot(trainer);
         }
     }
 
-    fn carry_trainer(self: &Rc<Self>, trainer: TrainerId) {
+    fn append_trainer_snapshot(self: &Rc<Self>, trainer: TrainerId) {
         let entry = {
             let state = self.state();
             let samples = &state.samples;
-            let Some(carry) = samples.book.carry(trainer, LogOffset(samples.carries.next)) else {
+            let Some(snapshot) = samples.table.snapshot(trainer, LogOffset(samples.snapshots.next))
+            else {
                 return;
             };
-            let wanted = carry.book.steps.values().filter(|step| !step.completed);
-            let opened = wanted.filter_map(|step| {
+            let wanted = snapshot.state.steps.values().filter(|step| !step.completed);
+            let step_prompts = wanted.filter_map(|step| {
                 let number = step.shape.step;
                 Some((number, samples.opened.get(&(trainer, number))?.clone()))
             });
-            let opened = opened.collect();
-            SampleEntry::Carry(Box::new(SampleCarry { carry, opened }))
+            let step_prompts = step_prompts.collect();
+            SampleEntry::Snapshot(Box::new(SampleSnapshot { snapshot, step_prompts }))
         };
         let id = self.state().writer.next_id(SAMPLE_STREAM);
         let length = encode_record(id, &entry).len();
@@ -142,11 +143,11 @@
             tracing::warn!(trainer = trainer.0, length, "a snapshot exceeds the largest record");
             return;
         }
-        // A full buffer is reported by `append_as`, and the snapshot is made again.
-        let _ = self.append_as(SAMPLE_STREAM, id, &entry);
+        // A full buffer is reported by `append_with_id`, and the snapshot is made again.
+        let _ = self.append_with_id(SAMPLE_STREAM, id, &entry);
     }
 
-    fn carry_owners(&self) -> SlotOwners {
+    fn snapshot_owners(&self) -> SlotOwners {
         let state = self.state();
         // A suspect may be paused, and a snapshot must not wait for it.
         SlotOwners::of(&state.peers.table, |peer| peer == PeerState::Live)
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -13,10 +13,10 @@
 use base::{EventCode, Incarnation, LogOffset, Moment, RecordId, Span};
 use document::{DaemonSettings, TrainerEntry};
 use membership::PeerState;
-use protocol::{OpenedStep, PeerMessage, SampleEntry, WireSampleCopy};
+use protocol::{PeerMessage, SampleEntry, StepPrompts, WireSampleCopy};
 use rollout::{
-    BookAction, SampleBook, SampleFilled, SampleRecord, ScoreAction, ScoreDesk, SlotKey, TrainerId,
-    VoidReason,
+    SampleFilled, SampleOutcome, SampleRecord, SampleTable, ScoreAction, ScoreQueue, SlotKey,
+    TrainerId, VoidReason,
 };
 use serde_json::{Value, json};
 
@@ -25,7 +25,7 @@
         Control,
         follow::{NextRead, StreamEvent, follow},
         generate::GenerationDriver,
-        sample_carry::CarryTracker,
+        sample_snapshot::SnapshotTracker,
         sample_store::{SampleStore, StoreOutcome},
         slots::SlotOwners,
         streams::SAMPLE_STREAM,
@@ -52,15 +52,15 @@
 
 /// Samples as this node knows them.
 pub(crate) struct SampleDriver {
-    pub(crate) book: SampleBook,
-    pub(crate) opened: BTreeMap<(TrainerId, u64), OpenedStep>,
+    pub(crate) table: SampleTable,
+    pub(crate) opened: BTreeMap<(TrainerId, u64), StepPrompts>,
     pub(crate) store: SampleStore,
     pub(crate) waiters: StatementWaiters,
     pub(crate) generation: GenerationDriver,
-    pub(crate) scores: ScoreDesk,
+    pub(crate) scores: ScoreQueue,
     /// Bound and voided records that were appended and not read back.
     appended: HashMap<RecordId, Moment>,
-    pub(crate) carries: CarryTracker,
+    pub(crate) snapshots: SnapshotTracker,
     started: Option<Moment>,
     next_care: Moment,
     next_audit: Moment,
@@ -74,14 +74,14 @@
 impl SampleDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
         Self {
-            book: SampleBook::default(),
+            table: SampleTable::default(),
             opened: BTreeMap::new(),
             store: SampleStore::new(settings.bounds.sample_bytes as usize),
             waiters: StatementWaiters::default(),
             generation: GenerationDriver::new(),
-            scores: ScoreDesk::default(),
+            scores: ScoreQueue::default(),
             appended: HashMap::new(),
-            carries: CarryTracker::default(),
+            snapshots: SnapshotTracker::default(),
             started: None,
             next_care: Moment(0),
             next_audit: Moment(0),
@@ -91,24 +91,24 @@
 
     /// Returns the name of a slot in logs and for `explain`.
     pub(crate) fn slot_text(&self, slot: SlotKey) -> String {
-        let mut trainers = self.book.trainers();
+        let mut trainers = self.table.trainers();
         let name = trainers.find(|(id, _)| *id == slot.trainer).map_or("", |(_, name)| name);
         format!("{name}/{}/{}/{}", slot.step, slot.group, slot.index)
     }
 
     pub(crate) fn status(&self) -> Value {
-        let trainers = self.book.trainers().map(|(id, name)| {
+        let trainers = self.table.trainers().map(|(id, name)| {
             json!({
                 "trainer": name,
-                "statements": self.book.statements(id),
-                "version": self.book.stated_version(id).map(|(version, _)| version.0),
-                "open_slots": self.book.open_slots(id).count(),
-                "last_number": self.book.last_number(id).0,
-                "acknowledged": self.book.acknowledged(id).0,
+                "statements": self.table.statements(id),
+                "version": self.table.stated_version(id).map(|(version, _)| version.0),
+                "open_slots": self.table.open_slots(id).count(),
+                "last_number": self.table.last_number(id).0,
+                "acknowledged": self.table.acknowledged(id).0,
             })
         });
         let (held, held_bytes) = self.store.figures();
-        let (useful, extra) = self.generation.policy.tokens();
+        let (useful, extra) = self.generation.stragglers.tokens();
         json!({
             "trainers": trainers.collect::<Vec<_>>(),
             "running": self.generation.running(),
@@ -139,19 +139,19 @@
                 let mut state = self.state();
                 state.samples.started.get_or_insert(now);
                 state.samples.caught_up = true;
-                state.samples.carries.retained(offset);
+                state.samples.snapshots.retained(offset);
             }
             StreamEvent::Record { offset, id, record, catching_up } => {
                 {
                     let mut state = self.state();
                     state.samples.caught_up = !catching_up;
-                    state.samples.carries.read(offset);
+                    state.samples.snapshots.read(offset);
                 }
                 match record {
-                    SampleEntry::Record { record, opened } => {
-                        self.sample_record(offset, id, &record, opened);
+                    SampleEntry::Record { record, step_prompts } => {
+                        self.sample_record(offset, id, &record, step_prompts);
                     }
-                    SampleEntry::Carry(carry) => self.adopt_trainer(offset, *carry),
+                    SampleEntry::Snapshot(snapshot) => self.adopt_trainer(offset, *snapshot),
                 }
             }
         }
@@ -163,9 +163,9 @@
         offset: LogOffset,
         id: RecordId,
         record: &SampleRecord,
-        mut opened: Option<OpenedStep>,
+        mut opened: Option<StepPrompts>,
     ) {
-        let actions = self.state().samples.book.apply_at(offset, record);
+        let actions = self.state().samples.table.apply_at(offset, record);
         {
             let mut state = self.state();
             let samples = &mut state.samples;
@@ -176,25 +176,25 @@
                     // The trainer is not known yet, and a snapshot may show that the step is open.
                     samples.opened.insert((stated.trainer, shape.step), opened);
                 }
-                samples.generation.share.set_weight(stated.trainer, 1);
-                let has = samples.book.acknowledged(stated.trainer);
+                samples.generation.trainer_scheduler.set_weight(stated.trainer, 1);
+                let has = samples.table.acknowledged(stated.trainer);
                 samples.store.acknowledged(stated.trainer, has);
-                samples.waiters.read(id, &samples.book, &actions);
+                samples.waiters.read(id, &samples.table, &actions);
             }
         }
         for action in actions {
             match action {
-                BookAction::StepOpened { trainer, step, slots } => {
+                SampleOutcome::StepOpened { trainer, step, slots } => {
                     tracing::info!(trainer = trainer.0, step, slots, "a step was opened");
                     let mut state = self.state();
-                    state.samples.carries.step_opened(trainer);
+                    state.samples.snapshots.step_opened(trainer);
                     state.samples.generation.slots_opened();
                     if let Some(opened) = opened.take() {
                         state.samples.opened.insert((trainer, step), opened);
                     }
                 }
-                BookAction::Filled { slot, sample } => self.slot_filled(slot, sample, record),
-                BookAction::FillRefused { slot, sample, reason } => {
+                SampleOutcome::Filled { slot, sample } => self.slot_filled(slot, sample, record),
+                SampleOutcome::FillRefused { slot, sample, reason } => {
                     let name = self.state().samples.slot_text(slot);
                     tracing::info!(slot = name, reason = ?reason, "a fill record lost");
                     self.state().samples.store.remove(sample);
@@ -203,35 +203,35 @@
                         self.state().samples.generation.slots_opened();
                     }
                 }
-                BookAction::Bound { sample, number, .. } => {
+                SampleOutcome::Bound { sample, number, .. } => {
                     let mut state = self.state();
-                    state.samples.scores.forget(sample);
+                    state.samples.scores.remove(sample);
                     state.samples.appended.remove(&sample);
                     state.samples.store.bound(sample, number);
                 }
-                BookAction::Voided { slot, sample, number, reason } => {
+                SampleOutcome::Voided { slot, sample, number, reason } => {
                     let name = self.state().samples.slot_text(slot);
                     let number = number.map(|number| number.0);
                     log_event!(warn, SampleVoided, slot = name, number, reason = ?reason);
                     let detail = format!("number {number:?}: {reason:?}");
                     self.trace(name, EventCode::SampleVoided, detail);
                     let mut state = self.state();
-                    state.samples.scores.forget(sample);
+                    state.samples.scores.remove(sample);
                     state.samples.appended.remove(&sample);
                     state.samples.store.remove(sample);
                     state.samples.generation.slots_opened();
                 }
-                BookAction::StepRetired { trainer, step } => {
+                SampleOutcome::StepRetired { trainer, step } => {
                     let mut state = self.state();
                     state.samples.opened.remove(&(trainer, step));
                     state.samples.store.retired(trainer, step);
                 }
-                BookAction::StepCompleted { trainer, step } => {
+                SampleOutcome::StepCompleted { trainer, step } => {
                     tracing::info!(trainer = trainer.0, step, "a step is complete");
                 }
-                BookAction::StepRefused { .. }
-                | BookAction::Offered { .. }
-                | BookAction::StatementRefused { .. } => {}
+                SampleOutcome::StepRefused { .. }
+                | SampleOutcome::DeliveriesReady { .. }
+                | SampleOutcome::StatementRefused { .. } => {}
             }
         }
     }
@@ -276,7 +276,7 @@
         }
         self.state().samples.next_care = now + CARE_PERIOD;
         self.bind_samples(now, &owners);
-        self.carry_trainers(now);
+        self.append_trainer_snapshots(now);
         if self.state().samples.next_audit > now {
             return;
         }
@@ -296,7 +296,7 @@
             let mut state = self.state();
             let samples = &mut state.samples;
             samples.appended.retain(|_, at| now.since(*at) < RETRY);
-            for filled in samples.book.unbound() {
+            for filled in samples.table.unbound() {
                 let waits = samples.appended.contains_key(&filled.sample);
                 if owners.owns(filled.slot) && !waits {
                     samples.scores.enqueue(now, filled.slot, filled.sample);
@@ -334,7 +334,7 @@
             let present = present.filter(|(_, record)| record.state != PeerState::Gone);
             let present = present.map(|(_, record)| record.vm.incarnation).collect::<HashSet<_>>();
             let is_gone = |holder: Incarnation| !present.contains(&holder);
-            let mut lost = state.samples.book.lost(is_gone);
+            let mut lost = state.samples.table.lost_samples(is_gone);
             lost.retain(|voided| {
                 owners.owns(voided.slot) && state.samples.is_due(now, voided.sample)
             });
@@ -359,7 +359,7 @@
     /// Appends a record that is repeated until it is read back.
     fn append_sample(self: &Rc<Self>, record: SampleRecord) {
         // A full buffer is reported by `append`, and the record is made again after a while.
-        let _ = self.append(SAMPLE_STREAM, &SampleEntry::Record { record, opened: None });
+        let _ = self.append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: None });
     }
 
     /// Holds the bytes of another node's sample.
--- a/crates/hibiscushinged/src/control/score.rs
+++ b/crates/hibiscushinged/src/control/score.rs
@@ -4,10 +4,10 @@
 
 use base::{Moment, RecordId, Span};
 use bytes::Bytes;
-use clients::Outgoing;
+use clients::HttpRequest;
 use http::{HeaderName, HeaderValue};
 use rollout::{SampleFilled, Score, SlotKey};
-use routing::{PickRequest, WorkEnd};
+use routing::{PickRequest, RequestOutcome};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -40,10 +40,10 @@
         let Some(service) = entry.scorer else { return self.sample_scored(sample, None) };
         let filled = {
             let state = self.state();
-            state.samples.book.unbound().find(|filled| filled.sample == sample).cloned()
+            state.samples.table.unbound().find(|filled| filled.sample == sample).cloned()
         };
         let Some(filled) = filled else {
-            return self.state().samples.scores.forget(sample);
+            return self.state().samples.scores.remove(sample);
         };
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
@@ -75,25 +75,26 @@
             avoid: &[],
         };
         let now = self.now();
-        let choice = self.shared.desk().pick(now, service, &request)?;
+        let choice = self.shared.scheduler().pick(now, service, &request)?;
         let (_, _, address) = self.engine_target(choice.upstream)?;
         let body = json!({ "prompt": prompt, "sample": text }).to_string();
         // The id is that of the sample, so a scorer can tell a repeated call.
         let id = format!("{:016x}-s{:x}", filled.sample.writer.0, filled.sample.sequence);
-        let outgoing = Outgoing::post(address, SCORE_PATH, Bytes::from(body)).with_header(
+        let score_request = HttpRequest::post(address, SCORE_PATH, Bytes::from(body)).with_header(
             HeaderName::from_static("x-request-id"),
             HeaderValue::from_str(&id).expect("the id has hexadecimal digits only"),
         );
-        let work = self.shared.desk().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
-        let answer = self.http.exchange(outgoing, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
-        let end = match &answer {
-            Ok(_) => WorkEnd::Completed { tokens: SCORE_WORK },
-            Err(_) => WorkEnd::Failed,
+        let work =
+            self.shared.scheduler().start(now, wall_now(), choice.upstream, SCORE_WORK, None);
+        let response = self.http.exchange(score_request, SCORE_TIMEOUT, MAX_SCORE_ANSWER).await;
+        let outcome = match &response {
+            Ok(_) => RequestOutcome::Completed { tokens: SCORE_WORK },
+            Err(_) => RequestOutcome::Failed,
         };
         let now: Moment = self.now();
-        self.shared.desk().finish(now, work, end);
-        let answer = answer.and_then(clients::Answer::success).ok()?;
-        let found = serde_json::from_slice::<ScoreAnswer>(&answer.body).ok()?;
+        self.shared.scheduler().finish(now, work, outcome);
+        let response = response.and_then(clients::HttpResponse::error_for_status).ok()?;
+        let found = serde_json::from_slice::<ScoreAnswer>(&response.body).ok()?;
         found.score.is_finite().then_some(Score((found.score * 1e6) as i64))
     }
 }
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -6,16 +6,16 @@
     HttpMessage as _, HttpService, Method, Request, Response, StatusCode, body::BoxBody,
 };
 use bytes::Bytes;
-use clients::head_bytes;
+use clients::head_len;
 use protocol::{MAX_MESSAGE_BYTES, encode_message};
 use serde_json::json;
 
 use crate::{
     accept::serve_connections,
     control::{Control, peers::PEER_PATH, transfer},
-    input::AdminAsk,
-    shared::ServicePhase,
-    traffic::{answer, request},
+    control_message::AdminRequest,
+    shared::NodePhase,
+    traffic::{request, response},
 };
 
 pub(crate) async fn serve_peers(control: Rc<Control>, listener: TcpListener) {
@@ -44,8 +44,8 @@
         tokio::net::TcpListener::from_std(listener).expect("the listener was made non-blocking");
     let factory = HttpService::build()
         .finish(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         })
         .tcp();
     serve_connections(listener, factory).await;
@@ -57,43 +57,43 @@
     }
     let sender = request.peer_addr().map(|address| address.to_string()).unwrap_or_default();
     let first_line = "POST  HTTP/1.1".len() + PEER_PATH.len();
-    let head = head_bytes(first_line, request.headers());
-    let message = match request::body(&mut request, MAX_MESSAGE_BYTES).await {
+    let head = head_len(first_line, request.headers());
+    let message = match request::read_body(&mut request, MAX_MESSAGE_BYTES).await {
         Ok(body) => {
-            control.transfer.peers_served.begin(0, head + body.len());
+            control.transfer.peers_served.count_exchange(0, head + body.len());
             control.peer_message(&sender, &body)
         }
         Err(refusal) => control.refuse_peer_message(&sender, &refusal.message),
     };
     let body = Bytes::from(encode_message(&message));
-    control.transfer.peers_served.add(transfer::answer_bytes(body.len()), 0);
-    answer::with_body(StatusCode::OK, "application/msgpack", body)
+    control.transfer.peers_served.count_bytes(transfer::answer_bytes(body.len()), 0);
+    response::with_body(StatusCode::OK, "application/msgpack", body)
 }
 
 fn admin(control: &Rc<Control>, request: &Request) -> Response<BoxBody> {
-    let ask = match request.path() {
+    let admin_request = match request.path() {
         "/admin/ready" => return ready(control),
-        "/admin/status" => AdminAsk::Status,
-        "/admin/usage" => AdminAsk::Usage,
+        "/admin/status" => AdminRequest::Status,
+        "/admin/usage" => AdminRequest::Usage,
         "/admin/explain" => {
             let query = request.uri().query().unwrap_or("");
             let id = query.strip_prefix("id=").unwrap_or("");
-            AdminAsk::Explain(String::from(id))
+            AdminRequest::Explain(String::from(id))
         }
         path => {
             let message = format!("path \"{path}\" does not exist");
-            return answer::json_body(StatusCode::NOT_FOUND, &json!({ "error": message }));
+            return response::json(StatusCode::NOT_FOUND, &json!({ "error": message }));
         }
     };
-    answer::json_body(StatusCode::OK, &control.admin(ask))
+    response::json(StatusCode::OK, &control.admin(admin_request))
 }
 
 /// Tells the balancer whether to send new requests here.
 fn ready(control: &Rc<Control>) -> Response<BoxBody> {
     let (status, phase) = match control.shared.phase() {
-        ServicePhase::Serving => (StatusCode::OK, "serving"),
-        ServicePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
-        ServicePhase::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
+        NodePhase::Serving => (StatusCode::OK, "serving"),
+        NodePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
+        NodePhase::Draining => (StatusCode::SERVICE_UNAVAILABLE, "draining"),
     };
-    answer::json_body(status, &json!({ "phase": phase }))
+    response::json(status, &json!({ "phase": phase }))
 }
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use base::{Incarnation, UpstreamKey};
-use clients::{EngineControl as _, Outgoing};
-use delivery::{Fingerprint, IsolationNotice, SuspectAction, SuspectEvent, SuspectNote, Verdict};
+use clients::{EngineControl as _, HttpRequest};
+use delivery::{Conviction, Fingerprint, IsolationNotice, SuspectAction, SuspectEvent, Suspicion};
 use document::ServiceKind;
-use protocol::{PeerMessage, WireIsolation, WireSuspicion, WireVerdict};
+use protocol::{PeerMessage, WireConviction, WireIsolation, WireSuspicion};
 use routing::UpstreamState;
 
 use crate::{
@@ -14,24 +14,24 @@
     control::{
         Control,
         follow::{NextRead, StreamEvent, follow},
-        streams::VERDICT_STREAM,
+        streams::CONVICTION_STREAM,
     },
     telemetry::log_event,
 };
 
 pub(crate) fn start(control: &Rc<Control>) {
-    follow::<Verdict>(control, String::from(VERDICT_STREAM), |control, event| {
+    follow::<Conviction>(control, String::from(CONVICTION_STREAM), |control, event| {
         if let StreamEvent::Record { record, .. } = event {
-            control.suspect_event(SuspectEvent::VerdictHeard(record));
+            control.handle_suspect_event(SuspectEvent::ConvictionReceived(record));
         }
         NextRead::Onwards
     });
 }
 
 impl Control {
-    pub(crate) fn suspect_event(self: &Rc<Self>, event: SuspectEvent) {
+    pub(crate) fn handle_suspect_event(self: &Rc<Self>, event: SuspectEvent) {
         let now = self.now();
-        let actions = self.shared.desk().suspect(now, wall_now(), event);
+        let actions = self.shared.scheduler().handle_suspect_event(now, wall_now(), event);
         self.spread(actions);
     }
 
@@ -42,13 +42,13 @@
         fingerprint: Fingerprint,
     ) {
         if self.answers(upstream).await {
-            self.suspect_event(SuspectEvent::Finished { upstream, fingerprint });
+            self.handle_suspect_event(SuspectEvent::Finished { upstream, fingerprint });
             return;
         }
         let name = self.upstream_name(upstream);
         log_event!(warn, SuspectMarked, upstream = name, fingerprint = ?fingerprint);
-        self.shared.desk().set_state(upstream, UpstreamState::Down);
-        self.suspect_event(SuspectEvent::Crashed(upstream));
+        self.shared.scheduler().set_state(upstream, UpstreamState::Down);
+        self.handle_suspect_event(SuspectEvent::Crashed(upstream));
     }
 
     /// Tells whether an upstream takes connections and answers.
@@ -65,7 +65,7 @@
             return self.engines.report(target.address).await.is_ok();
         }
         let timeout = self.shared.settings.timeouts.engine_control;
-        let probe = Outgoing::get(target.address, "/health");
+        let probe = HttpRequest::get(target.address, "/health");
         self.http.exchange(probe, timeout, 1 << 16).await.is_ok()
     }
 
@@ -75,17 +75,19 @@
         let (mut reserved, mut released) = (Vec::new(), Vec::new());
         for action in actions {
             match action {
-                SuspectAction::SpreadNote(note) => notes.push(self.wire_note(&note)),
-                SuspectAction::Convict(verdict) => {
+                SuspectAction::BroadcastSuspicion(suspicion) => {
+                    notes.push(self.wire_suspicion(&suspicion));
+                }
+                SuspectAction::Convict(conviction) => {
                     log_event!(
                         warn,
                         FingerprintConvicted,
-                        fingerprint = ?verdict.fingerprint,
-                        expires_at_ms = verdict.expires_at.0
+                        fingerprint = ?conviction.fingerprint,
+                        expires_at_ms = conviction.expires_at.0
                     );
-                    verdicts.push(WireVerdict::from(&verdict));
+                    verdicts.push(WireConviction::from(&conviction));
                     // Peers hear it as well, so an unreachable log only delays distant zones.
-                    let _ = self.append(VERDICT_STREAM, &verdict);
+                    let _ = self.append(CONVICTION_STREAM, &conviction);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
                 SuspectAction::Release(notice) => released.push(self.wire_isolation(&notice)),
@@ -103,19 +105,19 @@
     pub(crate) fn hear_suspicions(
         self: &Rc<Self>,
         notes: Vec<WireSuspicion>,
-        verdicts: Vec<WireVerdict>,
+        verdicts: Vec<WireConviction>,
         reserved: &[WireIsolation],
         released: &[WireIsolation],
     ) {
         let view = self.shared.view.load_full();
-        for note in notes {
-            let (fingerprint, expires_at) = note.subject();
-            let crashed = note.crashed.iter().filter_map(|name| view.upstream_key(name));
-            let note = SuspectNote { fingerprint, crashed: crashed.collect(), expires_at };
-            self.suspect_event(SuspectEvent::NoteHeard(note));
+        for suspicion in notes {
+            let (fingerprint, expires_at) = suspicion.fingerprint_and_expiry();
+            let crashed = suspicion.crashed.iter().filter_map(|name| view.upstream_key(name));
+            let suspicion = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
+            self.handle_suspect_event(SuspectEvent::SuspicionReceived(suspicion));
         }
-        for verdict in verdicts {
-            self.suspect_event(SuspectEvent::VerdictHeard(verdict.into()));
+        for conviction in verdicts {
+            self.handle_suspect_event(SuspectEvent::ConvictionReceived(conviction.into()));
         }
         let notice = |wire: &WireIsolation| {
             let upstream = view.upstream_key(&wire.upstream)?;
@@ -123,18 +125,18 @@
             Some(IsolationNotice { node, upstream, fingerprint })
         };
         for notice in reserved.iter().filter_map(notice) {
-            self.suspect_event(SuspectEvent::IsolationHeard(notice));
+            self.handle_suspect_event(SuspectEvent::IsolationReceived(notice));
         }
         for notice in released.iter().filter_map(notice) {
-            self.suspect_event(SuspectEvent::IsolationEnded(notice));
+            self.handle_suspect_event(SuspectEvent::IsolationEnded(notice));
         }
     }
 
-    fn wire_note(&self, note: &SuspectNote) -> WireSuspicion {
+    fn wire_suspicion(&self, suspicion: &Suspicion) -> WireSuspicion {
         WireSuspicion {
-            fingerprint: note.fingerprint.0,
-            crashed: note.crashed.iter().map(|key| self.upstream_name(*key)).collect(),
-            expires_at_ms: note.expires_at.0,
+            fingerprint: suspicion.fingerprint.0,
+            crashed: suspicion.crashed.iter().map(|key| self.upstream_name(*key)).collect(),
+            expires_at_ms: suspicion.expires_at.0,
         }
     }
 
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -5,9 +5,9 @@
 use base::{EventCode, RecordId, Refusal, RefusalCode, Span, WeightVersion};
 use document::TrainerEntry;
 use membership::stable_hash;
-use protocol::{OpenedStep, PeerMessage, SampleEntry};
+use protocol::{PeerMessage, SampleEntry, StepPrompts};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, SampleBook, SampleFilled, SampleRecord, StepShape,
+    Delivery, DeliveryNumber, SampleFilled, SampleOutcome, SampleRecord, SampleTable, StepShape,
     TrainerId, TrainerStated,
 };
 use serde_json::{Value, json};
@@ -16,8 +16,8 @@
 use crate::{
     clock::to_duration,
     control::{Control, streams::SAMPLE_STREAM},
-    input::{StepRequest, TrainerAsk},
-    shared::ServicePhase,
+    control_message::{StepRequest, TrainerRequest},
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -74,21 +74,22 @@
     entry: &'a TrainerEntry,
     version: u64,
     acknowledged: DeliveryNumber,
-    opened: Option<(StepShape, OpenedStep)>,
+    opened: Option<(StepShape, StepPrompts)>,
 }
 
 impl StatementWaiters {
     /// Answers the request that waits for a record.
-    pub(crate) fn read(&mut self, id: RecordId, book: &SampleBook, actions: &[BookAction]) {
+    pub(crate) fn read(&mut self, id: RecordId, table: &SampleTable, actions: &[SampleOutcome]) {
         let Some(waiter) = self.waiting.remove(&id) else { return };
-        let refused = actions.iter().any(|action| matches!(action, BookAction::StepRefused { .. }));
+        let refused =
+            actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
         let step = if refused { StepOutcome::Refused } else { StepOutcome::Taken };
         let offered = actions.iter().find_map(|action| match action {
-            BookAction::Offered { trainer, offer } => Some((*trainer, offer.statement)),
+            SampleOutcome::DeliveriesReady { trainer, range } => Some((*trainer, range.statement)),
             _ => None,
         });
         let end = offered.and_then(|(trainer, statement)| {
-            let deliveries = book.deliveries(trainer, statement)?;
+            let deliveries = table.deliveries(trainer, statement)?;
             Some(StatementEnd::Offered { statement, deliveries, step })
         });
         // A request that was given up has dropped its end.
@@ -102,15 +103,15 @@
 
 impl Control {
     /// Answers a trainer, unless it gives up first.
-    pub(crate) async fn trainer_asked(
+    pub(crate) async fn handle_trainer_request(
         self: Rc<Self>,
-        ask: TrainerAsk,
+        request: TrainerRequest,
         mut reply: oneshot::Sender<Result<Value, Refusal>>,
     ) {
         let answer = async {
-            match ask {
-                TrainerAsk::Open(step) => self.open_step(step).await,
-                TrainerAsk::Fetch { trainer, after, version } => {
+            match request {
+                TrainerRequest::OpenStep(step) => self.open_step(step).await,
+                TrainerRequest::FetchSamples { trainer, after, version } => {
                     self.fetch_samples(&trainer, after, version).await
                 }
             }
@@ -128,14 +129,14 @@
         let groups = u32::try_from(request.prompts.len()).unwrap_or(u32::MAX);
         let shape =
             StepShape { step: request.step, groups, samples_per_group: request.samples_per_group };
-        let opened = OpenedStep { prompts: request.prompts, max_tokens: request.max_tokens };
+        let opened = StepPrompts { prompts: request.prompts, max_tokens: request.max_tokens };
         if opened.max_tokens == 0 {
             let message = "max_tokens must be at least 1";
             return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
         }
         for _ in 0..=MAX_RESTATES {
-            let follows = self.state().samples.book.statements(id);
-            let acknowledged = self.state().samples.book.acknowledged(id);
+            let follows = self.state().samples.table.statements(id);
+            let acknowledged = self.state().samples.table.acknowledged(id);
             let statement = Statement {
                 entry: &entry,
                 version: request.version,
@@ -174,7 +175,7 @@
         let id = TrainerId::from_name(trainer);
         let entry = self.trainer_entry(id).ok_or_else(trainer_unknown)?;
         let deadline = self.now() + FETCH_WAIT;
-        let mut follows = self.state().samples.book.statements(id);
+        let mut follows = self.state().samples.table.statements(id);
         let mut restates = 0;
         loop {
             let acknowledged = DeliveryNumber(after);
@@ -185,7 +186,7 @@
                     if restates > MAX_RESTATES || !self.may_restate(id, version, Some(after)) {
                         return Ok(empty_answer());
                     }
-                    follows = self.state().samples.book.statements(id);
+                    follows = self.state().samples.table.statements(id);
                 }
                 StatementEnd::Offered { statement, deliveries, .. } => {
                     if !deliveries.is_empty() {
@@ -209,10 +210,10 @@
         deadline: base::Moment,
     ) -> bool {
         loop {
-            if self.state().samples.book.has_after(trainer, after) {
+            if self.state().samples.table.has_deliveries_after(trainer, after) {
                 return true;
             }
-            let stops = self.shared.phase() == ServicePhase::Draining;
+            let stops = self.shared.phase() == NodePhase::Draining;
             if stops || self.now() >= deadline {
                 return false;
             }
@@ -225,10 +226,10 @@
     /// and samples in its hands would be made again.
     fn may_restate(&self, trainer: TrainerId, version: u64, after: Option<u64>) -> bool {
         let state = self.state();
-        let book = &state.samples.book;
-        let stated = book.stated_version(trainer);
+        let table = &state.samples.table;
+        let stated = table.stated_version(trainer);
         let rises = stated.is_none_or(|(stated, _)| version >= stated.0);
-        rises && after.is_none_or(|after| after >= book.acknowledged(trainer).0)
+        rises && after.is_none_or(|after| after >= table.acknowledged(trainer).0)
     }
 
     /// Appends a statement and waits until it is read back.
@@ -255,8 +256,9 @@
             opened: shape,
         });
         let (waiter, end) = oneshot::channel();
-        let id =
-            self.append(SAMPLE_STREAM, &SampleEntry::Record { record, opened }).map_err(|_| {
+        let id = self
+            .append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: opened })
+            .map_err(|_| {
                 let message = "the log has been down for too long to record the statement";
                 let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
                 refusal.with_retry_after(Span::from_secs(1))
@@ -336,8 +338,8 @@
                 missing = BytesMissing::Now;
                 continue;
             };
-            let ask = PeerMessage::SampleFetch(filled.sample.into());
-            match self.ask_peer(address, &ask).await {
+            let request = PeerMessage::SampleFetch(filled.sample.into());
+            match self.ask_peer(address, &request).await {
                 Some(PeerMessage::SampleCopy(copy)) if stable_hash(&copy.text) == filled.digest => {
                     return Ok(copy.text);
                 }
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use authority::Scope;
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
-use clients::{CustomerFigures, ReportOutcome, UsageReport, UsageSink as _};
+use authority::LeaseScope;
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
+use clients::{CustomerUsage, ReportOutcome, UsageReport, UsageSink as _};
 use protocol::{PeerMessage, UsageEntry, WireBatchHold};
 use usage::{
     HoldOutcome, LedgerOutcome, LedgerSnapshot, OriginState, PendingBatches, ReplicaStore,
-    ReportAnswer, ReportDesk, UsageBatch, UsageFigures, UsageLedger, UsageMeter, UsageRecord,
-    WindowClose, WindowNumber, WindowReport,
+    ReportAnswer, UsageBatch, UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose,
+    WindowNumber, WindowReport, WindowReporter,
 };
 
 use crate::{
@@ -43,10 +43,10 @@
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) ledger: UsageLedger,
-    reports: ReportDesk,
+    reports: WindowReporter,
     closing: Option<WindowNumber>,
     awaits_since: Option<Moment>,
-    carry_tried: Option<Moment>,
+    snapshot_tried_at: Option<Moment>,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -60,20 +60,20 @@
             pending: PendingBatches::new(RETRY),
             replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
             ledger: UsageLedger::new(),
-            reports: ReportDesk::new(RETRY),
+            reports: WindowReporter::new(RETRY),
             closing: None,
             awaits_since: None,
-            carry_tried: None,
+            snapshot_tried_at: None,
         }
     }
 }
 
 impl Control {
     /// Adds the usage of finished requests.
-    pub(crate) fn metered(&self, figures: &UsageFigures) {
+    pub(crate) fn record_usage(&self, usage: &UsageByCustomer) {
         let now = self.now();
         let mut state = self.state();
-        for (customer, amount) in &figures.0 {
+        for (customer, amount) in &usage.0 {
             // A sum beyond 64 bits is impossible within one batch of 5 s.
             state.usage.meter.record(now, customer, *amount).expect("a batch fits in 64 bits");
         }
@@ -82,12 +82,12 @@
     fn on_usage(self: &Rc<Self>, event: StreamEvent<UsageEntry>) -> NextRead {
         match event {
             StreamEvent::ReadingFrom(offset) => {
-                self.lease_reading_from(&Scope::Usage, offset);
+                self.lease_reading_from(&LeaseScope::Usage, offset);
                 self.state().usage.ledger.note_retention(offset);
             }
             StreamEvent::Retained(offset) => self.state().usage.ledger.note_retention(offset),
             StreamEvent::Record { offset, record: UsageEntry::Lease(record), .. } => {
-                self.lease_record(&Scope::Usage, offset, &record);
+                self.lease_record(&LeaseScope::Usage, offset, &record);
             }
             StreamEvent::Record { offset, id, record: UsageEntry::Usage(record), .. } => {
                 return self.usage_record(offset, id, &record);
@@ -98,13 +98,13 @@
 
     fn usage_record(&self, offset: LogOffset, id: RecordId, record: &UsageRecord) -> NextRead {
         let mut state = self.state();
-        let scope = state.scopes.iter().find(|driver| driver.scope == Scope::Usage);
-        let valid = scope.and_then(|driver| driver.keeper.claim_in_force());
+        let scope = state.scopes.iter().find(|driver| driver.scope == LeaseScope::Usage);
+        let valid = scope.and_then(|driver| driver.lease_manager.claim_in_force());
         let usage = &mut state.usage;
         let outcome = usage.ledger.apply(offset, record, valid);
         if let UsageRecord::Batch(batch) = record {
-            usage.pending.seen_in_log(batch.id);
-            usage.replicas.seen_in_log(batch.id);
+            usage.pending.mark_committed(batch.id);
+            usage.replicas.mark_committed(batch.id);
             log_event!(UsageBatchAppended, record = ?id, offset = offset.0);
         }
         match outcome {
@@ -125,19 +125,19 @@
     }
 
     pub(crate) fn tick_usage(self: &Rc<Self>, now: Moment) {
-        self.cut_batch(now);
+        self.flush_batch(now);
         self.hold_batches(now);
         self.append_replicas(now);
-        let Some(fencing) = self.fencing(&Scope::Usage, now) else {
+        let Some(fencing) = self.fencing(&LeaseScope::Usage, now) else {
             self.state().usage.closing = None;
             return;
         };
         self.close_window(fencing);
-        self.carry_ledger(now, fencing);
+        self.append_usage_snapshot(now, fencing);
         self.report_window(now, fencing);
     }
 
-    fn cut_batch(self: &Rc<Self>, now: Moment) {
+    fn flush_batch(self: &Rc<Self>, now: Moment) {
         let batch = {
             let mut state = self.state();
             let state = &mut *state;
@@ -153,7 +153,7 @@
             let mut state = self.state();
             let state = &mut *state;
             let (usage, writer) = (&mut state.usage, &mut state.writer);
-            usage.meter.cut(|| writer.next_id(USAGE_STREAM))
+            usage.meter.flush(|| writer.next_id(USAGE_STREAM))
         };
         self.append_batch(now, batch);
     }
@@ -163,7 +163,7 @@
         self.state().usage.pending.add(now, batch.clone());
         let id = batch.id;
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
-        if self.append_as(USAGE_STREAM, id, &entry).is_err() {
+        if self.append_with_id(USAGE_STREAM, id, &entry).is_err() {
             // The replica store repeats the append until the buffer has room.
             self.state().usage.replicas.hold(now, batch, OriginState::Gone);
         }
@@ -187,7 +187,7 @@
             actix_rt::spawn(async move {
                 let answer = control.ask_peer(holder, &PeerMessage::BatchHold(hold)).await;
                 if let Some(PeerMessage::Done(incarnation)) = answer {
-                    control.state().usage.pending.held(id, Incarnation(incarnation));
+                    control.state().usage.pending.mark_held(id, Incarnation(incarnation));
                 }
             });
         }
@@ -216,17 +216,17 @@
         for batch in due {
             let id = batch.id;
             let entry = UsageEntry::Usage(UsageRecord::Batch(batch));
-            // A full buffer is reported by `append_as`; the store repeats the append.
-            let _ = self.append_as(USAGE_STREAM, id, &entry);
+            // A full buffer is reported by `append_with_id`; the store repeats the append.
+            let _ = self.append_with_id(USAGE_STREAM, id, &entry);
         }
     }
 
-    fn close_window(self: &Rc<Self>, fencing: FencingNumber) {
+    fn close_window(self: &Rc<Self>, fencing: FencingToken) {
         let due = {
             let mut state = self.state();
             let Some(document) = &state.config.document else { return };
             let current = current_window(document.usage_window);
-            let due = state.usage.ledger.close_due(current);
+            let due = state.usage.ledger.window_to_close(current);
             if due.is_none() || due == state.usage.closing {
                 return;
             }
@@ -240,29 +240,29 @@
         }
     }
 
-    fn carry_ledger(self: &Rc<Self>, now: Moment, fencing: FencingNumber) {
+    fn append_usage_snapshot(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let snapshot = {
             let mut state = self.state();
             let usage = &mut state.usage;
-            if usage.carry_tried.is_some_and(|at| now.since(at) < RETRY) {
+            if usage.snapshot_tried_at.is_some_and(|at| now.since(at) < RETRY) {
                 return;
             }
             let snapshot = match usage.ledger.next_offset() {
-                Some(_) if usage.ledger.carry_due() => usage.ledger.snapshot(),
+                Some(_) if usage.ledger.snapshot_due() => usage.ledger.snapshot(),
                 Some(_) => None,
                 None => usage.fresh_snapshot(now),
             };
             if snapshot.is_some() {
-                usage.carry_tried = Some(now);
+                usage.snapshot_tried_at = Some(now);
             }
             snapshot
         };
         let Some(snapshot) = snapshot else { return };
-        let record = UsageRecord::Carry { snapshot: Box::new(snapshot), fencing };
+        let record = UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing };
         let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
     }
 
-    fn report_window(self: &Rc<Self>, now: Moment, fencing: FencingNumber) {
+    fn report_window(self: &Rc<Self>, now: Moment, fencing: FencingToken) {
         let report = {
             let mut state = self.state();
             let usage = &mut state.usage;
@@ -275,8 +275,8 @@
 
     async fn send_report(self: Rc<Self>, report: WindowReport) {
         let window = report.window;
-        let receiver = fencing_support(self.shared.settings.platform_fencing);
-        let check = self.lease_check(&Scope::Usage, report.fencing, receiver);
+        let fencing_support = fencing_support(self.shared.settings.platform_fencing);
+        let check = self.lease_check(&LeaseScope::Usage, report.fencing, fencing_support);
         let guarded = self.platform.guarded(check);
         let answer = match guarded.report_usage(&wire_report(&report)).await {
             Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
@@ -302,7 +302,7 @@
         if now.since(since) < RESTORE_WAIT {
             return None;
         }
-        self.ledger.awaited_offset().map(LedgerSnapshot::empty)
+        self.ledger.oldest_retained_offset().map(LedgerSnapshot::empty)
     }
 }
 
@@ -312,13 +312,13 @@
 }
 
 fn wire_report(report: &WindowReport) -> UsageReport {
-    let figures = report.figures.0.iter().map(|(customer, amount)| {
-        let figures = CustomerFigures {
+    let usage = report.usage.0.iter().map(|(customer, amount)| {
+        let usage = CustomerUsage {
             requests: amount.requests,
             prompt_tokens: amount.prompt_tokens,
             generated_tokens: amount.generated_tokens,
         };
-        (customer.clone(), figures)
+        (customer.clone(), usage)
     });
-    UsageReport { window: report.window.0, fencing: report.fencing, figures: figures.collect() }
+    UsageReport { window: report.window.0, fencing: report.fencing, figures: usage.collect() }
 }
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -3,12 +3,12 @@
 
 use std::{net::SocketAddr, rc::Rc};
 
-use authority::{FencingSupport, Scope};
-use base::{EventCode, FencingNumber, Moment, Span, UpstreamKey, WeightVersion};
-use clients::{CallFailure, EngineControl as _, WeightOrder};
+use authority::{FencingSupport, LeaseScope};
+use base::{EventCode, FencingToken, Moment, Span, UpstreamKey, WeightVersion};
+use clients::{CallFailure, EngineControl as _, WeightLoadOrder};
 use document::ServiceKind;
-use rollout::{WeightAction, WeightPlan, WeightSettings};
-use routing::{UpstreamPrice, UpstreamState};
+use rollout::{WeightAction, WeightScheduler, WeightSettings};
+use routing::{PriceClass, UpstreamState};
 
 use crate::{
     control::{Control, authority::fencing_support},
@@ -26,10 +26,10 @@
 /// Versions held by engines, and the loads that this node orders.
 pub(crate) struct WeightDriver {
     /// All engines, to judge which of them may take a sample.
-    held: WeightPlan,
+    held: WeightScheduler,
     /// The engines of the own zone. It is made anew with each lease.
-    orders: WeightPlan,
-    fencing: Option<FencingNumber>,
+    orders: WeightScheduler,
+    fencing: Option<FencingToken>,
     share: f64,
     next_update: Moment,
 }
@@ -38,15 +38,15 @@
     pub(crate) fn new(now: Moment) -> Self {
         let settings = WeightSettings::default();
         Self {
-            held: WeightPlan::new(now, settings),
-            orders: WeightPlan::new(now, settings),
+            held: WeightScheduler::new(now, settings),
+            orders: WeightScheduler::new(now, settings),
             fencing: None,
             share: settings.max_swapping_share,
             next_update: now,
         }
     }
 
-    /// Tells whether the engine may take a sample, like [`WeightPlan::may_take`].
+    /// Tells whether the engine may take a sample, like [`WeightScheduler::may_take`].
     pub(crate) fn may_take(
         &self,
         upstream: UpstreamKey,
@@ -60,7 +60,7 @@
     }
 
     /// Starts a new plan when the lease or the document's share has changed.
-    fn prepare(&mut self, now: Moment, fencing: Option<FencingNumber>, share: f64) {
+    fn prepare(&mut self, now: Moment, fencing: Option<FencingToken>, share: f64) {
         if self.fencing == fencing && self.share == share {
             return;
         }
@@ -70,7 +70,7 @@
             load_timeout: LOAD_TIMEOUT,
             ..WeightSettings::default()
         };
-        self.orders = WeightPlan::new(now, settings);
+        self.orders = WeightScheduler::new(now, settings);
     }
 }
 
@@ -99,11 +99,11 @@
     }
 
     /// Takes versions from load reports, and targets from the trainers' statements.
-    fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingNumber>) {
+    fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingToken>) {
         let view = self.shared.view.load_full();
         let states = {
-            let desk = self.shared.desk();
-            let states = view.upstreams.iter().map(|(key, _)| (key, desk.state(key)));
+            let scheduler = self.shared.scheduler();
+            let states = view.upstreams.iter().map(|(key, _)| (key, scheduler.state(key)));
             states.collect::<Vec<_>>()
         };
         let mut state = self.state();
@@ -123,27 +123,27 @@
             }
             let is_own = target.zone_name == self.shared.settings.zone;
             let serves = found == Some(UpstreamState::Up);
-            for (plan, wanted) in
+            for (scheduler, wanted) in
                 [(&mut state.weights.held, true), (&mut state.weights.orders, is_own)]
             {
                 if !wanted {
                     continue;
                 }
                 if !serves {
-                    plan.engine_left(key);
+                    scheduler.engine_left(key);
                     continue;
                 }
-                plan.engine_joined(key, &target.service, zone);
+                scheduler.engine_joined(key, &target.service, zone);
                 if let Some(version) = target.version {
-                    plan.reported(key, version);
+                    scheduler.reported(key, version);
                 }
             }
         }
-        for (id, name) in state.samples.book.trainers() {
-            let Some((version, _)) = state.samples.book.stated_version(id) else { continue };
+        for (id, name) in state.samples.table.trainers() {
+            let Some((version, _)) = state.samples.table.stated_version(id) else { continue };
             let entry = document.trainers.iter().find(|trainer| trainer.name == name);
             let Some(entry) = entry.filter(|_| version > WeightVersion(0)) else { continue };
-            state.weights.orders.announce(&entry.service, version);
+            state.weights.orders.set_target(&entry.service, version);
         }
     }
 
@@ -151,17 +151,17 @@
         let target = self.engine_target(upstream);
         let Some((name, model, address)) = target else { return };
         let scope = own_scope(&self.shared);
-        let receiver = self.engine_fencing(upstream);
+        let fencing_support = self.engine_fencing(upstream);
         let now = self.now();
-        let Some(fencing) = self.permit(&scope, now, receiver) else {
+        let Some(fencing) = self.permit(&scope, now, fencing_support) else {
             // A new holder waits longer towards engines that ignore fencing numbers.
             self.state().weights.orders.load_failed(now, upstream);
             return;
         };
-        let order = WeightOrder { model, version, fencing };
+        let order = WeightLoadOrder { model, version, fencing };
         // The call may first wait for a connection, so the clock is checked again by the last step
         // before the bytes.
-        let guarded = self.engines.guarded(self.lease_check(&scope, fencing, receiver));
+        let guarded = self.engines.guarded(self.lease_check(&scope, fencing, fencing_support));
         let result = guarded.load_version(address, &order).await;
         if result.as_ref().is_err_and(|error| error.failure == CallFailure::Denied) {
             return;
@@ -195,7 +195,7 @@
     fn engine_fencing(&self, upstream: UpstreamKey) -> FencingSupport {
         let view = self.shared.view.load();
         let Some(target) = view.upstreams.get(upstream) else { return FencingSupport::Ignored };
-        let is_cheap = target.price == UpstreamPrice::Cheap;
+        let is_cheap = target.price_class == PriceClass::Cheap;
         let state = self.state();
         let pools = state.config.document.iter().flat_map(|document| &document.pools);
         let mut pools = pools.filter(|pool| {
@@ -216,6 +216,6 @@
     }
 }
 
-fn own_scope(shared: &SharedState) -> Scope {
-    Scope::Zone(shared.settings.zone.clone())
+fn own_scope(shared: &SharedState) -> LeaseScope {
+    LeaseScope::Zone(shared.settings.zone.clone())
 }
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -8,13 +8,13 @@
 };
 use base::{Span, UpstreamKey};
 use bytes::{Bytes, BytesMut};
-use dispatch::ExchangeEnd;
-use platform::ReplyMarks;
+use dispatch::ExchangeOutcome;
+use platform::ResponseMetadata;
 
 use crate::{
     clock::to_duration,
     gateway::{
-        channel::{ChannelFault, Exchange, UpstreamChannel},
+        channel::{ChannelError, Exchange, UpstreamChannel},
         traffic_state::TrafficState,
     },
     telemetry::log_event,
@@ -43,13 +43,13 @@
 pub(crate) struct WholeAnswer {
     pub(crate) status: StatusCode,
     pub(crate) headers: Vec<(HeaderName, HeaderValue)>,
-    pub(crate) marks: ReplyMarks,
+    pub(crate) metadata: ResponseMetadata,
     pub(crate) body: Bytes,
 }
 
 /// Why an attempt has no answer that can be passed on.
 #[derive(Debug)]
-pub(crate) enum AttemptFault {
+pub(crate) enum AttemptError {
     /// The request was not sent, or the upstream says that it did not run it.
     NotRun(String),
     /// The request may have run.
@@ -57,33 +57,33 @@
 }
 
 /// The place that a request takes at its upstream. Dropping it without an end gives it back.
-pub(crate) struct PlaceGuard {
+pub(crate) struct AttemptGuard {
     traffic: Rc<TrafficState>,
     upstream: UpstreamKey,
     ended: bool,
 }
 
-impl PlaceGuard {
-    pub(crate) fn take(traffic: &Rc<TrafficState>, upstream: UpstreamKey) -> Self {
-        traffic.board.borrow_mut().begin(upstream);
+impl AttemptGuard {
+    pub(crate) fn acquire(traffic: &Rc<TrafficState>, upstream: UpstreamKey) -> Self {
+        traffic.balancer.borrow_mut().begin_request(upstream);
         Self { traffic: Rc::clone(traffic), upstream, ended: false }
     }
 
-    pub(crate) fn end(mut self, end: ExchangeEnd) {
-        self.finish(end);
+    pub(crate) fn finish(mut self, outcome: ExchangeOutcome) {
+        self.record(outcome);
     }
 
-    fn finish(&mut self, end: ExchangeEnd) {
+    fn record(&mut self, outcome: ExchangeOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             let now = self.traffic.node.now();
-            self.traffic.board.borrow_mut().finish(now, self.upstream, end);
+            self.traffic.balancer.borrow_mut().finish_request(now, self.upstream, outcome);
         }
     }
 }
 
-impl Drop for PlaceGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.finish(ExchangeEnd::Cancelled);
+        self.record(ExchangeOutcome::Cancelled);
     }
 }
 
@@ -97,8 +97,8 @@
 pub(crate) async fn open_exchange(
     traffic: &Rc<TrafficState>,
     call: AttemptCall<'_>,
-) -> Result<Exchange, (AttemptFault, ExchangeEnd)> {
-    let address = traffic.board.borrow().entry(call.upstream).address;
+) -> Result<Exchange, (AttemptError, ExchangeOutcome)> {
+    let address = traffic.balancer.borrow().entry(call.upstream).address;
     let mut head = RequestHead::default();
     head.method = call.method.clone();
     head.uri =
@@ -113,35 +113,41 @@
                 Ok(Ok(channel)) => channel,
                 Ok(Err(error)) => {
                     let reason = format!("no connection to {address}: {error}");
-                    return Err((AttemptFault::NotRun(reason), ExchangeEnd::Broken));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::TransportError));
                 }
                 Err(_) => {
                     let reason = format!("no connection to {address} in time");
-                    return Err((AttemptFault::NotRun(reason), ExchangeEnd::Silent));
+                    return Err((AttemptError::NotRun(reason), ExchangeOutcome::TimedOut));
                 }
             }
         }
     };
-    let mark = call.billed.map(|customer| traffic.node.count_begin(customer));
+    let counted = call.billed.map(|customer| traffic.node.count_begin(customer));
     let exchange = match channel.send(head, call.body, call.id).await {
         Ok(exchange) => exchange,
-        Err(fault) => return Err((AttemptFault::MaybeRun(fault.to_string()), ExchangeEnd::Broken)),
+        Err(error) => {
+            return Err((
+                AttemptError::MaybeRun(error.to_string()),
+                ExchangeOutcome::TransportError,
+            ));
+        }
     };
-    let marks = exchange.marks();
-    if let Some(load) = marks.load {
-        traffic.board.borrow_mut().report(traffic.node.now(), call.upstream, load);
+    let metadata = exchange.metadata();
+    if let Some(load) = metadata.load {
+        traffic.balancer.borrow_mut().record_load_report(traffic.node.now(), call.upstream, load);
     }
-    if !marks.not_run {
+    if !metadata.not_run {
         return Ok(exchange);
     }
-    if let Some(mark) = &mark {
-        traffic.node.take_back(mark);
+    if let Some(counted) = &counted {
+        traffic.node.remove(counted);
     }
-    let misdirected = marks.misdirected;
+    let misdirected = metadata.misdirected;
     let status = exchange.head().status.as_u16();
     finish_exchange(traffic, call.upstream, exchange).await;
-    let end = if misdirected { ExchangeEnd::Misdirected } else { ExchangeEnd::Full };
-    Err((AttemptFault::NotRun(format!("refused with status {status}")), end))
+    let outcome =
+        if misdirected { ExchangeOutcome::Misdirected } else { ExchangeOutcome::Overloaded };
+    Err((AttemptError::NotRun(format!("refused with status {status}")), outcome))
 }
 
 /// Reads the rest of an answer, whose content is not needed, and keeps the connection.
@@ -166,53 +172,53 @@
 pub(crate) async fn whole_exchange(
     traffic: &Rc<TrafficState>,
     call: AttemptCall<'_>,
-) -> Result<WholeAnswer, AttemptFault> {
+) -> Result<WholeAnswer, AttemptError> {
     let upstream = call.upstream;
-    let place = PlaceGuard::take(traffic, upstream);
+    let attempt = AttemptGuard::acquire(traffic, upstream);
     let started = traffic.node.now();
     let mut exchange = match open_exchange(traffic, call).await {
         Ok(exchange) => exchange,
-        Err((fault, end)) => {
-            place.end(end);
-            return Err(fault);
+        Err((error, outcome)) => {
+            attempt.finish(outcome);
+            return Err(error);
         }
     };
     match read_body(&mut exchange).await {
         Ok(body) => {
             let took = traffic.node.now().since(started);
             let status = exchange.head().status;
-            let end = if status.as_u16() < 500 {
-                ExchangeEnd::Answered(took)
+            let outcome = if status.as_u16() < 500 {
+                ExchangeOutcome::Answered(took)
             } else {
-                ExchangeEnd::Failed
+                ExchangeOutcome::ServerError
             };
-            place.end(end);
+            attempt.finish(outcome);
             let headers = platform::relay_headers(exchange.head());
-            let marks = exchange.marks().clone();
+            let metadata = exchange.metadata().clone();
             traffic.keep_channel(upstream, exchange);
-            Ok(WholeAnswer { status, headers, marks, body })
+            Ok(WholeAnswer { status, headers, metadata, body })
         }
-        Err(fault) => {
-            place.end(ExchangeEnd::Broken);
-            Err(AttemptFault::MaybeRun(fault.to_string()))
+        Err(error) => {
+            attempt.finish(ExchangeOutcome::TransportError);
+            Err(AttemptError::MaybeRun(error.to_string()))
         }
     }
 }
 
-async fn read_body(exchange: &mut Exchange) -> Result<Bytes, ChannelFault> {
+async fn read_body(exchange: &mut Exchange) -> Result<Bytes, ChannelError> {
     let Some(first) = exchange.chunk().await? else { return Ok(Bytes::new()) };
     let mut body = BytesMut::from(first);
     while let Some(chunk) = exchange.chunk().await? {
         if body.len() + chunk.len() > MAX_ANSWER {
-            return Err(ChannelFault::Malformed(String::from("the answer exceeds 32 MiB")));
+            return Err(ChannelError::Malformed(String::from("the answer exceeds 32 MiB")));
         }
         body.extend_from_slice(&chunk);
     }
     Ok(body.freeze())
 }
 
-const fn not_sent(reason: String) -> (AttemptFault, ExchangeEnd) {
-    (AttemptFault::NotRun(reason), ExchangeEnd::Cancelled)
+const fn not_sent(reason: String) -> (AttemptError, ExchangeOutcome) {
+    (AttemptError::NotRun(reason), ExchangeOutcome::Cancelled)
 }
 
 /// Logs the choice of an upstream with what decided it.
@@ -223,9 +229,9 @@
     attempt: usize,
     left: Span,
 ) {
-    let board = traffic.board.borrow();
-    let entry = board.entry(upstream);
-    let (slots, load) = board.occupancy(traffic.node.now(), &entry.service);
+    let balancer = traffic.balancer.borrow();
+    let entry = balancer.entry(upstream);
+    let (slots, load) = balancer.occupancy(traffic.node.now(), &entry.service);
     log_event!(
         AttemptStarted,
         request,
@@ -244,7 +250,7 @@
     tokio::time::sleep(to_duration(until.since(traffic.node.now()))).await;
 }
 
-impl AttemptFault {
+impl AttemptError {
     pub(crate) fn reason(&self) -> &str {
         match self {
             Self::NotRun(reason) | Self::MaybeRun(reason) => reason,
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -12,7 +12,7 @@
     header::{CONTENT_LENGTH, TRANSFER_ENCODING},
 };
 use bytes::{Bytes, BytesMut};
-use platform::{ReplyMarks, read_reply};
+use platform::{ResponseMetadata, parse_response_head};
 use tokio::{
     io::{AsyncReadExt as _, AsyncWriteExt as _},
     net::TcpStream,
@@ -31,7 +31,7 @@
 
 /// Why an exchange broke off.
 #[derive(Debug)]
-pub(crate) enum ChannelFault {
+pub(crate) enum ChannelError {
     /// The connection ended or was reset before the answer was whole.
     Closed(String),
     /// The bytes are no answer, or answer another request.
@@ -50,7 +50,7 @@
 pub(crate) struct Exchange {
     channel: UpstreamChannel,
     head: ResponseHead,
-    marks: ReplyMarks,
+    metadata: ResponseMetadata,
     body: BodyState,
 }
 
@@ -93,7 +93,7 @@
         head: RequestHead,
         body: Bytes,
         id: &str,
-    ) -> Result<Exchange, ChannelFault> {
+    ) -> Result<Exchange, ChannelError> {
         let mut bytes = BytesMut::with_capacity(512 + body.len());
         let size = if body.is_empty() && head.method == Method::GET {
             BodySize::None
@@ -108,34 +108,34 @@
         self.unsent = bytes.freeze();
         for _ in 0..=SKIPPED_ANSWERS {
             let head = self.read_head(&mut codec).await?;
-            let marks = read_reply(&head);
+            let metadata = parse_response_head(&head);
             let body = body_state(codec, &method, &head);
-            let mut exchange = Exchange { channel: self, head, marks, body };
+            let mut exchange = Exchange { channel: self, head, metadata, body };
             if exchange.answers(id) {
                 return Ok(exchange);
             }
             while exchange.chunk().await?.is_some() {}
             let Some(channel) = exchange.into_reusable() else {
-                return Err(ChannelFault::Malformed(String::from("answer to another request")));
+                return Err(ChannelError::Malformed(String::from("answer to another request")));
             };
             self = channel;
             codec = ClientCodec::new(self.config.clone());
         }
-        Err(ChannelFault::Malformed(String::from("answers to other requests")))
+        Err(ChannelError::Malformed(String::from("answers to other requests")))
     }
 
-    async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ChannelFault> {
+    async fn read_head(&mut self, codec: &mut ClientCodec) -> Result<ResponseHead, ChannelError> {
         loop {
             let decoded = codec.decode(&mut self.buffer);
-            match decoded.map_err(|error| ChannelFault::Malformed(error.to_string()))? {
+            match decoded.map_err(|error| ChannelError::Malformed(error.to_string()))? {
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(head),
                 None if self.buffer.len() > MAX_HEAD => {
-                    return Err(ChannelFault::Malformed(String::from("the head is too long")));
+                    return Err(ChannelError::Malformed(String::from("the head is too long")));
                 }
                 None => {
                     if self.fill().await? == 0 {
-                        return Err(ChannelFault::Closed(String::from("closed without an answer")));
+                        return Err(ChannelError::Closed(String::from("closed without an answer")));
                     }
                 }
             }
@@ -167,15 +167,15 @@
         &self.head
     }
 
-    pub(crate) const fn marks(&self) -> &ReplyMarks {
-        &self.marks
+    pub(crate) const fn metadata(&self) -> &ResponseMetadata {
+        &self.metadata
     }
 
     /// An upstream that did not run a request may leave out the identifier.
     fn answers(&self, id: &str) -> bool {
-        match &self.marks.id {
+        match &self.metadata.id {
             Some(answered) => answered == id,
-            None => self.marks.not_run || !self.head.status.is_success(),
+            None => self.metadata.not_run || !self.head.status.is_success(),
         }
     }
 
@@ -184,7 +184,7 @@
     /// # Errors
     ///
     /// Returns a fault when the connection ends before the body does.
-    pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, ChannelFault> {
+    pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, ChannelError> {
         let result = self.next_chunk().await;
         if result.is_err() {
             self.body = BodyState::Failed;
@@ -192,7 +192,7 @@
         result
     }
 
-    async fn next_chunk(&mut self) -> Result<Option<Bytes>, ChannelFault> {
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, ChannelError> {
         loop {
             let decoded = match &mut self.body {
                 BodyState::Framed(codec) => codec.decode(&mut self.channel.buffer),
@@ -200,7 +200,7 @@
                 BodyState::UntilClose => Ok(Some(Some(self.channel.buffer.split().freeze()))),
                 BodyState::Complete { .. } | BodyState::Failed => return Ok(None),
             };
-            match decoded.map_err(|error| ChannelFault::Malformed(error.to_string()))? {
+            match decoded.map_err(|error| ChannelError::Malformed(error.to_string()))? {
                 Some(Some(bytes)) if bytes.is_empty() => {}
                 Some(Some(bytes)) => return Ok(Some(bytes)),
                 Some(None) => {
@@ -217,7 +217,7 @@
                         self.body = BodyState::Complete { keep_alive: false };
                         return Ok(None);
                     }
-                    return Err(ChannelFault::Closed(String::from("the answer broke off")));
+                    return Err(ChannelError::Closed(String::from("the answer broke off")));
                 }
             }
         }
@@ -247,13 +247,13 @@
     }
 }
 
-impl From<io::Error> for ChannelFault {
+impl From<io::Error> for ChannelError {
     fn from(error: io::Error) -> Self {
         Self::Closed(error.to_string())
     }
 }
 
-impl fmt::Display for ChannelFault {
+impl fmt::Display for ChannelError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Closed(reason) => write!(f, "connection ended: {reason}"),
--- a/crates/hibiscushinged/src/gateway/cleanup.rs
+++ b/crates/hibiscushinged/src/gateway/cleanup.rs
@@ -4,13 +4,15 @@
 
 use base::{Span, WallTime};
 use clients::CallError;
-use platform::{AppendAnswer, keyed_record};
-use protocol::{EXPIRING_PREFIX, decode_book_record, submission_prefix};
-use submissions::BookRecord;
+use platform::{AppendResponse, encode_keyed_record};
+use protocol::{EXPIRING_SUBMISSIONS_PREFIX, decode_submission_record, submission_prefix};
+use submissions::SubmissionRecord;
 
 use crate::{
     clock::wall_now,
-    gateway::{fetch::fetch_keys, mirror::PartitionMirror, traffic_state::TrafficState},
+    gateway::{
+        fetch::fetch_keys, partition_follower::PartitionFollower, traffic_state::TrafficState,
+    },
     telemetry::log_event,
 };
 
@@ -25,8 +27,8 @@
     loop {
         tokio::time::sleep(PERIOD).await;
         for part in traffic.partitions.owned() {
-            let Some(mirror) = traffic.partitions.get(part) else { continue };
-            if let Err(error) = delete_part(&traffic, mirror).await {
+            let Some(follower) = traffic.partitions.get(part) else { continue };
+            if let Err(error) = delete_part(&traffic, follower).await {
                 tracing::warn!(part, %error, "old submissions stay for now");
             }
         }
@@ -40,15 +42,17 @@
 /// Returns an error when the store does not answer. What is left is deleted at the next look.
 pub(crate) async fn delete_part(
     traffic: &TrafficState,
-    mirror: &PartitionMirror,
+    follower: &PartitionFollower,
 ) -> Result<(), CallError> {
-    let name = &mirror.name;
+    let name = &follower.name;
     let keep = traffic.node.settings.promises.results + MARGIN;
     let oldest = WallTime(wall_now().0 - keep.as_millis() as i64);
-    let markers = fetch_keys(&traffic.store, name, EXPIRING_PREFIX).await?;
+    let markers = fetch_keys(&traffic.store, name, EXPIRING_SUBMISSIONS_PREFIX).await?;
     for marker in markers.items {
-        let record = decode_book_record(&marker.key, marker.value.as_deref());
-        let Ok(Some(BookRecord::Expiring { submission, accepted_at })) = record else { continue };
+        let record = decode_submission_record(&marker.key, marker.value.as_deref());
+        let Ok(Some(SubmissionRecord::Expiring { submission, accepted_at })) = record else {
+            continue;
+        };
         if accepted_at > oldest {
             continue;
         }
@@ -57,9 +61,9 @@
         let keys = keys.items.iter().map(|change| change.key.as_str());
         // The marker goes with the keys, in one append, so that none is left behind.
         let records: Vec<_> =
-            keys.chain([marker.key.as_str()]).map(|key| keyed_record(key, None)).collect();
+            keys.chain([marker.key.as_str()]).map(|key| encode_keyed_record(key, None)).collect();
         let stored = traffic.store.append(&name.topic, name.part, None, &records).await?;
-        if let AppendAnswer::Appended { .. } = stored {
+        if let AppendResponse::Appended { .. } = stored {
             log_event!(SubmissionDeleted, submission, part = name.part, keys = records.len());
         }
     }
--- a/crates/hibiscushinged/src/gateway/commit.rs
+++ b/crates/hibiscushinged/src/gateway/commit.rs
@@ -2,21 +2,21 @@
 
 use std::rc::Rc;
 
-use base::{Span, key};
+use base::{Span, derive_copy};
 use bytes::Bytes;
 use clients::CallError;
-use platform::{AppendAnswer, keyed_record};
-use protocol::encode_book_record;
-use submissions::{BookRecord, SubmissionBook};
+use platform::{AppendResponse, encode_keyed_record};
+use protocol::encode_submission_record;
+use submissions::{SubmissionRecord, SubmissionTable};
 
-use crate::gateway::{mirror::PartitionMirror, traffic_state::TrafficState};
+use crate::gateway::{partition_follower::PartitionFollower, traffic_state::TrafficState};
 
 /// Pause before an append is tried again.
 const RETRY_PAUSE: std::time::Duration = std::time::Duration::from_millis(60);
 
-key! {
+derive_copy! {
     /// How an append ended that did not succeed.
-    pub(crate) enum CommitFault {
+    pub(crate) enum CommitError {
         /// Nothing was stored and nothing will be.
         NotStored,
         /// The records may be stored, also later.
@@ -35,27 +35,27 @@
 /// Returns a fault when the records could not be stored within `patience`.
 pub(crate) async fn commit(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionMirror>,
+    follower: &Rc<PartitionFollower>,
     patience: Span,
     submissions: &[&str],
-    mut build: impl FnMut(&SubmissionBook) -> Option<Vec<BookRecord>>,
-) -> Result<(), CommitFault> {
+    mut build: impl FnMut(&SubmissionTable) -> Option<Vec<SubmissionRecord>>,
+) -> Result<(), CommitError> {
     let until = traffic.node.now() + patience;
-    let _writer = mirror.writing.lock().await;
-    let mut fault = CommitFault::NotStored;
+    let _writer = follower.writing.lock().await;
+    let mut failure = CommitError::NotStored;
     // What is known may be old. An append at an old end fails and tells the new one.
-    let mut known = mirror.copy().next().is_some();
+    let mut known = follower.cache().next_offset().is_some();
     loop {
         if traffic.node.now() >= until {
-            return Err(fault);
+            return Err(failure);
         }
         let ready = async {
             if !known {
-                mirror.catch_up(&traffic.store).await?;
+                follower.catch_up(&traffic.store).await?;
             }
             // A copy that had to begin anew while it caught up needs them again.
             for submission in submissions {
-                mirror.load(&traffic.store, submission).await?;
+                follower.load(&traffic.store, submission).await?;
             }
             Ok::<(), CallError>(())
         };
@@ -64,21 +64,21 @@
             continue;
         }
         // A copy that began anew between two loads knows only some of them.
-        let Some(at) = mirror.copy().append_offset(submissions) else { continue };
-        let Some(records) = build(&mirror.book()) else { return Ok(()) };
+        let Some(at) = follower.cache().append_offset(submissions) else { continue };
+        let Some(records) = build(&follower.table()) else { return Ok(()) };
         let bytes = encode(&records);
-        let part = mirror.name.part;
-        let appended = traffic.store.append(&mirror.name.topic, part, Some(at), &bytes).await;
+        let part = follower.name.part;
+        let appended = traffic.store.append(&follower.name.topic, part, Some(at), &bytes).await;
         match appended {
-            Ok(AppendAnswer::Appended { offset, end }) => {
-                mirror.appended(offset, end, records);
+            Ok(AppendResponse::Appended { offset, end }) => {
+                follower.apply_own_append(offset, end, records);
                 return Ok(());
             }
-            Ok(AppendAnswer::Moved { .. }) => known = false,
-            Ok(AppendAnswer::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
+            Ok(AppendResponse::OffsetMismatch { .. }) => known = false,
+            Ok(AppendResponse::Refused(_)) => tokio::time::sleep(RETRY_PAUSE).await,
             Err(error) => {
                 if error.may_have_run() {
-                    fault = CommitFault::Unknown;
+                    failure = CommitError::Unknown;
                 }
                 known = false;
             }
@@ -86,7 +86,7 @@
     }
 }
 
-fn encode(records: &[BookRecord]) -> Vec<Bytes> {
-    let encoded = records.iter().map(encode_book_record);
-    encoded.map(|(key, value)| keyed_record(&key, value.as_deref())).collect()
+fn encode(records: &[SubmissionRecord]) -> Vec<Bytes> {
+    let encoded = records.iter().map(encode_submission_record);
+    encoded.map(|(key, value)| encode_keyed_record(&key, value.as_deref())).collect()
 }
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -4,13 +4,13 @@
 
 use actix_http::Method;
 use base::{Moment, UpstreamKey};
-use dispatch::ExchangeEnd;
-use platform::{EventReader, UpstreamCall, item_headers};
+use dispatch::ExchangeOutcome;
+use platform::{EventReader, UpstreamRequestMetadata, item_headers};
 use submissions::ItemResult;
 
 use crate::{
     gateway::{
-        attempt::{AttemptCall, PlaceGuard, open_exchange},
+        attempt::{AttemptCall, AttemptGuard, open_exchange},
         channel::Exchange,
         job::ItemJob,
         reward,
@@ -45,15 +45,15 @@
     traffic: Rc<TrafficState>,
     job: Rc<ItemJob>,
     upstream: UpstreamKey,
-    place: PlaceGuard,
+    attempt: AttemptGuard,
 ) {
     let started = traffic.node.now();
-    let resume_after = job.progress.borrow().text.last_id();
-    let engine = traffic.board.borrow().entry(upstream).id.clone();
-    let (submission, item) = (&job.head.id, &job.item.id);
+    let resume_after = job.progress.borrow().text.last_event_id();
+    let engine = traffic.balancer.borrow().entry(upstream).id.clone();
+    let (submission, item) = (&job.metadata.id, &job.item.id);
     log_event!(ItemStarted, submission, item, upstream = engine, resume_after);
     let (end, exchange_end) = generate(&traffic, &job, upstream, &engine, started).await;
-    place.end(exchange_end);
+    attempt.finish(exchange_end);
     traffic.node.metrics.observe_run(traffic.node.now().since(started));
     match end {
         RunEnd::Whole => reward::finish(&traffic, &job).await,
@@ -73,7 +73,7 @@
                 status = 500,
                 failures
             );
-            let attempts = traffic.node.attempts(&job.head.host, &job.head.path);
+            let attempts = traffic.node.max_attempts(&job.metadata.host, &job.metadata.path);
             if failures >= attempts.unwrap_or(DEFAULT_ATTEMPTS) {
                 traffic.items.resolve(&job, ItemResult::errored(item.as_str()));
             } else {
@@ -81,12 +81,12 @@
             }
         }
         RunEnd::Refused(reason) => {
-            let events = job.progress.borrow().text.last_id();
+            let events = job.progress.borrow().text.last_event_id();
             log_event!(ItemInterrupted, submission, item, upstream = engine, reason, events);
             traffic.items.requeue(&traffic.node, &job);
         }
         RunEnd::Interrupted(reason) => {
-            let events = job.progress.borrow().text.last_id();
+            let events = job.progress.borrow().text.last_event_id();
             log_event!(ItemInterrupted, submission, item, upstream = engine, reason, events);
             job.progress.borrow_mut().tried.push(upstream);
             traffic.items.requeue(&traffic.node, &job);
@@ -100,63 +100,67 @@
     upstream: UpstreamKey,
     engine: &str,
     started: Moment,
-) -> (RunEnd, ExchangeEnd) {
-    let last_id = job.progress.borrow().text.last_id();
-    let call = UpstreamCall {
+) -> (RunEnd, ExchangeOutcome) {
+    let last_id = job.progress.borrow().text.last_event_id();
+    let metadata = UpstreamRequestMetadata {
         id: &job.item.id,
-        host: &job.head.host,
-        customer: Some(&job.head.customer),
+        host: &job.metadata.host,
+        customer: Some(&job.metadata.customer),
         instance: engine,
         deadline: None,
         resume_after: (last_id > 0).then_some(last_id),
     };
-    let call = AttemptCall {
+    let metadata = AttemptCall {
         upstream,
         id: &job.item.id,
         method: Method::POST,
         path: &job.item.path,
-        headers: item_headers(&job.item.headers, &call),
+        headers: item_headers(&job.item.headers, &metadata),
         body: job.item.body.clone(),
         billed: None,
     };
-    let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, call)).await;
+    let opened = tokio::time::timeout(MOST_SILENCE, open_exchange(traffic, metadata)).await;
     let mut exchange = match opened {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err((fault, ExchangeEnd::Full))) => {
+        Ok(Err((error, ExchangeOutcome::Overloaded))) => {
             let now = traffic.node.now();
-            traffic.board.borrow_mut().refused_generation(now, upstream, &job.head.model);
+            traffic.balancer.borrow_mut().record_generation_refusal(
+                now,
+                upstream,
+                &job.metadata.model,
+            );
             // Other models of the engine are not affected.
-            return (RunEnd::Refused(String::from(fault.reason())), ExchangeEnd::Cancelled);
+            return (RunEnd::Refused(String::from(error.reason())), ExchangeOutcome::Cancelled);
         }
-        Ok(Err((fault, end))) => {
-            return (RunEnd::Interrupted(String::from(fault.reason())), end);
+        Ok(Err((error, end))) => {
+            return (RunEnd::Interrupted(String::from(error.reason())), end);
         }
         Err(_) => {
-            return (RunEnd::Interrupted(String::from("no answer")), ExchangeEnd::Silent);
+            return (RunEnd::Interrupted(String::from("no answer")), ExchangeOutcome::TimedOut);
         }
     };
     match exchange.head().status.as_u16() {
         200 => {}
         422 => {
             let took = traffic.node.now().since(started);
-            return (RunEnd::Hopeless, ExchangeEnd::Answered(took));
+            return (RunEnd::Hopeless, ExchangeOutcome::Answered(took));
         }
-        500 => return (RunEnd::Failed, ExchangeEnd::Failed),
+        500 => return (RunEnd::Failed, ExchangeOutcome::ServerError),
         status => {
-            return (RunEnd::Interrupted(format!("status {status}")), ExchangeEnd::Failed);
+            return (RunEnd::Interrupted(format!("status {status}")), ExchangeOutcome::ServerError);
         }
     }
-    if let Some(version) = exchange.marks().version {
-        traffic.board.borrow_mut().learn_version(upstream, &job.head.model, version);
-        if let Err(fault) = job.progress.borrow_mut().text.begin_run(version) {
-            return (RunEnd::Interrupted(fault.to_string()), ExchangeEnd::Cancelled);
+    if let Some(version) = exchange.metadata().version {
+        traffic.balancer.borrow_mut().record_version(upstream, &job.metadata.model, version);
+        if let Err(error) = job.progress.borrow_mut().text.begin_run(version) {
+            return (RunEnd::Interrupted(error.to_string()), ExchangeOutcome::Cancelled);
         }
     }
     match read_events(traffic, job, upstream, &mut exchange).await {
         Ok(()) => {
             traffic.keep_channel(upstream, exchange);
             // The time of a generation says nothing about that of a plain request.
-            (RunEnd::Whole, ExchangeEnd::Cancelled)
+            (RunEnd::Whole, ExchangeOutcome::Cancelled)
         }
         Err((reason, end)) => (RunEnd::Interrupted(reason), end),
     }
@@ -167,32 +171,36 @@
     job: &ItemJob,
     upstream: UpstreamKey,
     exchange: &mut Exchange,
-) -> Result<(), (String, ExchangeEnd)> {
+) -> Result<(), (String, ExchangeOutcome)> {
     let mut reader = EventReader::default();
     let mut last_event: Option<Moment> = None;
     loop {
         let chunk = match tokio::time::timeout(MOST_SILENCE, exchange.chunk()).await {
             Ok(Ok(Some(chunk))) => chunk,
             Ok(Ok(None)) => break,
-            Ok(Err(fault)) => return Err((fault.to_string(), ExchangeEnd::Broken)),
-            Err(_) => return Err((String::from("silence"), ExchangeEnd::Silent)),
+            Ok(Err(error)) => return Err((error.to_string(), ExchangeOutcome::TransportError)),
+            Err(_) => return Err((String::from("silence"), ExchangeOutcome::TimedOut)),
         };
         reader.feed(&chunk);
         loop {
             let event = match reader.next_event() {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
-                Err(error) => return Err((error.to_string(), ExchangeEnd::Broken)),
+                Err(error) => return Err((error.to_string(), ExchangeOutcome::TransportError)),
             };
-            if let Err(fault) = job.progress.borrow_mut().text.push(&event) {
-                return Err((fault.to_string(), ExchangeEnd::Broken));
+            if let Err(error) = job.progress.borrow_mut().text.push(&event) {
+                return Err((error.to_string(), ExchangeOutcome::TransportError));
             }
             let now = traffic.node.now();
             if let Some(last) = last_event.replace(now) {
-                traffic.board.borrow_mut().learn_event(upstream, now.since(last));
+                traffic.balancer.borrow_mut().record_event_interval(upstream, now.since(last));
             }
         }
     }
-    let whole = reader.is_empty() && job.progress.borrow().text.last_id() > 0;
-    if whole { Ok(()) } else { Err((String::from("the text broke off"), ExchangeEnd::Broken)) }
+    let whole = reader.is_empty() && job.progress.borrow().text.last_event_id() > 0;
+    if whole {
+        Ok(())
+    } else {
+        Err((String::from("the text broke off"), ExchangeOutcome::TransportError))
+    }
 }
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     gateway::{partitions::SUBMISSION_TOPIC, runner, traffic_state::TrafficState},
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -34,14 +34,15 @@
     let life = MEMBER_LIFE.max(traffic.node.settings.store.least_member_life);
     let member = member_name(&traffic);
     let topics = [String::from(SUBMISSION_TOPIC)];
-    while traffic.node.phase() != ServicePhase::Draining {
+    while traffic.node.phase() != NodePhase::Draining {
         let generation = traffic.partitions.generation.get();
         let joined = traffic.store.join(GROUP, &member, &topics, life, generation).await;
         // While the store does not answer, this node goes on with what it has: its appends are
         // conditional, so a successor that runs the same items costs work and nothing else.
-        if let Ok(share) = joined {
-            traffic.partitions.generation.set(share.generation);
-            let parts = share.parts.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
+        if let Ok(assignment) = joined {
+            traffic.partitions.generation.set(assignment.generation);
+            let parts =
+                assignment.partitions.into_iter().filter(|(topic, _)| topic == SUBMISSION_TOPIC);
             take_parts(&traffic, &parts.map(|(_, part)| part).collect());
         }
         tokio::time::sleep(JOIN_PERIOD).await;
@@ -82,9 +83,9 @@
     let generation = traffic.partitions.generation.get();
     log_event!(PartitionsAssigned, ?parts, generation);
     for part in parts {
-        if let Some(mirror) = traffic.partitions.get(part) {
-            mirror.follow(&traffic.store);
-            runner::watch(traffic, mirror);
+        if let Some(follower) = traffic.partitions.get(part) {
+            follower.follow(&traffic.store);
+            runner::watch(traffic, follower);
         }
     }
     traffic.items.wake();
--- a/crates/hibiscushinged/src/gateway/items/tests.rs
+++ b/crates/hibiscushinged/src/gateway/items/tests.rs
@@ -5,23 +5,23 @@
 use base::{Moment, WallTime, WeightVersion};
 use bytes::Bytes;
 use rstest::rstest;
-use submissions::{SubmissionHead, SubmissionItem, TextEvent};
+use submissions::{GenerationEvent, SubmissionItem, SubmissionMetadata};
 
 use super::ItemLists;
 use crate::gateway::job::ItemJob;
 
-fn head(submission: &str, customer: &str, model: &str) -> SubmissionHead {
-    SubmissionHead {
+fn metadata(submission: &str, customer: &str, model: &str) -> SubmissionMetadata {
+    SubmissionMetadata {
         id: String::from(submission),
         customer: String::from(customer),
         host: String::from("h"),
         path: String::from("/p"),
         model: String::from(model),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items: 1,
+        item_count: 1,
     }
 }
 
@@ -54,11 +54,11 @@
     #[case] taken: bool,
 ) {
     let mut lists = ItemLists::default();
-    let (first, prompt) = (Arc::new(head("s", "brewer", "m")), Arc::new(item("prompt")));
+    let (first, prompt) = (Arc::new(metadata("s", "brewer", "m")), Arc::new(item("prompt")));
     let job = Rc::new(ItemJob::new(0, &first, &prompt, false, None));
-    let event = TextEvent { id: 1, data: String::from("a"), version: Some(WeightVersion(1)) };
+    let event = GenerationEvent { id: 1, data: String::from("a"), version: Some(WeightVersion(1)) };
     job.progress.borrow_mut().text.push(&event).unwrap();
     lists.keep(Moment(0), &job);
-    let text = lists.take_kept(&head("later", customer, model), &item(body));
-    assert_eq!(text.map(|text| text.last_id()), taken.then_some(1));
+    let text = lists.take_kept(&metadata("later", customer, model), &item(body));
+    assert_eq!(text.map(|text| text.last_event_id()), taken.then_some(1));
 }
--- a/crates/hibiscushinged/src/gateway/job.rs
+++ b/crates/hibiscushinged/src/gateway/job.rs
@@ -8,9 +8,9 @@
 };
 
 use base::{Moment, Span, UpstreamKey};
-use routebook::RouteRule;
+use routebook::RouteSpec;
 use smallvec::SmallVec;
-use submissions::{ItemText, SubmissionHead, SubmissionItem};
+use submissions::{GeneratedText, SubmissionItem, SubmissionMetadata};
 use tokio::task::AbortHandle;
 
 use crate::clock::wall_now;
@@ -24,7 +24,7 @@
 /// One item that this node runs.
 pub(crate) struct ItemJob {
     pub(crate) part: u32,
-    pub(crate) head: Arc<SubmissionHead>,
+    pub(crate) metadata: Arc<SubmissionMetadata>,
     pub(crate) item: Arc<SubmissionItem>,
     pub(crate) progress: RefCell<JobProgress>,
     /// Whether the text is whole and waits for its score.
@@ -41,7 +41,7 @@
 
 /// How far an item is.
 pub(crate) struct JobProgress {
-    pub(crate) text: ItemText,
+    pub(crate) text: GeneratedText,
     /// Answers of 500.
     pub(crate) failures: u32,
     /// Engines that failed the item, latest last.
@@ -57,18 +57,18 @@
 impl ItemJob {
     pub(crate) fn new(
         part: u32,
-        head: &Arc<SubmissionHead>,
+        metadata: &Arc<SubmissionMetadata>,
         item: &Arc<SubmissionItem>,
         one_version: bool,
-        kept: Option<ItemText>,
+        kept: Option<GeneratedText>,
     ) -> Self {
-        let least = head.least_version;
-        let kept = kept.and_then(|mut text| text.require(least).ok().map(|()| text));
-        let text = kept.unwrap_or_else(|| ItemText::new(least, one_version));
+        let min_version = metadata.min_version;
+        let kept = kept.and_then(|mut text| text.set_min_version(min_version).ok().map(|()| text));
+        let text = kept.unwrap_or_else(|| GeneratedText::new(min_version, one_version));
         let progress = JobProgress { text, failures: 0, tried: SmallVec::new() };
         Self {
             part,
-            head: Arc::clone(head),
+            metadata: Arc::clone(metadata),
             item: Arc::clone(item),
             progress: RefCell::new(progress),
             scoring: Cell::new(false),
@@ -83,11 +83,11 @@
     }
 
     pub(crate) fn holds(&self, job: &ItemJob) -> bool {
-        self.contains(&job.head.id, &job.item.id)
+        self.contains(&job.metadata.id, &job.item.id)
     }
 
     pub(crate) fn insert(&mut self, job: &Rc<ItemJob>) {
-        let jobs = self.submissions.entry(job.head.id.clone()).or_default();
+        let jobs = self.submissions.entry(job.metadata.id.clone()).or_default();
         jobs.insert(job.item.id.clone(), Rc::clone(job));
     }
 
@@ -107,9 +107,9 @@
 }
 
 /// Returns when the results of a submission are due.
-pub(crate) fn due_at(now: Moment, head: &SubmissionHead, route: &RouteRule) -> Moment {
-    let objective = route.run_objective.unwrap_or(DEFAULT_DUE);
-    let age = wall_now().0.saturating_sub(head.accepted_at.0);
+pub(crate) fn due_at(now: Moment, metadata: &SubmissionMetadata, route: &RouteSpec) -> Moment {
+    let objective = route.completion_objective.unwrap_or(DEFAULT_DUE);
+    let age = wall_now().0.saturating_sub(metadata.accepted_at.0);
     let age = Span::from_millis(u64::try_from(age).unwrap_or(0));
     let rank = Span(RANK_DELAY.0 * u64::from(route.priority));
     now + objective.saturating_sub(age) + rank
--- a/crates/hibiscushinged/src/gateway/lease.rs
+++ b/crates/hibiscushinged/src/gateway/lease.rs
@@ -2,11 +2,11 @@
 
 use std::{rc::Rc, time::Duration};
 
-use authority::{AuthorityRecord, Candidacy, LeaseAction};
+use authority::{AuthorityRecord, LeaseAction, LeaseRole};
 use base::{LogOffset, Span};
 use bytes::Bytes;
 use clients::{HttpClient, SendPermit};
-use platform::{AppendAnswer, ReadAnswer};
+use platform::{AppendResponse, ReadResponse};
 use protocol::{StreamRecord as _, WireAuthority, decode_message, encode_message};
 
 use crate::{
@@ -15,7 +15,7 @@
         control_state::ControlState,
         holder::{RENEWAL, rest},
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -38,7 +38,7 @@
 /// lease is checked as the last step before the bytes.
 pub(crate) fn holder_client(control: &Rc<ControlState>, idle: Span) -> HttpClient {
     let control = Rc::clone(control);
-    HttpClient::resetting(CONNECT_TIMEOUT, idle).guarded(move || {
+    HttpClient::with_reset_on_close(CONNECT_TIMEOUT, idle).guarded(move || {
         let permit = control.lease.permit(&control.node);
         if permit.is_some() { SendPermit::Granted } else { SendPermit::Denied }
     })
@@ -50,13 +50,13 @@
     loop {
         tokio::time::sleep(TICK).await;
         let now = control.node.now();
-        let draining = control.node.phase() == ServicePhase::Draining;
+        let draining = control.node.phase() == NodePhase::Draining;
         let actions = {
-            let mut keeper = control.lease.keeper.borrow_mut();
+            let mut lease_manager = control.lease.lease_manager.borrow_mut();
             let rested = now >= *control.lease.rests_until.borrow();
-            let stands = rested && !draining && control.node.phase() == ServicePhase::Serving;
-            keeper.set_candidacy(if stands { Candidacy::Standing } else { Candidacy::Abstaining });
-            if draining { keeper.resign() } else { keeper.tick(now) }
+            let stands = rested && !draining && control.node.phase() == NodePhase::Serving;
+            lease_manager.set_role(if stands { LeaseRole::Candidate } else { LeaseRole::Observer });
+            if draining { lease_manager.resign() } else { lease_manager.tick(now) }
         };
         for action in actions {
             act(&control, action);
@@ -69,7 +69,7 @@
     let mut begun = false;
     loop {
         match control.store.read(LEASE_TOPIC, 0, next, POLL_WAIT).await {
-            Ok(ReadAnswer::Records { records, .. }) => {
+            Ok(ReadResponse::Records { records, .. }) => {
                 if !begun {
                     begun = true;
                     restart(&control, next);
@@ -79,7 +79,7 @@
                     take_record(&control, record.offset, &record.bytes);
                 }
             }
-            Ok(ReadAnswer::Trimmed { first }) => {
+            Ok(ReadResponse::Trimmed { first }) => {
                 begun = true;
                 next = first;
                 restart(&control, first);
@@ -91,7 +91,7 @@
 
 fn restart(control: &Rc<ControlState>, first: u64) {
     let now = control.node.now();
-    let actions = control.lease.keeper.borrow_mut().reading_from(now, LogOffset(first));
+    let actions = control.lease.lease_manager.borrow_mut().restart_from(now, LogOffset(first));
     for action in actions {
         act(control, action);
     }
@@ -107,7 +107,7 @@
         }
     };
     let now = control.node.now();
-    let actions = control.lease.keeper.borrow_mut().read(now, LogOffset(offset), &record);
+    let actions = control.lease.lease_manager.borrow_mut().read(now, LogOffset(offset), &record);
     for action in actions {
         act(control, action);
     }
@@ -135,7 +135,7 @@
     let append = control.store.append(LEASE_TOPIC, 0, None, &records);
     // A renewal that takes longer than the time between two is of no use.
     let appended = tokio::time::timeout(to_duration(RENEWAL), append).await;
-    if !matches!(appended, Ok(Ok(AppendAnswer::Appended { .. }))) {
-        control.lease.keeper.borrow_mut().append_refused();
+    if !matches!(appended, Ok(Ok(AppendResponse::Appended { .. }))) {
+        control.lease.lease_manager.borrow_mut().append_refused();
     }
 }
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -6,16 +6,16 @@
 };
 
 use arc_swap::ArcSwapOption;
-use base::{Incarnation, Moment, Span, key};
+use base::{Incarnation, Moment, Span, derive_copy};
 use document::GatewaySettings;
-use routebook::RouteBook;
+use routebook::ConfigIndex;
 use tokio::sync::watch;
-use usage::{WindowNumber, WindowTally, window_of};
+use usage::{WindowNumber, WindowTotals, window_of};
 
 use crate::{
     clock::{ProcessClock, to_duration, wall_now},
     gateway::metrics::GatewayMetrics,
-    shared::{FlightGuard, ServiceLife, ServicePhase},
+    shared::{InFlightGuard, NodeLifecycle, NodePhase},
     telemetry::log_event,
 };
 
@@ -35,10 +35,10 @@
     pub(crate) settings: GatewaySettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
-    pub(crate) book: ArcSwapOption<RouteBook>,
+    pub(crate) config: ArcSwapOption<ConfigIndex>,
     pub(crate) metrics: GatewayMetrics,
-    tally: Mutex<WindowTally>,
-    life: Arc<ServiceLife>,
+    window_totals: Mutex<WindowTotals>,
+    lifecycle: Arc<NodeLifecycle>,
     store_contact: AtomicU64,
     store_trouble: AtomicU64,
     store_lost: AtomicBool,
@@ -46,7 +46,7 @@
     last_totals: watch::Sender<LastTotals>,
 }
 
-key! {
+derive_copy! {
     /// The last totals of usage of a process that is stopped as planned.
     pub(crate) enum LastTotals {
         /// The process goes on.
@@ -59,7 +59,7 @@
 }
 
 /// A request that was counted for usage.
-pub(crate) struct UsageMark {
+pub(crate) struct CountedRequest {
     window: WindowNumber,
     customer: String,
 }
@@ -75,10 +75,10 @@
             settings,
             incarnation,
             clock,
-            book: ArcSwapOption::empty(),
+            config: ArcSwapOption::empty(),
             metrics,
-            tally: Mutex::new(WindowTally::default()),
-            life: Arc::default(),
+            window_totals: Mutex::new(WindowTotals::default()),
+            lifecycle: Arc::default(),
             store_contact: AtomicU64::new(0),
             store_trouble: AtomicU64::new(0),
             store_lost: AtomicBool::new(false),
@@ -90,30 +90,30 @@
         self.clock.now()
     }
 
-    pub(crate) fn phase(&self) -> ServicePhase {
-        self.life.phase()
+    pub(crate) fn phase(&self) -> NodePhase {
+        self.lifecycle.phase()
     }
 
-    pub(crate) fn enter(&self, phase: ServicePhase) {
-        self.life.enter(phase);
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
+        self.lifecycle.advance_to(phase);
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.life.in_flight()
+        self.lifecycle.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> FlightGuard {
-        FlightGuard::enter(&self.life)
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.lifecycle)
     }
 
     /// Attempts that the route of a path allows, if there is one.
-    pub(crate) fn attempts(&self, host: &str, path: &str) -> Option<u32> {
-        let book = self.book.load();
-        Some(book.as_ref()?.route(host, path)?.attempts)
+    pub(crate) fn max_attempts(&self, host: &str, path: &str) -> Option<u32> {
+        let config = self.config.load();
+        Some(config.as_ref()?.route(host, path)?.max_attempts)
     }
 
-    pub(crate) fn tally(&self) -> MutexGuard<'_, WindowTally> {
-        self.tally.lock().expect("no holder of the tally panics")
+    pub(crate) fn window_totals(&self) -> MutexGuard<'_, WindowTotals> {
+        self.window_totals.lock().expect("no holder of the tally panics")
     }
 
     pub(crate) fn last_totals(&self) -> LastTotals {
@@ -140,15 +140,15 @@
     }
 
     /// Counts a request that begins to run now.
-    pub(crate) fn count_begin(&self, customer: &str) -> UsageMark {
+    pub(crate) fn count_begin(&self, customer: &str) -> CountedRequest {
         let window = window_of(wall_now(), self.settings.promises.window);
-        self.tally().add(window, customer);
-        UsageMark { window, customer: String::from(customer) }
+        self.window_totals().add(window, customer);
+        CountedRequest { window, customer: String::from(customer) }
     }
 
     /// Takes back a request that the upstream did not run.
-    pub(crate) fn take_back(&self, mark: &UsageMark) {
-        self.tally().take_back(mark.window, &mark.customer);
+    pub(crate) fn remove(&self, counted: &CountedRequest) {
+        self.window_totals().remove(counted.window, &counted.customer);
     }
 
     /// Records that the store answered.
--- a/crates/hibiscushinged/src/gateway/mirror/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -4,10 +4,10 @@
 
 use base::{Incarnation, WallTime, WeightVersion};
 use document::GatewaySettings;
-use platform::keyed_record;
-use protocol::encode_book_record;
+use platform::encode_keyed_record;
+use protocol::encode_submission_record;
 use site_stand_in::{SiteStore, StoreOptions, rendered_settings};
-use submissions::{BookRecord, ItemResult, SubmissionHead, SubmissionItem};
+use submissions::{ItemResult, SubmissionItem, SubmissionMetadata, SubmissionRecord};
 
 use crate::{
     clock::ProcessClock,
@@ -36,23 +36,23 @@
     Rc::new(TrafficState::new(Arc::new(node)))
 }
 
-fn bytes(record: &BookRecord) -> bytes::Bytes {
-    let (key, value) = encode_book_record(record);
-    keyed_record(&key, value.as_deref())
+fn bytes(record: &SubmissionRecord) -> bytes::Bytes {
+    let (key, value) = encode_submission_record(record);
+    encode_keyed_record(&key, value.as_deref())
 }
 
-fn submission() -> Vec<BookRecord> {
-    let head = SubmissionHead {
+fn submission() -> Vec<SubmissionRecord> {
+    let metadata = SubmissionMetadata {
         id: String::from("s"),
         customer: String::from("brewer"),
         host: String::from("h"),
         path: String::from("/p/"),
         model: String::from("m"),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items: ITEMS,
+        item_count: ITEMS,
     };
     let items = (0..ITEMS).map(|index| SubmissionItem {
         id: format!("i{index}"),
@@ -65,8 +65,8 @@
         reward: None,
     });
     let items =
-        BookRecord::Items { submission: String::from("s"), first: 0, items: items.collect() };
-    vec![BookRecord::Opened(head), items]
+        SubmissionRecord::Items { submission: String::from("s"), first: 0, items: items.collect() };
+    vec![SubmissionRecord::Opened(metadata), items]
 }
 
 /// Guards against a copy that counts as complete after one answer of the store, which holds a bounded
@@ -76,19 +76,19 @@
     let options = StoreOptions { read_bytes: 2_000, ..Default::default() };
     let store = SiteStore::start(options).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
 
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     let results = (0..ITEMS).map(|position| {
         let result = ItemResult::errored(format!("i{position}"));
-        bytes(&BookRecord::Result { submission: String::from("s"), position, result })
+        bytes(&SubmissionRecord::Result { submission: String::from("s"), position, result })
     });
     store.append(SUBMISSION_TOPIC, 0, results.collect());
 
-    mirror.catch_up(&traffic.store).await.unwrap();
-    let book = mirror.book();
-    assert_eq!(book.get("s").map(submissions::SubmissionState::listed), Some(ITEMS));
+    follower.catch_up(&traffic.store).await.unwrap();
+    let table = follower.table();
+    assert_eq!(table.get("s").map(submissions::SubmissionState::result_count), Some(ITEMS));
 }
 
 /// Guards against a copy that stays behind after the store has dropped the history that it needs.
@@ -96,14 +96,14 @@
 async fn forgotten_history_is_read_again_by_keys() {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
     store.forget();
-    mirror.catch_up(&traffic.store).await.unwrap();
-    assert!(!mirror.copy().is_loaded("s"));
-    mirror.load(&traffic.store, "s").await.unwrap();
-    assert!(mirror.book().get("s").is_some());
+    follower.catch_up(&traffic.store).await.unwrap();
+    assert!(!follower.cache().is_loaded("s"));
+    follower.load(&traffic.store, "s").await.unwrap();
+    assert!(follower.table().get("s").is_some());
 }
 
 /// Pattern: a partition of many large submissions, and a small node that is asked for one of them.
@@ -114,23 +114,23 @@
 async fn one_submission_is_read_without_the_others() {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
     for other in ["a", "s1", "z"] {
         let mut records = submission();
         for record in &mut records {
             match record {
-                BookRecord::Opened(head) => head.id = String::from(other),
-                BookRecord::Items { submission, .. } => *submission = String::from(other),
+                SubmissionRecord::Opened(metadata) => metadata.id = String::from(other),
+                SubmissionRecord::Items { submission, .. } => *submission = String::from(other),
                 _ => {}
             }
         }
         store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     }
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
-    mirror.load(&traffic.store, "s").await.unwrap();
-    let book = mirror.book();
-    assert!(book.get("s").is_some());
-    assert_eq!(book.iter().count(), 1);
+    follower.load(&traffic.store, "s").await.unwrap();
+    let table = follower.table();
+    assert!(table.get("s").is_some());
+    assert_eq!(table.iter().count(), 1);
 }
 
 const CONFIG: &str = r#"{"version":1,"routes":[{"name":"draft","host":"h","prefix":"/p/",
@@ -154,35 +154,37 @@
 async fn check_new_owner(#[case] ended: bool, #[case] forgotten: bool, #[case] waiting: usize) {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let config = platform::decode_manifest(CONFIG.as_bytes()).unwrap();
-    traffic.node.book.store(Some(Arc::new(routebook::RouteBook::new(config))));
-    let mirror = traffic.partitions.get(0).unwrap();
-    mirror.load(&traffic.store, "s").await.unwrap();
+    let config = platform::decode_config(CONFIG.as_bytes()).unwrap();
+    traffic.node.config.store(Some(Arc::new(routebook::ConfigIndex::new(config))));
+    let follower = traffic.partitions.get(0).unwrap();
+    follower.load(&traffic.store, "s").await.unwrap();
     let mut records = submission();
-    records.push(BookRecord::Marked { submission: String::from("s") });
+    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from("s") });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
-    mirror.catch_up(&traffic.store).await.unwrap();
+    follower.catch_up(&traffic.store).await.unwrap();
     if ended {
         let id = || String::from("s");
-        let records =
-            [BookRecord::Ended { submission: id() }, BookRecord::Unmarked { submission: id() }];
+        let records = [
+            SubmissionRecord::Ended { submission: id() },
+            SubmissionRecord::OpenMarkerCleared { submission: id() },
+        ];
         store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
     }
     if forgotten {
         // Something is appended in any case, so that the copy is behind what is forgotten.
-        let other = BookRecord::Unmarked { submission: String::from("other") };
+        let other = SubmissionRecord::OpenMarkerCleared { submission: String::from("other") };
         store.append(SUBMISSION_TOPIC, 0, vec![bytes(&other)]);
         store.forget();
     }
 
     traffic.partitions.set_owned(&std::collections::BTreeSet::from([0]));
-    crate::gateway::runner::watch(&traffic, mirror);
+    crate::gateway::runner::watch(&traffic, follower);
     tokio::task::yield_now().await;
     assert_eq!(traffic.items.waiting(), 0, "nothing begins before the copy is read");
 
-    let mut changes = mirror.subscribe();
-    mirror.follow(&traffic.store);
-    changes.wait_for(|_| mirror.copy().is_scanned()).await.unwrap();
+    let mut changes = follower.subscribe();
+    follower.follow(&traffic.store);
+    changes.wait_for(|_| follower.cache().is_scanned()).await.unwrap();
     tokio::task::yield_now().await;
     assert_eq!(traffic.items.waiting(), waiting);
 }
@@ -196,16 +198,17 @@
 async fn check_deletion(#[case] accepted_ms: i64, #[case] stays: bool) {
     let store = SiteStore::start(StoreOptions::default()).unwrap();
     let traffic = traffic(store.address());
-    let mirror = traffic.partitions.get(0).unwrap();
+    let follower = traffic.partitions.get(0).unwrap();
     let id = || String::from("s");
     let mut records = submission();
-    records.push(BookRecord::Ended { submission: id() });
-    records.push(BookRecord::Expiring { submission: id(), accepted_at: WallTime(accepted_ms) });
+    records.push(SubmissionRecord::Ended { submission: id() });
+    records
+        .push(SubmissionRecord::Expiring { submission: id(), accepted_at: WallTime(accepted_ms) });
     store.append(SUBMISSION_TOPIC, 0, records.iter().map(bytes).collect());
-    mirror.load(&traffic.store, "s").await.unwrap();
-    crate::gateway::cleanup::delete_part(&traffic, mirror).await.unwrap();
-    mirror.catch_up(&traffic.store).await.unwrap();
-    assert_eq!(mirror.book().get("s").is_some(), stays);
+    follower.load(&traffic.store, "s").await.unwrap();
+    crate::gateway::cleanup::delete_part(&traffic, follower).await.unwrap();
+    follower.catch_up(&traffic.store).await.unwrap();
+    assert_eq!(follower.table().get("s").is_some(), stays);
     for key in ["s/s/o", "s/s/i/0", "s/s/e", "z/s"] {
         assert_eq!(store.value(SUBMISSION_TOPIC, 0, key).is_some(), stays, "{key}");
     }
--- a/crates/hibiscushinged/src/gateway/plain.rs
+++ b/crates/hibiscushinged/src/gateway/plain.rs
@@ -5,15 +5,15 @@
 use actix_http::{Method, header::HeaderMap};
 use base::{Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use bytes::Bytes;
-use dispatch::PlainAsk;
+use dispatch::PlainPickRequest;
 use futures_util::{StreamExt as _, stream::FuturesUnordered};
-use platform::{UpstreamCall, forward_headers};
+use platform::{UpstreamRequestMetadata, forward_headers};
 use smallvec::SmallVec;
 
 use crate::{
     gateway::{
         attempt::{
-            AttemptCall, AttemptFault, WholeAnswer, log_attempt, wait_until, whole_exchange,
+            AttemptCall, AttemptError, WholeAnswer, log_attempt, wait_until, whole_exchange,
         },
         traffic_state::TrafficState,
     },
@@ -44,9 +44,9 @@
     pub(crate) customer: Option<&'a str>,
     pub(crate) service: &'a str,
     pub(crate) deadline: Moment,
-    pub(crate) objective: Span,
-    pub(crate) attempts: usize,
-    pub(crate) repeatable: bool,
+    pub(crate) latency_objective: Span,
+    pub(crate) max_attempts: usize,
+    pub(crate) retryable: bool,
 }
 
 impl PlainJob<'_> {
@@ -57,8 +57,8 @@
         upstream: UpstreamKey,
         left: Span,
     ) -> AttemptCall<'_> {
-        let instance = traffic.board.borrow().entry(upstream).id.clone();
-        let call = UpstreamCall {
+        let instance = traffic.balancer.borrow().entry(upstream).id.clone();
+        let metadata = UpstreamRequestMetadata {
             id: self.id,
             host: self.host,
             customer: self.customer,
@@ -71,7 +71,7 @@
             id: self.id,
             method: self.method.clone(),
             path: self.path,
-            headers: forward_headers(self.headers, &call),
+            headers: forward_headers(self.headers, &metadata),
             body: self.body.clone(),
             billed: self.customer,
         }
@@ -98,15 +98,15 @@
 ) -> Result<WholeAnswer, Refusal> {
     let mut state = TryState::default();
     let mut running = FuturesUnordered::new();
-    let hedge = Span((job.objective.0 as f64 * HEDGE_SHARE) as u64);
+    let hedge = Span((job.latency_objective.0 as f64 * HEDGE_SHARE) as u64);
     let mut hedge_at = traffic.node.now();
     loop {
         let now = traffic.node.now();
         let left = job.deadline.since(now);
-        let may_send = state.tried.len() < job.attempts
+        let may_send = state.tried.len() < job.max_attempts
             && left >= LEAST_TRY
-            && (job.repeatable || !state.may_have_run);
-        let hedges = job.repeatable && now >= hedge_at && running.len() == 1;
+            && (job.retryable || !state.may_have_run);
+        let hedges = job.retryable && now >= hedge_at && running.len() == 1;
         if may_send && (running.is_empty() || hedges) {
             if let Some(upstream) = pick(traffic, job, &state.tried) {
                 state.tried.push(upstream);
@@ -146,9 +146,9 @@
 ) -> Option<UpstreamKey> {
     let zone = &traffic.node.settings.zone;
     let connected = &traffic.pool.connected();
-    let draw = rand::random();
-    let ask = PlainAsk { service: job.service, zone, tried, connected, draw };
-    traffic.board.borrow().pick_plain(traffic.node.now(), &ask)
+    let jitter_seed = rand::random();
+    let request = PlainPickRequest { service: job.service, zone, tried, connected, jitter_seed };
+    traffic.balancer.borrow().pick_plain(traffic.node.now(), &request)
 }
 
 async fn one_try(
@@ -156,7 +156,7 @@
     job: &PlainJob<'_>,
     upstream: UpstreamKey,
     left: Span,
-) -> (UpstreamKey, Result<WholeAnswer, AttemptFault>) {
+) -> (UpstreamKey, Result<WholeAnswer, AttemptError>) {
     let call = job.call(traffic, upstream, left);
     (upstream, whole_exchange(traffic, call).await)
 }
@@ -168,10 +168,10 @@
         traffic: &TrafficState,
         job: &PlainJob<'_>,
         upstream: UpstreamKey,
-        result: Result<WholeAnswer, AttemptFault>,
+        result: Result<WholeAnswer, AttemptError>,
     ) -> Option<WholeAnswer> {
-        let board = traffic.board.borrow();
-        let name = &board.entry(upstream).id;
+        let balancer = traffic.balancer.borrow();
+        let name = &balancer.entry(upstream).id;
         match result {
             Ok(answer) if answer.status.as_u16() < 500 => return Some(answer),
             Ok(answer) => {
@@ -182,22 +182,22 @@
                     status = answer.status.as_u16()
                 );
                 self.may_have_run = true;
-                if !job.repeatable {
+                if !job.retryable {
                     return Some(answer);
                 }
                 self.failed_answer = Some(answer);
             }
-            Err(fault) => {
-                let ran = matches!(fault, AttemptFault::MaybeRun(_));
+            Err(error) => {
+                let ran = matches!(error, AttemptError::MaybeRun(_));
                 log_event!(
                     AttemptFailed,
                     request = job.id,
                     upstream = name,
                     may_have_run = ran,
-                    reason = fault.reason(),
+                    reason = error.reason(),
                 );
                 self.may_have_run |= ran;
-                self.last_reason = Some(String::from(fault.reason()));
+                self.last_reason = Some(String::from(error.reason()));
             }
         }
         None
--- a/crates/hibiscushinged/src/gateway/answer.rs
+++ b/crates/hibiscushinged/src/gateway/response.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     gateway::{attempt::WholeAnswer, node::NodeState},
-    shared::ServicePhase,
-    traffic::answer::refusal_body,
+    shared::NodePhase,
+    traffic::response::refusal_without_retry_after,
 };
 
 /// Builds the answer to a refused request. The time to come back has a fraction, since many callers
 /// wait for less than a second in all.
 pub(crate) fn refusal(refusal: &Refusal) -> Response<BoxBody> {
-    let mut response = refusal_body(refusal);
+    let mut response = refusal_without_retry_after(refusal);
     if let Some(span) = refusal.retry_after {
         let seconds = format!("{:.3}", span.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
@@ -52,7 +52,7 @@
 
 /// Asks the caller to use another connection next time, when this node is about to stop.
 pub(crate) fn close_when_draining(node: &NodeState, response: &mut Response<BoxBody>) {
-    if node.phase() == ServicePhase::Draining {
+    if node.phase() == NodePhase::Draining {
         response.head_mut().set_connection_type(ConnectionType::Close);
     }
 }
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -7,20 +7,20 @@
 };
 
 use base::{Moment, Span, UpstreamKey};
-use dispatch::{GenerationAsk, ModelNeed};
-use submissions::{SubmissionBook, result_records};
+use dispatch::{GenerationPickRequest, ModelRequirement};
+use submissions::{SubmissionTable, result_records};
 
 use crate::{
     clock::to_duration,
     gateway::{
-        attempt::PlaceGuard,
+        attempt::AttemptGuard,
         commit::commit,
         generation,
         job::{ItemJob, ItemRun, due_at},
-        mirror::PartitionMirror,
+        partition_follower::PartitionFollower,
         traffic_state::TrafficState,
     },
-    shared::ServicePhase,
+    shared::NodePhase,
     telemetry::log_event,
 };
 
@@ -40,26 +40,26 @@
 const MOST_PROMPTS: usize = 4_096;
 
 /// Time that a run stays where it is at least. It covers a usual prompt and some events.
-const LEAST_STAY: Span = Span::from_millis(600);
+const MIN_STAY: Span = Span::from_millis(600);
 
 /// Time between two looks for runs that would be faster elsewhere.
-const MOVE_PERIOD: Span = Span::from_millis(250);
+const MIGRATION_PERIOD: Span = Span::from_millis(250);
 
 /// Runs that are moved at one look.
-const MOST_MOVES: usize = 4;
+const MAX_MIGRATIONS: usize = 4;
 
 /// Follows the submissions of an owned partition.
-pub(crate) fn watch(traffic: &Rc<TrafficState>, mirror: &Rc<PartitionMirror>) {
-    let part = mirror.name.part;
+pub(crate) fn watch(traffic: &Rc<TrafficState>, follower: &Rc<PartitionFollower>) {
+    let part = follower.name.part;
     if !traffic.items.lists.borrow_mut().watched.insert(part) {
-        collect(traffic, mirror);
+        collect(traffic, follower);
         return;
     }
-    let (traffic, mirror) = (Rc::clone(traffic), Rc::clone(mirror));
+    let (traffic, follower) = (Rc::clone(traffic), Rc::clone(follower));
     actix_rt::spawn(async move {
-        let mut changes = mirror.subscribe();
+        let mut changes = follower.subscribe();
         loop {
-            collect(&traffic, &mirror);
+            collect(&traffic, &follower);
             if changes.changed().await.is_err() {
                 return;
             }
@@ -69,43 +69,43 @@
 
 /// Takes over open items of a partition, and drops those that are resolved, ended, or owned by
 /// another node.
-fn collect(traffic: &Rc<TrafficState>, mirror: &PartitionMirror) {
-    let part = mirror.name.part;
-    let copy = mirror.copy();
-    let owned = mirror.is_owned() && !traffic.items.stopped.get();
+fn collect(traffic: &Rc<TrafficState>, follower: &PartitionFollower) {
+    let part = follower.name.part;
+    let cache = follower.cache();
+    let owned = follower.is_owned() && !traffic.items.stopped.get();
     // A copy from before this node became the owner may miss the ends of submissions.
-    let may_begin = owned && copy.is_scanned();
+    let may_begin = owned && cache.is_scanned();
     traffic.items.drop_jobs(traffic.node.now(), part, |job| {
-        let Some(submission) = copy.book().get(&job.head.id) else { return true };
+        let Some(submission) = cache.table().get(&job.metadata.id) else { return true };
         !owned && !traffic.items.stopped.get()
             || submission.is_ended()
             || submission.is_resolved(&job.item.id)
-            || may_begin && !copy.is_loaded(&job.head.id)
+            || may_begin && !cache.is_loaded(&job.metadata.id)
     });
     if !may_begin {
         return;
     }
-    let Some(routes) = traffic.node.book.load_full() else { return };
+    let Some(routes) = traffic.node.config.load_full() else { return };
     let mut state = traffic.items.lists.borrow_mut();
-    for submission in copy.open_submissions() {
-        let head = submission.head();
-        let Some(route) = routes.route(&head.host, &head.path) else {
+    for submission in cache.open_submissions() {
+        let metadata = submission.metadata();
+        let Some(route) = routes.route(&metadata.host, &metadata.path) else {
             continue;
         };
-        let due = due_at(traffic.node.now(), head, route);
+        let due = due_at(traffic.node.now(), metadata, route);
         let mut groups: HashMap<&str, u32> = HashMap::new();
         for item in submission.items() {
             let next = groups.len() as u32;
             let group = *groups.entry(&item.group).or_insert(next);
-            if submission.is_resolved(&item.id) || state.jobs.contains(&head.id, &item.id) {
+            if submission.is_resolved(&item.id) || state.jobs.contains(&metadata.id, &item.id) {
                 continue;
             }
             let job = Rc::new(ItemJob::new(
                 part,
-                head,
+                metadata,
                 item,
                 route.one_version,
-                state.take_kept(head, item),
+                state.take_kept(metadata, item),
             ));
             state.jobs.insert(&job);
             state.queue.push(due, group, item.expected_tokens, job);
@@ -118,40 +118,43 @@
 /// Gives waiting items to engines with free slots.
 fn place(traffic: &Rc<TrafficState>) {
     let now = traffic.node.now();
-    let Some(routes) = traffic.node.book.load_full() else { return };
+    let Some(routes) = traffic.node.config.load_full() else { return };
     let mut state = traffic.items.lists.borrow_mut();
     let state = &mut *state;
     let mut full: BTreeSet<(String, u64)> = BTreeSet::new();
-    let warm = &mut state.warm;
+    let warm_engines = &mut state.warm_engines;
     let connected = traffic.pool.connected();
     state.queue.place(|job| {
-        let head = &job.head;
-        let need = (head.model.clone(), head.least_version.0);
-        if full.contains(&need) {
+        let metadata = &job.metadata;
+        let requirement = (metadata.model.clone(), metadata.min_version.0);
+        if full.contains(&requirement) {
             return false;
         }
-        let Some(route) = routes.route(&head.host, &head.path) else { return false };
-        let Some(service) = route.target(rand::random()) else { return false };
+        let Some(route) = routes.route(&metadata.host, &metadata.path) else { return false };
+        let Some(service) = route.pick_service(rand::random()) else { return false };
         let prompt = job.item.shared_prompt.as_ref();
         let progress = job.progress.borrow();
-        let ask = GenerationAsk {
+        let request = GenerationPickRequest {
             service,
-            need: ModelNeed { model: &head.model, least: head.least_version },
+            requirement: ModelRequirement {
+                model: &metadata.model,
+                min_version: metadata.min_version,
+            },
             tried: &progress.tried,
-            warm: prompt.and_then(|prompt| warm.get(prompt).copied()),
+            warm_engine: prompt.and_then(|prompt| warm_engines.get(prompt).copied()),
             connected: &connected,
-            draw: rand::random(),
+            jitter_seed: rand::random(),
         };
-        let Some(upstream) = traffic.board.borrow().pick_generation(now, &ask) else {
-            full.insert(need);
+        let Some(upstream) = traffic.balancer.borrow().pick_generation(now, &request) else {
+            full.insert(requirement);
             return false;
         };
         drop(progress);
         if let Some(prompt) = prompt {
-            if warm.len() >= MOST_PROMPTS {
-                warm.clear();
+            if warm_engines.len() >= MOST_PROMPTS {
+                warm_engines.clear();
             }
-            warm.insert(prompt.clone(), upstream);
+            warm_engines.insert(prompt.clone(), upstream);
         }
         start(job, traffic, upstream);
         true
@@ -160,54 +163,58 @@
 
 /// Moves runs from slow engines to free slots of much faster ones. It waits while items wait, since
 /// these need the slots more.
-fn move_runs(traffic: &Rc<TrafficState>) {
+fn migrate_runs(traffic: &Rc<TrafficState>) {
     let now = traffic.node.now();
     let mut state = traffic.items.lists.borrow_mut();
-    let rested = now.since(state.moved_at) >= MOVE_PERIOD;
+    let rested = now.since(state.last_migration_at) >= MIGRATION_PERIOD;
     if !rested || !state.queue.is_empty() || traffic.items.stopped.get() {
         return;
     }
-    state.moved_at = now;
+    state.last_migration_at = now;
     let jobs: Vec<Rc<ItemJob>> = state.jobs.values().cloned().collect();
     drop(state);
     let mut moves = 0;
     for job in jobs {
-        if moves == MOST_MOVES {
+        if moves == MAX_MIGRATIONS {
             return;
         }
-        moves += usize::from(move_elsewhere(&job, traffic, now));
+        moves += usize::from(migrate_run(&job, traffic, now));
     }
 }
 
 /// Moves a run whose text has begun to a much faster engine, if one has a free slot.
-fn move_elsewhere(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, now: Moment) -> bool {
+fn migrate_run(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, now: Moment) -> bool {
     let run = job.run.borrow();
     let Some(current) = run.as_ref() else { return false };
     let (from, stayed) = (current.upstream, now.since(current.started_at));
     let progress = job.progress.borrow();
-    if stayed < LEAST_STAY || progress.text.last_id() == 0 || job.scoring.get() {
+    if stayed < MIN_STAY || progress.text.last_event_id() == 0 || job.scoring.get() {
         return false;
     }
-    let service = traffic.board.borrow().entry(from).service.clone();
-    let ask = GenerationAsk {
+    let service = traffic.balancer.borrow().entry(from).service.clone();
+    let request = GenerationPickRequest {
         service: &service,
-        need: ModelNeed { model: &job.head.model, least: job.head.least_version },
+        requirement: ModelRequirement {
+            model: &job.metadata.model,
+            min_version: job.metadata.min_version,
+        },
         tried: &[from],
-        warm: None,
+        warm_engine: None,
         connected: &traffic.pool.connected(),
-        draw: rand::random(),
+        jitter_seed: rand::random(),
     };
-    let board = traffic.board.borrow();
-    let picked = board.pick_generation(now, &ask);
-    let Some(to) = picked.filter(|to| *to != from && board.is_worth_moving(now, from, *to)) else {
+    let balancer = traffic.balancer.borrow();
+    let picked = balancer.pick_generation(now, &request);
+    let Some(to) = picked.filter(|to| *to != from && balancer.should_migrate(now, from, *to))
+    else {
         return false;
     };
-    let (submission, item) = (&job.head.id, &job.item.id);
-    let (upstream, next) = (&board.entry(from).id, &board.entry(to).id);
-    let events = progress.text.last_id();
+    let (submission, item) = (&job.metadata.id, &job.item.id);
+    let (upstream, next) = (&balancer.entry(from).id, &balancer.entry(to).id);
+    let events = progress.text.last_event_id();
     let reason = "a faster engine has a free slot";
     log_event!(ItemInterrupted, submission, item, upstream, next, reason, events);
-    drop((board, progress, run));
+    drop((balancer, progress, run));
     if let Some(run) = job.run.take() {
         run.abort.abort();
     }
@@ -216,9 +223,9 @@
 }
 
 fn start(job: &Rc<ItemJob>, traffic: &Rc<TrafficState>, upstream: UpstreamKey) {
-    let place = PlaceGuard::take(traffic, upstream);
+    let attempt = AttemptGuard::acquire(traffic, upstream);
     let started_at = traffic.node.now();
-    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, place);
+    let run = generation::run(Rc::clone(traffic), Rc::clone(job), upstream, attempt);
     let task = actix_rt::spawn(run);
     let run = ItemRun { abort: task.abort_handle(), upstream, started_at };
     job.run.replace(Some(run));
@@ -231,16 +238,16 @@
         let running = traffic.items.unfinished() > 0;
         let period = match (waiting, running) {
             (true, _) => QUEUE_PERIOD,
-            (false, true) => to_duration(MOVE_PERIOD),
+            (false, true) => to_duration(MIGRATION_PERIOD),
             (false, false) => IDLE_PERIOD,
         };
         tokio::select! {
             () = traffic.items.wake.notified() => {}
             () = tokio::time::sleep(period) => {}
         }
-        if traffic.node.phase() != ServicePhase::Draining {
+        if traffic.node.phase() != NodePhase::Draining {
             place(&traffic);
-            move_runs(&traffic);
+            migrate_runs(&traffic);
         }
     }
 }
@@ -258,13 +265,13 @@
 }
 
 async fn store_part(traffic: &Rc<TrafficState>, part: u32) {
-    let Some(mirror) = traffic.partitions.get(part) else { return };
+    let Some(follower) = traffic.partitions.get(part) else { return };
     let Some(results) = traffic.items.lists.borrow_mut().results.remove(&part) else { return };
     let submissions: BTreeSet<&str> =
         results.iter().map(|(submission, _)| submission.as_str()).collect();
     let submissions: Vec<&str> = submissions.into_iter().collect();
-    let build = |book: &SubmissionBook| result_records(book, &results);
-    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, build).await;
+    let build = |table: &SubmissionTable| result_records(table, &results);
+    let stored = commit(traffic, follower, COMMIT_PATIENCE, &submissions, build).await;
     if stored.is_ok() {
         return;
     }
--- a/crates/hibiscushinged/src/gateway/serve.rs
+++ b/crates/hibiscushinged/src/gateway/serve.rs
@@ -6,24 +6,23 @@
 use base::{Moment, Refusal, RefusalCode, Span};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt as _;
-use platform::{CallHead, CallTarget, read_head, read_target};
-use routebook::{RequestKind, RouteBook, RouteRule};
+use platform::{RequestMetadata, RequestTarget, parse_request_head, parse_request_target};
+use routebook::{ConfigIndex, RequestKind, RouteSpec};
 use tokio::{net::TcpListener, sync::mpsc};
 
 use crate::{
     accept::serve_connections,
     clock::to_duration,
     gateway::{
-        answer,
-        board::{UpstreamNews, follow_news, sweep_channels},
         cleanup, group,
         node::{LAST_TOTALS_PATIENCE, NodeState},
         plain::{PlainJob, run_plain},
-        relay, runner,
+        relay, response, runner,
         submit::{self, Arrival, Inquiry},
         traffic_state::TrafficState,
+        upstreams::{UpstreamUpdate, follow_upstreams, sweep_channels},
     },
-    shared::FlightGuard,
+    shared::InFlightGuard,
     telemetry::log_event,
 };
 
@@ -62,7 +61,7 @@
 /// A request with its body and what is known of its sender.
 struct CallerRequest<'a> {
     request: &'a Request,
-    call: &'a CallHead,
+    metadata: &'a RequestMetadata,
     path: &'a str,
     body: Bytes,
     arrived: Moment,
@@ -76,12 +75,12 @@
     /// Returns an error when the address cannot be bound.
     pub(crate) fn start(
         node: Arc<NodeState>,
-        changes: mpsc::UnboundedReceiver<UpstreamNews>,
+        changes: mpsc::UnboundedReceiver<UpstreamUpdate>,
     ) -> io::Result<Self> {
         let listener = listen(node.settings.listen)?;
         let traffic = Rc::new(TrafficState::new(node));
         actix_rt::spawn(accept_callers(Rc::clone(&traffic), listener));
-        actix_rt::spawn(follow_news(Rc::clone(&traffic), changes));
+        actix_rt::spawn(follow_upstreams(Rc::clone(&traffic), changes));
         actix_rt::spawn(sweep_channels(Rc::clone(&traffic)));
         actix_rt::spawn(group::stay_in_group(Rc::clone(&traffic)));
         actix_rt::spawn(runner::place_items(Rc::clone(&traffic)));
@@ -151,18 +150,23 @@
 
 async fn serve(traffic: Rc<TrafficState>, mut request: Request) -> Response<BoxBody> {
     let arrived = traffic.node.now();
-    let flight = traffic.node.enter_flight();
-    let call = read_head(request.head());
+    let in_flight = traffic.node.track_in_flight();
+    let metadata = parse_request_head(request.head());
     let path = request.uri().path_and_query().map_or_else(String::new, ToString::to_string);
-    let result = match read_body(&traffic, &call, &mut request).await {
+    let result = match read_body(&traffic, &metadata, &mut request).await {
         Ok(body) => {
-            let caller =
-                CallerRequest { request: &request, call: &call, path: &path, body, arrived };
-            dispatch(&traffic, &caller, flight).await
+            let caller = CallerRequest {
+                request: &request,
+                metadata: &metadata,
+                path: &path,
+                body,
+                arrived,
+            };
+            dispatch(&traffic, &caller, in_flight).await
         }
         Err(refusal) => Err(refusal),
     };
-    let id = call.id.as_deref().unwrap_or_default();
+    let id = metadata.id.as_deref().unwrap_or_default();
     let took_ms = traffic.node.now().since(arrived).as_millis();
     let mut response = match result {
         Ok(response) => {
@@ -176,28 +180,28 @@
             log_event!(
                 RequestRefused,
                 request = id,
-                host = call.host,
+                host = metadata.host,
                 path,
                 code = refusal.code.as_str(),
                 ran = refusal.execution.as_str(),
                 reason = refusal.message,
-                config = traffic.node.book.load().as_ref().map(|book| book.version()),
+                config = traffic.node.config.load().as_ref().map(|config| config.version()),
                 took_ms,
             );
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
     };
-    answer::close_when_draining(&traffic.node, &mut response);
+    response::close_when_draining(&traffic.node, &mut response);
     response
 }
 
 async fn read_body(
     traffic: &TrafficState,
-    call: &CallHead,
+    metadata: &RequestMetadata,
     request: &mut Request,
 ) -> Result<Bytes, Refusal> {
-    let book = traffic.node.book.load();
-    let most = book.as_ref().map_or(usize::MAX, |book| book.limits().body_bytes);
+    let config = traffic.node.config.load();
+    let most = config.as_ref().map_or(usize::MAX, |config| config.limits().max_body_bytes);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     let reading = async {
@@ -216,7 +220,7 @@
         }
         Ok(())
     };
-    let timeout = call.deadline.unwrap_or(BODY_TIMEOUT);
+    let timeout = metadata.deadline.unwrap_or(BODY_TIMEOUT);
     match tokio::time::timeout(to_duration(timeout), reading).await {
         Ok(result) => result.map(|()| body.freeze()),
         Err(_) => {
@@ -229,41 +233,43 @@
 async fn dispatch(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    flight: FlightGuard,
+    in_flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let Some(book) = traffic.node.book.load_full() else {
+    let Some(config) = traffic.node.config.load_full() else {
         let message = "this node has no configuration yet";
         return Err(Refusal::not_run(RefusalCode::Isolated, message).with_retry_after(START_PAUSE));
     };
-    let target = read_target(&caller.request.head().method, caller.path);
+    let target = parse_request_target(&caller.request.head().method, caller.path);
     let submission = match target {
-        CallTarget::Route => return route_call(traffic, caller, &book, flight).await,
-        CallTarget::Results { submission, .. }
-        | CallTarget::ItemBody { submission, .. }
-        | CallTarget::End { submission } => submission,
+        RequestTarget::Route => return route_call(traffic, caller, &config, in_flight).await,
+        RequestTarget::Results { submission, .. }
+        | RequestTarget::ItemBody { submission, .. }
+        | RequestTarget::EndSubmission { submission } => submission,
     };
-    let Some(customer) = customer(&book, caller)? else {
+    let Some(customer) = customer(&config, caller)? else {
         return Err(key_refused());
     };
     let inquiry = Inquiry { submission, customer };
     match target {
-        CallTarget::Results { after, .. } => {
-            let wait = caller.call.wait.unwrap_or(Span::ZERO).min(Span::from_secs(1));
+        RequestTarget::Results { after, .. } => {
+            let wait = caller.metadata.max_wait.unwrap_or(Span::ZERO).min(Span::from_secs(1));
             submit::results(traffic, &inquiry, after, wait).await
         }
-        CallTarget::ItemBody { item, .. } => submit::item_body(traffic, &inquiry, item).await,
-        CallTarget::End { .. } | CallTarget::Route => submit::end(traffic, &inquiry).await,
+        RequestTarget::ItemBody { item, .. } => submit::item_body(traffic, &inquiry, item).await,
+        RequestTarget::EndSubmission { .. } | RequestTarget::Route => {
+            submit::end(traffic, &inquiry).await
+        }
     }
 }
 
 fn customer<'b>(
-    book: &'b RouteBook,
+    config: &'b ConfigIndex,
     caller: &CallerRequest<'_>,
 ) -> Result<Option<&'b str>, Refusal> {
-    if !book.needs_keys() {
+    if !config.needs_keys() {
         return Ok(None);
     }
-    let found = caller.call.key.and_then(|key| book.customer(key));
+    let found = caller.metadata.key.and_then(|key| config.customer(key));
     found.map(|customer| Some(customer.name.as_str())).ok_or_else(key_refused)
 }
 
@@ -274,41 +280,41 @@
 async fn route_call(
     traffic: &Rc<TrafficState>,
     caller: &CallerRequest<'_>,
-    book: &RouteBook,
-    flight: FlightGuard,
+    config: &ConfigIndex,
+    in_flight: InFlightGuard,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let (call, path) = (caller.call, caller.path);
-    let Some(route) = book.route(&call.host, path) else {
-        let message = format!("no route of host \"{}\" leads to \"{path}\"", call.host);
+    let (metadata, path) = (caller.metadata, caller.path);
+    let Some(route) = config.route(&metadata.host, path) else {
+        let message = format!("no route of host \"{}\" leads to \"{path}\"", metadata.host);
         return Err(Refusal::not_run(RefusalCode::RouteUnknown, message));
     };
-    let customer = if route.open { None } else { customer(book, caller)? };
-    let id = call.id.as_deref().unwrap_or_default();
-    let timeout = call.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    let customer = if route.public { None } else { customer(config, caller)? };
+    let id = metadata.id.as_deref().unwrap_or_default();
+    let timeout = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
     let deadline = caller.arrived + timeout;
     if route.kind == RequestKind::Submission {
         let Some(customer) = customer else { return Err(key_refused()) };
         // The route's time-out holds for its items; the sender's own deadline bounds the append.
-        let deadline = caller.arrived + call.deadline.unwrap_or(BODY_TIMEOUT);
-        let host = call.host.as_str();
+        let deadline = caller.arrived + metadata.deadline.unwrap_or(BODY_TIMEOUT);
+        let host = metadata.host.as_str();
         let arrival = Arrival { id, customer, host, path, body: &caller.body, deadline };
         return submit::accept(traffic, &arrival).await;
     }
     let job = plain_job(caller, route, customer, id, deadline)?;
     if route.kind == RequestKind::Stream {
-        return relay::relay(traffic, &job, flight).await;
+        return relay::relay(traffic, &job, in_flight).await;
     }
-    run_plain(traffic, &job).await.map(answer::relayed)
+    run_plain(traffic, &job).await.map(response::relayed)
 }
 
 fn plain_job<'a>(
     caller: &'a CallerRequest<'_>,
-    route: &'a RouteRule,
+    route: &'a RouteSpec,
     customer: Option<&'a str>,
     id: &'a str,
     deadline: Moment,
 ) -> Result<PlainJob<'a>, Refusal> {
-    let Some(service) = route.target(rand::random()) else {
+    let Some(service) = route.pick_service(rand::random()) else {
         let message = format!("route \"{}\" leads to no service", route.name);
         return Err(Refusal::not_run(RefusalCode::NoUpstream, message));
     };
@@ -317,15 +323,15 @@
         id,
         method: head.method.clone(),
         path: caller.path,
-        host: &caller.call.host,
+        host: &caller.metadata.host,
         headers: &head.headers,
         body: caller.body.clone(),
         customer,
         service,
         deadline,
-        objective: route.objective,
-        attempts: route.attempts as usize,
-        repeatable: route.repeatable(),
+        latency_objective: route.latency_objective,
+        max_attempts: route.max_attempts as usize,
+        retryable: route.is_retryable(),
     })
 }
 
--- a/crates/hibiscushinged/src/gateway/store.rs
+++ b/crates/hibiscushinged/src/gateway/store.rs
@@ -5,7 +5,7 @@
 use base::Span;
 use bytes::Bytes;
 use clients::{CallError, HttpClient};
-use platform::{AppendAnswer, GroupShare, KeyedPage, ReadAnswer, StoreClient};
+use platform::{AppendResponse, GroupAssignment, KeyedPage, ReadResponse, StoreClient};
 
 use crate::gateway::node::NodeState;
 
@@ -36,10 +36,10 @@
         part: u32,
         at: Option<u64>,
         records: &[Bytes],
-    ) -> Result<AppendAnswer, CallError> {
+    ) -> Result<AppendResponse, CallError> {
         let client = self.client();
         let result = client.append(topic, part, at, records, CALL_TIMEOUT).await;
-        if let Ok(AppendAnswer::Refused(status)) = &result {
+        if let Ok(AppendResponse::Refused(status)) = &result {
             self.node.store_failed("append", &format!("status {status}"));
             return result;
         }
@@ -52,20 +52,20 @@
         part: u32,
         from: u64,
         wait: Span,
-    ) -> Result<ReadAnswer, CallError> {
+    ) -> Result<ReadResponse, CallError> {
         let client = self.client();
         let result = client.read(topic, part, from, wait, wait + CALL_TIMEOUT).await;
         self.note("read", result)
     }
 
-    pub(crate) async fn newest(
+    pub(crate) async fn read_latest(
         &self,
         topic: &str,
         part: u32,
         after: Option<&str>,
     ) -> Result<KeyedPage, CallError> {
         let client = self.client();
-        let result = client.newest(topic, part, after, CALL_TIMEOUT).await;
+        let result = client.read_latest(topic, part, after, CALL_TIMEOUT).await;
         self.note("newest", result)
     }
 
@@ -76,7 +76,7 @@
         topics: &[String],
         life: Span,
         generation: u64,
-    ) -> Result<GroupShare, CallError> {
+    ) -> Result<GroupAssignment, CallError> {
         let client = self.client();
         let result = client.join(group, member, topics, life, generation, CALL_TIMEOUT).await;
         self.note("join", result)
@@ -113,5 +113,8 @@
 }
 
 fn connect(node: &NodeState) -> StoreClient {
-    StoreClient::new(HttpClient::resetting(CONNECT_TIMEOUT, IDLE_TIME), node.settings.store.address)
+    StoreClient::new(
+        HttpClient::with_reset_on_close(CONNECT_TIMEOUT, IDLE_TIME),
+        node.settings.store.address,
+    )
 }
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -7,19 +7,19 @@
 use bytes::Bytes;
 use platform::{SubmissionBody, decode_submission, encode_results};
 use submissions::{
-    BookRecord, SubmissionHead, SubmissionItem, check_owner, check_submission, ending_records,
-    opening_records,
+    SubmissionItem, SubmissionMetadata, SubmissionRecord, check_owner, check_submission,
+    ending_records, opening_records,
 };
 
 use crate::{
     clock::{to_duration, wall_now},
     gateway::{
-        commit::{CommitFault, commit},
-        mirror::PartitionMirror,
+        commit::{CommitError, commit},
+        partition_follower::PartitionFollower,
         traffic_state::TrafficState,
     },
     telemetry::log_event,
-    traffic::answer::with_body,
+    traffic::response::with_body,
 };
 
 /// Time for which an append is tried. Senders come back to another node after a refusal.
@@ -64,31 +64,31 @@
     arrival: &Arrival<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
     let body = decode_submission(arrival.body).map_err(|error| invalid(&error))?;
-    check_submission(arrival.id, &body.items).map_err(|fault| invalid(&fault))?;
-    let mirror = traffic.partitions.of_customer(arrival.customer);
-    mirror.follow(&traffic.store);
+    check_submission(arrival.id, &body.items).map_err(|error| invalid(&error))?;
+    let follower = traffic.partitions.of_customer(arrival.customer);
+    follower.follow(&traffic.store);
     let records = records(traffic, arrival, body);
     let left = arrival.deadline.since(traffic.node.now());
     let patience = COMMIT_PATIENCE.min(left);
     let items: usize = records.iter().map(items_of).sum();
     let mut known = true;
     let submissions = [arrival.id];
-    let stored = commit(traffic, mirror, patience, &submissions, |book| {
-        let opening = opening_records(book, arrival.id, &records);
+    let stored = commit(traffic, follower, patience, &submissions, |table| {
+        let opening = opening_records(table, arrival.id, &records);
         known = opening.is_none();
         opening
     });
     match stored.await {
         Ok(()) => {
-            if let Some(state) = mirror.book().get(arrival.id) {
-                check_owner(state, arrival.customer).map_err(|fault| invalid(&fault))?;
+            if let Some(state) = follower.table().get(arrival.id) {
+                check_owner(state, arrival.customer).map_err(|error| invalid(&error))?;
             }
             let (submission, customer) = (arrival.id, arrival.customer);
-            let part = mirror.name.part;
+            let part = follower.name.part;
             log_event!(SubmissionAccepted, submission, customer, part, items, repeated = known);
-            Ok(super::answer::status(StatusCode::ACCEPTED))
+            Ok(super::response::status(StatusCode::ACCEPTED))
         }
-        Err(fault) => Err(unsettled(fault)),
+        Err(error) => Err(unsettled(error)),
     }
 }
 
@@ -96,11 +96,11 @@
     Refusal::not_run(RefusalCode::RequestInvalid, error.to_string())
 }
 
-fn unsettled(fault: CommitFault) -> Refusal {
+fn unsettled(error: CommitError) -> Refusal {
     let code = RefusalCode::LogUnavailable;
-    match fault {
-        CommitFault::NotStored => Refusal::not_run(code, "the store does not take the records"),
-        CommitFault::Unknown => {
+    match error {
+        CommitError::NotStored => Refusal::not_run(code, "the store does not take the records"),
+        CommitError::Unknown => {
             // The status must not promise that the submission will not run.
             Refusal::may_have_run(RefusalCode::UpstreamFailed, "the store has not answered")
         }
@@ -108,23 +108,27 @@
     .with_retry_after(STORE_PAUSE)
 }
 
-fn items_of(record: &BookRecord) -> usize {
-    if let BookRecord::Items { items, .. } = record { items.len() } else { 0 }
+fn items_of(record: &SubmissionRecord) -> usize {
+    if let SubmissionRecord::Items { items, .. } = record { items.len() } else { 0 }
 }
 
-fn records(traffic: &TrafficState, arrival: &Arrival<'_>, body: SubmissionBody) -> Vec<BookRecord> {
+fn records(
+    traffic: &TrafficState,
+    arrival: &Arrival<'_>,
+    body: SubmissionBody,
+) -> Vec<SubmissionRecord> {
     let most = (f64::from(traffic.node.settings.store.record_bytes) * CHUNK_SHARE) as usize;
-    let mut records = vec![BookRecord::Opened(SubmissionHead {
+    let mut records = vec![SubmissionRecord::Opened(SubmissionMetadata {
         id: String::from(arrival.id),
         customer: String::from(arrival.customer),
         host: String::from(arrival.host),
         path: String::from(arrival.path),
         model: body.model,
         step: body.step,
-        least_version: body.least_version,
+        min_version: body.min_version,
         target_groups: body.target_groups,
         accepted_at: wall_now(),
-        items: body.items.len() as u32,
+        item_count: body.items.len() as u32,
     })];
     let mut chunk: Vec<SubmissionItem> = Vec::new();
     let (mut first, mut size) = (0, 0);
@@ -133,7 +137,11 @@
         if size + length > most && !chunk.is_empty() {
             let items = std::mem::take(&mut chunk);
             let count = items.len() as u32;
-            records.push(BookRecord::Items { submission: String::from(arrival.id), first, items });
+            records.push(SubmissionRecord::Items {
+                submission: String::from(arrival.id),
+                first,
+                items,
+            });
             first += count;
             size = 0;
         }
@@ -141,8 +149,8 @@
         chunk.push(item);
     }
     let submission = String::from(arrival.id);
-    records.push(BookRecord::Items { submission, first, items: chunk });
-    records.push(BookRecord::Marked { submission: String::from(arrival.id) });
+    records.push(SubmissionRecord::Items { submission, first, items: chunk });
+    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from(arrival.id) });
     records
 }
 
@@ -163,20 +171,20 @@
     after: u32,
     wait: Span,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    let mut changes = mirror.subscribe();
-    require(traffic, mirror, inquiry).await?;
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    let mut changes = follower.subscribe();
+    require(traffic, follower, inquiry).await?;
     let until = traffic.node.now() + wait;
     loop {
-        let listed = listed(mirror, inquiry);
+        let listed = result_count(follower, inquiry);
         if listed < after {
             // Another node has listed more than this copy holds.
-            catch_up(traffic, mirror, inquiry).await?;
+            catch_up(traffic, follower, inquiry).await?;
         }
         let left = until.since(traffic.node.now());
-        if listed > after || is_complete(mirror, inquiry) || left == Span::ZERO {
-            refresh(traffic, mirror, inquiry).await?;
-            return Ok(results_answer(mirror, inquiry, after));
+        if listed > after || is_complete(follower, inquiry) || left == Span::ZERO {
+            refresh(traffic, follower, inquiry).await?;
+            return Ok(results_answer(follower, inquiry, after));
         }
         changes.borrow_and_update();
         // A time-out ends the wait as the check above says.
@@ -184,24 +192,24 @@
     }
 }
 
-fn listed(mirror: &PartitionMirror, inquiry: &Inquiry<'_>) -> u32 {
-    mirror.book().get(inquiry.submission).map_or(0, submissions::SubmissionState::listed)
+fn result_count(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
+    follower.table().get(inquiry.submission).map_or(0, submissions::SubmissionState::result_count)
 }
 
-fn is_complete(mirror: &PartitionMirror, inquiry: &Inquiry<'_>) -> bool {
-    mirror.book().get(inquiry.submission).is_none_or(|state| !state.is_open())
+fn is_complete(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
+    follower.table().get(inquiry.submission).is_none_or(|state| !state.is_open())
 }
 
 fn results_answer(
-    mirror: &PartitionMirror,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
     after: u32,
 ) -> Response<BoxBody> {
-    let book = mirror.book();
-    let Some(state) = book.get(inquiry.submission) else {
-        return super::answer::status(StatusCode::NOT_FOUND);
+    let table = follower.table();
+    let Some(state) = table.get(inquiry.submission) else {
+        return super::response::status(StatusCode::NOT_FOUND);
     };
-    let total = state.head().items;
+    let total = state.metadata().item_count;
     let results = state.results(after).map(std::convert::AsRef::as_ref);
     with_body(StatusCode::OK, "application/json", encode_results(total, after, results))
 }
@@ -216,11 +224,11 @@
     inquiry: &Inquiry<'_>,
     item: &str,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, mirror, inquiry).await?;
-    let book = mirror.book();
-    let found = book.get(inquiry.submission).and_then(|state| state.item(item));
-    let Some(item) = found else { return Ok(super::answer::status(StatusCode::NOT_FOUND)) };
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    require(traffic, follower, inquiry).await?;
+    let table = follower.table();
+    let found = table.get(inquiry.submission).and_then(|state| state.item(item));
+    let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
 }
 
@@ -233,29 +241,29 @@
     traffic: &Rc<TrafficState>,
     inquiry: &Inquiry<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let mirror = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, mirror, inquiry).await?;
+    let follower = traffic.partitions.of_customer(inquiry.customer);
+    require(traffic, follower, inquiry).await?;
     let submission = inquiry.submission;
     let submissions = [submission];
-    let stored = commit(traffic, mirror, COMMIT_PATIENCE, &submissions, |book| {
-        ending_records(book, submission)
+    let stored = commit(traffic, follower, COMMIT_PATIENCE, &submissions, |table| {
+        ending_records(table, submission)
     });
     stored.await.map_err(unsettled)?;
     log_event!(SubmissionEnded, submission, customer = inquiry.customer);
-    Ok(super::answer::status(StatusCode::OK))
+    Ok(super::response::status(StatusCode::OK))
 }
 
 /// Makes sure that the submission is known, belongs to the customer, and is fresh.
 async fn require(
     traffic: &Rc<TrafficState>,
-    mirror: &Rc<PartitionMirror>,
+    follower: &Rc<PartitionFollower>,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
-    mirror.follow(&traffic.store);
-    refresh(traffic, mirror, inquiry).await?;
-    let book = mirror.book();
-    let state = book.get(inquiry.submission);
-    if state.is_some_and(|state| state.head().customer == inquiry.customer) {
+    follower.follow(&traffic.store);
+    refresh(traffic, follower, inquiry).await?;
+    let table = follower.table();
+    let state = table.get(inquiry.submission);
+    if state.is_some_and(|state| state.metadata().customer == inquiry.customer) {
         return Ok(());
     }
     let message = format!("submission \"{}\" does not exist", inquiry.submission);
@@ -265,29 +273,29 @@
 /// Reads what is new when the copy may be older than other nodes' answers.
 async fn refresh(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionMirror,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     let settle = traffic.node.settings.promises.settle.0 as f64;
     let fresh = Span((settle * FRESH_SHARE) as u64);
-    let age = mirror.copy().age(traffic.node.now());
-    if mirror.copy().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
+    let age = follower.cache().staleness(traffic.node.now());
+    if follower.cache().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
         return Ok(());
     }
-    catch_up(traffic, mirror, inquiry).await
+    catch_up(traffic, follower, inquiry).await
 }
 
 async fn catch_up(
     traffic: &Rc<TrafficState>,
-    mirror: &PartitionMirror,
+    follower: &PartitionFollower,
     inquiry: &Inquiry<'_>,
 ) -> Result<(), Refusal> {
     /// Time for which a read is tried before the caller is sent to another node. A small node takes
     /// half a second for a large submission.
     const PATIENCE: Duration = Duration::from_millis(1_200);
     let work = async {
-        mirror.catch_up(&traffic.store).await?;
-        mirror.load(&traffic.store, inquiry.submission).await
+        follower.catch_up(&traffic.store).await?;
+        follower.load(&traffic.store, inquiry.submission).await
     };
     if matches!(tokio::time::timeout(PATIENCE, work).await, Ok(Ok(()))) {
         return Ok(());
--- a/crates/hibiscushinged/src/gateway/duties.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -7,11 +7,11 @@
 };
 
 use base::{Incarnation, Span, WallTime};
-use platform::{AppendAnswer, DutyClient, UsageReport, keyed_record};
+use platform::{AppendResponse, UsageClient, UsageReport, encode_keyed_record};
 use protocol::{
     UsageKey, decode_usage_record, encode_usage_report, usage_report_key, usage_totals_key,
 };
-use usage::{CustomerCounts, WindowBoard, WindowNumber, window_end, window_of};
+use usage::{CustomerCounts, WindowAggregator, WindowNumber, window_end, window_of};
 
 use crate::{
     clock::wall_now,
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct UsageState {
     next: Option<u64>,
-    board: WindowBoard,
+    aggregator: WindowAggregator,
     reports: BTreeMap<WindowNumber, CustomerCounts>,
     confirmed: BTreeSet<WindowNumber>,
 }
@@ -85,14 +85,14 @@
     let oldest = WindowNumber(newest.0.saturating_sub(KEPT_WINDOWS));
     state.confirmed = state.confirmed.split_off(&oldest);
     state.reports = state.reports.split_off(&oldest);
-    let old = state.board.forget_before(oldest);
+    let old = state.aggregator.forget_before(oldest);
     for windows in old.chunks(DELETED_AT_ONCE) {
         let mut records = Vec::new();
         for (window, processes) in windows {
             let keys =
                 processes.iter().map(|process| usage_totals_key(*window, Incarnation(*process)));
-            records.extend(keys.map(|key| keyed_record(&key, None)));
-            records.push(keyed_record(&usage_report_key(*window), None));
+            records.extend(keys.map(|key| encode_keyed_record(&key, None)));
+            records.push(encode_keyed_record(&usage_report_key(*window), None));
         }
         // What is not deleted now is found again by the next holder, which reads all keys.
         if let Err(error) = control.store.append(USAGE_TOPIC, 0, None, &records).await {
@@ -126,14 +126,14 @@
     if !read(control, name, state).await || state.reports.contains_key(&window) {
         return;
     }
-    if !state.board.is_closed(window) && !is_overdue(control, window) {
+    if !state.aggregator.is_closed(window) && !is_overdue(control, window) {
         return;
     }
-    let counts = state.board.figures(window);
+    let counts = state.aggregator.totals(window);
     let (key, value) = encode_usage_report(window, &counts);
-    let record = keyed_record(&key, Some(&value));
+    let record = encode_keyed_record(&key, Some(&value));
     let stored = control.store.append(USAGE_TOPIC, 0, state.next, &[record]).await;
-    if let Ok(AppendAnswer::Appended { offset, end }) = stored {
+    if let Ok(AppendResponse::Appended { offset, end }) = stored {
         let requests: u64 = counts.values().sum();
         log_event!(UsageWindowClosed, window = window.0, offset, requests);
         state.next = Some(end);
@@ -164,7 +164,7 @@
         let Some(value) = change.value else { return };
         match decode_usage_record(&change.key, &value) {
             Ok((UsageKey::Totals { window, writer, phase }, counts)) => {
-                self.board.take(window, writer.0, counts, phase);
+                self.aggregator.insert(window, writer.0, counts, phase);
             }
             Ok((UsageKey::Report { window }, counts)) => {
                 self.reports.entry(window).or_insert(counts);
@@ -182,13 +182,13 @@
     address: std::net::SocketAddr,
     report: &UsageReport,
 ) -> bool {
-    let Some(mark) = control.lease.mark(&control.node) else { return false };
-    let client = DutyClient::new(holder_client(control, IDLE_TIME), address);
-    match client.report_usage(&mark, report, ORDER_TIMEOUT).await {
+    let Some(identity) = control.lease.identity(&control.node) else { return false };
+    let client = UsageClient::new(holder_client(control, IDLE_TIME), address);
+    match client.report_usage(&identity, report, ORDER_TIMEOUT).await {
         Ok(()) => {
             control.node.metrics.usage_reports.inc();
             let requests: u64 = report.counts.values().sum();
-            let fencing = mark.fencing.0;
+            let fencing = identity.fencing.0;
             log_event!(UsageWindowReported, window = report.window, requests, fencing);
             true
         }
--- a/crates/hibiscushinged/src/gateway/loads.rs
+++ b/crates/hibiscushinged/src/gateway/weight_loads.rs
@@ -8,8 +8,10 @@
 };
 
 use base::{Moment, Span, WeightVersion};
-use dispatch::{EngineLoad, EntryState, LoadOrder, LoadPlan, UpstreamEntry, plan_loads};
-use platform::{EngineSurface, LoadRequest, OrderAnswer};
+use dispatch::{
+    EngineWeights, EntryState, UpstreamEntry, WeightLoad, WeightLoadLimits, plan_weight_loads,
+};
+use platform::{EngineControlClient, WeightLoadRequest, WeightLoadResponse};
 
 use crate::{
     gateway::{control_state::ControlState, holder::ORDER_TIMEOUT, lease::holder_client},
@@ -35,9 +37,9 @@
 const IDLE_TIME: Span = Span::from_secs(8);
 
 /// Loads in progress as this node knows them.
-struct LoadDesk {
+struct WeightLoader {
     /// Checks the lease as the last step before an order is written.
-    surface: EngineSurface,
+    engines: EngineControlClient,
     loading: RefCell<HashMap<String, (String, WeightVersion, Moment)>>,
     /// Versions that reports have shown, which may be newer than the entries.
     shown: RefCell<HashMap<String, Vec<(String, WeightVersion)>>>,
@@ -45,46 +47,46 @@
 }
 
 /// Orders loads for as long as the process lives, while it holds the lease.
-pub(crate) async fn order_loads(control: Rc<ControlState>) {
-    let desk = Rc::new(LoadDesk::new(&control));
+pub(crate) async fn order_weight_loads(control: Rc<ControlState>) {
+    let loader = Rc::new(WeightLoader::new(&control));
     loop {
         tokio::time::sleep(PLAN_PERIOD).await;
         if control.lease.permit(&control.node).is_none() {
-            desk.loading.borrow_mut().clear();
+            loader.loading.borrow_mut().clear();
             continue;
         }
-        for order in plan(&control, &desk) {
+        for order in plan(&control, &loader) {
             let now = control.node.now();
             let load = (order.model.clone(), order.version, now);
-            desk.loading.borrow_mut().insert(order.engine.clone(), load);
-            let (control, desk) = (Rc::clone(&control), Rc::clone(&desk));
-            actix_rt::spawn(async move { carry_out(&control, &desk, &order).await });
+            loader.loading.borrow_mut().insert(order.engine.clone(), load);
+            let (control, loader) = (Rc::clone(&control), Rc::clone(&loader));
+            actix_rt::spawn(async move { carry_out(&control, &loader, &order).await });
         }
     }
 }
 
-fn plan(control: &ControlState, desk: &LoadDesk) -> Vec<LoadOrder> {
+fn plan(control: &ControlState, loader: &WeightLoader) -> Vec<WeightLoad> {
     let now = control.node.now();
-    let Some(book) = control.node.book.load_full() else { return Vec::new() };
+    let Some(config) = control.node.config.load_full() else { return Vec::new() };
     let entries = control.entries.borrow();
     let versions = control.versions.borrow();
     let mut orders = Vec::new();
-    for service in book.services() {
+    for service in config.services() {
         let Some(engine) = &service.engine else { continue };
-        let named = named_versions(&versions, &engine.models);
+        let newest_versions = newest_versions(&versions, &engine.models);
         let members = entries
             .values()
             .filter(|entry| entry.service == service.name && entry.state == EntryState::Ready);
-        let engines: Vec<EngineLoad> = members.map(|entry| desk.engine(entry)).collect();
-        let plan = LoadPlan::of(engines.len(), engine.models.len());
-        orders.extend(plan_loads(now, &engines, &named, plan));
+        let engines: Vec<EngineWeights> = members.map(|entry| loader.engine(entry)).collect();
+        let limits = WeightLoadLimits::for_service(engines.len(), engine.models.len());
+        orders.extend(plan_weight_loads(now, &engines, &newest_versions, limits));
     }
-    let paused = desk.paused.borrow();
+    let paused = loader.paused.borrow();
     orders.retain(|order| paused.get(&order.engine).is_none_or(|until| now >= *until));
     orders
 }
 
-fn named_versions(
+fn newest_versions(
     versions: &BTreeMap<String, WeightVersion>,
     models: &[String],
 ) -> Vec<(String, WeightVersion)> {
@@ -92,18 +94,18 @@
     named.collect()
 }
 
-impl LoadDesk {
+impl WeightLoader {
     fn new(control: &Rc<ControlState>) -> Self {
         let http = holder_client(control, IDLE_TIME);
         Self {
-            surface: EngineSurface::new(http),
+            engines: EngineControlClient::new(http),
             loading: RefCell::default(),
             shown: RefCell::default(),
             paused: RefCell::default(),
         }
     }
 
-    fn engine(&self, entry: &UpstreamEntry) -> EngineLoad {
+    fn engine(&self, entry: &UpstreamEntry) -> EngineWeights {
         let mut versions = entry.versions.clone();
         if let Some(shown) = self.shown.borrow().get(&entry.id) {
             for (model, version) in &mut versions {
@@ -112,7 +114,7 @@
             }
         }
         let loading = self.loading.borrow().get(&entry.id).cloned();
-        EngineLoad { id: entry.id.clone(), versions, loading }
+        EngineWeights { id: entry.id.clone(), versions, loading }
     }
 
     fn end(&self, engine: &str, pause_until: Option<Moment>) {
@@ -123,13 +125,13 @@
     }
 }
 
-async fn carry_out(control: &Rc<ControlState>, desk: &LoadDesk, order: &LoadOrder) {
+async fn carry_out(control: &Rc<ControlState>, loader: &WeightLoader, order: &WeightLoad) {
     let entry = control.entries.borrow().get(&order.engine).cloned();
     let Some(entry) = entry else {
-        desk.end(&order.engine, None);
+        loader.end(&order.engine, None);
         return;
     };
-    let done = load(control, desk, order, &entry).await;
+    let done = load(control, loader, order, &entry).await;
     let (engine, model, version) = (&order.engine, &order.model, order.version.0);
     let pause = match done {
         Ok(()) => None,
@@ -138,35 +140,35 @@
             Some(control.node.now() + FAILURE_PAUSE)
         }
     };
-    desk.end(engine, pause);
+    loader.end(engine, pause);
 }
 
 async fn load(
     control: &Rc<ControlState>,
-    desk: &LoadDesk,
-    order: &LoadOrder,
+    loader: &WeightLoader,
+    order: &WeightLoad,
     entry: &UpstreamEntry,
 ) -> Result<(), String> {
-    let surface = &desk.surface;
-    let report = surface.report(entry.address, ORDER_TIMEOUT).await;
+    let client = &loader.engines;
+    let report = client.report(entry.address, ORDER_TIMEOUT).await;
     let report = report.map_err(|error| error.to_string())?;
     if report.busy {
         return Err(String::from("another order is in progress"));
     }
-    desk.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+    loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
     if holds(&report.versions, order) {
         return Ok(());
     }
-    let Some(mark) = control.lease.mark(&control.node) else {
+    let Some(identity) = control.lease.identity(&control.node) else {
         return Err(String::from("the lease has ended"));
     };
-    let request = LoadRequest {
+    let request = WeightLoadRequest {
         engine: order.engine.clone(),
         model: order.model.clone(),
         version: order.version,
         accepted_orders: report.accepted_orders,
-        holder: mark.holder,
-        fencing: mark.fencing,
+        holder: identity.holder,
+        fencing: identity.fencing,
     };
     log_event!(
         WeightLoadOrdered,
@@ -174,20 +176,20 @@
         model = order.model,
         version = order.version.0,
         accepted_orders = report.accepted_orders,
-        fencing = mark.fencing.0,
+        fencing = identity.fencing.0,
     );
     control.node.metrics.loads_ordered.inc();
-    match surface.load(entry.address, &request, ORDER_TIMEOUT).await {
-        Ok(OrderAnswer::Accepted | OrderAnswer::Holds) => {}
-        Ok(answer) => return Err(format!("the engine answers {answer:?}")),
+    match client.load_weights(entry.address, &request, ORDER_TIMEOUT).await {
+        Ok(WeightLoadResponse::Accepted | WeightLoadResponse::Holds) => {}
+        Ok(response) => return Err(format!("the engine answers {response:?}")),
         // The order may have been accepted, which the reports show.
         Err(error) if error.may_have_run() => {}
         Err(error) => return Err(error.to_string()),
     }
     for asked in 0..MOST_REPORTS {
         tokio::time::sleep(if asked == 0 { FIRST_REPORT } else { REPORT_PERIOD }).await;
-        let Ok(report) = surface.report(entry.address, ORDER_TIMEOUT).await else { continue };
-        desk.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+        let Ok(report) = client.report(entry.address, ORDER_TIMEOUT).await else { continue };
+        loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
         if holds(&report.versions, order) {
             return Ok(());
         }
@@ -198,6 +200,6 @@
     Err(String::from("the version did not appear in time"))
 }
 
-fn holds(versions: &[(String, WeightVersion)], order: &LoadOrder) -> bool {
+fn holds(versions: &[(String, WeightVersion)], order: &WeightLoad) -> bool {
     versions.iter().any(|(model, version)| *model == order.model && *version >= order.version)
 }
--- a/crates/hibiscushinged/src/lib.rs
+++ b/crates/hibiscushinged/src/lib.rs
@@ -6,10 +6,10 @@
 mod accept;
 mod clock;
 mod control;
-mod desk;
+mod control_message;
 mod gateway;
-mod input;
 mod metrics;
+mod scheduler;
 mod shared;
 mod telemetry;
 mod trace;
@@ -28,8 +28,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::{
-    clock::ProcessClock, desk::TrafficDesk, input::ControlInput, metrics::DaemonMetrics,
-    shared::SharedState, telemetry::log_event,
+    clock::ProcessClock, control_message::ControlMessage, metrics::DaemonMetrics,
+    scheduler::TrafficScheduler, shared::SharedState, telemetry::log_event,
 };
 
 pub use crate::{
@@ -40,7 +40,7 @@
 /// A running daemon.
 pub struct Daemon {
     addresses: DaemonAddresses,
-    control: mpsc::Sender<ControlInput>,
+    control: mpsc::Sender<ControlMessage>,
     server: actix_server::ServerHandle,
     thread: Option<JoinHandle<()>>,
     stop: Option<oneshot::Sender<()>>,
@@ -74,8 +74,8 @@
         let addresses = DaemonAddresses { listen, peer, admin };
         let incarnation = Incarnation(settings.seed.unwrap_or_else(rand::random));
         let clock = ProcessClock::start();
-        let desk = TrafficDesk::new(incarnation, &settings);
-        let (control, input) = mpsc::channel(settings.bounds.channel_messages as usize);
+        let scheduler = TrafficScheduler::new(incarnation, &settings);
+        let (control, messages) = mpsc::channel(settings.bounds.channel_messages as usize);
         let vm_name = settings.vm_name.clone();
         let metrics = DaemonMetrics::start(settings.metrics, &vm_name)?;
         let shared = Arc::new(SharedState::new(
@@ -83,7 +83,7 @@
             incarnation,
             clock,
             control.clone(),
-            desk,
+            scheduler,
             metrics,
         ));
         let server = traffic::start(Arc::clone(&shared), listener)?;
@@ -92,7 +92,7 @@
             std::thread::Builder::new().name(String::from("control")).spawn(move || {
                 actix_rt::System::new().block_on(async move {
                     tokio::select! {
-                        () = control::run(shared, input, peer_listener, admin_listener) => {}
+                        () = control::run(shared, messages, peer_listener, admin_listener) => {}
                         _ = stopped => {}
                     }
                 });
@@ -110,7 +110,7 @@
     /// Finishes all requests, hands over usage and leases, and stops.
     pub async fn drain(mut self) {
         let (reply, done) = oneshot::channel();
-        if self.control.send(ControlInput::Drain(reply)).await.is_ok() {
+        if self.control.send(ControlMessage::Drain(reply)).await.is_ok() {
             let _ = done.await;
         }
         self.server.stop(true).await;
