--- a/crates/hibiscushinged/src/desk.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -9,20 +9,22 @@
 use std::collections::HashMap;
 
 use admission::{
-    FairQueue, LimitAnswer, LimitShare, QueueAction, QueueActions, QueueEvent, QueueItem,
-    QueueSettings, RetryBudget, ServiceRate, ShareSettings, TicketNumber, WorkClass,
+    FairQueue, LimitDecision, LimiterSettings, QueueAction, QueueActions, QueueEvent,
+    QueueSettings, QueuedRequest, RateLimiter, RequestClass, RetryBudget, ServiceCapacity,
+    TicketNumber,
 };
 use base::{CustomerKey, Incarnation, Moment, Refusal, Span, UpstreamKey, WallTime, ZoneKey};
 use delivery::{
-    Fingerprint, IsolationAsk, Judgement, RequestId, SuspectAction, SuspectActions, SuspectEvent,
-    SuspectPolicy, SuspectTable,
+    Fingerprint, FingerprintStatus, IsolationRequest, RequestId, SuspectAction, SuspectActions,
+    SuspectEvent, SuspectPolicy, SuspectTable,
 };
 use document::DaemonSettings;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use routing::{
-    LoadSample, PickChoice, PickPolicy as _, PickRequest, PickerSettings, RouteMembers,
-    RoutePicker, StartedWork, TableSettings, UpstreamInfo, UpstreamState, UpstreamTable, WorkEnd,
+    InFlightRequest, LoadMeasurement, PickPolicy as _, PickRequest, PickResult, PickerSettings,
+    RequestOutcome, RouteUpstreams, TableSettings, UpstreamPicker, UpstreamProperties,
+    UpstreamState, UpstreamTable,
 };
 use tokio::sync::oneshot;
 
@@ -42,24 +44,24 @@
 pub(crate) type IsolationReply = oneshot::Sender<Result<UpstreamKey, Refusal>>;
 
 /// Traffic decisions of one node.
-pub(crate) struct TrafficDesk {
+pub(crate) struct TrafficScheduler {
     table: UpstreamTable,
     own_zone: ZoneKey,
-    services: HashMap<String, ServiceDesk>,
+    services: HashMap<String, ServiceQueue>,
     service_of: HashMap<UpstreamKey, String>,
-    limits: LimitShare,
+    limiter: RateLimiter,
     budget: RetryBudget,
     suspects: SuspectTable,
     isolated: HashMap<RequestId, IsolationReply>,
-    picker: RoutePicker,
+    picker: UpstreamPicker,
     rng: ChaCha8Rng,
     last_ticket: u64,
     live_nodes: u32,
     max_waiting: usize,
 }
 
-struct ServiceDesk {
-    members: RouteMembers,
+struct ServiceQueue {
+    candidates: RouteUpstreams,
     upstreams: Vec<UpstreamKey>,
     queue: FairQueue,
     started: u64,
@@ -68,26 +70,26 @@
 
 /// A request that asks for admission.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct AdmissionAsk {
+pub(crate) struct AdmissionRequest {
     pub(crate) customer: CustomerKey,
-    pub(crate) class: WorkClass,
+    pub(crate) class: RequestClass,
     pub(crate) tokens: u32,
     /// Least charge against the customer's limit, which also bounds its requests per second.
-    pub(crate) least_charge: u32,
+    pub(crate) min_charge: u32,
     pub(crate) deadline: Moment,
 }
 
 /// Place of an admitted or waiting request.
 #[derive(Debug, Clone)]
-pub(crate) struct AdmissionPlace {
+pub(crate) struct AdmissionTicket {
     pub(crate) service: String,
-    pub(crate) ticket: TicketNumber,
+    pub(crate) number: TicketNumber,
     pub(crate) customer: CustomerKey,
     pub(crate) tokens: u32,
-    pub(crate) least_charge: u32,
+    pub(crate) min_charge: u32,
 }
 
-impl TrafficDesk {
+impl TrafficScheduler {
     pub(crate) fn new(incarnation: Incarnation, settings: &DaemonSettings) -> Self {
         // A share is renewed twice before it ends.
         let ask_period = Span(settings.timeouts.limit_grant.0 / 3);
@@ -97,14 +99,14 @@
             own_zone: ZoneKey(0),
             services: HashMap::new(),
             service_of: HashMap::new(),
-            limits: LimitShare::new(
+            limiter: RateLimiter::new(
                 incarnation,
-                ShareSettings { ask_period, ..ShareSettings::default() },
+                LimiterSettings { request_interval: ask_period, ..LimiterSettings::default() },
             ),
             budget: RetryBudget::new(),
             suspects: SuspectTable::new(incarnation, SuspectPolicy::default()),
             isolated: HashMap::new(),
-            picker: RoutePicker::new(PickerSettings::default()),
+            picker: UpstreamPicker::new(PickerSettings::default()),
             rng: ChaCha8Rng::seed_from_u64(incarnation.0),
             last_ticket: 0,
             live_nodes: 1,
@@ -113,16 +115,16 @@
     }
 
     /// Sets the own zone and the one-way times to all zones, which must precede any upstream.
-    pub(crate) fn set_zones(&mut self, own_zone: ZoneKey, distances: Vec<Span>) {
+    pub(crate) fn set_zones(&mut self, own_zone: ZoneKey, zone_latencies: Vec<Span>) {
         self.own_zone = own_zone;
         if self.table.is_empty() {
-            self.table = UpstreamTable::new(TableSettings::default(), distances);
+            self.table = UpstreamTable::new(TableSettings::default(), zone_latencies);
         }
     }
 
     pub(crate) fn set_live_nodes(&mut self, nodes: usize) {
         self.live_nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
-        self.table.set_nodes(self.live_nodes);
+        self.table.set_node_count(self.live_nodes);
     }
 
     pub(crate) fn set_weight(&mut self, now: Moment, customer: CustomerKey, weight: u32) {
@@ -137,21 +139,22 @@
     pub(crate) fn add_upstream(
         &mut self,
         service: &str,
-        info: UpstreamInfo,
+        info: UpstreamProperties,
         speed: Option<u32>,
     ) -> UpstreamKey {
         let key = match speed {
-            Some(speed) => self.table.add_expecting(info, speed),
+            Some(speed) => self.table.add_with_speed(info, speed),
             None => self.table.add(info),
         };
         self.service_of.insert(key, String::from(service));
         let seed = self.rng.random();
-        let desk = self
+        let service_queue = self
             .services
             .entry(String::from(service))
-            .or_insert_with(|| ServiceDesk::new(&self.table, self.own_zone, seed));
-        desk.upstreams.push(key);
-        desk.members = RouteMembers::new(&self.table, self.own_zone, desk.upstreams.clone());
+            .or_insert_with(|| ServiceQueue::new(&self.table, self.own_zone, seed));
+        service_queue.upstreams.push(key);
+        service_queue.candidates =
+            RouteUpstreams::new(&self.table, self.own_zone, service_queue.upstreams.clone());
         key
     }
 
@@ -164,76 +167,81 @@
     }
 
     /// Takes in a load report and returns what it means for waiting suspects.
-    pub(crate) fn report(
+    pub(crate) fn apply_load_report(
         &mut self,
         now: Moment,
         wall: WallTime,
         upstream: UpstreamKey,
-        load: LoadSample,
+        load: LoadMeasurement,
     ) -> Vec<SuspectAction> {
-        self.table.report(now, upstream, load);
+        self.table.record_load(now, upstream, load);
         let (requests, measured_at) = (load.running + load.queued, load.measured_at);
-        let event = SuspectEvent::LoadSeen { upstream, requests, measured_at };
-        self.suspect(now, wall, event)
+        let event = SuspectEvent::LoadReported { upstream, requests, measured_at };
+        self.handle_suspect_event(now, wall, event)
     }
 
     /// Checks the customer's limit and queues the request.
-    pub(crate) fn offer(
+    pub(crate) fn enqueue(
         &mut self,
         now: Moment,
         service: &str,
-        ask: AdmissionAsk,
+        request: AdmissionRequest,
         reply: QueueReply,
-    ) -> Option<AdmissionPlace> {
+    ) -> Option<AdmissionTicket> {
         self.last_ticket += 1;
         let ticket = TicketNumber(self.last_ticket);
-        let Some(desk) = self.services.get_mut(service) else {
+        let Some(service_queue) = self.services.get_mut(service) else {
             let message = format!("service \"{service}\" has no upstream");
             let refusal = Refusal::not_run(base::RefusalCode::NoUpstream, message);
             let _ = reply.send(Err(refusal.with_retry_after(Span::from_secs(1))));
             return None;
         };
-        if desk.waiting.len() >= self.max_waiting {
+        if service_queue.waiting.len() >= self.max_waiting {
             let message = "the queue of this node is full";
             let refusal = Refusal::not_run(base::RefusalCode::Overloaded, message);
             let retry_after = Span::from_millis(self.rng.random_range(500..1_500));
             let _ = reply.send(Err(refusal.with_retry_after(retry_after)));
             return None;
         }
-        desk.waiting.insert(ticket, reply);
-        let AdmissionAsk { customer, class, tokens, least_charge, deadline } = ask;
-        let item = QueueItem { ticket, customer, class, tokens, deadline };
-        let actions = desk.queue.handle(now, QueueEvent::Offered(item));
-        desk.apply(actions);
+        service_queue.waiting.insert(ticket, reply);
+        let AdmissionRequest { customer, class, tokens, min_charge, deadline } = request;
+        let request = QueuedRequest { ticket, customer, class, tokens, deadline };
+        let actions = service_queue.queue.handle(now, QueueEvent::Offered(request));
+        service_queue.apply(actions);
         let service = String::from(service);
-        Some(AdmissionPlace { service, ticket, customer, tokens, least_charge })
+        Some(AdmissionTicket { service, number: ticket, customer, tokens, min_charge })
     }
 
     /// Takes the request's tokens from the customer's limit. Open routes have none.
-    pub(crate) fn admit(&mut self, now: Moment, ask: &AdmissionAsk) -> LimitAnswer {
-        if ask.customer == OPEN_CALLERS {
-            return LimitAnswer::Admitted;
+    pub(crate) fn charge_limit(
+        &mut self,
+        now: Moment,
+        request: &AdmissionRequest,
+    ) -> LimitDecision {
+        if request.customer == OPEN_CALLERS {
+            return LimitDecision::Admitted;
         }
-        self.limits.admit(now, ask.customer, ask.tokens.max(ask.least_charge))
+        self.limiter.admit(now, request.customer, request.tokens.max(request.min_charge))
     }
 
-    pub(crate) const fn limits(&mut self) -> &mut LimitShare {
-        &mut self.limits
+    pub(crate) const fn limiter(&mut self) -> &mut RateLimiter {
+        &mut self.limiter
     }
 
     /// Ends a request that was admitted or waits. `tokens` is its true cost, 0 when it did not run.
-    pub(crate) fn done(&mut self, now: Moment, place: &AdmissionPlace, tokens: u32) {
-        if place.customer != OPEN_CALLERS {
-            let charged = place.tokens.max(place.least_charge);
-            let due = tokens.max(place.least_charge);
+    pub(crate) fn release(&mut self, now: Moment, ticket: &AdmissionTicket, tokens: u32) {
+        if ticket.customer != OPEN_CALLERS {
+            let charged = ticket.tokens.max(ticket.min_charge);
+            let due = tokens.max(ticket.min_charge);
             let difference = i64::from(due) - i64::from(charged);
-            self.limits.correct(place.customer, difference);
+            self.limiter.reconcile(ticket.customer, difference);
         }
-        let Some(desk) = self.services.get_mut(&place.service) else { return };
-        desk.waiting.remove(&place.ticket);
-        let mut actions = desk.queue.handle(now, QueueEvent::CallerGone(place.ticket));
-        actions.extend(desk.queue.handle(now, QueueEvent::Done { ticket: place.ticket, tokens }));
-        desk.apply(actions);
+        let Some(service) = self.services.get_mut(&ticket.service) else { return };
+        service.waiting.remove(&ticket.number);
+        let mut actions = service.queue.handle(now, QueueEvent::CallerDisconnected(ticket.number));
+        actions
+            .extend(service.queue.handle(now, QueueEvent::Done { ticket: ticket.number, tokens }));
+        service.apply(actions);
     }
 
     pub(crate) fn pick(
@@ -241,9 +249,9 @@
         now: Moment,
         service: &str,
         request: &PickRequest<'_>,
-    ) -> Option<PickChoice> {
-        let desk = self.services.get(service)?;
-        self.picker.pick(now, &self.table, &desk.members, request, &mut self.rng)
+    ) -> Option<PickResult> {
+        let service_queue = self.services.get(service)?;
+        self.picker.pick(now, &self.table, &service_queue.candidates, request, &mut self.rng)
     }
 
     /// Counts a request as running on an upstream.
@@ -254,20 +262,20 @@
         upstream: UpstreamKey,
         tokens: u32,
         fingerprint: Option<Fingerprint>,
-    ) -> StartedWork {
+    ) -> InFlightRequest {
         if let Some(fingerprint) = fingerprint {
             self.suspects.handle(now, wall, SuspectEvent::Started { upstream, fingerprint });
         }
         let service = self.service_of.get(&upstream);
-        if let Some(desk) = service.and_then(|service| self.services.get_mut(service)) {
-            desk.started += 1;
+        if let Some(service_queue) = service.and_then(|service| self.services.get_mut(service)) {
+            service_queue.started += 1;
         }
         self.table.start(now, upstream, tokens)
     }
 
     /// Requests that this node has started on the upstreams of a service.
     pub(crate) fn started_requests(&self, service: &str) -> u64 {
-        self.services.get(service).map_or(0, |desk| desk.started)
+        self.services.get(service).map_or(0, |service_queue| service_queue.started)
     }
 
     /// Requests of this node that run on an upstream.
@@ -275,19 +283,28 @@
         self.table.own_requests(upstream)
     }
 
-    pub(crate) fn finish(&mut self, now: Moment, work: StartedWork, end: WorkEnd) {
-        if matches!(end, WorkEnd::Completed { .. }) {
-            self.budget.succeeded();
+    pub(crate) fn finish(
+        &mut self,
+        now: Moment,
+        request: InFlightRequest,
+        outcome: RequestOutcome,
+    ) {
+        if matches!(outcome, RequestOutcome::Completed { .. }) {
+            self.budget.record_success();
         }
-        self.table.finish(now, work, end);
+        self.table.finish(now, request, outcome);
     }
 
     pub(crate) const fn take_retry(&mut self) -> bool {
-        self.budget.take()
+        self.budget.try_withdraw()
     }
 
-    pub(crate) fn judge(&self, wall: WallTime, fingerprint: Fingerprint) -> Judgement {
-        self.suspects.judge(wall, fingerprint)
+    pub(crate) fn fingerprint_status(
+        &self,
+        wall: WallTime,
+        fingerprint: Fingerprint,
+    ) -> FingerprintStatus {
+        self.suspects.fingerprint_status(wall, fingerprint)
     }
 
     pub(crate) const fn suspects(&self) -> &SuspectTable {
@@ -295,7 +312,7 @@
     }
 
     /// Applies an event that concerns suspects. Returns the actions for the control thread.
-    pub(crate) fn suspect(
+    pub(crate) fn handle_suspect_event(
         &mut self,
         now: Moment,
         wall: WallTime,
@@ -306,31 +323,31 @@
     }
 
     /// Asks for an isolated run of a suspect.
-    pub(crate) fn isolate(
+    pub(crate) fn request_isolation(
         &mut self,
         now: Moment,
         wall: WallTime,
         service: &str,
-        mut ask: IsolationAsk,
+        mut request: IsolationRequest,
         reply: IsolationReply,
     ) -> Vec<SuspectAction> {
-        self.isolated.insert(ask.request, reply);
-        ask.upstreams = self.calm_upstreams(service).into_iter().collect();
-        self.suspect(now, wall, SuspectEvent::Asked(ask))
+        self.isolated.insert(request.request, reply);
+        request.upstreams = self.calm_upstreams(service).into_iter().collect();
+        self.handle_suspect_event(now, wall, SuspectEvent::Requested(request))
     }
 
     /// Performs what is due by time.
     pub(crate) fn tick(&mut self, now: Moment, wall: WallTime) -> Vec<SuspectAction> {
-        self.table.refresh();
+        self.table.refresh_max_speed();
         for service in self.services.values_mut() {
-            let rate = service.rate(&self.table, self.live_nodes);
+            let capacity = service.capacity(&self.table, self.live_nodes);
             let mut actions = service.queue.handle(now, QueueEvent::Tick);
-            if let Some(rate) = rate {
-                actions.extend(service.queue.handle(now, QueueEvent::RateChanged(rate)));
+            if let Some(capacity) = capacity {
+                actions.extend(service.queue.handle(now, QueueEvent::CapacityChanged(capacity)));
             }
             service.apply(actions);
         }
-        self.suspect(now, wall, SuspectEvent::Tick)
+        self.handle_suspect_event(now, wall, SuspectEvent::Tick)
     }
 
     pub(crate) fn queued_tokens(&self) -> u64 {
@@ -339,9 +356,10 @@
 
     /// Live upstreams of a service, those with least work first.
     fn calm_upstreams(&self, service: &str) -> Vec<UpstreamKey> {
-        let Some(desk) = self.services.get(service) else { return Vec::new() };
+        let Some(service_queue) = self.services.get(service) else { return Vec::new() };
         let is_up = |key: &UpstreamKey| self.table.state(*key) == Some(UpstreamState::Up);
-        let mut upstreams = desk.upstreams.iter().copied().filter(is_up).collect::<Vec<_>>();
+        let mut upstreams =
+            service_queue.upstreams.iter().copied().filter(is_up).collect::<Vec<_>>();
         upstreams.sort_by_key(|key| self.table.backlog(*key));
         upstreams
     }
@@ -375,15 +393,16 @@
     }
 }
 
-impl ServiceDesk {
+impl ServiceQueue {
     fn new(table: &UpstreamTable, own_zone: ZoneKey, seed: u64) -> Self {
-        let rate = ServiceRate { tokens_per_second: 1_000, max_in_service: MIN_IN_SERVICE };
+        let capacity =
+            ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: MIN_IN_SERVICE };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
-            members: RouteMembers::new(table, own_zone, []),
+            candidates: RouteUpstreams::new(table, own_zone, []),
             upstreams: Vec::new(),
             started: 0,
-            queue: FairQueue::new(QueueSettings::default(), rate, rng),
+            queue: FairQueue::new(QueueSettings::default(), capacity, rng),
             waiting: HashMap::new(),
         }
     }
@@ -391,7 +410,7 @@
     /// Returns what this node can expect: its equal part of the service, or what the other nodes
     /// leave unused when that is more. `None` while no upstream can be chosen: the choice then
     /// refuses for the true reason, where a rate of zero would claim an overload.
-    fn rate(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceRate> {
+    fn capacity(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceCapacity> {
         let mut total = 0.0;
         let mut others = 0.0;
         for key in &self.upstreams {
@@ -400,7 +419,7 @@
                 continue;
             }
             total += table.speed(*key).unwrap_or(0.0);
-            others += table.others(*key).unwrap_or(0.0);
+            others += table.other_nodes_backlog(*key).unwrap_or(0.0);
         }
         if total <= 0.0 {
             return None;
@@ -409,8 +428,9 @@
         let unused = (1.0 - others / (total * horizon).max(1.0)).max(0.0);
         let share = unused.max(1.0 / live_nodes as f32);
         let tokens_per_second = (total * share).max(1.0) as u32;
-        let max_in_service = ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
-        Some(ServiceRate { tokens_per_second, max_in_service })
+        let max_in_service_tokens =
+            ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
+        Some(ServiceCapacity { tokens_per_second, max_in_service_tokens })
     }
 
     fn apply(&mut self, actions: QueueActions) {
@@ -419,7 +439,7 @@
                 QueueAction::Dispatch(ticket) => (ticket, Ok(())),
                 QueueAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
-            // A caller that has gone is taken out of the queue by `TrafficDesk::done`.
+            // A caller that has gone is taken out of the queue by `TrafficScheduler::release`.
             if let Some(reply) = self.waiting.remove(&ticket) {
                 let _ = reply.send(answer);
             }
--- a/crates/hibiscushinged/src/shared.rs
+++ b/crates/hibiscushinged/src/shared.rs
@@ -12,8 +12,8 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    clock::ProcessClock, desk::TrafficDesk, input::ControlInput, metrics::DaemonMetrics,
-    view::RoutingView,
+    clock::ProcessClock, control_message::ControlMessage, metrics::DaemonMetrics,
+    scheduler::TrafficScheduler, view::RoutingView,
 };
 
 /// Shared state of one daemon.
@@ -22,16 +22,16 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
     pub(crate) view: ArcSwap<RoutingView>,
-    pub(crate) control: mpsc::Sender<ControlInput>,
+    pub(crate) control: mpsc::Sender<ControlMessage>,
     pub(crate) metrics: DaemonMetrics,
-    desk: Mutex<TrafficDesk>,
-    life: Arc<ServiceLife>,
+    scheduler: Mutex<TrafficScheduler>,
+    lifecycle: Arc<NodeLifecycle>,
     last_request: AtomicU64,
 }
 
 /// Stage of the daemon's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ServicePhase {
+pub(crate) enum NodePhase {
     /// No configuration is in force yet.
     Starting,
     Serving,
@@ -41,14 +41,14 @@
 
 /// Phase of a process and the requests that it is working on.
 #[derive(Debug, Default)]
-pub(crate) struct ServiceLife {
+pub(crate) struct NodeLifecycle {
     phase: AtomicU8,
     in_flight: AtomicUsize,
 }
 
 /// Counts a request as running until dropped.
-pub(crate) struct FlightGuard {
-    life: Arc<ServiceLife>,
+pub(crate) struct InFlightGuard {
+    lifecycle: Arc<NodeLifecycle>,
 }
 
 impl SharedState {
@@ -56,8 +56,8 @@
         settings: DaemonSettings,
         incarnation: Incarnation,
         clock: ProcessClock,
-        control: mpsc::Sender<ControlInput>,
-        desk: TrafficDesk,
+        control: mpsc::Sender<ControlMessage>,
+        scheduler: TrafficScheduler,
         metrics: DaemonMetrics,
     ) -> Self {
         Self {
@@ -67,54 +67,54 @@
             view: ArcSwap::from_pointee(RoutingView::default()),
             control,
             metrics,
-            desk: Mutex::new(desk),
-            life: Arc::default(),
+            scheduler: Mutex::new(scheduler),
+            lifecycle: Arc::default(),
             last_request: AtomicU64::new(0),
         }
     }
 
     /// Locks the traffic state. The lock is held for one decision, never across an await.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, TrafficDesk> {
-        self.desk.lock().expect("no decision panics while it holds the lock")
+    pub(crate) fn scheduler(&self) -> MutexGuard<'_, TrafficScheduler> {
+        self.scheduler.lock().expect("no decision panics while it holds the lock")
     }
 
-    pub(crate) fn phase(&self) -> ServicePhase {
-        self.life.phase()
+    pub(crate) fn phase(&self) -> NodePhase {
+        self.lifecycle.phase()
     }
 
-    pub(crate) fn enter(&self, phase: ServicePhase) {
-        self.life.enter(phase);
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
+        self.lifecycle.advance_to(phase);
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.life.in_flight()
+        self.lifecycle.in_flight()
     }
 
-    pub(crate) fn enter_flight(&self) -> FlightGuard {
-        FlightGuard::enter(&self.life)
+    pub(crate) fn track_in_flight(&self) -> InFlightGuard {
+        InFlightGuard::new(&self.lifecycle)
     }
 
-    pub(crate) fn next_request(&self) -> RequestId {
+    pub(crate) fn next_request_id(&self) -> RequestId {
         let sequence = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         RequestId { node: self.incarnation, sequence }
     }
 }
 
-impl ServiceLife {
-    pub(crate) fn phase(&self) -> ServicePhase {
+impl NodeLifecycle {
+    pub(crate) fn phase(&self) -> NodePhase {
         match self.phase.load(Ordering::Acquire) {
-            0 => ServicePhase::Starting,
-            1 => ServicePhase::Serving,
-            _ => ServicePhase::Draining,
+            0 => NodePhase::Starting,
+            1 => NodePhase::Serving,
+            _ => NodePhase::Draining,
         }
     }
 
     /// Moves on to `phase`. A process never goes back to an earlier phase.
-    pub(crate) fn enter(&self, phase: ServicePhase) {
+    pub(crate) fn advance_to(&self, phase: NodePhase) {
         let code = match phase {
-            ServicePhase::Starting => 0,
-            ServicePhase::Serving => 1,
-            ServicePhase::Draining => 2,
+            NodePhase::Starting => 0,
+            NodePhase::Serving => 1,
+            NodePhase::Draining => 2,
         };
         self.phase.fetch_max(code, Ordering::AcqRel);
     }
@@ -124,20 +124,20 @@
     }
 }
 
-impl FlightGuard {
-    pub(crate) fn enter(life: &Arc<ServiceLife>) -> Self {
+impl InFlightGuard {
+    pub(crate) fn new(life: &Arc<NodeLifecycle>) -> Self {
         life.in_flight.fetch_add(1, Ordering::AcqRel);
-        Self { life: Arc::clone(life) }
+        Self { lifecycle: Arc::clone(life) }
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.life.in_flight.fetch_sub(1, Ordering::AcqRel);
+        self.lifecycle.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Writes a request id as it appears on the wire and in logs.
-pub(crate) fn request_text(id: RequestId) -> String {
+pub(crate) fn format_request_id(id: RequestId) -> String {
     format!("{:016x}-{:x}", id.node.0, id.sequence)
 }
--- a/crates/hibiscushinged/src/trace.rs
+++ b/crates/hibiscushinged/src/trace.rs
@@ -10,7 +10,7 @@
 
 /// One numbered event of a request, sample or order.
 #[derive(Debug, Clone)]
-pub(crate) struct DecisionLine {
+pub(crate) struct DecisionEvent {
     pub(crate) subject: String,
     pub(crate) code: EventCode,
     pub(crate) detail: String,
@@ -20,30 +20,30 @@
 #[derive(Debug, Default)]
 pub(crate) struct DecisionTrace {
     order: VecDeque<String>,
-    lines: HashMap<String, Vec<(EventCode, String)>>,
+    events: HashMap<String, Vec<(EventCode, String)>>,
 }
 
 impl DecisionTrace {
-    pub(crate) fn record(&mut self, line: DecisionLine) {
-        let DecisionLine { subject, code, detail } = line;
-        if !self.lines.contains_key(&subject) {
+    pub(crate) fn record(&mut self, event: DecisionEvent) {
+        let DecisionEvent { subject, code, detail } = event;
+        if !self.events.contains_key(&subject) {
             self.order.push_back(subject.clone());
         }
-        self.lines.entry(subject).or_default().push((code, detail));
+        self.events.entry(subject).or_default().push((code, detail));
         if self.order.len() <= KEPT_SUBJECTS {
             return;
         }
         if let Some(oldest) = self.order.pop_front() {
-            self.lines.remove(&oldest);
+            self.events.remove(&oldest);
         }
     }
 
     /// Returns the events of a request, sample or order.
     pub(crate) fn explain(&self, subject: &str) -> Value {
-        let Some(lines) = self.lines.get(subject) else {
+        let Some(recorded) = self.events.get(subject) else {
             return json!({ "id": subject, "found": false, "events": [] });
         };
-        let events = lines.iter().map(|(code, detail)| {
+        let events = recorded.iter().map(|(code, detail)| {
             json!({ "event": code.number(), "name": code.name(), "detail": detail })
         });
         json!({ "id": subject, "found": true, "events": events.collect::<Vec<_>>() })
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -5,27 +5,27 @@
 use base::{Execution, Moment, Refusal, RefusalCode, Span, UpstreamKey};
 use bytes::Bytes;
 use delivery::{
-    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, IsolationAsk, Judgement, RequestId,
-    SuspectEvent,
+    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, FingerprintStatus, IsolationRequest,
+    RequestId, SuspectEvent,
 };
 use tokio::sync::{mpsc::error::TrySendError, oneshot};
-use usage::{UsageAmount, UsageFigures};
+use usage::{UsageAmount, UsageByCustomer};
 
 use crate::{
     clock::{to_duration, wall_now},
-    desk::AdmissionPlace,
-    input::ControlInput,
-    shared::{FlightGuard, SharedState, request_text},
+    control_message::ControlMessage,
+    scheduler::AdmissionTicket,
+    shared::{InFlightGuard, SharedState, format_request_id},
     telemetry::log_event,
-    trace::DecisionLine,
+    trace::DecisionEvent,
     traffic::request::KeyOwner,
-    view::RouteTarget,
+    view::ResolvedRoute,
 };
 
 /// An admitted request.
 pub(crate) struct CallerRequest {
     pub(crate) id: RequestId,
-    pub(crate) route: RouteTarget,
+    pub(crate) route: ResolvedRoute,
     pub(crate) owner: Option<KeyOwner>,
     pub(crate) body: Bytes,
     pub(crate) arrived_at: Moment,
@@ -34,7 +34,7 @@
     pub(crate) tracker: AttemptTracker,
     /// Whether the request holds an idempotency claim that must be ended.
     pub(crate) claim: Option<ClaimKey>,
-    pub(crate) _flight: FlightGuard,
+    pub(crate) _in_flight: InFlightGuard,
     pub(crate) meter: RequestMeter,
 }
 
@@ -42,17 +42,17 @@
 /// ends.
 pub(crate) struct RequestMeter {
     pub(crate) shared: Arc<SharedState>,
-    pub(crate) place: Option<AdmissionPlace>,
+    pub(crate) ticket: Option<AdmissionTicket>,
     pub(crate) customer: Option<String>,
     pub(crate) amount: UsageAmount,
 }
 
 /// Sends a message that must not be lost, waiting in a task when the channel is full.
-pub(crate) fn tell_control(shared: &SharedState, input: ControlInput) {
-    let Err(TrySendError::Full(input)) = shared.control.try_send(input) else { return };
+pub(crate) fn tell_control(shared: &SharedState, message: ControlMessage) {
+    let Err(TrySendError::Full(message)) = shared.control.try_send(message) else { return };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
-        let _ = control.send(input).await;
+        let _ = control.send(message).await;
     });
 }
 
@@ -64,12 +64,12 @@
     let (now, wall) = (shared.clock.now(), wall_now());
     let (reply, answer) = oneshot::channel();
     let actions = {
-        let mut desk = shared.desk();
-        match desk.judge(wall, request.fingerprint) {
-            Judgement::Clear => return Ok(None),
-            Judgement::Convicted { .. } | Judgement::Suspect => {}
+        let mut scheduler = shared.scheduler();
+        match scheduler.fingerprint_status(wall, request.fingerprint) {
+            FingerprintStatus::Clear => return Ok(None),
+            FingerprintStatus::Convicted { .. } | FingerprintStatus::Suspect => {}
         }
-        let ask = IsolationAsk {
+        let isolation = IsolationRequest {
             request: request.id,
             fingerprint: request.fingerprint,
             route: request.route.key,
@@ -77,7 +77,7 @@
             execution: request.tracker.execution(),
             upstreams: smallvec::SmallVec::new(),
         };
-        desk.isolate(now, wall, &request.route.entry.service, ask, reply)
+        scheduler.request_isolation(now, wall, &request.route.entry.service, isolation, reply)
     };
     forward(shared, actions);
     let mut guard = IsolationGuard { shared, request: Some(request.id) };
@@ -103,8 +103,12 @@
 impl Drop for IsolationGuard<'_> {
     fn drop(&mut self) {
         let Some(request) = self.request else { return };
-        let event = SuspectEvent::CallerGone(request);
-        let actions = self.shared.desk().suspect(self.shared.clock.now(), wall_now(), event);
+        let event = SuspectEvent::CallerDisconnected(request);
+        let actions = self.shared.scheduler().handle_suspect_event(
+            self.shared.clock.now(),
+            wall_now(),
+            event,
+        );
         forward(self.shared, actions);
     }
 }
@@ -113,16 +117,16 @@
 pub(crate) fn forward(shared: &SharedState, actions: Vec<delivery::SuspectAction>) {
     if !actions.is_empty() {
         // A full channel delays the spread; the next heartbeat carries the same state.
-        let _ = shared.control.try_send(ControlInput::Suspicion(actions));
+        let _ = shared.control.try_send(ControlMessage::Suspicion(actions));
     }
 }
 
 impl CallerRequest {
     /// Counts the request as answered.
-    pub(crate) fn answered(&self, shared: &SharedState) {
+    pub(crate) fn count_answered(&self, shared: &SharedState) {
         let took = shared.clock.now().since(self.arrived_at);
         let tokens = self.meter.amount.generated_tokens;
-        shared.metrics.answered(&self.route.entry.service, took, tokens);
+        shared.metrics.count_answered(&self.route.entry.service, took, tokens);
     }
 
     pub(crate) fn customer(&self) -> &str {
@@ -139,7 +143,7 @@
         if self.claim.take().is_none() {
             return;
         }
-        tell_control(shared, ControlInput::ClaimEnded { request: self.id, outcome });
+        tell_control(shared, ControlMessage::ClaimEnded { request: self.id, outcome });
     }
 
     /// Returns the outcome of a claim whose request ended without a whole answer.
@@ -162,32 +166,32 @@
 impl Drop for RequestMeter {
     fn drop(&mut self) {
         let tokens = self.amount.generated_tokens + self.amount.prompt_tokens;
-        if let Some(place) = self.place.take() {
+        if let Some(ticket) = self.ticket.take() {
             let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
-            self.shared.desk().done(self.shared.clock.now(), &place, tokens);
+            self.shared.scheduler().release(self.shared.clock.now(), &ticket, tokens);
         }
         let Some(customer) = self.customer.take() else { return };
         if self.amount == UsageAmount::default() {
             return;
         }
-        let mut figures = UsageFigures::default();
-        if figures.add(&customer, self.amount).is_err() {
+        let mut usage = UsageByCustomer::default();
+        if usage.add(&customer, self.amount).is_err() {
             return;
         }
-        tell_control(&self.shared, ControlInput::Metered(figures));
+        tell_control(&self.shared, ControlMessage::UsageMetered(usage));
     }
 }
 
 pub(crate) fn log_refusal(shared: &SharedState, id: RequestId, refusal: &Refusal) {
-    shared.metrics.refused(refusal);
-    log_event!(RequestRefused, request = request_text(id), refusal = %refusal);
+    shared.metrics.count_refused(refusal);
+    log_event!(RequestRefused, request = format_request_id(id), refusal = %refusal);
     record(shared, id, base::EventCode::RequestRefused, refusal.to_string());
 }
 
 /// Keeps a decision for `explain`. A full channel drops it, since the log has the same line.
 pub(crate) fn record(shared: &SharedState, id: RequestId, code: base::EventCode, detail: String) {
-    let line = DecisionLine { subject: request_text(id), code, detail };
-    let _ = shared.control.try_send(ControlInput::Decision(line));
+    let event = DecisionEvent { subject: format_request_id(id), code, detail };
+    let _ = shared.control.try_send(ControlMessage::Decision(event));
 }
 
 /// Time left before the deadline of a request.
--- a/crates/hibiscushinged/src/traffic/caller.rs
+++ b/crates/hibiscushinged/src/traffic/caller.rs
@@ -3,12 +3,12 @@
 use std::{rc::Rc, sync::Arc};
 
 use actix_http::{Method, Request, Response, body::BoxBody};
-use admission::{LimitAnswer, WorkClass};
+use admission::{LimitDecision, RequestClass};
 use base::{Refusal, RefusalCode, Span};
 use bytes::Bytes;
 use delivery::{
-    AttemptPolicy, AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, Judgement, RequestId,
-    RequestKind,
+    AttemptTracker, ClaimKey, ClaimOutcome, Fingerprint, FingerprintStatus, RequestId,
+    RequestIdempotency, RetryPolicy,
 };
 use document::{RoutePriority, ServiceKind};
 use tokio::sync::oneshot;
@@ -16,17 +16,17 @@
 
 use crate::{
     clock::wall_now,
-    desk::{AdmissionAsk, AdmissionPlace},
-    input::{ClaimAnswer, ClaimAsk, ControlInput},
-    shared::{SharedState, request_text},
+    control_message::{ClaimDecision, ClaimRequest, ControlMessage},
+    scheduler::{AdmissionRequest, AdmissionTicket},
+    shared::{SharedState, format_request_id},
     traffic::{
         admitted::{CallerRequest, RequestMeter, log_refusal, tell_control},
-        answer, plain,
+        plain,
         request::{self, GenerateBody},
-        stream,
+        response, stream,
         worker::TrafficWorker,
     },
-    view::CALL_TOKENS,
+    view::PLAIN_CALL_TOKENS,
 };
 
 /// Bytes of a prompt that count as one token in estimates.
@@ -43,17 +43,17 @@
     path: &str,
     mut incoming: Request,
 ) -> Response<BoxBody> {
-    let id = worker.shared.next_request();
+    let id = worker.shared.next_request_id();
     let response = match accept(&worker, id, path, &mut incoming).await {
         Ok((request, RequestWork::Generate(body))) => stream::run(worker, request, body).await,
         Ok((request, RequestWork::Plain)) => plain::run(worker, request).await,
         Err(Ended::Refused(refusal)) => {
             log_refusal(&worker.shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
         Err(Ended::Replayed { status, body }) => {
             let status = actix_http::StatusCode::from_u16(status).unwrap_or_default();
-            answer::with_body(status, "application/octet-stream", Bytes::from(body))
+            response::with_body(status, "application/octet-stream", Bytes::from(body))
         }
     };
     with_id(response, id)
@@ -79,7 +79,7 @@
 ) -> Result<(CallerRequest, RequestWork), Ended> {
     let shared = &worker.shared;
     // Counted before the phase is read, so that a drain either sees the request or refuses it.
-    let flight = shared.enter_flight();
+    let in_flight = shared.track_in_flight();
     let arrived_at = shared.clock.now();
     request::check_phase(shared)?;
     let view = shared.view.load_full();
@@ -95,7 +95,7 @@
     let deadline = request::deadline(shared.clock.now(), route, incoming)?;
     let key = request::idempotency_key(incoming)?;
     let limit = shared.settings.bounds.request_bytes as usize;
-    let body = request::body(incoming, limit).await?;
+    let body = request::read_body(incoming, limit).await?;
     let (work, tokens) = match route.kind {
         ServiceKind::Model => {
             let generate = request::parse::<GenerateBody>(&body)?;
@@ -103,7 +103,7 @@
             let tokens = generate.max_tokens.saturating_add(prompt);
             (RequestWork::Generate(generate), tokens)
         }
-        ServiceKind::Plain => (RequestWork::Plain, CALL_TOKENS),
+        ServiceKind::Plain => (RequestWork::Plain, PLAIN_CALL_TOKENS),
     };
     let customer = owner.as_ref().map(|owner| owner.customer.as_str());
     let name = customer.unwrap_or("");
@@ -112,32 +112,32 @@
 
     let mut meter = RequestMeter {
         shared: Arc::clone(shared),
-        place: None,
+        ticket: None,
         customer: customer.map(String::from),
         amount: UsageAmount::default(),
     };
     let class = match route.entry.priority {
-        RoutePriority::Live => WorkClass::Live,
-        RoutePriority::Sample => WorkClass::Sample(admission::TrainerKey(u32::MAX)),
+        RoutePriority::Live => RequestClass::Live,
+        RoutePriority::Sample => RequestClass::Sample(admission::TrainerKey(u32::MAX)),
     };
-    let ask = AdmissionAsk {
+    let admission = AdmissionRequest {
         customer: view.customer_key(customer),
         class,
         tokens,
-        least_charge: view.least_charge(name),
+        min_charge: view.min_charge(name),
         deadline,
     };
-    meter.place = admit(shared, &route.entry.service, ask).await?;
+    meter.ticket = admit(shared, &route.entry.service, admission).await?;
 
-    let kind = match route.entry.idempotent {
-        true => RequestKind::Idempotent,
-        false => RequestKind::OnceOnly,
+    let idempotency = match route.entry.idempotent {
+        true => RequestIdempotency::Idempotent,
+        false => RequestIdempotency::NonIdempotent,
     };
     let mut claim = None;
-    if let Some(key) = key.filter(|_| kind == RequestKind::OnceOnly) {
+    if let Some(key) = key.filter(|_| idempotency == RequestIdempotency::NonIdempotent) {
         let wanted = ClaimKey::of(name, &key);
-        let ask = ClaimAsk { claim: wanted, fingerprint, request: id, deadline };
-        take_claim(shared, ask).await?;
+        let admission = ClaimRequest { claim: wanted, fingerprint, request: id, deadline };
+        take_claim(shared, admission).await?;
         claim = Some(wanted);
     }
     let request = CallerRequest {
@@ -148,17 +148,17 @@
         arrived_at,
         deadline,
         fingerprint,
-        tracker: AttemptTracker::new(kind, deadline, AttemptPolicy::default()),
+        tracker: AttemptTracker::new(idempotency, deadline, RetryPolicy::default()),
         claim,
-        _flight: flight,
+        _in_flight: in_flight,
         meter,
     };
     Ok((request, work))
 }
 
 fn check_conviction(shared: &SharedState, fingerprint: Fingerprint) -> Result<(), Refusal> {
-    let judgement = shared.desk().judge(wall_now(), fingerprint);
-    let Judgement::Convicted { retry_after } = judgement else { return Ok(()) };
+    let status = shared.scheduler().fingerprint_status(wall_now(), fingerprint);
+    let FingerprintStatus::Convicted { retry_after } = status else { return Ok(()) };
     let message = "this request has crashed upstreams and is blocked for a time";
     Err(Refusal::not_run(RefusalCode::Convicted, message).with_retry_after(retry_after))
 }
@@ -167,22 +167,22 @@
 async fn admit(
     shared: &Arc<SharedState>,
     service: &str,
-    ask: AdmissionAsk,
-) -> Result<Option<AdmissionPlace>, Refusal> {
+    request: AdmissionRequest,
+) -> Result<Option<AdmissionTicket>, Refusal> {
     loop {
-        let answer = shared.desk().admit(shared.clock.now(), &ask);
-        match answer {
-            LimitAnswer::Admitted => break,
-            LimitAnswer::Refused(refusal) => return Err(refusal),
-            LimitAnswer::AwaitGrant => actix_rt::time::sleep(GRANT_POLL).await,
+        let decision = shared.scheduler().charge_limit(shared.clock.now(), &request);
+        match decision {
+            LimitDecision::Admitted => break,
+            LimitDecision::Refused(refusal) => return Err(refusal),
+            LimitDecision::AwaitGrant => actix_rt::time::sleep(GRANT_POLL).await,
         }
     }
     let (reply, turn) = oneshot::channel();
-    let place = shared.desk().offer(shared.clock.now(), service, ask, reply);
+    let ticket = shared.scheduler().enqueue(shared.clock.now(), service, request, reply);
     // The guard takes the request out of the queue when its caller disconnects meanwhile.
-    let mut guard = QueueGuard { shared: Arc::clone(shared), place };
+    let mut guard = QueueGuard { shared: Arc::clone(shared), ticket };
     match turn.await {
-        Ok(Ok(())) => Ok(guard.place.take()),
+        Ok(Ok(())) => Ok(guard.ticket.take()),
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => Err(Refusal::not_run(RefusalCode::Overloaded, "the queue was closed")),
     }
@@ -192,33 +192,33 @@
 
 struct QueueGuard {
     shared: Arc<SharedState>,
-    place: Option<AdmissionPlace>,
+    ticket: Option<AdmissionTicket>,
 }
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
-        if let Some(place) = &self.place {
-            self.shared.desk().done(self.shared.clock.now(), place, 0);
+        if let Some(ticket) = &self.ticket {
+            self.shared.scheduler().release(self.shared.clock.now(), ticket, 0);
         }
     }
 }
 
-async fn take_claim(shared: &SharedState, ask: ClaimAsk) -> Result<(), Ended> {
+async fn take_claim(shared: &SharedState, request: ClaimRequest) -> Result<(), Ended> {
     let unavailable = || {
         let message = "the claim of the idempotency key cannot be settled now";
         let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
         Ended::Refused(refusal.with_retry_after(Span::from_secs(1)))
     };
-    let (reply, answer) = oneshot::channel();
-    let input = ControlInput::Claim { ask, reply };
-    let mut guard = ClaimGuard { shared, request: Some(ask.request) };
-    shared.control.send(input).await.map_err(|_| unavailable())?;
-    let answer = answer.await;
+    let (reply, decision) = oneshot::channel();
+    let claim_message = ControlMessage::Claim { request, reply };
+    let mut guard = ClaimGuard { shared, request: Some(request.request) };
+    shared.control.send(claim_message).await.map_err(|_| unavailable())?;
+    let decision = decision.await;
     guard.request = None;
-    match answer {
-        Ok(ClaimAnswer::Run) => Ok(()),
-        Ok(ClaimAnswer::Refuse(refusal)) => Err(refusal.into()),
-        Ok(ClaimAnswer::Replay { status, body }) => Err(Ended::Replayed { status, body }),
+    match decision {
+        Ok(ClaimDecision::Run) => Ok(()),
+        Ok(ClaimDecision::Refuse(refusal)) => Err(refusal.into()),
+        Ok(ClaimDecision::Replay { status, body }) => Err(Ended::Replayed { status, body }),
         Err(_) => Err(unavailable()),
     }
 }
@@ -234,15 +234,15 @@
         if let Some(request) = self.request {
             tell_control(
                 self.shared,
-                ControlInput::ClaimEnded { request, outcome: ClaimOutcome::NotRun },
+                ControlMessage::ClaimEnded { request, outcome: ClaimOutcome::NotRun },
             );
         }
     }
 }
 
 fn with_id(mut response: Response<BoxBody>, id: RequestId) -> Response<BoxBody> {
-    if let Ok(value) = actix_http::header::HeaderValue::from_str(&request_text(id)) {
-        response.headers_mut().insert(answer::REQUEST_ID, value);
+    if let Ok(value) = actix_http::header::HeaderValue::from_str(&format_request_id(id)) {
+        response.headers_mut().insert(response::REQUEST_ID, value);
     }
     response
 }
--- a/crates/hibiscushinged/src/traffic/choice.rs
+++ b/crates/hibiscushinged/src/traffic/choice.rs
@@ -9,14 +9,14 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    input::ControlInput,
-    shared::{SharedState, request_text},
+    control_message::ControlMessage,
+    shared::{SharedState, format_request_id},
     telemetry::log_event,
     traffic::{
         admitted::{CallerRequest, record},
         worker::TrafficWorker,
     },
-    view::KeyService,
+    view::KeyAcceptance,
 };
 
 /// An upstream that will get the request.
@@ -26,7 +26,7 @@
 }
 
 /// Size of the work to be placed.
-pub(crate) struct ChoiceAsk {
+pub(crate) struct WorkSize {
     pub(crate) tokens: u32,
     pub(crate) prompt_tokens: u32,
     pub(crate) prefix: Option<u64>,
@@ -36,17 +36,17 @@
 pub(crate) fn pick(
     shared: &SharedState,
     request: &CallerRequest,
-    ask: &ChoiceAsk,
+    size: &WorkSize,
 ) -> Result<ChosenUpstream, Refusal> {
     let service = &request.route.entry.service;
     let pick = PickRequest {
-        tokens: ask.tokens,
-        prompt_tokens: ask.prompt_tokens,
-        prefix: ask.prefix,
+        tokens: size.tokens,
+        prompt_tokens: size.prompt_tokens,
+        prefix: size.prefix,
         min_version: None,
         avoid: request.tracker.tried(),
     };
-    let choice = shared.desk().pick(shared.clock.now(), service, &pick);
+    let choice = shared.scheduler().pick(shared.clock.now(), service, &pick);
     let Some(choice) = choice else { return Err(no_upstream(request, service)) };
     let view = shared.view.load();
     let Some(target) = view.upstreams.get(choice.upstream) else {
@@ -54,7 +54,7 @@
     };
     log_event!(
         RoutePicked,
-        request = request_text(request.id),
+        request = format_request_id(request.id),
         customer = request.customer(),
         upstream = target.name,
         zone = target.zone_name,
@@ -86,7 +86,7 @@
     };
     log_event!(
         RoutePicked,
-        request = request_text(request.id),
+        request = format_request_id(request.id),
         upstream = target.name,
         reason = "Isolated"
     );
@@ -99,8 +99,8 @@
 pub(crate) fn key_stands(shared: &SharedState, request: &CallerRequest) -> bool {
     let Some(owner) = &request.owner else { return true };
     let view = shared.view.load();
-    view.key_service == KeyService::Accepting
-        && view.keys.check(&owner.digest, &owner.customer) == KeyCheck::Stands
+    view.key_acceptance == KeyAcceptance::Accepting
+        && view.keys.check(&owner.digest, &owner.customer) == KeyCheck::Valid
 }
 
 /// Waits until the control thread knows whether the upstream crashed.
@@ -110,8 +110,8 @@
     request: &CallerRequest,
 ) {
     let (reply, answer) = oneshot::channel();
-    let input = ControlInput::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
-    if shared.control.send(input).await.is_ok() {
+    let message = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    if shared.control.send(message).await.is_ok() {
         let _ = answer.await;
     }
 }
@@ -123,18 +123,18 @@
     request: &CallerRequest,
 ) {
     let (reply, _) = oneshot::channel();
-    let input = ControlInput::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
+    let message = ControlMessage::CrashCheck { upstream, fingerprint: request.fingerprint, reply };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
-        let _ = control.send(input).await;
+        let _ = control.send(message).await;
     });
 }
 
 /// Avoids an upstream that refused a connection until its watcher reports it again.
 pub(crate) fn suspect_down(shared: &SharedState, upstream: UpstreamKey) {
-    let mut desk = shared.desk();
-    if desk.state(upstream) == Some(UpstreamState::Up) {
-        desk.set_state(upstream, UpstreamState::Suspect);
+    let mut scheduler = shared.scheduler();
+    if scheduler.state(upstream) == Some(UpstreamState::Up) {
+        scheduler.set_state(upstream, UpstreamState::Suspect);
     }
 }
 
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -4,22 +4,22 @@
 
 use actix_http::{Response, StatusCode, body::BoxBody, header::HeaderValue};
 use base::{Refusal, RefusalCode, UpstreamKey};
-use clients::{Answer, CallError, Outgoing};
+use clients::{CallError, HttpRequest, HttpResponse};
 use delivery::{AttemptAction, AttemptEvent, ClaimOutcome, FailureCause, SuspectEvent};
-use routing::WorkEnd;
+use routing::RequestOutcome;
 use usage::UsageAmount;
 
 use crate::{
     clock::wall_now,
-    shared::request_text,
+    shared::format_request_id,
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record},
-        answer,
         choice::{self, ChosenUpstream},
+        response,
         worker::TrafficWorker,
     },
-    view::CALL_TOKENS,
+    view::PLAIN_CALL_TOKENS,
 };
 
 /// A call, also of a caller that disconnects before the answer.
@@ -38,27 +38,27 @@
             let status = found.status.as_u16();
             let outcome = ClaimOutcome::Answered { status, body: body.to_vec() };
             call.request.end_claim(&worker.shared, outcome);
-            call.request.answered(&worker.shared);
+            call.request.count_answered(&worker.shared);
             log_event!(
                 RequestCompleted,
-                request = request_text(id),
+                request = format_request_id(id),
                 customer = call.request.customer()
             );
             let detail = format!("status {status}, {} bytes", body.len());
             record(&worker.shared, id, base::EventCode::RequestCompleted, detail);
-            answer::with_body(found.status, "application/octet-stream", body)
+            response::with_body(found.status, "application/octet-stream", body)
         }
         Err(refusal) => {
             let outcome = call.request.failed_outcome();
             call.request.end_claim(&worker.shared, outcome);
             admitted::log_refusal(&worker.shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
     }
 }
 
 impl PlainCall {
-    async fn attempts(&mut self) -> Result<Answer, Refusal> {
+    async fn attempts(&mut self) -> Result<HttpResponse, Refusal> {
         let worker = Rc::clone(&self.worker);
         let shared = &worker.shared;
         loop {
@@ -67,14 +67,15 @@
             self.handle(AttemptEvent::Chosen(upstream));
             let fingerprint = Some(self.request.fingerprint);
             let (now, wall) = (shared.clock.now(), wall_now());
-            let work = shared.desk().start(now, wall, upstream, CALL_TOKENS, fingerprint);
+            let in_flight =
+                shared.scheduler().start(now, wall, upstream, PLAIN_CALL_TOKENS, fingerprint);
             self.running = Some(upstream);
             let result = self.exchange(&chosen).await;
-            let end = match &result {
-                Ok(_) => WorkEnd::Completed { tokens: CALL_TOKENS },
-                Err(_) => WorkEnd::Failed,
+            let outcome = match &result {
+                Ok(_) => RequestOutcome::Completed { tokens: PLAIN_CALL_TOKENS },
+                Err(_) => RequestOutcome::Failed,
             };
-            shared.desk().finish(shared.clock.now(), work, end);
+            shared.scheduler().finish(shared.clock.now(), in_flight, outcome);
             match result {
                 Ok(found) => {
                     self.settle(upstream);
@@ -93,19 +94,19 @@
         if let Some(upstream) = admitted::isolation(shared, &self.request).await? {
             return choice::isolated(shared, &self.request, upstream);
         }
-        let ask = choice::ChoiceAsk { tokens: CALL_TOKENS, prompt_tokens: 0, prefix: None };
-        choice::pick(shared, &self.request, &ask)
+        let size = choice::WorkSize { tokens: PLAIN_CALL_TOKENS, prompt_tokens: 0, prefix: None };
+        choice::pick(shared, &self.request, &size)
     }
 
-    async fn exchange(&self, chosen: &ChosenUpstream) -> Result<Answer, CallError> {
+    async fn exchange(&self, chosen: &ChosenUpstream) -> Result<HttpResponse, CallError> {
         let path = format!("/{}", self.request.route.entry.path);
-        let mut outgoing = Outgoing::post(chosen.address, path, self.request.body.clone());
-        if let Ok(id) = HeaderValue::from_str(&request_text(self.request.id)) {
-            outgoing = outgoing.with_header(answer::REQUEST_ID, id);
+        let mut request = HttpRequest::post(chosen.address, path, self.request.body.clone());
+        if let Ok(id) = HeaderValue::from_str(&format_request_id(self.request.id)) {
+            request = request.with_header(response::REQUEST_ID, id);
         }
         let left = self.request.deadline.since(self.worker.shared.clock.now());
         let longest = self.worker.shared.settings.bounds.answer_bytes as usize;
-        let found = self.worker.http.exchange(outgoing, left, longest).await?;
+        let found = self.worker.http.exchange(request, left, longest).await?;
         if found.status == StatusCode::SERVICE_UNAVAILABLE {
             // The service says that it cannot serve the call, but not that it did not run it.
             return Err(CallError {
@@ -149,7 +150,7 @@
         if let Some(refusal) = self.refusal_of(AttemptEvent::Failed(cause)) {
             return Err(refusal);
         }
-        if !self.worker.shared.desk().take_retry() {
+        if !self.worker.shared.scheduler().take_retry() {
             return Err(self.own_refusal(RefusalCode::UpstreamFailed, &error.message));
         }
         Ok(())
@@ -160,7 +161,8 @@
         self.running = None;
         let shared = &self.worker.shared;
         let event = SuspectEvent::Finished { upstream, fingerprint: self.request.fingerprint };
-        let actions = shared.desk().suspect(shared.clock.now(), wall_now(), event);
+        let actions =
+            shared.scheduler().handle_suspect_event(shared.clock.now(), wall_now(), event);
         admitted::forward(shared, actions);
     }
 
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -13,24 +13,24 @@
     CallError, EngineControl as _, EnginePriority, GenerateRequest, TokenEvent, TokenSource as _,
 };
 use delivery::{
-    AnswerPiece, AttemptAction, AttemptEvent, AttemptState, ClaimOutcome, EndMarker, FailureCause,
+    AnswerToken, AttemptAction, AttemptEvent, AttemptState, ClaimOutcome, EndMarker, FailureCause,
     StreamAction, StreamAssembler, StreamEvent, SuspectEvent,
 };
 use document::RoutePriority;
-use routing::WorkEnd;
+use routing::RequestOutcome;
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 use usage::UsageAmount;
 
 use crate::{
     clock::wall_now,
-    shared::request_text,
+    shared::format_request_id,
     telemetry::log_event,
     traffic::{
         admitted::{self, CallerRequest, record, time_left},
-        answer,
         choice::{self, ChosenUpstream},
         request::GenerateBody,
+        response,
         worker::TrafficWorker,
     },
 };
@@ -68,7 +68,7 @@
     Whole,
     /// The exchange failed; the error tells whether the engine may have run it.
     Broken(CallError),
-    CallerGone,
+    CallerDisconnected,
     DeadlinePassed,
     KeyWithdrawn,
 }
@@ -99,11 +99,11 @@
         Ok(Ok(())) => stream_response(line_source),
         Ok(Err(refusal)) => {
             admitted::log_refusal(shared, id, &refusal);
-            answer::refusal(&refusal)
+            response::refusal(&refusal)
         }
         Err(_) => {
             let message = "the request ended without an answer";
-            answer::refusal(&Refusal::may_have_run(RefusalCode::UpstreamFailed, message))
+            response::refusal(&Refusal::may_have_run(RefusalCode::UpstreamFailed, message))
         }
     }
 }
@@ -128,11 +128,11 @@
                 let body = self.kept.take().unwrap_or_default();
                 let outcome = ClaimOutcome::Answered { status: 200, body };
                 self.request.end_claim(&shared.shared, outcome);
-                self.request.answered(&shared.shared);
+                self.request.count_answered(&shared.shared);
                 let detail = format!("{} tokens", self.assembler.offset());
                 log_event!(
                     RequestCompleted,
-                    request = request_text(self.request.id),
+                    request = format_request_id(self.request.id),
                     customer = self.request.customer(),
                     tokens = self.assembler.offset()
                 );
@@ -157,7 +157,7 @@
             self.handle_attempt(AttemptEvent::Chosen(upstream));
             self.assembler.handle(self.now(), StreamEvent::Opened { upstream });
             let tokens = self.body.max_tokens.saturating_sub(self.offset());
-            let work = self.worker.shared.desk().start(
+            let in_flight = self.worker.shared.scheduler().start(
                 self.now(),
                 wall_now(),
                 upstream,
@@ -167,10 +167,10 @@
             let before = self.offset();
             let end = self.exchange(&chosen).await;
             let work_end = match end {
-                ExchangeEnd::Whole => WorkEnd::Completed { tokens: self.offset() - before },
-                _ => WorkEnd::Failed,
+                ExchangeEnd::Whole => RequestOutcome::Completed { tokens: self.offset() - before },
+                _ => RequestOutcome::Failed,
             };
-            self.worker.shared.desk().finish(self.now(), work, work_end);
+            self.worker.shared.scheduler().finish(self.now(), in_flight, work_end);
             self.count_usage();
             match self.after(upstream, end).await {
                 AfterExchange::Done => return None,
@@ -186,18 +186,18 @@
             return choice::isolated(shared, &self.request, upstream);
         }
         let prefix_length = self.body.prompt.len().min(PREFIX_BYTES);
-        let ask = choice::ChoiceAsk {
+        let size = choice::WorkSize {
             tokens: self.body.max_tokens.saturating_sub(self.offset()),
             prompt_tokens: (self.body.prompt.len() / 4) as u32,
             prefix: Some(choice::prefix_hash(&self.body.prompt.as_bytes()[..prefix_length])),
         };
-        choice::pick(shared, &self.request, &ask)
+        choice::pick(shared, &self.request, &size)
     }
 
     /// Runs one exchange and forwards its tokens.
     async fn exchange(&mut self, chosen: &ChosenUpstream) -> ExchangeEnd {
         let request = GenerateRequest {
-            id: request_text(self.request.id),
+            id: format_request_id(self.request.id),
             prompt: self.body.prompt.clone(),
             max_tokens: self.body.max_tokens,
             offset: self.offset(),
@@ -240,7 +240,7 @@
             match line {
                 PieceResult::Line { text, last } => {
                     if self.output.send(&mut self.kept, text).await.is_err() {
-                        return ExchangeEnd::CallerGone;
+                        return ExchangeEnd::CallerDisconnected;
                     }
                     if last {
                         return ExchangeEnd::Whole;
@@ -256,9 +256,9 @@
 
     fn piece(&mut self, index: u32, token: String, version: base::WeightVersion) -> PieceResult {
         let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
-        let piece =
-            AnswerPiece { request: self.request.id, index: u64::from(index), token, version };
-        self.apply(StreamEvent::Piece { exchange, piece })
+        let answer_token =
+            AnswerToken { request: self.request.id, index: u64::from(index), token, version };
+        self.apply(StreamEvent::Token { exchange, token: answer_token })
     }
 
     fn end(&mut self, tokens: u32, prompt_tokens: u32) -> PieceResult {
@@ -300,7 +300,7 @@
         let shared = &self.worker.shared;
         loop {
             tokio::select! {
-                () = self.output.lines.closed() => return ExchangeEnd::CallerGone,
+                () = self.output.lines.closed() => return ExchangeEnd::CallerDisconnected,
                 () = actix_rt::time::sleep(time_left(shared, self.request.deadline)) => {
                     return ExchangeEnd::DeadlinePassed;
                 }
@@ -323,7 +323,7 @@
         } else {
             let fingerprint = self.request.fingerprint;
             let event = SuspectEvent::Finished { upstream, fingerprint };
-            let actions = shared.desk().suspect(self.now(), wall_now(), event);
+            let actions = shared.scheduler().handle_suspect_event(self.now(), wall_now(), event);
             admitted::forward(shared, actions);
         }
         match end {
@@ -332,8 +332,8 @@
                 AfterExchange::Done
             }
             ExchangeEnd::Broken(error) => self.broken(upstream, &error),
-            ExchangeEnd::CallerGone => {
-                self.stop(upstream, AttemptEvent::CallerGone);
+            ExchangeEnd::CallerDisconnected => {
+                self.stop(upstream, AttemptEvent::CallerDisconnected);
                 let message = "the caller has disconnected";
                 AfterExchange::Refused(self.refusal(RefusalCode::DeadlineExceeded, message))
             }
@@ -345,8 +345,8 @@
                 )
             }
             ExchangeEnd::KeyWithdrawn => {
-                self.stop(upstream, AttemptEvent::CallerGone);
-                log_event!(StreamCutKeyWithdrawn, request = request_text(self.request.id));
+                self.stop(upstream, AttemptEvent::CallerDisconnected);
+                log_event!(StreamCutKeyWithdrawn, request = format_request_id(self.request.id));
                 let message = "the key was withdrawn while the answer was running";
                 AfterExchange::Refused(self.refusal(RefusalCode::KeyRefused, message))
             }
@@ -373,14 +373,14 @@
         for action in self.request.tracker.handle(self.now(), AttemptEvent::Failed(cause)) {
             match action {
                 AttemptAction::Refuse(refusal) => return AfterExchange::Refused(refusal),
-                AttemptAction::Retry if !shared.shared.desk().take_retry() => {
+                AttemptAction::Retry if !shared.shared.scheduler().take_retry() => {
                     let refusal = self.refusal(RefusalCode::UpstreamFailed, &error.message);
                     return AfterExchange::Refused(self.give_up(refusal));
                 }
                 AttemptAction::Retry if self.offset() > 0 => {
                     log_event!(
                         RequestResumed,
-                        request = request_text(self.request.id),
+                        request = format_request_id(self.request.id),
                         offset = self.offset()
                     );
                     let detail = format!("at token {}: {error}", self.offset());
@@ -401,7 +401,7 @@
         if matches!(self.request.tracker.state(), AttemptState::Connecting(_)) {
             self.handle_attempt(AttemptEvent::Sending);
         }
-        choice::cancel(&self.worker, upstream, request_text(self.request.id));
+        choice::cancel(&self.worker, upstream, format_request_id(self.request.id));
         let actions = self.request.tracker.handle(self.now(), event);
         actions.into_iter().find_map(|action| match action {
             AttemptAction::Refuse(refusal) => Some(refusal),
@@ -485,7 +485,7 @@
             let _ = head.send(Err(refusal.clone()));
             return;
         }
-        let line = format!("{}\n", json!({ "error": answer::error_value(refusal) }));
+        let line = format!("{}\n", json!({ "error": response::error_value(refusal) }));
         let _ = self.lines.send(Ok(Bytes::from(line))).await;
     }
 }
--- a/crates/hibiscushinged/src/traffic/trainer.rs
+++ b/crates/hibiscushinged/src/traffic/trainer.rs
@@ -9,8 +9,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    input::{ControlInput, StepRequest, TrainerAsk},
-    traffic::{answer, request, worker::TrafficWorker},
+    control_message::{ControlMessage, StepRequest, TrainerRequest},
+    traffic::{request, response, worker::TrafficWorker},
 };
 
 #[derive(Debug, Deserialize)]
@@ -29,10 +29,10 @@
     path: &str,
     mut incoming: Request,
 ) -> Response<BoxBody> {
-    let _flight = worker.shared.enter_flight();
+    let _flight = worker.shared.track_in_flight();
     match answer(&worker, path, &mut incoming).await {
-        Ok(value) => answer::json_body(StatusCode::OK, &value),
-        Err(refusal) => answer::refusal(&refusal),
+        Ok(value) => response::json(StatusCode::OK, &value),
+        Err(refusal) => response::refusal(&refusal),
     }
 }
 
@@ -47,13 +47,13 @@
         return Err(unknown(path));
     };
     let trainer = authenticate(worker, name, incoming)?;
-    let ask = match (action, incoming.method()) {
+    let request = match (action, incoming.method()) {
         ("steps", &Method::POST) => {
             let limit = shared.settings.bounds.request_bytes as usize;
-            let body = request::body(incoming, limit).await?;
-            TrainerAsk::Open(step(trainer, request::parse(&body)?)?)
+            let body = request::read_body(incoming, limit).await?;
+            TrainerRequest::OpenStep(step(trainer, request::parse(&body)?)?)
         }
-        ("samples", &Method::GET) => TrainerAsk::Fetch {
+        ("samples", &Method::GET) => TrainerRequest::FetchSamples {
             trainer: trainer.name,
             after: query(incoming, "after")?,
             version: query(incoming, "version")?,
@@ -65,8 +65,8 @@
         let refusal = Refusal::not_run(RefusalCode::Draining, "this node is stopping");
         refusal.with_retry_after(Span::from_secs(1))
     };
-    let input = ControlInput::Trainer { ask, reply };
-    shared.control.send(input).await.map_err(|_| unavailable())?;
+    let message = ControlMessage::Trainer { request, reply };
+    shared.control.send(message).await.map_err(|_| unavailable())?;
     answer.await.map_err(|_| unavailable())?
 }
 
--- a/crates/hibiscushinged/src/view.rs
+++ b/crates/hibiscushinged/src/view.rs
@@ -15,14 +15,14 @@
     pub(crate) customers: Vec<CustomerEntry>,
     pub(crate) customer_keys: HashMap<String, CustomerKey>,
     pub(crate) trainers: Vec<TrainerEntry>,
-    pub(crate) routes: HashMap<String, RouteTarget>,
+    pub(crate) routes: HashMap<String, ResolvedRoute>,
     pub(crate) upstreams: Arena<UpstreamKey, UpstreamTarget>,
-    pub(crate) key_service: KeyService,
+    pub(crate) key_acceptance: KeyAcceptance,
 }
 
 /// A route with what the traffic threads need of its service.
 #[derive(Debug, Clone)]
-pub(crate) struct RouteTarget {
+pub(crate) struct ResolvedRoute {
     pub(crate) key: RouteKey,
     pub(crate) entry: RouteEntry,
     pub(crate) kind: ServiceKind,
@@ -35,13 +35,13 @@
     pub(crate) service: String,
     pub(crate) zone_name: String,
     pub(crate) address: SocketAddr,
-    pub(crate) price: routing::UpstreamPrice,
+    pub(crate) price_class: routing::PriceClass,
     pub(crate) version: Option<WeightVersion>,
 }
 
 /// Whether keys are accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) enum KeyService {
+pub(crate) enum KeyAcceptance {
     #[default]
     Accepting,
     /// The node is isolated for longer than the document allows.
@@ -68,7 +68,7 @@
         for (index, entry) in document.routes.iter().enumerate() {
             let Some(service) = document.service(&entry.service) else { continue };
             let key = RouteKey(index as u32);
-            let target = RouteTarget { key, entry: entry.clone(), kind: service.kind };
+            let target = ResolvedRoute { key, entry: entry.clone(), kind: service.kind };
             self.routes.insert(entry.path.clone(), target);
         }
     }
@@ -82,7 +82,7 @@
     ///
     /// One bucket then enforces both limits of the document: a customer whose requests cost this
     /// much each reaches its tokens per second at exactly its requests per second.
-    pub(crate) fn least_charge(&self, customer: &str) -> u32 {
+    pub(crate) fn min_charge(&self, customer: &str) -> u32 {
         let found = self.customers.iter().find(|entry| entry.name == customer);
         found.map_or(0, |entry| entry.tokens_per_second / entry.requests_per_second.max(1))
     }
@@ -102,4 +102,4 @@
 pub(crate) const OPEN_CALLERS: CustomerKey = CustomerKey(0);
 
 /// Work of one call to a plain service, in the tokens that limits, queues and choices count.
-pub(crate) const CALL_TOKENS: u32 = 50;
+pub(crate) const PLAIN_CALL_TOKENS: u32 = 50;
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -5,7 +5,8 @@
 use base::{Moment, Span, VmKey};
 
 use crate::{
-    NoticeState, PeerAction, PeerBeat, PeerNotice, PeerState, PeerTable, VmIdentity, table::Actions,
+    LivenessMessage, PeerAction, PeerState, PeerTable, PeerUpdate, ReportedState, VmIdentity,
+    table::Actions,
 };
 
 /// Why a message is sent.
@@ -19,14 +20,14 @@
 
 /// Periodic messages that repeat a notice, so that one lost message does not hide a change until the next
 /// full repetition.
-const NOTICE_REPEATS: u8 = 3;
+const UPDATE_REPEATS: u8 = 3;
 
 impl PeerTable {
     /// Marks a VM's state for the next messages, and asks to send them at once.
     pub(crate) fn tell(&mut self, vm: VmKey) {
-        self.zone_news.insert(vm, NOTICE_REPEATS);
+        self.zone_news.insert(vm, UPDATE_REPEATS);
         if self.is_own_zone(vm) {
-            self.fleet_news.insert(vm, NOTICE_REPEATS);
+            self.fleet_news.insert(vm, UPDATE_REPEATS);
         }
         self.urgent = true;
     }
@@ -39,24 +40,29 @@
         if !self.deaf {
             self.tell(vm);
         } else if self.record(vm).state == PeerState::Gone {
-            self.fleet_news.insert(vm, NOTICE_REPEATS);
+            self.fleet_news.insert(vm, UPDATE_REPEATS);
         }
     }
 
-    pub(crate) fn notice(&self, now: Moment, vm: VmKey) -> PeerNotice {
+    pub(crate) fn update(&self, now: Moment, vm: VmKey) -> PeerUpdate {
         let record = self.record(vm);
         let age = if vm == self.own { Span::ZERO } else { now.since(record.evidence_at) };
         let (vm, refutation) = (record.vm.clone(), record.refutation);
-        PeerNotice { vm, refutation, age, state: record.state.into() }
+        PeerUpdate { vm, refutation, age, state: record.state.into() }
     }
 
-    pub(crate) fn next_message(&mut self, now: Moment, notices: Vec<PeerNotice>) -> PeerBeat {
+    pub(crate) fn next_message(
+        &mut self,
+        now: Moment,
+        updates: Vec<PeerUpdate>,
+    ) -> LivenessMessage {
         let own = self.own;
         let record = self.record_mut(own);
-        record.beat += 1;
+        record.last_sequence += 1;
         record.evidence_at = now;
-        let (from, beat, refutation) = (record.vm.clone(), record.beat, record.refutation);
-        PeerBeat { from, beat, refutation, notices }
+        let (from, message, refutation) =
+            (record.vm.clone(), record.last_sequence, record.refutation);
+        LivenessMessage { from, sequence: message, refutation, updates }
     }
 
     pub(crate) fn send_heartbeats(
@@ -78,15 +84,15 @@
         }
         self.heartbeats += u64::from(occasion == Occasion::Period);
         let full = self.heartbeats.is_multiple_of(self.settings.full_every);
-        let notices = if full && occasion == Occasion::Period && !self.deaf {
-            self.all_notices(now)
+        let updates = if full && occasion == Occasion::Period && !self.deaf {
+            self.all_updates(now)
         } else {
             let told = spend(&mut self.zone_news, occasion);
-            told.into_iter().map(|vm| self.notice(now, vm)).collect()
+            told.into_iter().map(|vm| self.update(now, vm)).collect()
         };
-        let message = self.next_message(now, notices);
+        let message = self.next_message(now, updates);
         for to in targets {
-            actions.push(PeerAction::SendHeartbeat { to, beat: message.clone() });
+            actions.push(PeerAction::SendHeartbeat { to, message: message.clone() });
         }
     }
 
@@ -108,10 +114,10 @@
         } else {
             spend(&mut self.fleet_news, occasion)
         };
-        let notices = told.into_iter().map(|vm| self.notice(now, vm)).collect();
-        let message = self.next_message(now, notices);
+        let updates = told.into_iter().map(|vm| self.update(now, vm)).collect();
+        let message = self.next_message(now, updates);
         for to in self.summary_targets(now) {
-            actions.push(PeerAction::SendSummary { to, beat: message.clone() });
+            actions.push(PeerAction::SendSummary { to, message: message.clone() });
         }
     }
 
@@ -120,38 +126,38 @@
         &mut self,
         now: Moment,
         from: VmKey,
-        notice: PeerNotice,
+        update: PeerUpdate,
         actions: &mut Actions,
     ) {
-        if notice.vm.name == self.own_identity().name {
-            self.learn_about_self(&notice);
+        if update.vm.name == self.own_identity().name {
+            self.learn_about_self(&update);
             return;
         }
-        let state = PeerState::from(notice.state);
-        let evidence_at = now - notice.age;
-        let Some(vm) = self.find(&notice.vm.name) else {
-            let vm = self.add(now, notice.vm, state);
+        let state = PeerState::from(update.state);
+        let evidence_at = now - update.age;
+        let Some(vm) = self.find(&update.vm.name) else {
+            let vm = self.add(now, update.vm, state);
             let record = self.record_mut(vm);
             record.heard = true;
-            (record.refutation, record.evidence_at) = (notice.refutation, evidence_at);
+            (record.refutation, record.evidence_at) = (update.refutation, evidence_at);
             actions.push(PeerAction::Changed { vm, state });
             self.tell(vm);
             return;
         };
         let record = self.record(vm);
-        if notice.vm.rank() < record.vm.rank() {
+        if update.vm.rank() < record.vm.rank() {
             let to = if state == PeerState::Live { vm } else { from };
             self.inform(now, to, vm, actions);
             return;
         }
-        if notice.vm.rank() > record.vm.rank() {
-            self.replace(vm, notice.vm, actions);
+        if update.vm.rank() > record.vm.rank() {
+            self.replace(vm, update.vm, actions);
         } else {
-            let known = (record.refutation, NoticeState::from(record.state));
-            if (notice.refutation, notice.state) <= known {
-                if state == PeerState::Live && known.1 != NoticeState::Live {
+            let known = (record.refutation, ReportedState::from(record.state));
+            if (update.refutation, update.state) <= known {
+                if state == PeerState::Live && known.1 != ReportedState::Live {
                     self.inform(now, vm, vm, actions);
-                } else if notice.refutation < known.0 {
+                } else if update.refutation < known.0 {
                     self.inform(now, from, vm, actions);
                 }
                 return;
@@ -161,8 +167,8 @@
                 && direct.is_some_and(|age| age <= self.settings.suspect_after())
             {
                 // This node hears the process, which has to refute the accusation itself.
-                let beat = self.next_message(now, vec![notice]);
-                actions.push(PeerAction::SendHeartbeat { to: vm, beat });
+                let message = self.next_message(now, vec![update]);
+                actions.push(PeerAction::SendHeartbeat { to: vm, message });
                 return;
             }
         }
@@ -170,7 +176,7 @@
         if record.state != PeerState::Live && state == PeerState::Live {
             record.refuted += 1;
         }
-        record.refutation = notice.refutation;
+        record.refutation = update.refutation;
         record.evidence_at = match state {
             PeerState::Live => now,
             PeerState::Suspect | PeerState::Gone => evidence_at,
@@ -183,9 +189,9 @@
     /// others know otherwise: only the process can refute an accusation, or exceed the generation
     /// of its predecessor.
     pub(crate) fn inform(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
-        let notices = vec![self.notice(now, vm)];
-        let beat = self.next_message(now, notices);
-        actions.push(PeerAction::SendHeartbeat { to, beat });
+        let updates = vec![self.update(now, vm)];
+        let message = self.next_message(now, updates);
+        actions.push(PeerAction::SendHeartbeat { to, message });
     }
 
     /// Puts a newer process in the place of the one that ran on the VM.
@@ -193,7 +199,7 @@
         let record = self.record_mut(vm);
         let older = std::mem::replace(&mut record.vm, newer);
         let (was_heard, newer) = (record.heard, record.vm.incarnation);
-        (record.heard, record.beat, record.direct_at) = (true, 0, None);
+        (record.heard, record.last_sequence, record.direct_at) = (true, 0, None);
         (record.refutation, record.refuted) = (0, 0);
         if was_heard && older.incarnation != newer {
             actions.push(PeerAction::Replaced { vm, incarnation: older.incarnation });
@@ -203,27 +209,27 @@
     }
 
     /// Answers a peer that takes this process for silent, or an older one of this VM for current.
-    fn learn_about_self(&mut self, notice: &PeerNotice) {
+    fn learn_about_self(&mut self, update: &PeerUpdate) {
         let own = self.own;
         let record = self.record_mut(own);
-        if notice.vm.incarnation != record.vm.incarnation {
-            if notice.vm.rank() > record.vm.rank() {
-                record.vm.generation = notice.vm.generation.saturating_add(1);
+        if update.vm.incarnation != record.vm.incarnation {
+            if update.vm.rank() > record.vm.rank() {
+                record.vm.generation = update.vm.generation.saturating_add(1);
             }
-        } else if notice.state == NoticeState::Live || notice.refutation < record.refutation {
+        } else if update.state == ReportedState::Live || update.refutation < record.refutation {
             return;
         } else {
-            record.refutation = notice.refutation + 1;
+            record.refutation = update.refutation + 1;
         }
         self.tell(own);
     }
 
-    fn all_notices(&self, now: Moment) -> Vec<PeerNotice> {
+    fn all_updates(&self, now: Moment) -> Vec<PeerUpdate> {
         let known = self.vms.iter().filter(|(vm, record)| {
             // Live VMs of other zones need no notice: their own zone reports a change.
             record.listed.is_some() && (self.is_own_zone(*vm) || record.state != PeerState::Live)
         });
-        known.map(|(vm, _)| self.notice(now, vm)).collect()
+        known.map(|(vm, _)| self.update(now, vm)).collect()
     }
 }
 
@@ -240,7 +246,7 @@
     told
 }
 
-impl From<PeerState> for NoticeState {
+impl From<PeerState> for ReportedState {
     fn from(state: PeerState) -> Self {
         match state {
             PeerState::Live => Self::Live,
@@ -250,12 +256,12 @@
     }
 }
 
-impl From<NoticeState> for PeerState {
-    fn from(state: NoticeState) -> Self {
+impl From<ReportedState> for PeerState {
+    fn from(state: ReportedState) -> Self {
         match state {
-            NoticeState::Live => Self::Live,
-            NoticeState::Suspect => Self::Suspect,
-            NoticeState::Gone => Self::Gone,
+            ReportedState::Live => Self::Live,
+            ReportedState::Suspect => Self::Suspect,
+            ReportedState::Gone => Self::Gone,
         }
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -6,8 +6,8 @@
 use smallvec::SmallVec;
 
 use crate::{
-    ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings, PeerState, VmIdentity,
-    VmRecord,
+    ListState, ListedVm, LivenessMessage, PeerAction, PeerEvent, PeerSettings, PeerState,
+    VmIdentity, VmRecord,
     placement::{heaviest, rank_by_weight},
     ring::{RingSlot, Walk, neighbours},
     spread::Occasion,
@@ -30,7 +30,7 @@
     ring: Vec<RingSlot>,
     // Time of the latest summary of each other zone, or of its first mention.
     pub(crate) zones: BTreeMap<String, Moment>,
-    pub(crate) next_beat: Moment,
+    pub(crate) next_sequence: Moment,
     pub(crate) next_summary: Moment,
     last_handled: Moment,
     pub(crate) probe: usize,
@@ -55,7 +55,7 @@
             by_name: BTreeMap::new(),
             ring: Vec::new(),
             zones: BTreeMap::new(),
-            next_beat: now,
+            next_sequence: now,
             next_summary: now,
             last_handled: now,
             probe: 0,
@@ -79,7 +79,7 @@
         match event {
             PeerEvent::Tick => self.tick(now, &mut actions),
             PeerEvent::ListRead(listed) => self.read_list(now, listed, &mut actions),
-            PeerEvent::BeatReceived(beat) => self.receive(now, beat, &mut actions),
+            PeerEvent::MessageReceived(message) => self.receive(now, message, &mut actions),
         }
         if std::mem::take(&mut self.urgent) {
             self.send_heartbeats(now, Occasion::News, &mut actions);
@@ -91,7 +91,7 @@
     /// Returns when the next [`PeerEvent::Tick`] is due.
     #[must_use]
     pub const fn next_deadline(&self) -> Moment {
-        self.next_beat
+        self.next_sequence
     }
 
     /// Returns the key of this node.
@@ -213,7 +213,7 @@
             heard: false,
             state,
             listed: None,
-            beat: 0,
+            last_sequence: 0,
             refutation: 0,
             refuted: 0,
             evidence_at: now,
@@ -281,10 +281,10 @@
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Actions) {
-        if now < self.next_beat {
+        if now < self.next_sequence {
             return;
         }
-        self.next_beat = now + self.settings.period;
+        self.next_sequence = now + self.settings.period;
         self.judge(now, actions);
         self.urgent = false;
         self.send_heartbeats(now, Occasion::Period, actions);
@@ -373,33 +373,33 @@
         self.rebuild_ring();
     }
 
-    fn receive(&mut self, now: Moment, beat: PeerBeat, actions: &mut Actions) {
-        if beat.from.name == self.own_identity().name {
+    fn receive(&mut self, now: Moment, message: LivenessMessage, actions: &mut Actions) {
+        if message.from.name == self.own_identity().name {
             return;
         }
-        let vm = self.find(&beat.from.name).unwrap_or_else(|| {
-            let vm = self.add(now, beat.from.clone(), PeerState::Live);
+        let vm = self.find(&message.from.name).unwrap_or_else(|| {
+            let vm = self.add(now, message.from.clone(), PeerState::Live);
             actions.push(PeerAction::Changed { vm, state: PeerState::Live });
             vm
         });
         let record = self.record(vm);
-        if record.heard && beat.from.rank() < record.vm.rank() {
+        if record.heard && message.from.rank() < record.vm.rank() {
             // A new process of a VM whose clock went back learns here which generation to exceed.
             self.inform(now, vm, vm, actions);
             return;
         }
-        if beat.from.rank() > record.vm.rank() {
-            self.replace(vm, beat.from.clone(), actions);
-        } else if beat.beat <= record.beat {
+        if message.from.rank() > record.vm.rank() {
+            self.replace(vm, message.from.clone(), actions);
+        } else if message.sequence <= record.last_sequence {
             return;
         }
-        let accusation = self.notice(now, vm);
-        let zone = beat.from.zone;
+        let accusation = self.update(now, vm);
+        let zone = message.from.zone;
         let record = self.record_mut(vm);
-        let news = !record.heard || beat.refutation > record.refutation;
+        let news = !record.heard || message.refutation > record.refutation;
         record.heard = true;
-        record.beat = beat.beat;
-        record.refutation = record.refutation.max(beat.refutation);
+        record.last_sequence = message.sequence;
+        record.refutation = record.refutation.max(message.refutation);
         record.refuted = 0;
         record.evidence_at = now;
         record.direct_at = Some(now);
@@ -408,14 +408,14 @@
             self.tell(vm);
         } else if revived {
             // Only the process itself can refute what others have accepted.
-            let beat = self.next_message(now, vec![accusation]);
-            actions.push(PeerAction::SendHeartbeat { to: vm, beat });
+            let message = self.next_message(now, vec![accusation]);
+            actions.push(PeerAction::SendHeartbeat { to: vm, message });
         }
         if let Some(heard_at) = self.zones.get_mut(&zone) {
             *heard_at = now;
         }
-        for notice in beat.notices {
-            self.learn(now, vm, notice, actions);
+        for update in message.updates {
+            self.learn(now, vm, update, actions);
         }
     }
 }
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -4,8 +4,8 @@
 
 use base::{Incarnation, Moment, Span};
 use membership::{
-    ListState, ListedVm, PeerAction, PeerBeat, PeerEvent, PeerSettings, PeerState, PeerTable,
-    VmIdentity,
+    ListState, ListedVm, LivenessMessage, PeerAction, PeerEvent, PeerSettings, PeerState,
+    PeerTable, VmIdentity,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -19,7 +19,7 @@
     pub(crate) notices: u64,
     pub(crate) changes: Vec<(String, PeerState)>,
     pub(crate) replaced: Vec<Incarnation>,
-    inbox: Vec<PeerBeat>,
+    inbox: Vec<LivenessMessage>,
 }
 
 pub(crate) struct Network {
@@ -27,7 +27,7 @@
     pub(crate) nodes: Vec<Node>,
     pub(crate) cuts: BTreeSet<(usize, usize)>,
     pub(crate) rng: ChaCha8Rng,
-    flight: BTreeMap<(Moment, u64), (usize, String, PeerBeat)>,
+    flight: BTreeMap<(Moment, u64), (usize, String, LivenessMessage)>,
     sequence: u64,
 }
 
@@ -102,8 +102,8 @@
 
     pub(crate) fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
-        for beat in std::mem::take(&mut self.nodes[index].inbox) {
-            self.deliver(index, PeerEvent::BeatReceived(beat));
+        for message in std::mem::take(&mut self.nodes[index].inbox) {
+            self.deliver(index, PeerEvent::MessageReceived(message));
         }
     }
 
@@ -128,16 +128,16 @@
             let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
             if arrival == Some(next) {
-                let (_, (from, to, beat)) = self.flight.pop_first().unwrap();
+                let (_, (from, to, message)) = self.flight.pop_first().unwrap();
                 let to = self.nodes.iter().position(|node| node.identity.name == to).unwrap();
                 if self.cuts.contains(&(from, to)) {
                     continue;
                 }
                 if self.nodes[to].paused {
-                    self.nodes[to].inbox.push(beat);
+                    self.nodes[to].inbox.push(message);
                     continue;
                 }
-                self.deliver(to, PeerEvent::BeatReceived(beat));
+                self.deliver(to, PeerEvent::MessageReceived(message));
                 continue;
             }
             let (_, index) = tick.unwrap();
@@ -179,10 +179,9 @@
         }
         for action in node.table.handle(self.now, event) {
             let name = |vm| node.table.vm(vm).unwrap().vm.name.clone();
-            let (to, beat) = match action {
-                PeerAction::SendHeartbeat { to, beat } | PeerAction::SendSummary { to, beat } => {
-                    (name(to), beat)
-                }
+            let (to, message) = match action {
+                PeerAction::SendHeartbeat { to, message }
+                | PeerAction::SendSummary { to, message } => (name(to), message),
                 PeerAction::Changed { vm, state } => {
                     node.changes.push((name(vm), state));
                     continue;
@@ -193,10 +192,10 @@
                 }
             };
             node.sent += 1;
-            node.notices += beat.notices.len() as u64;
+            node.notices += message.updates.len() as u64;
             let delay = Span(self.rng.random_range(300..3_000));
             self.sequence += 1;
-            self.flight.insert((self.now + delay, self.sequence), (index, to, beat));
+            self.flight.insert((self.now + delay, self.sequence), (index, to, message));
         }
     }
 }
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Specification of configuration: several processes, the stream `config` and racing operators.
 //!
-//! Every process holds a real [`ConfigHistory`]. An operator reads the versions of a process, and
+//! Every process holds a real [`ConfigRegistry`]. An operator reads the versions of a process, and
 //! writes an edit or a promotion that builds on them. A process appends a snapshot of its state at
 //! any time, as the holder of the `fleet` lease does, or an old holder whose append comes late.
 //! Retention drops any records that a snapshot in the log contains. Peers exchange the documents in
@@ -17,9 +17,9 @@
     ConfigEdit, ConfigOutcome, ConfigPromote, ConfigRecord, ConfigVersion, EnvironmentName,
     VersionedDocument,
 };
-use base::{Incarnation, LogOffset, RecordId, key, plain};
+use base::{Incarnation, LogOffset, RecordId, derive_copy, derive_value};
 
-pub use crate::configuration::process::{AcceptAll, ConfigProcess, History};
+pub use crate::configuration::process::{AcceptAll, ConfigProcess, Registry};
 use crate::{configuration::process::expected_documents, search::Specification};
 
 /// The version in force on a process fell during its life.
@@ -37,7 +37,7 @@
 /// First number of the operators' incarnations.
 const FIRST_OPERATOR: u64 = 100;
 
-key! {
+derive_copy! {
     /// Sizes of a model. Each number bounds the transitions of a kind in one run.
     pub struct ConfigBounds {
         /// Records that each of the two operators writes.
@@ -103,7 +103,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A record with a hash that goes by its id.
     pub struct ConfigEntry(pub ConfigRecord);
 }
@@ -114,7 +114,7 @@
         match &self.0 {
             ConfigRecord::Edit(edit) => (edit.id, edit.base).hash(hasher),
             ConfigRecord::Promote(promote) => (promote.id, promote.target_base).hash(hasher),
-            ConfigRecord::Carry(carry) => carry.snapshot.next.hash(hasher),
+            ConfigRecord::Snapshot(record) => record.snapshot.next.hash(hasher),
         }
     }
 }
@@ -131,16 +131,16 @@
     /// Applies a record.
     fn apply(
         &self,
-        history: &mut History,
+        registry: &mut Registry,
         offset: LogOffset,
         record: &ConfigRecord,
     ) -> ConfigOutcome {
-        history.apply(offset, record)
+        registry.apply(offset, record)
     }
 
     /// Takes a peer's copy of a document.
-    fn adopt(&self, history: &mut History, document: &VersionedDocument) {
-        history.adopt_peer(document);
+    fn adopt(&self, registry: &mut Registry, document: &VersionedDocument) {
+        registry.adopt_peer_document(document);
     }
 
     /// Returns where a process reads on that continues from a peer's state of the log.
@@ -149,8 +149,8 @@
     }
 
     /// Returns the documents that a process gives to a peer.
-    fn given(&self, history: &History) -> Vec<VersionedDocument> {
-        history.documents().into_iter().cloned().collect()
+    fn given(&self, registry: &Registry) -> Vec<VersionedDocument> {
+        registry.documents().into_iter().cloned().collect()
     }
 }
 
@@ -198,7 +198,7 @@
     }
 
     fn documents_differ(&self) -> bool {
-        let held = self.processes.iter().flat_map(|process| process.history.documents());
+        let held = self.processes.iter().flat_map(|process| process.registry.documents());
         let held = held.collect::<Vec<_>>();
         held.iter().enumerate().any(|(index, left)| {
             held[index + 1..].iter().any(|right| {
@@ -221,7 +221,7 @@
             || self
                 .processes
                 .iter()
-                .filter_map(|process| process.history.snapshot())
+                .filter_map(|process| process.registry.snapshot())
                 .any(|read| read.documents != expected_documents(&self.log[..read.next.0 as usize]))
     }
 }
@@ -245,7 +245,7 @@
             }
             for (process, looked_at) in state.processes.iter().enumerate() {
                 let mut next = state.clone();
-                let entry = self.compose(index, operator.written, &looked_at.history);
+                let entry = self.compose(index, operator.written, &looked_at.registry);
                 next.operators[index] =
                     Operator { written: operator.written + 1, outbox: Some(Rc::new(entry)) };
                 let step = ConfigStep::Look { operator: index, process };
@@ -271,19 +271,19 @@
         }
     }
 
-    fn compose(&self, index: usize, written: u8, history: &History) -> ConfigEntry {
+    fn compose(&self, index: usize, written: u8, registry: &Registry) -> ConfigEntry {
         let (trial, production) = (EnvironmentName::from(TRIAL), EnvironmentName::from(PRODUCTION));
         let id = RecordId {
             writer: Incarnation(FIRST_OPERATOR + index as u64),
             sequence: u64::from(written) + 1,
         };
-        let base = history.version(&trial);
+        let base = registry.version(&trial);
         if index == 1 && self.bounds.work == OperatorWork::EditsAndPromotions {
             return ConfigEntry(ConfigRecord::Promote(ConfigPromote {
                 id,
                 source: trial,
                 source_version: base,
-                target_base: history.version(&production),
+                target_base: registry.version(&production),
                 target: production,
             }));
         }
@@ -308,7 +308,7 @@
             .log
             .iter()
             .filter_map(|entry| match &entry.0 {
-                ConfigRecord::Carry(carry) => Some(carry.snapshot.next),
+                ConfigRecord::Snapshot(record) => Some(record.snapshot.next),
                 _ => None,
             })
             .filter(|offset| *offset > state.first_retained)
@@ -373,7 +373,7 @@
 
     fn describe(&self, state: &ConfigModelState) -> String {
         let version = |process: &ConfigProcess, name: &str| -> ConfigVersion {
-            process.history.version(&EnvironmentName::from(name))
+            process.registry.version(&EnvironmentName::from(name))
         };
         let describe = |process: &Rc<ConfigProcess>| {
             let (trial, production) = (version(process, TRIAL), version(process, PRODUCTION));
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -1,14 +1,14 @@
 //! Specification of usage windows: several processes, the stream `usage` and the platform's report
 //! interface.
 //!
-//! Every process holds a real [`LeaseKeeper`], [`UsageLedger`], [`ReportDesk`], [`PendingBatches`]
+//! Every process holds a real [`LeaseManager`], [`UsageLedger`], [`WindowReporter`], [`PendingBatches`]
 //! and [`ReplicaStore`]. Lease records share the stream with batches, closes, reports and
 //! snapshots. Running processes do all due work before time moves on, in the order of their
 //! numbers, as in [`crate::authority`]; other orders need a pause. The log shows repeats of a record
 //! to the ledger, which is stricter than the daemon's follower.
 //!
-//! [`LeaseKeeper`]: authority::LeaseKeeper
-//! [`ReportDesk`]: ::usage::ReportDesk
+//! [`LeaseManager`]: authority::LeaseManager
+//! [`WindowReporter`]: ::usage::WindowReporter
 //! [`PendingBatches`]: ::usage::PendingBatches
 //! [`ReplicaStore`]: ::usage::ReplicaStore
 
@@ -21,8 +21,8 @@
 };
 
 use ::usage::{UsageBatch, UsageLedger, UsageRecord, WindowNumber, WindowReport};
-use authority::{AuthorityRecord, FencingSupport, LeaseKeeper, LeaseSettings};
-use base::{FencingNumber, LogOffset, Moment, Span, key, plain};
+use authority::{AuthorityRecord, FencingSupport, LeaseManager, LeaseSettings};
+use base::{FencingToken, LogOffset, Moment, Span, derive_copy, derive_value};
 
 use crate::search::Specification;
 pub use crate::usage::{
@@ -41,7 +41,7 @@
 /// A report of an old fencing number was accepted after one of a newer number.
 pub const FENCED_REPORTS: &str = "no report of an old fencing number is accepted after a newer one";
 
-key! {
+derive_copy! {
     /// Sizes of a model. Times are in units of one microsecond, which stand for any length.
     pub struct UsageBounds {
         /// Time at which the model ends.
@@ -113,7 +113,7 @@
     }
 }
 
-plain! {
+derive_value! {
     /// A record of the stream.
     pub enum UsageStreamRecord {
         /// A lease record of the scope `usage`.
@@ -131,7 +131,7 @@
             Self::Usage(UsageRecord::Batch(batch)) => batch.id.hash(hasher),
             Self::Usage(UsageRecord::Close(close)) => (0, close).hash(hasher),
             Self::Usage(UsageRecord::Reported(reported)) => (1, reported).hash(hasher),
-            Self::Usage(UsageRecord::Carry { fencing, .. }) => (2, fencing).hash(hasher),
+            Self::Usage(UsageRecord::Snapshot { fencing, .. }) => (2, fencing).hash(hasher),
         }
     }
 }
@@ -144,8 +144,8 @@
     }
 
     /// Returns the fencing number that the ledger takes as valid at the present position.
-    fn valid_claim(&self, _now: Moment, keeper: &LeaseKeeper) -> Option<FencingNumber> {
-        keeper.claim_in_force()
+    fn valid_claim(&self, _now: Moment, lease_manager: &LeaseManager) -> Option<FencingToken> {
+        lease_manager.claim_in_force()
     }
 
     /// Returns the report to send.
@@ -159,7 +159,7 @@
     }
 
     /// Tells whether the platform takes a report with this number.
-    fn accepts(&self, sink: &ReportSink, fencing: FencingNumber) -> bool {
+    fn accepts(&self, sink: &ReportSink, fencing: FencingToken) -> bool {
         sink.support == FencingSupport::Ignored || fencing >= sink.highest
     }
 }
@@ -210,13 +210,14 @@
     #[must_use]
     pub fn has_snapshot(&self) -> bool {
         let is_snapshot = |record: &Rc<UsageStreamRecord>| {
-            matches!(**record, UsageStreamRecord::Usage(UsageRecord::Carry { .. }))
+            matches!(**record, UsageStreamRecord::Usage(UsageRecord::Snapshot { .. }))
         };
         self.log.iter().any(is_snapshot)
     }
 
     pub(crate) fn holders(&self) -> usize {
-        let holds = |process: &&Rc<UsageProcess>| process.keeper.held(self.now).is_some();
+        let holds =
+            |process: &&Rc<UsageProcess>| process.lease_manager.held_token(self.now).is_some();
         self.processes.iter().filter(holds).count()
     }
 
@@ -242,9 +243,9 @@
                     return false;
                 };
                 // Each batch has a customer of its own.
-                let customer = batch.figures.0.keys().next().expect("a batch names a customer");
-                let closed = process.ledger.windows().map(|(_, closed)| &closed.figures);
-                let figures = closed.chain([process.ledger.open_figures()]);
+                let customer = batch.usage.0.keys().next().expect("a batch names a customer");
+                let closed = process.ledger.windows().map(|(_, closed)| &closed.usage);
+                let figures = closed.chain([process.ledger.open_usage()]);
                 figures.map(|figures| figures.get(customer).requests).sum::<u64>() != 1
             })
         })
@@ -277,7 +278,7 @@
             return LogOffset(0);
         }
         let snapshot = state.log.iter().rev().find_map(|record| match &**record {
-            UsageStreamRecord::Usage(UsageRecord::Carry { snapshot, .. }) => Some(snapshot.next),
+            UsageStreamRecord::Usage(UsageRecord::Snapshot { snapshot, .. }) => Some(snapshot.next),
             _ => None,
         });
         snapshot.unwrap_or(LogOffset(0))
@@ -378,7 +379,7 @@
 
     fn describe(&self, state: &UsageState) -> String {
         let read = |process: &Rc<UsageProcess>| {
-            let held = process.keeper.held(state.now);
+            let held = process.lease_manager.held_token(state.now);
             let held = held.map_or("-".to_owned(), |fencing| fencing.0.to_string());
             format!("{held}@{}", process.next.0)
         };
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -6,12 +6,12 @@
 };
 
 use ::usage::{
-    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, ReportDesk,
-    UsageAmount, UsageBatch, UsageFigures, UsageLedger, UsageRecord, WindowClose, WindowNumber,
-    WindowReport,
+    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount,
+    UsageBatch, UsageByCustomer, UsageLedger, UsageRecord, WindowClose, WindowNumber, WindowReport,
+    WindowReporter,
 };
-use authority::{Candidacy, LeaseAction, LeaseKeeper, LeaseSettings, Scope};
-use base::{Incarnation, LogOffset, Moment, RecordId, Span, key};
+use authority::{LeaseAction, LeaseManager, LeaseRole, LeaseScope, LeaseSettings};
+use base::{Incarnation, LogOffset, Moment, RecordId, Span, derive_copy};
 
 use super::{UsageGuards, UsageModel, UsageState, UsageStep, UsageStreamRecord, WireReport};
 
@@ -26,7 +26,7 @@
 
 const REPLICA_CAPACITY: usize = 2;
 
-key! {
+derive_copy! {
     pub(crate) enum Activity {
         Running,
         Paused,
@@ -42,10 +42,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageProcess {
     /// The real keeper.
-    pub keeper: LeaseKeeper,
+    pub lease_manager: LeaseManager,
     /// The real ledger.
     pub ledger: Rc<UsageLedger>,
-    pub(crate) reports: ReportDesk,
+    pub(crate) reports: WindowReporter,
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) incarnation: Incarnation,
@@ -58,7 +58,7 @@
     /// A report whose clock check has passed and that is not yet written.
     pub(crate) checked: Option<WindowReport>,
     pub(crate) closing: Option<WindowNumber>,
-    pub(crate) carry_tried: Option<Moment>,
+    pub(crate) snapshot_tried_at: Option<Moment>,
     pub(crate) activity: Activity,
     pub(crate) access: LogAccess,
 }
@@ -66,13 +66,13 @@
 /// Leaves out what the offset or the rest of the state mostly implies.
 impl Hash for UsageProcess {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.keeper.hash(hasher);
+        self.lease_manager.hash(hasher);
         (self.incarnation, self.sequence, self.next, &self.outbox).hash(hasher);
         (self.pending.len(), self.pending.next_deadline()).hash(hasher);
         (self.replicas.len(), self.replicas.next_deadline()).hash(hasher);
         (self.reports.next_deadline(), self.holds.len()).hash(hasher);
         (self.unchecked.is_some(), self.checked.is_some()).hash(hasher);
-        (self.closing, self.carry_tried, self.activity, self.access).hash(hasher);
+        (self.closing, self.snapshot_tried_at, self.activity, self.access).hash(hasher);
     }
 }
 
@@ -84,14 +84,15 @@
         incarnation: u64,
     ) -> Self {
         let incarnation = Incarnation(incarnation);
-        let mut keeper = LeaseKeeper::new(settings, Scope::Usage, incarnation, Candidacy::Standing);
-        keeper.reading_from(now, first);
+        let mut lease_manager =
+            LeaseManager::new(settings, LeaseScope::Usage, incarnation, LeaseRole::Candidate);
+        lease_manager.restart_from(now, first);
         let mut ledger = UsageLedger::new();
         ledger.note_retention(first);
         Self {
-            keeper,
+            lease_manager,
             ledger: Rc::new(ledger),
-            reports: ReportDesk::new(RETRY),
+            reports: WindowReporter::new(RETRY),
             pending: PendingBatches::new(RETRY),
             replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
             incarnation,
@@ -102,7 +103,7 @@
             unchecked: None,
             checked: None,
             closing: None,
-            carry_tried: None,
+            snapshot_tried_at: None,
             activity: Activity::Running,
             access: LogAccess::Reachable,
         }
@@ -148,32 +149,32 @@
         if process.activity == Activity::Paused {
             return;
         }
-        let clock = match process.keeper.held(now) {
+        let clock = match process.lease_manager.held_token(now) {
             Some(_) => now,
             None => self.guards.waiting_clock(now),
         };
-        let actions = process.keeper.tick(clock);
+        let actions = process.lease_manager.tick(clock);
         process.queue_lease(actions);
         process.holds.extend(process.pending.poll(now));
         for batch in process.replicas.poll(now) {
             process.queue_usage(UsageRecord::Batch(self.guards.replica(batch)));
         }
-        let Some(fencing) = process.keeper.held(now) else {
+        let Some(fencing) = process.lease_manager.held_token(now) else {
             process.closing = None;
             return;
         };
-        let due = process.ledger.close_due(self.window_at(now));
+        let due = process.ledger.window_to_close(self.window_at(now));
         if let Some(window) = due
             && process.closing != due
         {
             process.closing = due;
             process.queue_usage(UsageRecord::Close(WindowClose { window, fencing }));
         }
-        let may_carry = process.carry_tried.is_none_or(|at| now.since(at) >= RETRY);
-        if may_carry && process.ledger.carry_due() {
+        let may_snapshot = process.snapshot_tried_at.is_none_or(|at| now.since(at) >= RETRY);
+        if may_snapshot && process.ledger.snapshot_due() {
             let snapshot = process.ledger.snapshot().expect("no snapshot is awaited");
-            process.carry_tried = Some(now);
-            process.queue_usage(UsageRecord::Carry { snapshot: Box::new(snapshot), fencing });
+            process.snapshot_tried_at = Some(now);
+            process.queue_usage(UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing });
         }
         if let Some(report) = process.reports.poll(now, &process.ledger, fencing) {
             process.unchecked = Some(self.guards.report(&process.ledger, report));
@@ -188,15 +189,15 @@
             process.next = offset.next();
             match &**record {
                 UsageStreamRecord::Lease(record) => {
-                    let actions = process.keeper.read(now, offset, record);
+                    let actions = process.lease_manager.read(now, offset, record);
                     process.queue_lease(actions);
                 }
                 UsageStreamRecord::Usage(record) => {
-                    let valid = self.guards.valid_claim(now, &process.keeper);
+                    let valid = self.guards.valid_claim(now, &process.lease_manager);
                     let outcome = Rc::make_mut(&mut process.ledger).apply(offset, record, valid);
                     if let UsageRecord::Batch(batch) = record {
-                        process.pending.seen_in_log(batch.id);
-                        process.replicas.seen_in_log(batch.id);
+                        process.pending.mark_committed(batch.id);
+                        process.replicas.mark_committed(batch.id);
                     }
                     match outcome {
                         LedgerOutcome::Closed(_) => process.closing = None,
@@ -254,10 +255,10 @@
             let process = Rc::make_mut(&mut next.processes[index]);
             process.sequence += 1;
             let id = RecordId { writer: process.incarnation, sequence: process.sequence };
-            let mut figures = UsageFigures::default();
+            let mut usage = UsageByCustomer::default();
             let amount = UsageAmount { requests: 1, ..UsageAmount::default() };
-            figures.0.insert(format!("customer {batches_left}"), amount);
-            let batch = UsageBatch { id, figures };
+            usage.0.insert(format!("customer {batches_left}"), amount);
+            let batch = UsageBatch { id, usage };
             process.pending.add(state.now, batch.clone());
             process.queue_usage(UsageRecord::Batch(batch));
             self.settle(&mut next, index);
@@ -322,7 +323,7 @@
             let unanswered = UsageState { faults_left, ..held.clone() };
             steps.push((UsageStep::HoldAnswerLost(index), unanswered));
         }
-        Rc::make_mut(&mut held.processes[index]).pending.held(batch.id, incarnation);
+        Rc::make_mut(&mut held.processes[index]).pending.mark_held(batch.id, incarnation);
         steps.push((UsageStep::Hold(index), held));
     }
 
@@ -336,7 +337,7 @@
         let mut next = state.clone();
         let process = Rc::make_mut(&mut next.processes[index]);
         if let Some(report) = process.unchecked.take() {
-            match process.keeper.held(now) {
+            match process.lease_manager.held_token(now) {
                 Some(_) => process.checked = Some(report),
                 None => drop(process.reports.answer(now, ReportAnswer::Lost)),
             }
@@ -381,10 +382,10 @@
         }
         steps.push((UsageStep::Restart(index), self.restart(state, fault.clone(), index)));
         let is_answered = process.unchecked.is_none() && process.checked.is_none();
-        if process.keeper.held(state.now).is_some() && is_answered {
+        if process.lease_manager.held_token(state.now).is_some() && is_answered {
             let mut next = fault;
             let process = Rc::make_mut(&mut next.processes[index]);
-            let actions = process.keeper.resign();
+            let actions = process.lease_manager.resign();
             process.queue_lease(actions);
             steps.push((UsageStep::Resign(index), next));
         }
--- a/crates/model-check/tests/usage.rs
+++ b/crates/model-check/tests/usage.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 
 use ::usage::{UsageBatch, UsageLedger, WindowReport};
-use authority::{FencingSupport, LeaseKeeper};
-use base::{FencingNumber, Incarnation, Moment, RecordId, Span};
+use authority::{FencingSupport, LeaseManager};
+use base::{FencingToken, Incarnation, Moment, RecordId, Span};
 use model_check::{
     Specification, check_invariants, check_noticed,
     usage::{
@@ -54,7 +54,7 @@
 
 impl UsageGuards for OpenFigures {
     fn report(&self, ledger: &UsageLedger, mut report: WindowReport) -> WindowReport {
-        report.figures.add_all(ledger.open_figures()).expect("small figures");
+        report.usage.merge(ledger.open_usage()).expect("small figures");
         report
     }
 }
@@ -97,8 +97,8 @@
 struct OwnLeaseOnly;
 
 impl UsageGuards for OwnLeaseOnly {
-    fn valid_claim(&self, now: Moment, keeper: &LeaseKeeper) -> Option<FencingNumber> {
-        keeper.held(now)
+    fn valid_claim(&self, now: Moment, lease_manager: &LeaseManager) -> Option<FencingToken> {
+        lease_manager.held_token(now)
     }
 }
 
@@ -111,7 +111,7 @@
 struct UncheckedPlatform;
 
 impl UsageGuards for UncheckedPlatform {
-    fn accepts(&self, _sink: &ReportSink, _fencing: FencingNumber) -> bool {
+    fn accepts(&self, _sink: &ReportSink, _fencing: FencingToken) -> bool {
         true
     }
 }
--- a/crates/process-tests/src/call.rs
+++ b/crates/process-tests/src/call.rs
@@ -4,7 +4,7 @@
 
 use base::Span;
 use bytes::Bytes;
-use clients::{HttpClient, Outgoing};
+use clients::{HttpClient, HttpRequest};
 use serde_json::Value;
 
 /// A whole answer.
@@ -25,12 +25,12 @@
     headers: &[(&'static str, String)],
     body: &str,
 ) -> CallAnswer {
-    let mut outgoing = Outgoing::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
+    let mut request = HttpRequest::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
-        outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
+        request = request.with_header(name.parse().expect("test headers are valid"), value);
     }
-    send(outgoing).await
+    send(request).await
 }
 
 /// Sends a request without a body.
@@ -39,28 +39,28 @@
     path: &str,
     headers: &[(&'static str, String)],
 ) -> CallAnswer {
-    let mut outgoing = Outgoing::get(address, path);
+    let mut request = HttpRequest::get(address, path);
     for (name, value) in headers {
         let value = value.parse().expect("test headers are valid");
-        outgoing = outgoing.with_header(name.parse().expect("test headers are valid"), value);
+        request = request.with_header(name.parse().expect("test headers are valid"), value);
     }
-    send(outgoing).await
+    send(request).await
 }
 
 /// Reads JSON, or `None` when no answer came.
 pub async fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = send(Outgoing::get(address, path)).await;
+    let answer = send(HttpRequest::get(address, path)).await;
     serde_json::from_str(&answer.body).ok()
 }
 
 /// Posts JSON and returns the status.
 pub async fn post_json(address: SocketAddr, path: &str, value: &Value) -> u16 {
     let body = Bytes::from(value.to_string());
-    send(Outgoing::post(address, path, body)).await.status
+    send(HttpRequest::post(address, path, body)).await.status
 }
 
-async fn send(outgoing: Outgoing) -> CallAnswer {
-    match HttpClient::new(Span::from_secs(5)).stream_all(outgoing, LIMIT).await {
+async fn send(request: HttpRequest) -> CallAnswer {
+    match HttpClient::new(Span::from_secs(5)).stream_all(request, LIMIT).await {
         Ok((status, body)) => CallAnswer { status, body: String::from_utf8_lossy(&body).into() },
         Err(error) => CallAnswer { status: 0, body: error.to_string() },
     }
--- a/crates/protocol/src/record/config.rs
+++ b/crates/protocol/src/record/config.rs
@@ -5,7 +5,7 @@
 
 use base::{LogOffset, RecordId};
 use configuration::{
-    ConfigCarry, ConfigEdit, ConfigPromote, ConfigRecord, ConfigSnapshot, ConfigVersion,
+    ConfigEdit, ConfigPromote, ConfigRecord, ConfigSnapshot, ConfigSnapshotRecord, ConfigVersion,
     EnvironmentName, VersionedDocument,
 };
 
@@ -64,7 +64,9 @@
                     target_base: ConfigVersion(target_base),
                 })
             }
-            WireConfig::Carry(snapshot) => Self::Carry(ConfigCarry { snapshot: snapshot.into() }),
+            WireConfig::Carry(snapshot) => {
+                Self::Snapshot(ConfigSnapshotRecord { snapshot: snapshot.into() })
+            }
         })
     }
 }
@@ -85,7 +87,9 @@
                 target: promote.target.0.clone(),
                 target_base: promote.target_base.0,
             },
-            ConfigRecord::Carry(carry) => Self::Carry((&carry.snapshot).into()),
+            ConfigRecord::Snapshot(snapshot_record) => {
+                Self::Carry((&snapshot_record.snapshot).into())
+            }
         }
     }
 }
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -3,15 +3,15 @@
 // Wire fields mirror the fields of the domain types, which document them.
 #![allow(missing_docs)]
 
-mod carry;
+mod snapshot;
 
 use base::{Incarnation, RecordId, WeightVersion};
 use rollout::{
     DeliveryNumber, SampleBound, SampleFilled, SampleRecord, SampleVoided, Score, SlotKey,
-    StepShape, TrainerCarry, TrainerId, TrainerStated, VersionSpan, VoidReason,
+    StepShape, TrainerId, TrainerSnapshot, TrainerStated, VersionSpan, VoidReason,
 };
 
-use self::carry::WireCarry;
+use self::snapshot::WireTrainerSnapshot;
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
 /// Largest number of slots in a step. A larger one is refused before memory is spent on it.
@@ -37,7 +37,7 @@
         /// A sample that is not delivered.
         Voided { slot: WireSlot, sample: WireId, reason: WireVoidReason },
         /// Everything that the book knows of one trainer.
-        Carry(WireCarry),
+        Carry(WireTrainerSnapshot),
     }
 
     pub struct WireFilled {
@@ -72,7 +72,7 @@
     }
 
     /// What the nodes need to generate the samples of a step.
-    pub struct OpenedStep {
+    pub struct StepPrompts {
         /// One prompt for each group.
         pub prompts: Vec<String>,
         /// Bound on the tokens of a sample.
@@ -88,19 +88,19 @@
         /// The record.
         record: SampleRecord,
         /// Present when the record is a statement that opens a step.
-        opened: Option<OpenedStep>,
+        step_prompts: Option<StepPrompts>,
     },
     /// A snapshot of one trainer.
-    Carry(Box<SampleCarry>),
+    Snapshot(Box<SampleSnapshot>),
 }
 
 /// Snapshot of one trainer with the prompts of its steps.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SampleCarry {
+pub struct SampleSnapshot {
     /// The snapshot.
-    pub carry: TrainerCarry,
+    pub snapshot: TrainerSnapshot,
     /// Prompts of the steps that are not completed, by number of the step.
-    pub opened: Vec<(u64, OpenedStep)>,
+    pub step_prompts: Vec<(u64, StepPrompts)>,
 }
 
 impl StreamRecord for SampleEntry {
@@ -128,11 +128,16 @@
                     opened: shape,
                 };
                 let opened = opened
-                    .map(|step| OpenedStep { prompts: step.prompts, max_tokens: step.max_tokens });
-                return Ok(Self::Record { record: SampleRecord::Stated(stated), opened });
+                    .map(|step| StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens });
+                return Ok(Self::Record {
+                    record: SampleRecord::Stated(stated),
+                    step_prompts: opened,
+                });
             }
             WireSample::Filled(filled) => SampleRecord::Filled(filled.into()),
-            WireSample::Carry(carry) => return Ok(Self::Carry(Box::new(carry.try_into()?))),
+            WireSample::Carry(snapshot) => {
+                return Ok(Self::Snapshot(Box::new(snapshot.try_into()?)));
+            }
             WireSample::Bound { slot, sample, score } => SampleRecord::Bound(SampleBound {
                 slot: slot.into(),
                 sample: sample.into(),
@@ -144,15 +149,15 @@
                 reason: reason.into(),
             }),
         };
-        Ok(Self::Record { record, opened: None })
+        Ok(Self::Record { record, step_prompts: None })
     }
 }
 
 impl From<&SampleEntry> for WireSample {
     fn from(entry: &SampleEntry) -> Self {
-        let (record, opened) = match entry {
-            SampleEntry::Record { record, opened } => (record, opened),
-            SampleEntry::Carry(carry) => return Self::Carry((&**carry).into()),
+        let (record, step_prompts) = match entry {
+            SampleEntry::Record { record, step_prompts } => (record, step_prompts),
+            SampleEntry::Snapshot(snapshot) => return Self::Carry((&**snapshot).into()),
         };
         match record {
             SampleRecord::Stated(stated) => Self::Stated {
@@ -162,7 +167,7 @@
                 version: stated.version.0,
                 staleness_bound: stated.staleness_bound,
                 acknowledged: stated.acknowledged.0,
-                opened: stated.opened.zip(opened.as_ref()).map(|(shape, step)| WireStep {
+                opened: stated.opened.zip(step_prompts.as_ref()).map(|(shape, step)| WireStep {
                     step: shape.step,
                     samples_per_group: shape.samples_per_group,
                     max_tokens: step.max_tokens,
--- a/crates/protocol/src/record/samples/carry.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -5,15 +5,15 @@
 
 use base::{LogOffset, WeightVersion};
 use rollout::{
-    Binding, BookSlot, BookStep, DeliveryNumber, Offer, Score, SlotState, StepShape, TrainerBook,
-    TrainerCarry, TrainerId,
+    Binding, DeliveryNumber, DeliveryRange, Score, SlotState, StepShape, StepSlot, StepState,
+    TrainerId, TrainerSnapshot, TrainerState,
 };
 
-use super::{MAX_SLOTS, OpenedStep, SampleCarry, WireFilled, WireVoidReason};
+use super::{MAX_SLOTS, SampleSnapshot, StepPrompts, WireFilled, WireVoidReason};
 use crate::codec::{MalformedMessage, wire};
 
 wire! {
-    pub struct WireCarry {
+    pub struct WireTrainerSnapshot {
         until: u64,
         trainer: u64,
         name: String,
@@ -25,7 +25,7 @@
         offer: Option<(u64, u64, u64)>,
         last_number: u64,
         bindings: Vec<WireBinding>,
-        steps: Vec<WireBookStep>,
+        steps: Vec<WireStepState>,
         retired_below: u64,
         retired_until: u64,
     }
@@ -39,18 +39,18 @@
         pending: bool,
     }
 
-    struct WireBookStep {
+    struct WireStepState {
         step: u64,
         groups: u32,
         samples_per_group: u32,
-        slots: Vec<WireBookSlot>,
+        slots: Vec<WireStepSlot>,
         completed: bool,
         max_tokens: u32,
         /// Empty for a completed step, of which nothing is generated any more.
         prompts: Vec<String>,
     }
 
-    struct WireBookSlot {
+    struct WireStepSlot {
         generation: u32,
         state: WireSlotState,
         replaces: Option<u64>,
@@ -63,10 +63,10 @@
     }
 }
 
-impl From<&SampleCarry> for WireCarry {
-    fn from(carry: &SampleCarry) -> Self {
-        let book = &carry.carry.book;
-        let bindings = book.bindings.iter().map(|(number, binding)| WireBinding {
+impl From<&SampleSnapshot> for WireTrainerSnapshot {
+    fn from(snapshot: &SampleSnapshot) -> Self {
+        let state = &snapshot.snapshot.state;
+        let bindings = state.bindings.iter().map(|(number, binding)| WireBinding {
             number: number.0,
             filled: (&binding.filled).into(),
             score: binding.score.map(|score| score.0),
@@ -74,42 +74,44 @@
             void: binding.void.map(WireVoidReason::from),
             pending: binding.pending,
         });
-        let steps = book.steps.values().map(|step| {
-            let opened = carry.opened.iter().find(|(number, _)| *number == step.shape.step);
-            let opened = opened.map(|(_, opened)| opened);
-            WireBookStep {
+        let steps = state.steps.values().map(|step| {
+            let step_prompts =
+                snapshot.step_prompts.iter().find(|(number, _)| *number == step.shape.step);
+            let step_prompts = step_prompts.map(|(_, step_prompts)| step_prompts);
+            WireStepState {
                 step: step.shape.step,
                 groups: step.shape.groups,
                 samples_per_group: step.shape.samples_per_group,
-                slots: step.slots.iter().map(WireBookSlot::from).collect(),
+                slots: step.slots.iter().map(WireStepSlot::from).collect(),
                 completed: step.completed,
-                max_tokens: opened.map_or(0, |opened| opened.max_tokens),
-                prompts: opened.map_or_else(Vec::new, |opened| opened.prompts.clone()),
+                max_tokens: step_prompts.map_or(0, |step_prompts| step_prompts.max_tokens),
+                prompts: step_prompts
+                    .map_or_else(Vec::new, |step_prompts| step_prompts.prompts.clone()),
             }
         });
         Self {
-            until: carry.carry.until.0,
-            trainer: book.id.0,
-            name: book.name.clone(),
-            version: book.version.0,
-            staleness_bound: book.staleness_bound,
-            statements: book.statements,
-            acknowledged: book.acknowledged.0,
-            offered: book.offered.0,
-            offer: book.offer.map(|offer| (offer.statement, offer.after.0, offer.until.0)),
-            last_number: book.last_number.0,
+            until: snapshot.snapshot.until.0,
+            trainer: state.id.0,
+            name: state.name.clone(),
+            version: state.version.0,
+            staleness_bound: state.staleness_bound,
+            statements: state.statements,
+            acknowledged: state.acknowledged.0,
+            offered: state.offered.0,
+            offer: state.range.map(|range| (range.statement, range.after.0, range.until.0)),
+            last_number: state.last_number.0,
             bindings: bindings.collect(),
             steps: steps.collect(),
-            retired_below: book.retired_below,
-            retired_until: book.retired_until.0,
+            retired_below: state.retired_below,
+            retired_until: state.retired_until.0,
         }
     }
 }
 
-impl TryFrom<WireCarry> for SampleCarry {
+impl TryFrom<WireTrainerSnapshot> for SampleSnapshot {
     type Error = MalformedMessage;
 
-    fn try_from(wire: WireCarry) -> Result<Self, MalformedMessage> {
+    fn try_from(wire: WireTrainerSnapshot) -> Result<Self, MalformedMessage> {
         let bindings = wire.bindings.into_iter().map(|binding| {
             let number = DeliveryNumber(binding.number);
             let binding = Binding {
@@ -122,7 +124,7 @@
             (number, binding)
         });
         let bindings = bindings.collect();
-        let mut opened = Vec::new();
+        let mut step_prompts = Vec::new();
         let mut steps = std::collections::BTreeMap::new();
         for step in wire.steps {
             let slots = u64::from(step.groups) * u64::from(step.samples_per_group);
@@ -131,23 +133,23 @@
                 return Err(MalformedMessage::new(reason));
             }
             if !step.prompts.is_empty() {
-                let prompts = OpenedStep { prompts: step.prompts, max_tokens: step.max_tokens };
-                opened.push((step.step, prompts));
+                let prompts = StepPrompts { prompts: step.prompts, max_tokens: step.max_tokens };
+                step_prompts.push((step.step, prompts));
             }
             let shape = StepShape {
                 step: step.step,
                 groups: step.groups,
                 samples_per_group: step.samples_per_group,
             };
-            let slots = step.slots.into_iter().map(BookSlot::from).collect();
-            steps.insert(step.step, BookStep { shape, slots, completed: step.completed });
+            let slots = step.slots.into_iter().map(StepSlot::from).collect();
+            steps.insert(step.step, StepState { shape, slots, completed: step.completed });
         }
-        let offer = wire.offer.map(|(statement, after, until)| Offer {
+        let range = wire.offer.map(|(statement, after, until)| DeliveryRange {
             statement,
             after: DeliveryNumber(after),
             until: DeliveryNumber(until),
         });
-        let book = TrainerBook {
+        let state = TrainerState {
             id: TrainerId(wire.trainer),
             name: wire.name,
             version: WeightVersion(wire.version),
@@ -155,19 +157,19 @@
             statements: wire.statements,
             acknowledged: DeliveryNumber(wire.acknowledged),
             offered: DeliveryNumber(wire.offered),
-            offer,
+            range,
             last_number: DeliveryNumber(wire.last_number),
             bindings,
             steps,
             retired_below: wire.retired_below,
             retired_until: DeliveryNumber(wire.retired_until),
         };
-        Ok(Self { carry: TrainerCarry { until: LogOffset(wire.until), book }, opened })
+        Ok(Self { snapshot: TrainerSnapshot { until: LogOffset(wire.until), state }, step_prompts })
     }
 }
 
-impl From<&BookSlot> for WireBookSlot {
-    fn from(slot: &BookSlot) -> Self {
+impl From<&StepSlot> for WireStepSlot {
+    fn from(slot: &StepSlot) -> Self {
         let state = match &slot.state {
             SlotState::Open => WireSlotState::Open,
             SlotState::Filled(filled) => WireSlotState::Filled(filled.into()),
@@ -178,8 +180,8 @@
     }
 }
 
-impl From<WireBookSlot> for BookSlot {
-    fn from(wire: WireBookSlot) -> Self {
+impl From<WireStepSlot> for StepSlot {
+    fn from(wire: WireStepSlot) -> Self {
         let state = match wire.state {
             WireSlotState::Open => SlotState::Open,
             WireSlotState::Filled(filled) => SlotState::Filled(filled.into()),
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -10,12 +10,14 @@
 
 use base::{WallTime, WeightVersion};
 use bytes::Bytes;
-use submissions::{BookRecord, ItemResult, ItemState, RewardCall, SubmissionHead, SubmissionItem};
+use submissions::{
+    ItemResult, ItemState, RewardCall, SubmissionItem, SubmissionMetadata, SubmissionRecord,
+};
 
 use crate::codec::{MalformedMessage, decode_message, encode_message, wire};
 
 wire! {
-    pub enum WireBookRecord {
+    pub enum WireSubmissionRecord {
         Opened {
             customer: String,
             host: String,
@@ -60,10 +62,10 @@
 }
 
 /// Prefix of the markers of open submissions.
-pub const OPEN_PREFIX: &str = "a/";
+pub const OPEN_SUBMISSIONS_PREFIX: &str = "a/";
 
 /// Prefix of the markers of submissions that can be deleted later.
-pub const EXPIRING_PREFIX: &str = "z/";
+pub const EXPIRING_SUBMISSIONS_PREFIX: &str = "z/";
 
 /// Returns the prefix of all keys of a submission but its markers.
 #[must_use]
@@ -73,43 +75,48 @@
 
 /// Key and value of a record. Without a value the key is dropped.
 #[must_use]
-pub fn encode_book_record(record: &BookRecord) -> (String, Option<Vec<u8>>) {
+pub fn encode_submission_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
-        BookRecord::Opened(head) => {
-            let value = WireBookRecord::Opened {
-                customer: head.customer.clone(),
-                host: head.host.clone(),
-                path: head.path.clone(),
-                model: head.model.clone(),
-                step: head.step,
-                least_version: head.least_version.0,
-                target_groups: head.target_groups,
-                accepted_ms: head.accepted_at.0,
-                items: head.items,
+        SubmissionRecord::Opened(metadata) => {
+            let value = WireSubmissionRecord::Opened {
+                customer: metadata.customer.clone(),
+                host: metadata.host.clone(),
+                path: metadata.path.clone(),
+                model: metadata.model.clone(),
+                step: metadata.step,
+                least_version: metadata.min_version.0,
+                target_groups: metadata.target_groups,
+                accepted_ms: metadata.accepted_at.0,
+                items: metadata.item_count,
             };
-            (format!("s/{}/o", head.id), Some(encode_message(&value)))
+            (format!("s/{}/o", metadata.id), Some(encode_message(&value)))
         }
-        BookRecord::Items { submission, first, items } => {
+        SubmissionRecord::Items { submission, first, items } => {
             let items = items.iter().map(WireItem::from).collect();
-            let value = encode_message(&WireBookRecord::Items { items });
+            let value = encode_message(&WireSubmissionRecord::Items { items });
             (format!("s/{submission}/i/{first}"), Some(value))
         }
-        BookRecord::Result { submission, position, result } => {
-            let value = encode_message(&WireBookRecord::from(result));
+        SubmissionRecord::Result { submission, position, result } => {
+            let value = encode_message(&WireSubmissionRecord::from(result));
             (format!("s/{submission}/r/{position}"), Some(value))
         }
-        BookRecord::Ended { submission } => {
-            (format!("s/{submission}/e"), Some(encode_message(&WireBookRecord::Ended)))
+        SubmissionRecord::Ended { submission } => {
+            (format!("s/{submission}/e"), Some(encode_message(&WireSubmissionRecord::Ended)))
         }
-        BookRecord::Marked { submission } => {
-            (format!("{OPEN_PREFIX}{submission}"), Some(encode_message(&WireBookRecord::Marked)))
+        SubmissionRecord::OpenMarkerSet { submission } => (
+            format!("{OPEN_SUBMISSIONS_PREFIX}{submission}"),
+            Some(encode_message(&WireSubmissionRecord::Marked)),
+        ),
+        SubmissionRecord::Expiring { submission, accepted_at } => {
+            let value = WireSubmissionRecord::Expiring { accepted_ms: accepted_at.0 };
+            (format!("{EXPIRING_SUBMISSIONS_PREFIX}{submission}"), Some(encode_message(&value)))
         }
-        BookRecord::Expiring { submission, accepted_at } => {
-            let value = WireBookRecord::Expiring { accepted_ms: accepted_at.0 };
-            (format!("{EXPIRING_PREFIX}{submission}"), Some(encode_message(&value)))
+        SubmissionRecord::Deleted { submission } => {
+            (format!("{EXPIRING_SUBMISSIONS_PREFIX}{submission}"), None)
+        }
+        SubmissionRecord::OpenMarkerCleared { submission } => {
+            (format!("{OPEN_SUBMISSIONS_PREFIX}{submission}"), None)
         }
-        BookRecord::Dropped { submission } => (format!("{EXPIRING_PREFIX}{submission}"), None),
-        BookRecord::Unmarked { submission } => (format!("{OPEN_PREFIX}{submission}"), None),
     }
 }
 
@@ -119,25 +126,25 @@
 /// # Errors
 ///
 /// Returns [`MalformedMessage`] when the key or the value does not have the expected shape.
-pub fn decode_book_record(
+pub fn decode_submission_record(
     key: &str,
     value: Option<&[u8]>,
-) -> Result<Option<BookRecord>, MalformedMessage> {
-    if let Some(submission) = key.strip_prefix(OPEN_PREFIX) {
+) -> Result<Option<SubmissionRecord>, MalformedMessage> {
+    if let Some(submission) = key.strip_prefix(OPEN_SUBMISSIONS_PREFIX) {
         let submission = String::from(submission);
         return Ok(Some(match value {
-            Some(_) => BookRecord::Marked { submission },
-            None => BookRecord::Unmarked { submission },
+            Some(_) => SubmissionRecord::OpenMarkerSet { submission },
+            None => SubmissionRecord::OpenMarkerCleared { submission },
         }));
     }
-    if let Some(submission) = key.strip_prefix(EXPIRING_PREFIX) {
+    if let Some(submission) = key.strip_prefix(EXPIRING_SUBMISSIONS_PREFIX) {
         let submission = String::from(submission);
-        let Some(value) = value else { return Ok(Some(BookRecord::Dropped { submission })) };
-        let WireBookRecord::Expiring { accepted_ms } = decode_message(value)? else {
+        let Some(value) = value else { return Ok(Some(SubmissionRecord::Deleted { submission })) };
+        let WireSubmissionRecord::Expiring { accepted_ms } = decode_message(value)? else {
             return Err(MalformedMessage::new(format!("key \"{key}\" does not fit its value")));
         };
         let accepted_at = WallTime(accepted_ms);
-        return Ok(Some(BookRecord::Expiring { submission, accepted_at }));
+        return Ok(Some(SubmissionRecord::Expiring { submission, accepted_at }));
     }
     let Some(value) = value else { return Ok(None) };
     let mut parts = key.split('/').skip(1);
@@ -150,22 +157,22 @@
     };
     let submission = String::from(submission);
     let record = match (kind, number, decode_message(value)?) {
-        ("o", None, opened @ WireBookRecord::Opened { .. }) => head(submission, opened)?,
-        ("i", Some(first), WireBookRecord::Items { items }) => {
+        ("o", None, opened @ WireSubmissionRecord::Opened { .. }) => head(submission, opened)?,
+        ("i", Some(first), WireSubmissionRecord::Items { items }) => {
             let items = items.into_iter().map(SubmissionItem::from).collect();
-            BookRecord::Items { submission, first, items }
+            SubmissionRecord::Items { submission, first, items }
         }
-        ("r", Some(position), result @ WireBookRecord::Result { .. }) => {
-            BookRecord::Result { submission, position, result: result.try_into()? }
+        ("r", Some(position), result @ WireSubmissionRecord::Result { .. }) => {
+            SubmissionRecord::Result { submission, position, result: result.try_into()? }
         }
-        ("e", None, WireBookRecord::Ended) => BookRecord::Ended { submission },
+        ("e", None, WireSubmissionRecord::Ended) => SubmissionRecord::Ended { submission },
         _ => return Err(MalformedMessage::new(format!("key \"{key}\" does not fit its value"))),
     };
     Ok(Some(record))
 }
 
-fn head(id: String, wire: WireBookRecord) -> Result<BookRecord, MalformedMessage> {
-    let WireBookRecord::Opened {
+fn head(id: String, wire: WireSubmissionRecord) -> Result<SubmissionRecord, MalformedMessage> {
+    let WireSubmissionRecord::Opened {
         customer,
         host,
         path,
@@ -179,21 +186,21 @@
     else {
         return Err(MalformedMessage::new("the record does not open a submission"));
     };
-    Ok(BookRecord::Opened(SubmissionHead {
+    Ok(SubmissionRecord::Opened(SubmissionMetadata {
         id,
         customer,
         host,
         path,
         model,
         step,
-        least_version: WeightVersion(least_version),
+        min_version: WeightVersion(least_version),
         target_groups,
         accepted_at: WallTime(accepted_ms),
-        items,
+        item_count: items,
     }))
 }
 
-impl From<&ItemResult> for WireBookRecord {
+impl From<&ItemResult> for WireSubmissionRecord {
     fn from(result: &ItemResult) -> Self {
         Self::Result {
             item: result.item.clone(),
@@ -205,11 +212,11 @@
     }
 }
 
-impl TryFrom<WireBookRecord> for ItemResult {
+impl TryFrom<WireSubmissionRecord> for ItemResult {
     type Error = MalformedMessage;
 
-    fn try_from(wire: WireBookRecord) -> Result<Self, MalformedMessage> {
-        let WireBookRecord::Result { item, finished, output, versions, score } = wire else {
+    fn try_from(wire: WireSubmissionRecord) -> Result<Self, MalformedMessage> {
+        let WireSubmissionRecord::Result { item, finished, output, versions, score } = wire else {
             return Err(MalformedMessage::new("the record is no result"));
         };
         let state = if finished { ItemState::Finished } else { ItemState::Errored };
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -4,10 +4,10 @@
 #![allow(missing_docs)]
 
 use authority::AuthorityRecord;
-use base::{FencingNumber, Incarnation, LogOffset};
+use base::{FencingToken, Incarnation, LogOffset};
 use usage::{
     ClosedWindow, LedgerSnapshot, SeenRecords, SequenceRange, UsageAmount, UsageBatch,
-    UsageFigures, UsageRecord, WindowClose, WindowNumber, WindowReported,
+    UsageByCustomer, UsageRecord, WindowClose, WindowNumber, WindowReported,
 };
 
 use crate::{
@@ -113,15 +113,15 @@
             WireUsage::Batch(batch) => Self::Batch(batch.into()),
             WireUsage::Close { window, fencing } => Self::Close(WindowClose {
                 window: WindowNumber(window),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             }),
             WireUsage::Reported { window, fencing } => Self::Reported(WindowReported {
                 window: WindowNumber(window),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             }),
-            WireUsage::Carry { snapshot, fencing } => Self::Carry {
+            WireUsage::Carry { snapshot, fencing } => Self::Snapshot {
                 snapshot: Box::new((*snapshot).try_into()?),
-                fencing: FencingNumber(fencing),
+                fencing: FencingToken(fencing),
             },
         })
     }
@@ -137,7 +137,7 @@
             UsageRecord::Reported(reported) => {
                 Self::Reported { window: reported.window.0, fencing: reported.fencing.0 }
             }
-            UsageRecord::Carry { snapshot, fencing } => {
+            UsageRecord::Snapshot { snapshot, fencing } => {
                 Self::Carry { snapshot: Box::new(snapshot.as_ref().into()), fencing: fencing.0 }
             }
         }
@@ -146,13 +146,13 @@
 
 impl From<WireBatch> for UsageBatch {
     fn from(wire: WireBatch) -> Self {
-        Self { id: wire.id.into(), figures: figures(wire.figures) }
+        Self { id: wire.id.into(), usage: figures(wire.figures) }
     }
 }
 
 impl From<&UsageBatch> for WireBatch {
     fn from(batch: &UsageBatch) -> Self {
-        Self { id: batch.id.into(), figures: wire_figures(&batch.figures) }
+        Self { id: batch.id.into(), figures: wire_figures(&batch.usage) }
     }
 }
 
@@ -174,7 +174,7 @@
         let closed = wire.closed.into_iter().map(|window| {
             let closed = ClosedWindow {
                 closed_at: LogOffset(window.closed_at),
-                figures: figures(window.figures),
+                usage: figures(window.figures),
                 reported: window.reported,
             };
             (WindowNumber(window.window), closed)
@@ -184,7 +184,7 @@
             open: figures(wire.open),
             last_closed: wire.last_closed.map(WindowNumber),
             closes: wire.closes,
-            fencing: wire.fencing.map(FencingNumber),
+            fencing: wire.fencing.map(FencingToken),
             closed: closed.collect(),
             seen: seen.into_iter().collect::<SeenRecords>(),
         })
@@ -196,7 +196,7 @@
         let closed = snapshot.closed.iter().map(|(window, closed)| WireWindow {
             window: window.0,
             closed_at: closed.closed_at.0,
-            figures: wire_figures(&closed.figures),
+            figures: wire_figures(&closed.usage),
             reported: closed.reported,
         });
         let seen = snapshot.seen.iter().map(|(writer, epoch, ranges)| WireSeen {
@@ -216,7 +216,7 @@
     }
 }
 
-fn figures(wire: Vec<WireFigure>) -> UsageFigures {
+fn figures(wire: Vec<WireFigure>) -> UsageByCustomer {
     let entries = wire.into_iter().map(|figure| {
         let amount = UsageAmount {
             requests: figure.requests,
@@ -225,11 +225,11 @@
         };
         (figure.customer, amount)
     });
-    UsageFigures(entries.collect())
+    UsageByCustomer(entries.collect())
 }
 
-fn wire_figures(figures: &UsageFigures) -> Vec<WireFigure> {
-    let entries = figures.0.iter().map(|(customer, amount)| WireFigure {
+fn wire_figures(usage: &UsageByCustomer) -> Vec<WireFigure> {
+    let entries = usage.0.iter().map(|(customer, amount)| WireFigure {
         customer: customer.clone(),
         requests: amount.requests,
         prompt_tokens: amount.prompt_tokens,
--- a/crates/rollout/src/share.rs
+++ b/crates/rollout/src/scheduler.rs
@@ -17,12 +17,12 @@
 /// Chooses the trainer whose slot is placed next, by start-time fair queueing (Goyal, Vin and Cheng,
 /// 1996) on estimated tokens.
 #[derive(Debug, Clone, Default)]
-pub struct TrainerShare {
+pub struct TrainerScheduler {
     accounts: BTreeMap<TrainerId, Account>,
     virtual_now: u64,
 }
 
-impl TrainerShare {
+impl TrainerScheduler {
     /// Sets the weight of a trainer; 0 counts as 1.
     pub fn set_weight(&mut self, trainer: TrainerId, weight: u32) {
         self.accounts.entry(trainer).or_default().weight = weight.max(1);
@@ -36,7 +36,7 @@
     /// Returns the trainer to serve next among those that `wants` names.
     ///
     /// A trainer that had no work does not save up its share for later.
-    pub fn next(&mut self, wants: impl Fn(TrainerId) -> bool) -> Option<TrainerId> {
+    pub fn select(&mut self, wants: impl Fn(TrainerId) -> bool) -> Option<TrainerId> {
         let mut best: Option<(u64, TrainerId)> = None;
         for (&trainer, account) in &mut self.accounts {
             let was_active = std::mem::replace(&mut account.is_active, wants(trainer));
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the estimate of a finished or cancelled attempt by its true tokens.
-    pub fn correct(&mut self, trainer: TrainerId, estimated: u64, actual: u64) {
+    pub fn reconcile(&mut self, trainer: TrainerId, estimated: u64, actual: u64) {
         if let Some(account) = self.accounts.get_mut(&trainer) {
             let weight = u64::from(account.weight.max(1));
             account.virtual_time = account
--- a/crates/rollout/src/spans.rs
+++ b/crates/rollout/src/spans.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-use base::{WeightVersion, key};
+use base::{WeightVersion, derive_copy};
 use smallvec::SmallVec;
 
-key! {
+derive_copy! {
     /// A run of tokens that one weight version produced.
     pub struct VersionSpan {
         /// The version that the engine reported.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// Returns [`PieceOutOfOrder`] when the piece leaves a gap or repeats a token.
-    pub fn report(
+    pub fn append(
         &mut self,
         from: u32,
         tokens: u32,
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use base::{Incarnation, RecordId, WeightVersion};
 use rollout::{
-    BookAction, Delivery, DeliveryNumber, SampleBook, SampleFilled, SampleRecord, SlotKey,
+    Delivery, DeliveryNumber, SampleFilled, SampleOutcome, SampleRecord, SampleTable, SlotKey,
     SpanTracker, StepShape, TrainerId, TrainerStated,
 };
 
@@ -21,7 +21,7 @@
 ) -> SampleFilled {
     let mut tracker = SpanTracker::default();
     for &(version, tokens) in spans {
-        tracker.report(tracker.tokens(), tokens, WeightVersion(version)).unwrap();
+        tracker.append(tracker.tokens(), tokens, WeightVersion(version)).unwrap();
     }
     SampleFilled {
         slot: slot(index),
@@ -64,31 +64,31 @@
         }
     }
 
-    pub(crate) fn open(&mut self, book: &mut SampleBook, samples: u32) -> Vec<BookAction> {
-        self.open_step(book, 1, samples)
+    pub(crate) fn open(&mut self, table: &mut SampleTable, samples: u32) -> Vec<SampleOutcome> {
+        self.open_step(table, 1, samples)
     }
 
     pub(crate) fn open_step(
         &mut self,
-        book: &mut SampleBook,
+        table: &mut SampleTable,
         step: u64,
         samples: u32,
-    ) -> Vec<BookAction> {
+    ) -> Vec<SampleOutcome> {
         let shape = StepShape { step, groups: 1, samples_per_group: samples };
         let stated = self.statement(step - 1, 10, Some(shape));
         self.statements += 1;
-        book.apply(&SampleRecord::Stated(stated)).into_iter().collect()
+        table.apply(&SampleRecord::Stated(stated)).into_iter().collect()
     }
 
     pub(crate) fn fetch(
         &mut self,
-        book: &mut SampleBook,
+        table: &mut SampleTable,
         after: u64,
         version: u64,
     ) -> Vec<Delivery> {
         let stated = self.statement(after, version, None);
         self.statements += 1;
-        book.apply(&SampleRecord::Stated(stated));
-        book.deliveries(self.id, self.statements).expect("this is the last statement")
+        table.apply(&SampleRecord::Stated(stated));
+        table.deliveries(self.id, self.statements).expect("this is the last statement")
     }
 }
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -1,14 +1,14 @@
 //! Choice by expected completion time over sampled candidates.
 
-use base::{Moment, Span, UpstreamKey, key};
+use base::{Moment, Span, UpstreamKey, derive_copy};
 use rand::Rng;
 
 use crate::{
-    PickChoice, PickPolicy, PickReason, PickRequest, RouteMembers, UpstreamState, UpstreamTable,
+    PickPolicy, PickReason, PickRequest, PickResult, RouteUpstreams, UpstreamState, UpstreamTable,
     policy::below, upstream::UpstreamRow,
 };
 
-key! {
+derive_copy! {
     /// Settings of the picker.
     pub struct PickerSettings {
         /// Candidates sampled from the own zone.
@@ -30,7 +30,7 @@
 /// uniform samples of mixed speeds hold only slow upstreams too often. The bound on the load of a
 /// prefix owner follows Mirrokni et al., "Consistent hashing with bounded loads" (2018).
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RoutePicker {
+pub struct UpstreamPicker {
     settings: PickerSettings,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl RoutePicker {
+impl UpstreamPicker {
     /// Creates a picker.
     #[must_use]
     pub const fn new(settings: PickerSettings) -> Self {
@@ -95,12 +95,12 @@
     fn owner(
         &self,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         best: f32,
     ) -> Option<(UpstreamKey, f32)> {
         let bound = best * self.settings.owner_load_bound as f32 / 100.0;
-        for upstream in members.owners(request.prefix?) {
+        for upstream in upstreams.owners(request.prefix?) {
             let Some(row) = table.row(*upstream) else { continue };
             if !request.accepts(*upstream, row) {
                 continue;
@@ -117,13 +117,13 @@
     fn scan(
         &self,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         accepts: impl Fn(UpstreamKey, &UpstreamRow) -> bool,
     ) -> BestCandidates {
         let work = self.work(request);
         let mut found = BestCandidates::new();
-        for upstream in members.keys() {
+        for upstream in upstreams.keys() {
             let Some(row) = table.row(*upstream) else { continue };
             if accepts(*upstream, row) {
                 found.offer(*upstream, cost(table, row, work));
@@ -133,34 +133,34 @@
     }
 }
 
-impl PickPolicy for RoutePicker {
+impl PickPolicy for UpstreamPicker {
     fn pick(
         &mut self,
         _now: Moment,
         table: &UpstreamTable,
-        members: &RouteMembers,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
-    ) -> Option<PickChoice> {
+    ) -> Option<PickResult> {
         let PickerSettings { own_zone_samples, other_zone_samples, .. } = self.settings;
         let mut found = BestCandidates::new();
-        self.sample(&mut found, table, members.own_zone(), own_zone_samples, request, rng);
-        self.sample(&mut found, table, members.other_zones(), other_zone_samples, request, rng);
+        self.sample(&mut found, table, upstreams.own_zone(), own_zone_samples, request, rng);
+        self.sample(&mut found, table, upstreams.other_zones(), other_zone_samples, request, rng);
         let Some((_, best)) = found.best else {
             let accepts = |upstream, row: &UpstreamRow| request.accepts(upstream, row);
-            let found = self.scan(table, members, request, accepts);
+            let found = self.scan(table, upstreams, request, accepts);
             if found.best.is_some() {
                 return found.choice(PickReason::FullScan);
             }
             let accepts = |_, row: &UpstreamRow| is_last_resort(request, row);
-            let found = self.scan(table, members, request, accepts);
+            let found = self.scan(table, upstreams, request, accepts);
             return found.choice(PickReason::LastResort);
         };
-        let Some((owner, time)) = self.owner(table, members, request, best) else {
+        let Some((owner, time)) = self.owner(table, upstreams, request, best) else {
             return found.choice(PickReason::EarliestCompletion);
         };
         let compared = found.compared + 1;
-        Some(PickChoice {
+        Some(PickResult {
             upstream: owner,
             reason: PickReason::PrefixOwner,
             expected: span(time),
@@ -190,11 +190,11 @@
         }
     }
 
-    fn choice(&self, reason: PickReason) -> Option<PickChoice> {
+    fn choice(&self, reason: PickReason) -> Option<PickResult> {
         let (upstream, time) = self.best?;
         let runner_up = self.runner_up.map(span);
         let compared = self.compared;
-        Some(PickChoice { upstream, reason, expected: span(time), runner_up, compared })
+        Some(PickResult { upstream, reason, expected: span(time), runner_up, compared })
     }
 }
 
@@ -208,7 +208,7 @@
 /// Time to completion in seconds by which candidates are compared, both ways of the network
 /// included.
 fn cost(table: &UpstreamTable, row: &UpstreamRow, work: f32) -> f32 {
-    let network = table.distance(row.info.zone).0 as f32 * 2e-6;
+    let network = table.zone_latency(row.properties.zone).0 as f32 * 2e-6;
     row.expected(work, table.own_weight(), table.mean_token_time()) + network
 }
 
--- a/crates/routing/src/members.rs
+++ b/crates/routing/src/route_upstreams.rs
@@ -13,13 +13,13 @@
 
 /// Upstreams of one route, those of the node's own zone first.
 #[derive(Debug, Clone)]
-pub struct RouteMembers {
+pub struct RouteUpstreams {
     keys: Vec<UpstreamKey>,
     own_zone: usize,
     owners: Vec<[UpstreamKey; OWNERS]>,
 }
 
-impl RouteMembers {
+impl RouteUpstreams {
     /// Sorts the upstreams of a route as seen from `own_zone` and assigns the prefix groups.
     /// Keys that are not in `table` are left out.
     #[must_use]
@@ -28,10 +28,11 @@
         own_zone: ZoneKey,
         upstreams: impl IntoIterator<Item = UpstreamKey>,
     ) -> Self {
-        let known = upstreams.into_iter().filter(|upstream| table.info(*upstream).is_some());
+        let known = upstreams.into_iter().filter(|upstream| table.properties(*upstream).is_some());
         let mut keys = known.collect::<Vec<_>>();
-        let is_remote =
-            |upstream: UpstreamKey| table.info(upstream).is_none_or(|info| info.zone != own_zone);
+        let is_remote = |upstream: UpstreamKey| {
+            table.properties(upstream).is_none_or(|properties| properties.zone != own_zone)
+        };
         keys.sort_by_key(|upstream| (is_remote(*upstream), *upstream));
         let own_zone = keys.iter().filter(|upstream| !is_remote(**upstream)).count();
         let groups = if keys.is_empty() { 0 } else { PREFIX_GROUPS };
@@ -63,8 +64,8 @@
 fn owners(table: &UpstreamTable, keys: &[UpstreamKey], group: u64) -> [UpstreamKey; OWNERS] {
     let mut best = [(0, keys[0]); OWNERS];
     for key in keys {
-        let node_hash = table.info(*key).map_or(0, |info| info.node_hash);
-        let weight = rendezvous_weight(node_hash, group);
+        let name_hash = table.properties(*key).map_or(0, |properties| properties.name_hash);
+        let weight = rendezvous_weight(name_hash, group);
         if weight > best[0].0 {
             best = [(weight, *key), best[0]];
             continue;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,13 +1,13 @@
 //! What the node knows about each upstream.
 
-use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, ZoneKey, key};
+use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_copy};
 
 use crate::{
-    LoadSample, StartedWork, UpstreamInfo, UpstreamPrice, UpstreamState, WorkEnd,
-    upstream::UpstreamRow,
+    InFlightRequest, LoadMeasurement, PriceClass, RequestOutcome, UpstreamProperties,
+    UpstreamState, upstream::UpstreamRow,
 };
 
-key! {
+derive_copy! {
     /// Starting values of the table.
     pub struct TableSettings {
         /// Speed assumed before an upstream has completed a request, in tokens per second.
@@ -28,7 +28,7 @@
 pub struct UpstreamTable {
     settings: TableSettings,
     rows: Arena<UpstreamKey, UpstreamRow>,
-    distances: Vec<Span>,
+    zone_latencies: Vec<Span>,
     mean_request: f32,
     mean_token_time: f32,
     max_speed: f32,
@@ -42,14 +42,14 @@
 }
 
 impl UpstreamTable {
-    /// Creates an empty table. `distances` holds the one-way time from this node to each zone, by
+    /// Creates an empty table. `zone_latencies` holds the one-way time from this node to each zone, by
     /// [`ZoneKey`].
     #[must_use]
-    pub fn new(settings: TableSettings, distances: Vec<Span>) -> Self {
+    pub fn new(settings: TableSettings, zone_latencies: Vec<Span>) -> Self {
         Self {
             settings,
             rows: Arena::new(),
-            distances,
+            zone_latencies,
             mean_request: settings.initial_request as f32,
             mean_token_time: 0.0,
             max_speed: settings.initial_speed as f32,
@@ -61,19 +61,19 @@
     ///
     /// The others choose by the same rules, so what this node has sent stands for as much from each
     /// of them until reports show it. Choices compare upstreams with that in mind.
-    pub fn set_nodes(&mut self, nodes: u32) {
+    pub fn set_node_count(&mut self, nodes: u32) {
         self.own_weight = nodes.clamp(1, MAX_OWN_WEIGHT) as f32;
     }
 
     /// Adds an upstream that takes work.
-    pub fn add(&mut self, info: UpstreamInfo) -> UpstreamKey {
-        self.add_expecting(info, self.settings.initial_speed)
+    pub fn add(&mut self, properties: UpstreamProperties) -> UpstreamKey {
+        self.add_with_speed(properties, self.settings.initial_speed)
     }
 
     /// Adds an upstream that takes work at an expected speed in tokens per second, which holds until
     /// completed requests show its true one.
-    pub fn add_expecting(&mut self, info: UpstreamInfo, speed: u32) -> UpstreamKey {
-        self.rows.push(UpstreamRow::new(info, speed.max(1) as f32))
+    pub fn add_with_speed(&mut self, properties: UpstreamProperties, speed: u32) -> UpstreamKey {
+        self.rows.push(UpstreamRow::new(properties, speed.max(1) as f32))
     }
 
     /// Changes whether an upstream may be chosen. Leaving is final, except that it can go down.
@@ -104,7 +104,7 @@
     /// What the report holds beyond the node's own work at the time of measurement belongs to
     /// other nodes and counts unchanged until the next report. Their arrivals make up for what the
     /// upstream completes meanwhile, and the node's own work is known exactly.
-    pub fn report(&mut self, now: Moment, upstream: UpstreamKey, load: LoadSample) {
+    pub fn record_load(&mut self, now: Moment, upstream: UpstreamKey, load: LoadMeasurement) {
         let mean_request = self.mean_request;
         let Some(row) = self.rows.get_mut(upstream) else { return };
         if row.measured_at.is_some_and(|last| load.measured_at <= last) {
@@ -122,7 +122,7 @@
     }
 
     /// Counts a request of `tokens` estimated work that is given to `upstream`.
-    pub fn start(&mut self, now: Moment, upstream: UpstreamKey, tokens: u32) -> StartedWork {
+    pub fn start(&mut self, now: Moment, upstream: UpstreamKey, tokens: u32) -> InFlightRequest {
         let mut backlog = 0;
         if let Some(row) = self.rows.get_mut(upstream) {
             row.keep_history(now);
@@ -130,19 +130,19 @@
             row.outstanding = row.outstanding.saturating_add(tokens);
             row.own_requests += 1;
         }
-        StartedWork { upstream, started_at: now, tokens, backlog }
+        InFlightRequest { upstream, started_at: now, tokens, backlog }
     }
 
     /// Ends a request and learns from it.
-    pub fn finish(&mut self, now: Moment, work: StartedWork, end: WorkEnd) {
-        let Some(row) = self.rows.get_mut(work.upstream) else { return };
+    pub fn finish(&mut self, now: Moment, request: InFlightRequest, outcome: RequestOutcome) {
+        let Some(row) = self.rows.get_mut(request.upstream) else { return };
         row.keep_history(now);
-        row.outstanding = row.outstanding.saturating_sub(work.tokens);
+        row.outstanding = row.outstanding.saturating_sub(request.tokens);
         row.own_requests = row.own_requests.saturating_sub(1);
-        let WorkEnd::Completed { tokens } = end else { return };
+        let RequestOutcome::Completed { tokens } = outcome else { return };
         self.mean_request += (tokens as f32 - self.mean_request) * MEAN_WEIGHT;
-        let took = now.since(work.started_at).0.max(1) as f32 / 1e6;
-        let backlog = (work.backlog as f32 + row.backlog() as f32) / 2.0;
+        let took = now.since(request.started_at).0.max(1) as f32 / 1e6;
+        let backlog = (request.backlog as f32 + row.backlog() as f32) / 2.0;
         row.learn(tokens as f32, took, backlog, self.mean_request);
         let token_time = took / tokens.max(1) as f32;
         let weight = if self.mean_token_time > 0.0 { MEAN_WEIGHT } else { 1.0 };
@@ -151,7 +151,7 @@
     }
 
     /// Recomputes the highest speed, which only rises between two calls. Due about every second.
-    pub fn refresh(&mut self) {
+    pub fn refresh_max_speed(&mut self) {
         let live = self.rows.iter().filter(|(_, row)| row.takes_work());
         let highest = live.map(|(_, row)| row.speed).fold(0.0, f32::max);
         self.max_speed = if highest > 0.0 { highest } else { self.settings.initial_speed as f32 };
@@ -189,8 +189,8 @@
 
     /// Returns the work of other nodes on an upstream by its load reports, in tokens.
     #[must_use]
-    pub fn others(&self, upstream: UpstreamKey) -> Option<f32> {
-        self.rows.get(upstream).map(|row| row.others)
+    pub fn other_nodes_backlog(&self, upstream: UpstreamKey) -> Option<f32> {
+        self.rows.get(upstream).map(|row| row.other_nodes_backlog)
     }
 
     /// Returns the node's own requests on an upstream.
@@ -207,8 +207,8 @@
 
     /// Returns whether an upstream can be reclaimed.
     #[must_use]
-    pub fn price(&self, upstream: UpstreamKey) -> Option<UpstreamPrice> {
-        self.rows.get(upstream).map(|row| row.info.price)
+    pub fn price_class(&self, upstream: UpstreamKey) -> Option<PriceClass> {
+        self.rows.get(upstream).map(|row| row.properties.price_class)
     }
 
     /// Returns the age of the last load report.
@@ -220,8 +220,8 @@
 
     /// Returns the one-way time from this node to a zone.
     #[must_use]
-    pub fn distance(&self, zone: ZoneKey) -> Span {
-        self.distances.get(zone.0 as usize).copied().unwrap_or(Span::ZERO)
+    pub fn zone_latency(&self, zone: ZoneKey) -> Span {
+        self.zone_latencies.get(zone.0 as usize).copied().unwrap_or(Span::ZERO)
     }
 
     pub(crate) fn row(&self, upstream: UpstreamKey) -> Option<&UpstreamRow> {
@@ -240,7 +240,7 @@
         self.max_speed
     }
 
-    pub(crate) fn info(&self, upstream: UpstreamKey) -> Option<UpstreamInfo> {
-        self.rows.get(upstream).map(|row| row.info)
+    pub(crate) fn properties(&self, upstream: UpstreamKey) -> Option<UpstreamProperties> {
+        self.rows.get(upstream).map(|row| row.properties)
     }
 }
--- a/crates/submissions/src/plan.rs
+++ b/crates/submissions/src/plan.rs
@@ -6,27 +6,27 @@
 
 use std::collections::{HashMap, HashSet};
 
-use crate::{BookRecord, ItemResult, SubmissionBook};
+use crate::{ItemResult, SubmissionRecord, SubmissionTable};
 
 /// Returns the records that accept a submission, unless it is accepted already.
 #[must_use]
 pub fn opening_records(
-    book: &SubmissionBook,
+    table: &SubmissionTable,
     submission: &str,
-    records: &[BookRecord],
-) -> Option<Vec<BookRecord>> {
-    book.get(submission).is_none().then(|| records.to_vec())
+    records: &[SubmissionRecord],
+) -> Option<Vec<SubmissionRecord>> {
+    table.get(submission).is_none().then(|| records.to_vec())
 }
 
 /// Returns the records that end a submission, unless it does not exist or has ended.
 #[must_use]
-pub fn ending_records(book: &SubmissionBook, submission: &str) -> Option<Vec<BookRecord>> {
-    let state = book.get(submission).filter(|state| !state.is_ended())?;
+pub fn ending_records(table: &SubmissionTable, submission: &str) -> Option<Vec<SubmissionRecord>> {
+    let state = table.get(submission).filter(|state| !state.is_ended())?;
     let id = || String::from(submission);
     Some(vec![
-        BookRecord::Ended { submission: id() },
-        BookRecord::Unmarked { submission: id() },
-        BookRecord::Expiring { submission: id(), accepted_at: state.head().accepted_at },
+        SubmissionRecord::Ended { submission: id() },
+        SubmissionRecord::OpenMarkerCleared { submission: id() },
+        SubmissionRecord::Expiring { submission: id(), accepted_at: state.metadata().accepted_at },
     ])
 }
 
@@ -34,20 +34,20 @@
 /// submissions are left out.
 #[must_use]
 pub fn result_records(
-    book: &SubmissionBook,
+    table: &SubmissionTable,
     results: &[(String, ItemResult)],
-) -> Option<Vec<BookRecord>> {
+) -> Option<Vec<SubmissionRecord>> {
     let mut positions: HashMap<&str, u32> = HashMap::new();
     let mut given: HashSet<(&str, &str)> = HashSet::new();
     let mut records = Vec::new();
     for (submission, result) in results {
-        let Some(state) = book.get(submission) else { continue };
+        let Some(state) = table.get(submission) else { continue };
         let again = !given.insert((submission, &result.item));
         if again || state.is_ended() || state.is_resolved(&result.item) {
             continue;
         }
-        let position = positions.entry(submission).or_insert_with(|| state.listed());
-        records.push(BookRecord::Result {
+        let position = positions.entry(submission).or_insert_with(|| state.result_count());
+        records.push(SubmissionRecord::Result {
             submission: submission.clone(),
             position: *position,
             result: result.clone(),
--- a/crates/submissions/src/book.rs
+++ b/crates/submissions/src/table.rs
@@ -2,15 +2,15 @@
 
 use std::{collections::HashMap, sync::Arc};
 
-use base::{WallTime, plain};
+use base::{WallTime, derive_value};
 
-use crate::{ItemResult, SubmissionHead, SubmissionItem};
+use crate::{ItemResult, SubmissionItem, SubmissionMetadata};
 
-plain! {
+derive_value! {
     /// A record of a partition.
-    pub enum BookRecord {
+    pub enum SubmissionRecord {
         /// A submission was accepted. Its items follow in the same append.
-        Opened(SubmissionHead),
+        Opened(SubmissionMetadata),
         /// Some items of a submission, starting at an index.
         Items {
             /// Identifier of the submission.
@@ -35,7 +35,7 @@
             submission: String,
         },
         /// The submission is open, for nodes that look for work.
-        Marked {
+        OpenMarkerSet {
             /// Identifier of the submission.
             submission: String,
         },
@@ -47,12 +47,12 @@
             accepted_at: WallTime,
         },
         /// The submission was deleted.
-        Dropped {
+        Deleted {
             /// Identifier of the submission.
             submission: String,
         },
         /// The submission is no longer open.
-        Unmarked {
+        OpenMarkerCleared {
             /// Identifier of the submission.
             submission: String,
         },
@@ -62,12 +62,12 @@
 /// One submission.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubmissionState {
-    head: Option<Arc<SubmissionHead>>,
+    metadata: Option<Arc<SubmissionMetadata>>,
     items: Vec<Option<Arc<SubmissionItem>>>,
     index: HashMap<String, u32>,
     results: Vec<Option<Arc<ItemResult>>>,
     /// Length of the results without a gap.
-    listed: u32,
+    result_count: u32,
     resolved: HashMap<String, u32>,
     ended: bool,
 }
@@ -78,48 +78,48 @@
 /// a kind and position wins. Both happen when a node reads the newest records of all keys and then
 /// follows the partition from an earlier offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct SubmissionBook {
+pub struct SubmissionTable {
     submissions: HashMap<String, SubmissionState>,
 }
 
-impl SubmissionBook {
+impl SubmissionTable {
     /// Takes a record and returns the submission that it changed.
-    pub fn apply(&mut self, record: BookRecord) -> Option<String> {
+    pub fn apply(&mut self, record: SubmissionRecord) -> Option<String> {
         match record {
-            BookRecord::Opened(head) => {
-                let id = head.id.clone();
+            SubmissionRecord::Opened(metadata) => {
+                let id = metadata.id.clone();
                 let state = self.submissions.entry(id.clone()).or_default();
-                if state.head.is_some() {
+                if state.metadata.is_some() {
                     return None;
                 }
-                state.items.resize(head.items as usize, None);
-                state.head = Some(Arc::new(head));
+                state.items.resize(metadata.item_count as usize, None);
+                state.metadata = Some(Arc::new(metadata));
                 Some(id)
             }
-            BookRecord::Items { submission, first, items } => {
+            SubmissionRecord::Items { submission, first, items } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 for (index, item) in (first..).zip(items) {
                     state.add_item(index, item);
                 }
                 Some(submission)
             }
-            BookRecord::Result { submission, position, result } => {
+            SubmissionRecord::Result { submission, position, result } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 state.add_result(position, result).then_some(submission)
             }
-            BookRecord::Ended { submission } => {
+            SubmissionRecord::Ended { submission } => {
                 let state = self.submissions.entry(submission.clone()).or_default();
                 if std::mem::replace(&mut state.ended, true) {
                     return None;
                 }
                 Some(submission)
             }
-            BookRecord::Dropped { submission } => {
+            SubmissionRecord::Deleted { submission } => {
                 self.submissions.remove(&submission).map(|_| submission)
             }
-            BookRecord::Marked { .. }
-            | BookRecord::Unmarked { .. }
-            | BookRecord::Expiring { .. } => None,
+            SubmissionRecord::OpenMarkerSet { .. }
+            | SubmissionRecord::OpenMarkerCleared { .. }
+            | SubmissionRecord::Expiring { .. } => None,
         }
     }
 
@@ -157,24 +157,24 @@
         }
         self.resolved.insert(result.item.clone(), position);
         self.results[at] = Some(Arc::new(result));
-        while self.results.get(self.listed as usize).is_some_and(Option::is_some) {
-            self.listed += 1;
+        while self.results.get(self.result_count as usize).is_some_and(Option::is_some) {
+            self.result_count += 1;
         }
         true
     }
 
     fn is_complete(&self) -> bool {
-        self.head.is_some() && self.items.iter().all(Option::is_some)
+        self.metadata.is_some() && self.items.iter().all(Option::is_some)
     }
 
     /// Returns what holds for all items.
     ///
     /// # Panics
     ///
-    /// Panics when the submission is not complete, which [`SubmissionBook::get`] rules out.
+    /// Panics when the submission is not complete, which [`SubmissionTable::get`] rules out.
     #[must_use]
-    pub fn head(&self) -> &Arc<SubmissionHead> {
-        self.head.as_ref().expect("only complete submissions are handed out")
+    pub fn metadata(&self) -> &Arc<SubmissionMetadata> {
+        self.metadata.as_ref().expect("only complete submissions are handed out")
     }
 
     /// Iterates over the items in the order in which they were submitted.
@@ -196,13 +196,13 @@
 
     /// Number of results, which is the next free position.
     #[must_use]
-    pub const fn listed(&self) -> u32 {
-        self.listed
+    pub const fn result_count(&self) -> u32 {
+        self.result_count
     }
 
     /// Iterates over the results from a position on.
     pub fn results(&self, from: u32) -> impl Iterator<Item = &Arc<ItemResult>> {
-        let listed = self.listed as usize;
+        let listed = self.result_count as usize;
         let from = (from as usize).min(listed);
         self.results[from..listed].iter().flatten()
     }
--- a/crates/submissions/tests/book.rs
+++ b/crates/submissions/tests/book.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use submissions::{
-    BookRecord, ItemQueue, ItemResult, ItemText, SubmissionBook, SubmissionItem, TextEvent,
-    TextFault,
+    GeneratedText, GenerationEvent, ItemQueue, ItemResult, SubmissionItem, SubmissionRecord,
+    SubmissionTable, TextError,
 };
 
 const ITEMS: u32 = 6;
@@ -16,18 +16,22 @@
     common::item(&format!("i{index}"))
 }
 
-fn records() -> Vec<BookRecord> {
+fn records() -> Vec<SubmissionRecord> {
     let submission = || String::from("s");
     let mut records = vec![
-        BookRecord::Opened(common::head("s", ITEMS)),
-        BookRecord::Items { submission: submission(), first: 0, items: (0..4).map(item).collect() },
-        BookRecord::Items {
+        SubmissionRecord::Opened(common::metadata("s", ITEMS)),
+        SubmissionRecord::Items {
+            submission: submission(),
+            first: 0,
+            items: (0..4).map(item).collect(),
+        },
+        SubmissionRecord::Items {
             submission: submission(),
             first: 4,
             items: (4..ITEMS).map(item).collect(),
         },
     ];
-    records.extend((0..3).map(|position| BookRecord::Result {
+    records.extend((0..3).map(|position| SubmissionRecord::Result {
         submission: submission(),
         position,
         result: ItemResult::errored(format!("i{}", 5 - position)),
@@ -35,10 +39,10 @@
     records
 }
 
-fn summary(book: &SubmissionBook) -> (u32, Vec<String>, bool) {
-    let state = book.get("s").unwrap();
+fn summary(table: &SubmissionTable) -> (u32, Vec<String>, bool) {
+    let state = table.get("s").unwrap();
     let results = state.results(0).map(|result| result.item.clone()).collect();
-    (state.listed(), results, state.is_open())
+    (state.result_count(), results, state.is_open())
 }
 
 proptest! {
@@ -50,67 +54,67 @@
         repeats in prop::collection::vec(0usize..6, 0..6),
     ) {
         let records = records();
-        let mut expected = SubmissionBook::default();
+        let mut expected = SubmissionTable::default();
         for record in &records {
             expected.apply(record.clone());
         }
-        let mut book = SubmissionBook::default();
+        let mut table = SubmissionTable::default();
         for index in order.into_iter().chain(repeats) {
-            book.apply(records[index].clone());
+            table.apply(records[index].clone());
         }
-        prop_assert_eq!(summary(&book), summary(&expected));
+        prop_assert_eq!(summary(&table), summary(&expected));
     }
 }
 
 /// Guards against a submission that is handed out before all of its items are known.
 #[test]
 fn incomplete_submission_is_not_known() {
-    let mut book = SubmissionBook::default();
+    let mut table = SubmissionTable::default();
     for record in &records()[..2] {
-        book.apply(record.clone());
+        table.apply(record.clone());
     }
-    assert!(book.get("s").is_none());
-    book.apply(records()[2].clone());
-    assert!(book.get("s").is_some());
+    assert!(table.get("s").is_none());
+    table.apply(records()[2].clone());
+    assert!(table.get("s").is_some());
 }
 
 /// Guards against a second result that replaces the one at a position which was read.
 #[test]
 fn first_result_of_a_position_stays() {
-    let mut book = SubmissionBook::default();
+    let mut table = SubmissionTable::default();
     for record in records() {
-        book.apply(record);
+        table.apply(record);
     }
     let result = ItemResult::errored("other");
-    let second = BookRecord::Result { submission: String::from("s"), position: 0, result };
-    assert_eq!(book.apply(second), None);
-    assert_eq!(summary(&book).1[0], "i5");
+    let second = SubmissionRecord::Result { submission: String::from("s"), position: 0, result };
+    assert_eq!(table.apply(second), None);
+    assert_eq!(summary(&table).1[0], "i5");
 }
 
 /// Guards against results beyond a gap, which would change their positions when it closes.
 #[test]
 fn results_are_listed_up_to_a_gap() {
-    let mut book = SubmissionBook::default();
+    let mut table = SubmissionTable::default();
     for record in records() {
-        if !matches!(record, BookRecord::Result { position: 1, .. }) {
-            book.apply(record);
+        if !matches!(record, SubmissionRecord::Result { position: 1, .. }) {
+            table.apply(record);
         }
     }
-    assert_eq!(book.get("s").unwrap().listed(), 1);
+    assert_eq!(table.get("s").unwrap().result_count(), 1);
 }
 
-fn event(id: u64, version: Option<u64>) -> TextEvent {
-    TextEvent { id, data: format!("e{id}"), version: version.map(WeightVersion) }
+fn event(id: u64, version: Option<u64>) -> GenerationEvent {
+    GenerationEvent { id, data: format!("e{id}"), version: version.map(WeightVersion) }
 }
 
 /// Guards against a text with a missing or doubled event after a run went on elsewhere.
 #[test]
 fn events_must_follow_each_other() {
-    let mut text = ItemText::new(WeightVersion(1), false);
+    let mut text = GeneratedText::new(WeightVersion(1), false);
     text.begin_run(WeightVersion(1)).unwrap();
     text.push(&event(1, None)).unwrap();
-    assert_eq!(text.push(&event(3, None)), Err(TextFault::Order { expected: 2, found: 3 }));
-    assert_eq!(text.push(&event(1, None)), Err(TextFault::Order { expected: 2, found: 1 }));
+    assert_eq!(text.push(&event(3, None)), Err(TextError::Order { expected: 2, found: 3 }));
+    assert_eq!(text.push(&event(1, None)), Err(TextError::Order { expected: 2, found: 1 }));
     text.begin_run(WeightVersion(2)).unwrap();
     text.push(&event(2, None)).unwrap();
     text.push(&event(3, Some(3))).unwrap();
@@ -127,12 +131,12 @@
 #[case::changes_version_where_one_is_allowed(true, 1, Some(1), Some(2), false)]
 fn check_versions(
     #[case] one_version: bool,
-    #[case] least: u64,
+    #[case] min_version: u64,
     #[case] start: Option<u64>,
     #[case] change: Option<u64>,
     #[case] accepted: bool,
 ) {
-    let mut text = ItemText::new(WeightVersion(least), one_version);
+    let mut text = GeneratedText::new(WeightVersion(min_version), one_version);
     let begun = start.map_or(Ok(()), |version| text.begin_run(WeightVersion(version)));
     let pushed =
         begun.and_then(|()| text.push(&event(1, None))).and_then(|()| text.push(&event(2, change)));
@@ -142,11 +146,11 @@
 /// Guards against a kept text that goes on in a later step which does not accept its versions.
 #[test]
 fn kept_text_must_fit_the_later_step() {
-    let mut text = ItemText::new(WeightVersion(1), false);
+    let mut text = GeneratedText::new(WeightVersion(1), false);
     text.begin_run(WeightVersion(2)).unwrap();
     text.push(&event(1, None)).unwrap();
-    assert!(text.clone().require(WeightVersion(2)).is_ok());
-    assert_eq!(text.require(WeightVersion(3)), Err(TextFault::Stale(WeightVersion(2))));
+    assert!(text.clone().set_min_version(WeightVersion(2)).is_ok());
+    assert_eq!(text.set_min_version(WeightVersion(3)), Err(TextError::Stale(WeightVersion(2))));
 }
 
 /// Pattern: two submissions wait for engines, and one model has none.
--- a/crates/submissions/tests/common/mod.rs
+++ b/crates/submissions/tests/common/mod.rs
@@ -1,21 +1,21 @@
 //! Submissions of tests.
 
 use base::{WallTime, WeightVersion};
-use submissions::{SubmissionHead, SubmissionItem};
+use submissions::{SubmissionItem, SubmissionMetadata};
 
 /// Builds what holds for all items of a submission.
-pub(crate) fn head(submission: &str, items: u32) -> SubmissionHead {
-    SubmissionHead {
+pub(crate) fn metadata(submission: &str, items: u32) -> SubmissionMetadata {
+    SubmissionMetadata {
         id: String::from(submission),
         customer: String::from("brewer"),
         host: String::from("h"),
         path: String::from("/p"),
         model: String::from("m"),
         step: 0,
-        least_version: WeightVersion(1),
+        min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        items,
+        item_count: items,
     }
 }
 
--- a/crates/submissions/tests/copy.rs
+++ b/crates/submissions/tests/copy.rs
@@ -3,19 +3,26 @@
 mod common;
 
 use base::Moment;
-use common::{head, item};
-use submissions::{BookRecord, ItemResult, LogPart, PartitionCopy, SubmissionRead, result_records};
+use common::{item, metadata};
+use submissions::{
+    ItemResult, LogBatch, PartitionCache, SubmissionRecord, SubmissionSnapshot, result_records,
+};
 
 const NOW: Moment = Moment(0);
 
-fn opened(submission: &str) -> Vec<BookRecord> {
+fn opened(submission: &str) -> Vec<SubmissionRecord> {
     let items = vec![item("i")];
-    let items = BookRecord::Items { submission: String::from(submission), first: 0, items };
-    vec![BookRecord::Opened(head(submission, 1)), items]
+    let items = SubmissionRecord::Items { submission: String::from(submission), first: 0, items };
+    vec![SubmissionRecord::Opened(metadata(submission, 1)), items]
 }
 
-fn read(submission: &str, end: u64, records: Vec<BookRecord>) -> SubmissionRead {
-    SubmissionRead { submission: String::from(submission), sent_at: NOW, end, records }
+fn read(submission: &str, end: u64, records: Vec<SubmissionRecord>) -> SubmissionSnapshot {
+    SubmissionSnapshot {
+        submission: String::from(submission),
+        read_started_at: NOW,
+        log_end: end,
+        records,
+    }
 }
 
 /// Pattern: a node that knows nothing yet is asked for two submissions, and the read that began first is
@@ -25,12 +32,12 @@
 /// 404 for it, and its positions were given away again (found by the model check).
 #[test]
 fn overtaken_read_is_repeated() {
-    let mut copy = PartitionCopy::default();
-    assert!(copy.load(read("b", 2, Vec::new())));
-    assert!(!copy.load(read("a", 0, Vec::new())));
-    assert!(!copy.is_loaded("a"));
-    assert!(copy.load(read("a", 2, opened("a"))));
-    assert!(copy.book().get("a").is_some());
+    let mut cache = PartitionCache::default();
+    assert!(cache.apply_snapshot(read("b", 2, Vec::new())));
+    assert!(!cache.apply_snapshot(read("a", 0, Vec::new())));
+    assert!(!cache.is_loaded("a"));
+    assert!(cache.apply_snapshot(read("a", 2, opened("a"))));
+    assert!(cache.table().get("a").is_some());
 }
 
 /// Pattern: the store forgets its history between the reads of two submissions that one append concerns.
@@ -39,18 +46,21 @@
 /// had given away meanwhile was given away again (found by the model check).
 #[test]
 fn append_waits_for_all_of_its_submissions() {
-    let mut copy = PartitionCopy::default();
-    copy.load(read("a", 2, opened("a")));
-    assert_eq!(copy.append_offset(&["a", "b"]), None);
-    copy.reset();
-    copy.load(read("b", 5, opened("b")));
-    assert_eq!(copy.append_offset(&["a", "b"]), None);
-    let taken =
-        BookRecord::Result { submission: String::from("a"), position: 0, result: result("i") };
-    copy.load(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
-    assert_eq!(copy.append_offset(&["a", "b"]), Some(5));
+    let mut cache = PartitionCache::default();
+    cache.apply_snapshot(read("a", 2, opened("a")));
+    assert_eq!(cache.append_offset(&["a", "b"]), None);
+    cache.reset();
+    cache.apply_snapshot(read("b", 5, opened("b")));
+    assert_eq!(cache.append_offset(&["a", "b"]), None);
+    let taken = SubmissionRecord::Result {
+        submission: String::from("a"),
+        position: 0,
+        result: result("i"),
+    };
+    cache.apply_snapshot(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
+    assert_eq!(cache.append_offset(&["a", "b"]), Some(5));
     let results = [(String::from("a"), result("i"))];
-    assert_eq!(result_records(copy.book(), &results), None);
+    assert_eq!(result_records(cache.table(), &results), None);
 }
 
 /// Pattern: the store forgets its history while a new owner looks for open submissions.
@@ -59,50 +69,50 @@
 /// never runs a submission which was accepted meanwhile.
 #[test]
 fn scan_counts_only_without_a_gap() {
-    let open = |copy: &PartitionCopy| copy.open_submissions().count();
-    let mut copy = PartitionCopy::default();
-    copy.load(read("a", 2, opened("a")));
-    copy.begin_scan();
-    copy.reset();
-    copy.finish_scan(&[], 4);
-    assert!(!copy.is_scanned(), "nothing is known of the log");
+    let open = |cache: &PartitionCache| cache.open_submissions().count();
+    let mut cache = PartitionCache::default();
+    cache.apply_snapshot(read("a", 2, opened("a")));
+    cache.invalidate_scan();
+    cache.reset();
+    cache.finish_scan(&[], 4);
+    assert!(!cache.is_scanned(), "nothing is known of the log");
 
-    copy.begin_at(9, NOW);
-    copy.finish_scan(&[], 4);
-    assert!(!copy.is_scanned(), "records 4 to 8 were seen by nobody");
+    cache.follow_from(9, NOW);
+    cache.finish_scan(&[], 4);
+    assert!(!cache.is_scanned(), "records 4 to 8 were seen by nobody");
 
-    copy.finish_scan(&["b"], 9);
-    assert!(!copy.is_scanned(), "an open submission is not loaded");
-    copy.load(read("b", 9, opened("b")));
-    copy.finish_scan(&["b"], 9);
-    assert!(copy.is_scanned());
+    cache.finish_scan(&["b"], 9);
+    assert!(!cache.is_scanned(), "an open submission is not loaded");
+    cache.apply_snapshot(read("b", 9, opened("b")));
+    cache.finish_scan(&["b"], 9);
+    assert!(cache.is_scanned());
     // The book still holds the first one as it was before the loss.
-    assert!(copy.book().get("a").is_some());
-    assert_eq!(open(&copy), 1);
-    copy.begin_scan();
-    assert_eq!(open(&copy), 0);
+    assert!(cache.table().get("a").is_some());
+    assert_eq!(open(&cache), 1);
+    cache.invalidate_scan();
+    assert_eq!(open(&cache), 0);
 }
 
 /// Guards against a copy that counts as complete although the answer of the store was cut short, and
 /// against records that are skipped then.
 #[test]
 fn part_of_the_log_leaves_the_copy_incomplete() {
-    let mut copy = PartitionCopy::default();
-    copy.load(read("a", 0, Vec::new()));
+    let mut cache = PartitionCache::default();
+    cache.apply_snapshot(read("a", 0, Vec::new()));
     let records = (0..).zip(opened("a")).collect::<Vec<_>>();
-    let part = |from: u64, read_to: u64| LogPart {
-        sent_at: Moment(5),
-        from,
-        read_to,
-        end: 2,
-        records: records[from as usize..read_to as usize].to_vec(),
+    let batch = |from: u64, next_offset: u64| LogBatch {
+        read_started_at: Moment(5),
+        start_offset: from,
+        next_offset,
+        log_end: 2,
+        records: records[from as usize..next_offset as usize].to_vec(),
     };
-    assert!(!copy.read(part(0, 1)));
-    assert_eq!(copy.next(), Some(1));
-    assert_eq!(copy.age(Moment(5)), Some(base::Span(5)));
-    assert!(copy.read(part(1, 2)));
-    assert_eq!(copy.age(Moment(5)), Some(base::Span(0)));
-    assert!(copy.book().get("a").is_some());
+    assert!(!cache.apply_batch(batch(0, 1)));
+    assert_eq!(cache.next_offset(), Some(1));
+    assert_eq!(cache.staleness(Moment(5)), Some(base::Span(5)));
+    assert!(cache.apply_batch(batch(1, 2)));
+    assert_eq!(cache.staleness(Moment(5)), Some(base::Span(0)));
+    assert!(cache.table().get("a").is_some());
 }
 
 fn result(item: &str) -> ItemResult {
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use base::{FencingNumber, LogOffset, plain};
+use base::{FencingToken, LogOffset, derive_value};
 
 use crate::{
-    SeenRecords, UsageBatch, UsageFigures, UsageRecord, WindowClose, WindowNumber, WindowReport,
+    SeenRecords, UsageBatch, UsageByCustomer, UsageRecord, WindowClose, WindowNumber, WindowReport,
     WindowReported,
 };
 
@@ -16,13 +16,13 @@
 /// Reported windows that stay readable for operators.
 const REPORTED_WINDOWS_KEPT: usize = 48;
 
-plain! {
+derive_value! {
     /// A window whose figures are fixed.
     pub struct ClosedWindow {
         /// Position of the record that closed the window.
         pub closed_at: LogOffset,
         /// Usage of each customer in the window.
-        pub figures: UsageFigures,
+        pub usage: UsageByCustomer,
         /// Whether the log states that the platform accepted the report.
         pub reported: bool,
     }
@@ -32,13 +32,13 @@
         /// Offset of the first record that the state does not contain.
         pub next: LogOffset,
         /// Usage that belongs to the window still open.
-        pub open: UsageFigures,
+        pub open: UsageByCustomer,
         /// The window closed last.
         pub last_closed: Option<WindowNumber>,
         /// Number of windows closed since the stream began.
         pub closes: u64,
         /// Highest fencing number that closed, reported or carried.
-        pub fencing: Option<FencingNumber>,
+        pub fencing: Option<FencingToken>,
         /// Closed windows, among them all that are not reported.
         pub closed: BTreeMap<WindowNumber, ClosedWindow>,
         /// Ids of the counted batches.
@@ -90,7 +90,7 @@
     state: LedgerSnapshot,
     // Oldest retained offset after a gap, until a snapshot that reaches it is found.
     awaits_from: Option<LogOffset>,
-    last_carry: Option<LogOffset>,
+    last_snapshot: Option<LogOffset>,
     last_close: Option<LogOffset>,
 }
 
@@ -103,7 +103,7 @@
     pub fn empty(next: LogOffset) -> Self {
         Self {
             next,
-            open: UsageFigures::default(),
+            open: UsageByCustomer::default(),
             last_closed: None,
             closes: 0,
             fencing: None,
@@ -123,7 +123,7 @@
     /// Continues from a snapshot of a peer. The caller reads the log from `snapshot.next`.
     #[must_use]
     pub fn from_snapshot(snapshot: LedgerSnapshot) -> Self {
-        Self { state: snapshot, awaits_from: None, last_carry: None, last_close: None }
+        Self { state: snapshot, awaits_from: None, last_snapshot: None, last_close: None }
     }
 
     /// Applies the record at `offset`. `valid` is the fencing number of the `usage` lease that the
@@ -132,7 +132,7 @@
         &mut self,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> LedgerOutcome {
         if let Some(oldest) = self.awaits_from {
             return self.apply_awaiting(oldest, offset, record, valid);
@@ -145,7 +145,7 @@
             UsageRecord::Batch(batch) => self.count(batch),
             UsageRecord::Close(close) => self.close(offset, *close, valid),
             UsageRecord::Reported(reported) => self.reported(*reported, valid),
-            UsageRecord::Carry { fencing, .. } => self.carry(offset, *fencing, valid),
+            UsageRecord::Snapshot { fencing, .. } => self.apply_snapshot(offset, *fencing, valid),
         };
         outcome.unwrap_or_else(LedgerOutcome::Ignored)
     }
@@ -169,11 +169,11 @@
 
     /// Returns the oldest retained offset while a snapshot is awaited.
     #[must_use]
-    pub const fn awaited_offset(&self) -> Option<LogOffset> {
+    pub const fn oldest_retained_offset(&self) -> Option<LogOffset> {
         self.awaits_from
     }
 
-    /// Returns the state for a peer or a [`UsageRecord::Carry`], or `None` while a snapshot is
+    /// Returns the state for a peer or a [`UsageRecord::Snapshot`], or `None` while a snapshot is
     /// awaited.
     #[must_use]
     pub fn snapshot(&self) -> Option<LedgerSnapshot> {
@@ -183,13 +183,13 @@
     /// Tells the holder of the `usage` lease to append a snapshot: a window was closed and none
     /// followed. Log retention must exceed two windows.
     #[must_use]
-    pub fn carry_due(&self) -> bool {
-        self.awaits_from.is_none() && self.last_close > self.last_carry
+    pub fn snapshot_due(&self) -> bool {
+        self.awaits_from.is_none() && self.last_close > self.last_snapshot
     }
 
     /// Returns the window to close next, given the one that the current time lies in.
     #[must_use]
-    pub fn close_due(&self, current: WindowNumber) -> Option<WindowNumber> {
+    pub fn window_to_close(&self, current: WindowNumber) -> Option<WindowNumber> {
         if self.awaits_from.is_some() {
             return None;
         }
@@ -201,7 +201,7 @@
 
     /// Returns usage of the open window.
     #[must_use]
-    pub fn open_figures(&self) -> &UsageFigures {
+    pub fn open_usage(&self) -> &UsageByCustomer {
         &self.state.open
     }
 
@@ -218,12 +218,12 @@
 
     /// Builds the report of the oldest closed window that is not reported.
     #[must_use]
-    pub fn pending_report(&self, fencing: FencingNumber) -> Option<WindowReport> {
+    pub fn pending_report(&self, fencing: FencingToken) -> Option<WindowReport> {
         if self.awaits_from.is_some() {
             return None;
         }
         let (window, closed) = self.windows().find(|(_, closed)| !closed.reported)?;
-        Some(WindowReport { window, fencing, figures: closed.figures.clone() })
+        Some(WindowReport { window, fencing, usage: closed.usage.clone() })
     }
 
     fn apply_awaiting(
@@ -231,9 +231,9 @@
         oldest: LogOffset,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> LedgerOutcome {
-        let UsageRecord::Carry { snapshot, fencing } = record else {
+        let UsageRecord::Snapshot { snapshot, fencing } = record else {
             return LedgerOutcome::Ignored(IgnoredReason::AwaitsSnapshot);
         };
         if valid != Some(*fencing) || snapshot.next > offset {
@@ -251,7 +251,7 @@
         if self.state.seen.contains(batch.id) {
             return Err(IgnoredReason::Repeated);
         }
-        self.state.open.add_all(&batch.figures).map_err(|_| IgnoredReason::Overflow)?;
+        self.state.open.merge(&batch.usage).map_err(|_| IgnoredReason::Overflow)?;
         self.state.seen.insert(batch.id, self.state.closes);
         Ok(LedgerOutcome::Counted)
     }
@@ -260,15 +260,15 @@
         &mut self,
         offset: LogOffset,
         close: WindowClose,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(close.fencing, valid)?;
         if self.state.last_closed.is_some_and(|last| close.window != last.next()) {
             return Err(IgnoredReason::WrongWindow);
         }
         let state = &mut self.state;
-        let figures = std::mem::take(&mut state.open);
-        let closed = ClosedWindow { closed_at: offset, figures, reported: false };
+        let usage = std::mem::take(&mut state.open);
+        let closed = ClosedWindow { closed_at: offset, usage, reported: false };
         state.closed.insert(close.window, closed);
         state.last_closed = Some(close.window);
         state.closes += 1;
@@ -280,7 +280,7 @@
     fn reported(
         &mut self,
         reported: WindowReported,
-        valid: Option<FencingNumber>,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(reported.fencing, valid)?;
         match self.state.closed.get_mut(&reported.window) {
@@ -301,22 +301,22 @@
         Ok(LedgerOutcome::Reported(reported.window))
     }
 
-    fn carry(
+    fn apply_snapshot(
         &mut self,
         offset: LogOffset,
-        fencing: FencingNumber,
-        valid: Option<FencingNumber>,
+        fencing: FencingToken,
+        valid: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
         self.check_holder(fencing, valid)?;
-        self.last_carry = Some(offset);
+        self.last_snapshot = Some(offset);
         Err(IgnoredReason::NotNeeded)
     }
 
     /// Refuses a writer that does not hold the lease, and one below the highest number seen here.
     fn check_holder(
         &mut self,
-        fencing: FencingNumber,
-        valid: Option<FencingNumber>,
+        fencing: FencingToken,
+        valid: Option<FencingToken>,
     ) -> Result<(), IgnoredReason> {
         if valid != Some(fencing) || self.state.fencing.is_some_and(|highest| fencing < highest) {
             return Err(IgnoredReason::NotHolder);
