--- a/crates/usage/src/tally.rs
+++ b/crates/usage/src/totals.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use base::{Span, WallTime, key};
+use base::{Span, WallTime, derive_copy};
 
 use crate::WindowNumber;
 
@@ -12,12 +12,12 @@
 /// Running totals of one process. Each change marks its window for the next write, which replaces
 /// the totals written before, so a repeated write changes nothing.
 #[derive(Debug, Default)]
-pub struct WindowTally {
+pub struct WindowTotals {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
     changed: BTreeSet<WindowNumber>,
 }
 
-impl WindowTally {
+impl WindowTotals {
     /// Counts a request that began to run.
     pub fn add(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
@@ -31,7 +31,7 @@
     }
 
     /// Takes back a request that turned out not to have run.
-    pub fn take_back(&mut self, window: WindowNumber, customer: &str) {
+    pub fn remove(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
         if let Some(count) = counts.get_mut(customer) {
             *count = count.saturating_sub(1);
@@ -49,7 +49,7 @@
     }
 
     /// Marks a window again, after its totals could not be written.
-    pub fn mark(&mut self, window: WindowNumber) {
+    pub fn mark_changed(&mut self, window: WindowNumber) {
         if self.windows.contains_key(&window) {
             self.changed.insert(window);
         }
@@ -96,7 +96,7 @@
     sum
 }
 
-key! {
+derive_copy! {
     /// Whether a process may still count in a window.
     pub enum TotalsPhase {
         /// It may.
@@ -110,7 +110,7 @@
 
 /// Totals of all processes, for the one that reports a window.
 #[derive(Debug, Default)]
-pub struct WindowBoard {
+pub struct WindowAggregator {
     totals: BTreeMap<WindowNumber, BTreeMap<u64, ProcessTotals>>,
 }
 
@@ -120,9 +120,9 @@
     phase: TotalsPhase,
 }
 
-impl WindowBoard {
+impl WindowAggregator {
     /// Takes the totals of a process. Later ones replace earlier ones.
-    pub fn take(
+    pub fn insert(
         &mut self,
         window: WindowNumber,
         process: u64,
@@ -153,7 +153,7 @@
 
     /// Returns the figures of a window.
     #[must_use]
-    pub fn figures(&self, window: WindowNumber) -> CustomerCounts {
+    pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
         let totals = self.totals.get(&window).into_iter().flat_map(BTreeMap::values);
         sum_counts(totals.map(|totals| &totals.counts))
     }
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -11,7 +11,7 @@
     UsageBatch, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
 };
 
-type LogEntry = (UsageRecord, Option<FencingNumber>);
+type LogEntry = (UsageRecord, Option<FencingToken>);
 
 struct Node {
     incarnation: Incarnation,
@@ -66,7 +66,7 @@
     fn append(&mut self, record: UsageRecord) {
         let fate = self.rng.random_range(0..4);
         if fate <= 1 {
-            self.log.push((record.clone(), Some(FencingNumber(self.lease))));
+            self.log.push((record.clone(), Some(FencingToken(self.lease))));
         }
         if (1..=2).contains(&fate) {
             self.late.push(record);
@@ -90,7 +90,7 @@
                 node.sequence += 1;
                 node.pending.add(now, batch.clone());
                 node.unacknowledged.push(batch.clone());
-                self.cut.insert(id, batch.figures.get("portal").requests);
+                self.cut.insert(id, batch.usage.get("portal").requests);
                 self.copies.insert(id, vec![id.writer]);
                 self.append(UsageRecord::Batch(batch));
             }
@@ -102,7 +102,7 @@
                     self.copies.get_mut(&id).unwrap().push(holder);
                     // The answer of the holder can be lost.
                     if self.rng.random_bool(0.7) {
-                        self.nodes[index].pending.held(id, holder);
+                        self.nodes[index].pending.mark_held(id, holder);
                     }
                 }
             }
@@ -114,7 +114,7 @@
             }
             8 if !self.late.is_empty() => {
                 let record = self.late.swap_remove(self.rng.random_range(0..self.late.len()));
-                self.log.push((record, Some(FencingNumber(self.lease))));
+                self.log.push((record, Some(FencingToken(self.lease))));
             }
             9 => self.follow(index),
             _ => self.close(),
@@ -124,8 +124,8 @@
     fn follow(&mut self, index: usize) {
         for (record, _) in &self.log {
             let UsageRecord::Batch(batch) = record else { continue };
-            self.nodes[index].pending.seen_in_log(batch.id);
-            self.nodes[index].store.seen_in_log(batch.id);
+            self.nodes[index].pending.mark_committed(batch.id);
+            self.nodes[index].store.mark_committed(batch.id);
         }
     }
 
@@ -145,7 +145,7 @@
         let next = ledger.windows().last().map_or(WindowNumber(100), |(window, _)| window.next());
         // Some closes come from an earlier holder, or repeat a window.
         let window = WindowNumber(next.0 - u64::from(self.rng.random_bool(0.2)));
-        let fencing = FencingNumber(self.lease - u64::from(self.rng.random_bool(0.2)));
+        let fencing = FencingToken(self.lease - u64::from(self.rng.random_bool(0.2)));
         self.append(UsageRecord::Close(WindowClose { window, fencing }));
     }
 
@@ -171,7 +171,7 @@
 
     /// The log takes every append, and each live node does all the work that is due.
     fn settle(&mut self) {
-        let lease = Some(FencingNumber(self.lease));
+        let lease = Some(FencingToken(self.lease));
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
             let mut batches = node.store.poll(Moment(0));
@@ -190,8 +190,8 @@
 }
 
 fn billed(ledger: &UsageLedger) -> u64 {
-    let closed: u64 = ledger.windows().map(|(_, w)| w.figures.get("portal").requests).sum();
-    closed + ledger.open_figures().get("portal").requests
+    let closed: u64 = ledger.windows().map(|(_, w)| w.usage.get("portal").requests).sum();
+    closed + ledger.open_usage().get("portal").requests
 }
 
 /// Guards against a batch billed twice or dropped, whoever appends it and however often.
@@ -225,14 +225,14 @@
         let mut prefix = UsageLedger::new();
         replay(&mut prefix, &trial.log[..cut], 0);
         let snapshot = prefix.snapshot().unwrap();
-        let fencing = FencingNumber(trial.lease);
-        let carry = UsageRecord::Carry { snapshot: Box::new(snapshot.clone()), fencing };
+        let fencing = FencingToken(trial.lease);
+        let record = UsageRecord::Snapshot { snapshot: Box::new(snapshot.clone()), fencing };
 
         // Retention drops the prefix; the carry stands at the end of the log.
         let mut successor = UsageLedger::new();
         successor.note_retention(LogOffset(cut as u64));
         let end = LogOffset(trial.log.len() as u64);
-        let outcome = successor.apply(end, &carry, Some(fencing));
+        let outcome = successor.apply(end, &record, Some(fencing));
         assert_eq!(outcome, LedgerOutcome::Restored(snapshot.next), "seed {seed}, cut {cut}");
         replay(&mut successor, &trial.log, cut);
         assert_eq!(successor.snapshot(), whole.snapshot(), "seed {seed}, cut {cut}");
@@ -248,9 +248,9 @@
         close: (u64, u64),
         valid: u64,
     ) -> LedgerOutcome {
-        let (window, fencing) = (WindowNumber(close.0), FencingNumber(close.1));
+        let (window, fencing) = (WindowNumber(close.0), FencingToken(close.1));
         let record = UsageRecord::Close(WindowClose { window, fencing });
-        ledger.apply(LogOffset(offset), &record, Some(FencingNumber(valid)))
+        ledger.apply(LogOffset(offset), &record, Some(FencingToken(valid)))
     }
     let ignored = LedgerOutcome::Ignored;
     let mut ledger = UsageLedger::new();
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -1,9 +1,10 @@
 //! Metering, replica holding and reporting on one node.
 
-use base::{FencingNumber, Incarnation, LogOffset, Moment, RecordId, Span};
+use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use usage::{
-    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, ReportDesk, UsageAmount,
-    UsageBatch, UsageFigures, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
+    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount, UsageBatch,
+    UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
+    WindowReporter,
 };
 
 const SECOND: Span = Span::from_secs(1);
@@ -17,9 +18,9 @@
 }
 
 fn batch(sequence: u64) -> UsageBatch {
-    let mut figures = UsageFigures::default();
-    figures.add("portal", amount(sequence)).unwrap();
-    UsageBatch { id: id(sequence), figures }
+    let mut usage = UsageByCustomer::default();
+    usage.add("portal", amount(sequence)).unwrap();
+    UsageBatch { id: id(sequence), usage }
 }
 
 /// Guards against a batch that is cut early, late, twice or with inexact sums.
@@ -32,7 +33,7 @@
     let due = meter.next_deadline().unwrap();
     assert_eq!(meter.poll(Moment(due.0 - 1), || id(1)), None);
     let batch = meter.poll(due, || id(1)).unwrap();
-    assert_eq!(batch.figures.get("portal").requests, (1 << 53) + 2);
+    assert_eq!(batch.usage.get("portal").requests, (1 << 53) + 2);
     assert_eq!(meter.poll(due + SECOND, || unreachable!("no id for an empty batch")), None);
 }
 
@@ -49,7 +50,7 @@
     assert_eq!(store.poll(Moment(10) + SECOND), [batch(1)]);
     assert_eq!(store.hold(Moment(20), batch(2), OriginState::Gone), HoldOutcome::Held);
     assert_eq!(store.hold(Moment(20), batch(3), OriginState::Live), HoldOutcome::Full);
-    store.seen_in_log(id(1));
+    store.mark_committed(id(1));
     assert_eq!(store.poll(Moment(20)), [batch(2)]);
 }
 
@@ -70,35 +71,35 @@
     let mut pending = PendingBatches::new(SECOND);
     pending.add(Moment(0), batch(1));
     assert_eq!(pending.poll(Moment(0)), [batch(1)]);
-    pending.held(id(1), Incarnation(9));
+    pending.mark_held(id(1), Incarnation(9));
     assert_eq!(pending.next_deadline(), None);
     pending.holder_lost(Moment(3), Incarnation(9));
     assert_eq!(pending.poll(Moment(3)), [batch(1)]);
-    pending.seen_in_log(id(1));
+    pending.mark_committed(id(1));
     assert!(pending.is_empty());
 }
 
 /// Guards against a window that is skipped or reported with other figures after a lost answer.
 #[test]
 fn lost_report_is_repeated_with_equal_figures() {
-    let fencing = FencingNumber(4);
+    let fencing = FencingToken(4);
     let mut ledger = UsageLedger::new();
     ledger.apply(LogOffset(5), &UsageRecord::Batch(batch(1)), None);
     let close = WindowClose { window: WindowNumber(7), fencing };
     ledger.apply(LogOffset(6), &UsageRecord::Close(close), Some(fencing));
     ledger.apply(LogOffset(7), &UsageRecord::Batch(batch(2)), None);
 
-    let mut desk = ReportDesk::new(SECOND);
-    let first = desk.poll(Moment(0), &ledger, fencing).unwrap();
-    assert_eq!(desk.poll(Moment(0), &ledger, fencing), None);
-    assert_eq!(desk.answer(Moment(1), ReportAnswer::Lost), None);
-    assert_eq!(desk.poll(Moment(2), &ledger, fencing), None);
-    let again = desk.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
+    let mut reporter = WindowReporter::new(SECOND);
+    let first = reporter.poll(Moment(0), &ledger, fencing).unwrap();
+    assert_eq!(reporter.poll(Moment(0), &ledger, fencing), None);
+    assert_eq!(reporter.answer(Moment(1), ReportAnswer::Lost), None);
+    assert_eq!(reporter.poll(Moment(2), &ledger, fencing), None);
+    let again = reporter.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
     assert_eq!(again, first);
-    assert_eq!(again.figures, batch(1).figures);
-    let reported = desk.answer(Moment(3), ReportAnswer::Accepted).unwrap();
+    assert_eq!(again.usage, batch(1).usage);
+    let reported = reporter.answer(Moment(3), ReportAnswer::Accepted).unwrap();
     ledger.apply(LogOffset(8), &UsageRecord::Reported(reported), Some(fencing));
     assert_eq!(ledger.pending_report(fencing), None);
-    assert_eq!(ledger.close_due(WindowNumber(9)), Some(WindowNumber(8)));
-    assert_eq!(ledger.close_due(WindowNumber(8)), None);
+    assert_eq!(ledger.window_to_close(WindowNumber(9)), Some(WindowNumber(8)));
+    assert_eq!(ledger.window_to_close(WindowNumber(8)), None);
 }
