--- a/crates/hibiscushinged/src/flags.rs
+++ b/crates/hibiscushinged/src/flags.rs
@@ -1,21 +1,25 @@
 //! Command line of `hibiscushinged`.
 
-// The macro generates public items without documentation.
+// `xflags!` generates public items without doc comments.
 #![allow(missing_docs, unreachable_pub)]
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Serves callers and trainers of one VM. Logs go to standard error as JSON lines, filtered by the
-    /// environment variable RUST_LOG. SIGTERM or SIGINT starts a planned stop: the daemon reports
-    /// that it is not ready, finishes its requests, hands over usage and leases, and exits with 0.
+    /// Serves callers and trainers on one VM. Logs are JSON lines, filtered by the environment
+    /// variable RUST_LOG. SIGTERM or SIGINT starts a drain: the daemon reports that it is not
+    /// ready, finishes the requests in flight, hands over usage and leases, and exits with status
+    /// 0.
     cmd hibiscushinged {
-        /// Settings of this daemon in TOML. See docs/operators.md for every key.
+        /// Settings file of this daemon in TOML. Logs go to standard error. All keys are described
+        /// in docs/operators.md.
         optional --settings file: PathBuf
-        /// Settings of a daemon on a platform whose store keeps all lasting state, in TOML. It takes
-        /// the place of --settings. Logs go to standard output. See docs/OPERATIONS.md.
+        /// Settings file in TOML of a daemon on a platform whose store holds all durable state. Use
+        /// it instead of --settings. Logs go to standard output. On SIGHUP the file is checked
+        /// again and a log line says whether it changed; changes take effect at the next start. See
+        /// docs/OPERATIONS.md.
         optional --gateway file: PathBuf
-        /// Checks the settings and exits.
+        /// Checks the settings file and exits without starting the daemon.
         optional --check
     }
 }
--- a/crates/hibiscushinged/src/lib.rs
+++ b/crates/hibiscushinged/src/lib.rs
@@ -1,7 +1,8 @@
-//! The daemon: drives the pure state machines and serves callers, trainers, peers and operators.
+//! The daemon, which serves callers, trainers, peers and operators.
 //!
-//! One control thread owns all control state. Traffic threads serve callers and share admission and
-//! routing state behind a lock. This crate holds drivers only; decisions live in the pure crates.
+//! One control thread owns all control state. Traffic threads serve callers and trainers and share
+//! admission and routing state behind a mutex. This crate does the I/O; the decisions are made by
+//! state machines without I/O in the other crates of the workspace.
 
 mod accept;
 mod clock;
@@ -37,35 +38,36 @@
     gateway::Gateway,
 };
 
-/// A running daemon.
+/// A running daemon, ended by [`Daemon::drain`] or [`Daemon::abort`].
 pub struct Daemon {
     addresses: DaemonAddresses,
     control: mpsc::Sender<ControlMessage>,
     server: actix_server::ServerHandle,
-    thread: Option<JoinHandle<()>>,
-    stop: Option<oneshot::Sender<()>>,
+    control_thread: Option<JoinHandle<()>>,
+    stop_control: Option<oneshot::Sender<()>>,
 }
 
-/// Addresses that a daemon serves.
+/// Addresses on which a daemon listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DaemonAddresses {
-    /// Callers and trainers.
+    /// Address for callers and trainers.
     pub listen: SocketAddr,
-    /// Other daemons.
+    /// Address for the other daemons.
     pub peer: SocketAddr,
-    /// Operators and the balancer.
+    /// Address for operators and the load balancer's readiness checks.
     pub admin: SocketAddr,
 }
 
 impl Daemon {
-    /// Starts a daemon. It must be called inside an `actix_rt` system, on which the traffic server
-    /// is registered; the control thread is a thread of its own.
+    /// Starts a daemon. It must be called inside an `actix_rt` system, which runs the traffic
+    /// server. The control thread is started as a separate thread.
     ///
-    /// Port 0 in a setting takes a free port, which [`Daemon::addresses`] tells.
+    /// An address with port 0 is bound to a free port, which [`Daemon::addresses`] returns.
     ///
     /// # Errors
     ///
-    /// Returns an error when an address cannot be bound.
+    /// Returns an error when an address cannot be bound, the socket for metrics cannot be opened or
+    /// a thread cannot be started.
     pub fn start(mut settings: DaemonSettings) -> io::Result<Self> {
         let (listener, listen) = bind(settings.listen)?;
         let (peer_listener, peer) = bind(settings.peer)?;
@@ -87,8 +89,8 @@
             metrics,
         ));
         let server = traffic::start(Arc::clone(&shared), listener)?;
-        let (stop, stopped) = oneshot::channel::<()>();
-        let thread =
+        let (stop_control, stopped) = oneshot::channel::<()>();
+        let control_thread =
             std::thread::Builder::new().name(String::from("control")).spawn(move || {
                 actix_rt::System::new().block_on(async move {
                     tokio::select! {
@@ -98,45 +100,52 @@
                 });
             })?;
         log_event!(ProcessStarted, vm = vm_name, %listen, %peer, %admin);
-        Ok(Self { addresses, control, server, thread: Some(thread), stop: Some(stop) })
+        Ok(Self {
+            addresses,
+            control,
+            server,
+            control_thread: Some(control_thread),
+            stop_control: Some(stop_control),
+        })
     }
 
-    /// Returns the addresses in use.
+    /// Returns the bound addresses, with the chosen port where a setting has port 0.
     #[must_use]
     pub const fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Finishes all requests, hands over usage and leases, and stops.
+    /// Refuses new requests, finishes those in flight, hands over usage and leases, and stops.
     pub async fn drain(mut self) {
         let (reply, done) = oneshot::channel();
         if self.control.send(ControlMessage::Drain(reply)).await.is_ok() {
             let _ = done.await;
         }
         self.server.stop(true).await;
-        self.end();
+        self.join_control_thread();
     }
 
-    /// Stops at once, as if the VM had failed. Running requests break off.
+    /// Stops immediately, as if the VM had failed. Requests in flight are cut off.
     pub async fn abort(mut self) {
         self.server.stop(false).await;
-        self.end();
+        self.join_control_thread();
     }
 
-    fn end(&mut self) {
-        if let Some(stop) = self.stop.take() {
-            let _ = stop.send(());
+    fn join_control_thread(&mut self) {
+        if let Some(stop_control) = self.stop_control.take() {
+            let _ = stop_control.send(());
         }
-        if let Some(thread) = self.thread.take() {
-            // A panic of the control thread was reported when it happened.
-            let _ = thread.join();
+        if let Some(control_thread) = self.control_thread.take() {
+            // The panic hook has already printed a panic of the control thread.
+            let _ = control_thread.join();
         }
     }
 }
 
+/// Binds a non-blocking listener and returns it with its address, where port 0 is resolved.
 fn bind(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    let bound = listener.local_addr()?;
-    Ok((listener, bound))
+    let bound_address = listener.local_addr()?;
+    Ok((listener, bound_address))
 }
--- a/crates/hibiscushinged/src/main.rs
+++ b/crates/hibiscushinged/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's process: settings, logs and signals.
+//! The daemon's executable: reads the settings, sets up logging and handles signals.
 
 mod flags;
 
@@ -12,11 +12,11 @@
 
 use crate::flags::Hibiscushinged;
 
-/// Log lines that wait for the writing thread. More are dropped and counted, so that a slow reader
-/// never holds a request up.
-const LOG_LINES: usize = 16_384;
+/// Bound on the log lines that wait for the writer thread. Further lines are dropped and counted,
+/// so that a slow reader of standard output never blocks a request.
+const MAX_BUFFERED_LOG_LINES: usize = 16_384;
 
-/// The daemon could not start.
+/// The daemon could not start; the text says which part of the start failed.
 #[derive(Debug)]
 struct StartFailed(String);
 
@@ -44,7 +44,7 @@
         (Some(file), None) => run_daemon(file, flags.check),
         (None, Some(file)) => run_gateway(file, flags.check),
         _ => Err(Report::new(StartFailed(String::from(
-            "exactly one of --settings and --gateway is required",
+            "exactly one of the options --settings and --gateway must be given",
         )))),
     }
 }
@@ -70,33 +70,38 @@
         return Ok(());
     }
     let (writer, _guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(LOG_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LOG_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     tracing_subscriber::fmt().json().with_env_filter(log_filter()).with_writer(writer).init();
     actix_rt::System::new().block_on(serve_gateway(file, settings))
 }
 
+/// Returns the filter of the environment variable `RUST_LOG`, or level `info` without a valid one.
 fn log_filter() -> EnvFilter {
     EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"))
 }
 
+/// Reads and parses a settings file. The error lists all problems, one a line.
 fn read_settings<T>(
     file: &Path,
     parse: impl FnOnce(&str, &str) -> Result<T, Vec<DocumentProblem>>,
 ) -> Result<T, Report<StartFailed>> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file)
-        .change_context_lazy(|| StartFailed(format!("reading the settings file \"{name}\"")))?;
+    let text = std::fs::read_to_string(file).change_context_lazy(|| {
+        StartFailed(format!("could not read the settings file \"{name}\""))
+    })?;
     parse(&name, &text).map_err(|problems| {
         let lines = problems.iter().map(ToString::to_string).collect::<Vec<_>>();
         Report::new(StartFailed(lines.join("\n")))
     })
 }
 
+/// Runs a daemon until SIGTERM or SIGINT, then drains it. Prints its addresses on one line, which
+/// tests read to learn the ports.
 async fn serve(settings: DaemonSettings) -> Result<(), Report<StartFailed>> {
-    let mut terminate = on_signal(SignalKind::terminate())?;
-    let mut interrupt = on_signal(SignalKind::interrupt())?;
+    let mut terminate = signal_stream(SignalKind::terminate())?;
+    let mut interrupt = signal_stream(SignalKind::interrupt())?;
     let daemon = Daemon::start(settings).change_context_lazy(start_failed)?;
     let addresses = daemon.addresses();
     println!("listening {} {} {}", addresses.listen, addresses.peer, addresses.admin);
@@ -108,19 +113,21 @@
     Ok(())
 }
 
+/// Runs a gateway until SIGTERM or SIGINT, then drains it. On SIGHUP it reads the settings file
+/// again and logs whether it changed; the running gateway keeps its settings.
 async fn serve_gateway(file: &Path, settings: GatewaySettings) -> Result<(), Report<StartFailed>> {
-    let mut terminate = on_signal(SignalKind::terminate())?;
-    let mut interrupt = on_signal(SignalKind::interrupt())?;
-    let mut reload = on_signal(SignalKind::hangup())?;
-    let running = settings.clone();
+    let mut terminate = signal_stream(SignalKind::terminate())?;
+    let mut interrupt = signal_stream(SignalKind::interrupt())?;
+    let mut hangup = signal_stream(SignalKind::hangup())?;
+    let running_settings = settings.clone();
     let gateway = Gateway::start(settings).await.change_context_lazy(start_failed)?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = reload.recv() => {
-                let read = read_settings(file, GatewaySettings::parse);
-                gateway.reload(&running, read.map_err(|report| report.to_string()));
+            _ = hangup.recv() => {
+                let reloaded = read_settings(file, GatewaySettings::parse);
+                gateway.reload(&running_settings, reloaded.map_err(|report| report.to_string()));
             }
         }
     }
@@ -128,10 +135,10 @@
     Ok(())
 }
 
-fn on_signal(kind: SignalKind) -> Result<Signal, Report<StartFailed>> {
+fn signal_stream(kind: SignalKind) -> Result<Signal, Report<StartFailed>> {
     signal(kind).change_context_lazy(start_failed)
 }
 
 fn start_failed() -> StartFailed {
-    StartFailed(String::from("starting the daemon"))
+    StartFailed(String::from("could not start the daemon"))
 }
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -1,7 +1,8 @@
-//! Decisions of the traffic threads: admission, choice of upstream and isolation of suspects.
+//! The traffic scheduler: admission, choice of upstream and isolation of suspects.
 //!
-//! All traffic threads of a node share one desk behind a lock, so that queues, limits and isolated
-//! runs cover the whole node. Each call is one decision and does not wait.
+//! All traffic threads of a node share one scheduler behind a mutex, so that queues, limits and
+//! isolated runs apply to the whole node. Each call makes one decision and never blocks; decisions
+//! that come later are sent through a reply channel.
 
 #[cfg(test)]
 mod tests;
@@ -28,93 +29,107 @@
 };
 use tokio::sync::oneshot;
 
-use crate::view::OPEN_CALLERS;
+use crate::view::OPEN_ROUTE_CUSTOMER;
 
-/// Work that a node may have in service at one upstream, as time at the upstream's speed. It keeps
-/// engines busy between two decisions and leaves the rest of the queue to the fair order.
+/// Bound on the work of this node that runs on a service's upstreams, as time at the node's part of
+/// the service's speed. It keeps the engines busy between two decisions and leaves the other
+/// requests in the fair queue, where the fair order still applies to them.
 const SERVICE_HORIZON: Span = Span::from_secs(1);
 
-/// Smallest amount of work in service, so that a service without known speed can start.
-const MIN_IN_SERVICE: u32 = 2_000;
+/// Tokens of work that may always run on a service's upstreams, whatever [`SERVICE_HORIZON`]
+/// allows, so that a service of unknown speed gets its first requests.
+const MIN_IN_SERVICE_TOKENS: u32 = 2_000;
 
-/// Answer to a queued request.
+/// Reply to a queued request: `Ok` when it may start, or the refusal.
 pub(crate) type QueueReply = oneshot::Sender<Result<(), Refusal>>;
 
-/// Answer to a suspect that waits for an isolated run.
+/// Reply to a suspect that waits for an isolated run: the reserved upstream, or the refusal.
 pub(crate) type IsolationReply = oneshot::Sender<Result<UpstreamKey, Refusal>>;
 
-/// Traffic decisions of one node.
+/// State of one node that queues requests, charges limits and picks upstreams.
 pub(crate) struct TrafficScheduler {
     table: UpstreamTable,
     own_zone: ZoneKey,
     services: HashMap<String, ServiceQueue>,
-    service_of: HashMap<UpstreamKey, String>,
+    service_by_upstream: HashMap<UpstreamKey, String>,
     limiter: RateLimiter,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     suspects: SuspectTable,
-    isolated: HashMap<RequestId, IsolationReply>,
+    /// Reply channels of the suspects that wait for an isolated run.
+    isolation_replies: HashMap<RequestId, IsolationReply>,
     picker: UpstreamPicker,
     rng: ChaCha8Rng,
     last_ticket: u64,
     live_nodes: u32,
-    max_waiting: usize,
+    /// Bound on the queued requests of each service.
+    max_queued_requests: usize,
 }
 
+/// Upstreams and fair queue of one service.
 struct ServiceQueue {
     candidates: RouteUpstreams,
     upstreams: Vec<UpstreamKey>,
     queue: FairQueue,
+    /// Requests that this node has started on the upstreams since the process started.
     started: u64,
-    waiting: HashMap<TicketNumber, QueueReply>,
+    /// Reply channels of the queued requests.
+    replies: HashMap<TicketNumber, QueueReply>,
 }
 
-/// A request that asks for admission.
+/// Parameters of the admission of one request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AdmissionRequest {
     pub(crate) customer: CustomerKey,
     pub(crate) class: RequestClass,
+    /// Estimated cost.
     pub(crate) tokens: u32,
-    /// Least charge against the customer's limit, which also bounds its requests per second.
+    /// Lowest charge against the customer's limit. It also bounds the customer's requests per
+    /// second, see `RoutingView::min_charge`.
     pub(crate) min_charge: u32,
     pub(crate) deadline: Moment,
 }
 
-/// Place of an admitted or waiting request.
+/// Handle of a queued or running request, given back with [`TrafficScheduler::release`].
 #[derive(Debug, Clone)]
 pub(crate) struct AdmissionTicket {
     pub(crate) service: String,
     pub(crate) number: TicketNumber,
     pub(crate) customer: CustomerKey,
+    /// Estimated cost.
     pub(crate) tokens: u32,
     pub(crate) min_charge: u32,
 }
 
 impl TrafficScheduler {
     pub(crate) fn new(incarnation: Incarnation, settings: &DaemonSettings) -> Self {
-        // A share is renewed twice before it ends.
-        let ask_period = Span(settings.timeouts.limit_grant.0 / 3);
-        let max_waiting = settings.bounds.queued_requests as usize;
+        // A third of a grant's lifetime, so that a grant is renewed twice before it expires.
+        let grant_request_interval = Span(settings.timeouts.limit_grant.0 / 3);
+        let max_queued_requests = settings.bounds.queued_requests as usize;
         Self {
             table: UpstreamTable::new(TableSettings::default(), Vec::new()),
             own_zone: ZoneKey(0),
             services: HashMap::new(),
-            service_of: HashMap::new(),
+            service_by_upstream: HashMap::new(),
             limiter: RateLimiter::new(
                 incarnation,
-                LimiterSettings { request_interval: ask_period, ..LimiterSettings::default() },
+                LimiterSettings {
+                    request_interval: grant_request_interval,
+                    ..LimiterSettings::default()
+                },
             ),
-            budget: RetryBudget::new(),
+            retry_budget: RetryBudget::new(),
             suspects: SuspectTable::new(incarnation, SuspectPolicy::default()),
-            isolated: HashMap::new(),
+            isolation_replies: HashMap::new(),
             picker: UpstreamPicker::new(PickerSettings::default()),
             rng: ChaCha8Rng::seed_from_u64(incarnation.0),
             last_ticket: 0,
             live_nodes: 1,
-            max_waiting,
+            max_queued_requests,
         }
     }
 
-    /// Sets the own zone and the one-way times to all zones, which must precede any upstream.
+    /// Sets the zone of this node and the one-way latencies to all zones. The latencies are ignored
+    /// once an upstream has been added.
     pub(crate) fn set_zones(&mut self, own_zone: ZoneKey, zone_latencies: Vec<Span>) {
         self.own_zone = own_zone;
         if self.table.is_empty() {
@@ -122,11 +137,14 @@
         }
     }
 
+    /// Sets the number of live nodes, this one included, among which the capacity of a service is
+    /// divided.
     pub(crate) fn set_live_nodes(&mut self, nodes: usize) {
         self.live_nodes = u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
         self.table.set_node_count(self.live_nodes);
     }
 
+    /// Sets the customer's weight in the fair queues of all services.
     pub(crate) fn set_weight(&mut self, now: Moment, customer: CustomerKey, weight: u32) {
         for service in self.services.values_mut() {
             let event = QueueEvent::WeightChanged { customer, weight };
@@ -135,7 +153,8 @@
         }
     }
 
-    /// Adds an upstream. Its key equals the one in the routing view.
+    /// Adds an upstream, with its speed in tokens per second if the document states one. Upstreams
+    /// must be added in the same order as to the routing view, so that their keys are equal.
     pub(crate) fn add_upstream(
         &mut self,
         service: &str,
@@ -146,7 +165,7 @@
             Some(speed) => self.table.add_with_speed(info, speed),
             None => self.table.add(info),
         };
-        self.service_of.insert(key, String::from(service));
+        self.service_by_upstream.insert(key, String::from(service));
         let seed = self.rng.random();
         let service_queue = self
             .services
@@ -166,7 +185,8 @@
         self.table.state(upstream)
     }
 
-    /// Takes in a load report and returns what it means for waiting suspects.
+    /// Applies a load report. An upstream without load can take a waiting suspect; returns the
+    /// actions of this for the control thread.
     pub(crate) fn apply_load_report(
         &mut self,
         now: Moment,
@@ -180,7 +200,10 @@
         self.handle_suspect_event(now, wall, event)
     }
 
-    /// Checks the customer's limit and queues the request.
+    /// Queues a request whose customer's limit has been charged. The decision is sent to `reply`.
+    ///
+    /// Returns no ticket when the request is refused immediately, since the service has no upstream
+    /// or the queue is full.
     pub(crate) fn enqueue(
         &mut self,
         now: Moment,
@@ -191,19 +214,19 @@
         self.last_ticket += 1;
         let ticket = TicketNumber(self.last_ticket);
         let Some(service_queue) = self.services.get_mut(service) else {
-            let message = format!("service \"{service}\" has no upstream");
+            let message = format!("service \"{service}\" has no upstream that this node knows");
             let refusal = Refusal::not_run(base::RefusalCode::NoUpstream, message);
             let _ = reply.send(Err(refusal.with_retry_after(Span::from_secs(1))));
             return None;
         };
-        if service_queue.waiting.len() >= self.max_waiting {
-            let message = "the queue of this node is full";
+        if service_queue.replies.len() >= self.max_queued_requests {
+            let message = "the request queue of this node is full";
             let refusal = Refusal::not_run(base::RefusalCode::Overloaded, message);
             let retry_after = Span::from_millis(self.rng.random_range(500..1_500));
             let _ = reply.send(Err(refusal.with_retry_after(retry_after)));
             return None;
         }
-        service_queue.waiting.insert(ticket, reply);
+        service_queue.replies.insert(ticket, reply);
         let AdmissionRequest { customer, class, tokens, min_charge, deadline } = request;
         let request = QueuedRequest { ticket, customer, class, tokens, deadline };
         let actions = service_queue.queue.handle(now, QueueEvent::Offered(request));
@@ -212,13 +235,13 @@
         Some(AdmissionTicket { service, number: ticket, customer, tokens, min_charge })
     }
 
-    /// Takes the request's tokens from the customer's limit. Open routes have none.
+    /// Takes the request's tokens from its customer's token bucket. Open routes have no limit.
     pub(crate) fn charge_limit(
         &mut self,
         now: Moment,
         request: &AdmissionRequest,
     ) -> LimitDecision {
-        if request.customer == OPEN_CALLERS {
+        if request.customer == OPEN_ROUTE_CUSTOMER {
             return LimitDecision::Admitted;
         }
         self.limiter.admit(now, request.customer, request.tokens.max(request.min_charge))
@@ -228,22 +251,25 @@
         &mut self.limiter
     }
 
-    /// Ends a request that was admitted or waits. `tokens` is its true cost, 0 when it did not run.
+    /// Gives back the admission of a queued or running request and charges the difference between
+    /// its true and its estimated cost. `tokens` is the true cost, 0 when it did not run.
     pub(crate) fn release(&mut self, now: Moment, ticket: &AdmissionTicket, tokens: u32) {
-        if ticket.customer != OPEN_CALLERS {
+        if ticket.customer != OPEN_ROUTE_CUSTOMER {
             let charged = ticket.tokens.max(ticket.min_charge);
             let due = tokens.max(ticket.min_charge);
             let difference = i64::from(due) - i64::from(charged);
             self.limiter.reconcile(ticket.customer, difference);
         }
         let Some(service) = self.services.get_mut(&ticket.service) else { return };
-        service.waiting.remove(&ticket.number);
+        service.replies.remove(&ticket.number);
         let mut actions = service.queue.handle(now, QueueEvent::CallerDisconnected(ticket.number));
         actions
             .extend(service.queue.handle(now, QueueEvent::Done { ticket: ticket.number, tokens }));
         service.apply(actions);
     }
 
+    /// Picks an upstream of a service, or `None` when none can take the request. A picked upstream
+    /// is not reserved: the load counts from [`TrafficScheduler::start`] on.
     pub(crate) fn pick(
         &mut self,
         now: Moment,
@@ -254,7 +280,8 @@
         self.picker.pick(now, &self.table, &service_queue.candidates, request, &mut self.rng)
     }
 
-    /// Counts a request as running on an upstream.
+    /// Counts a request as in flight on an upstream, with its estimated tokens. A fingerprint makes
+    /// it known to the suspect table, which blames it if the upstream crashes.
     pub(crate) fn start(
         &mut self,
         now: Moment,
@@ -266,23 +293,25 @@
         if let Some(fingerprint) = fingerprint {
             self.suspects.handle(now, wall, SuspectEvent::Started { upstream, fingerprint });
         }
-        let service = self.service_of.get(&upstream);
+        let service = self.service_by_upstream.get(&upstream);
         if let Some(service_queue) = service.and_then(|service| self.services.get_mut(service)) {
             service_queue.started += 1;
         }
         self.table.start(now, upstream, tokens)
     }
 
-    /// Requests that this node has started on the upstreams of a service.
+    /// Returns the number of requests that this node has started on the upstreams of a service
+    /// since the process started.
     pub(crate) fn started_requests(&self, service: &str) -> u64 {
         self.services.get(service).map_or(0, |service_queue| service_queue.started)
     }
 
-    /// Requests of this node that run on an upstream.
+    /// Returns the number of this node's requests in flight on an upstream.
     pub(crate) fn own_requests(&self, upstream: UpstreamKey) -> u32 {
         self.table.own_requests(upstream)
     }
 
+    /// Ends a request that [`TrafficScheduler::start`] counted. A success adds to the retry budget.
     pub(crate) fn finish(
         &mut self,
         now: Moment,
@@ -290,13 +319,14 @@
         outcome: RequestOutcome,
     ) {
         if matches!(outcome, RequestOutcome::Completed { .. }) {
-            self.budget.record_success();
+            self.retry_budget.record_success();
         }
         self.table.finish(now, request, outcome);
     }
 
-    pub(crate) const fn take_retry(&mut self) -> bool {
-        self.budget.try_withdraw()
+    /// Withdraws one retry from the node's retry budget. Returns false when the budget is used up.
+    pub(crate) const fn withdraw_retry(&mut self) -> bool {
+        self.retry_budget.try_withdraw()
     }
 
     pub(crate) fn fingerprint_status(
@@ -311,7 +341,8 @@
         &self.suspects
     }
 
-    /// Applies an event that concerns suspects. Returns the actions for the control thread.
+    /// Applies an event to the suspect table. Sends the replies that follow from it and returns the
+    /// actions that the control thread must perform.
     pub(crate) fn handle_suspect_event(
         &mut self,
         now: Moment,
@@ -319,10 +350,11 @@
         event: SuspectEvent,
     ) -> Vec<SuspectAction> {
         let actions = self.suspects.handle(now, wall, event);
-        self.apply_suspect(actions)
+        self.apply_suspect_actions(actions)
     }
 
-    /// Asks for an isolated run of a suspect.
+    /// Queues a suspect for an isolated run. `reply` gets the upstream that is reserved for it, or
+    /// the refusal. Returns the actions for the control thread.
     pub(crate) fn request_isolation(
         &mut self,
         now: Moment,
@@ -331,12 +363,13 @@
         mut request: IsolationRequest,
         reply: IsolationReply,
     ) -> Vec<SuspectAction> {
-        self.isolated.insert(request.request, reply);
-        request.upstreams = self.calm_upstreams(service).into_iter().collect();
+        self.isolation_replies.insert(request.request, reply);
+        request.upstreams = self.upstreams_by_backlog(service).into_iter().collect();
         self.handle_suspect_event(now, wall, SuspectEvent::Requested(request))
     }
 
-    /// Performs what is due by time.
+    /// Advances all timers. Updates the capacity of the services, lets queued requests start or
+    /// expire, and returns the actions of the suspect table for the control thread.
     pub(crate) fn tick(&mut self, now: Moment, wall: WallTime) -> Vec<SuspectAction> {
         self.table.refresh_max_speed();
         for service in self.services.values_mut() {
@@ -350,12 +383,13 @@
         self.handle_suspect_event(now, wall, SuspectEvent::Tick)
     }
 
+    /// Returns the estimated tokens of the queued requests of all services.
     pub(crate) fn queued_tokens(&self) -> u64 {
         self.services.values().map(|service| service.queue.waiting_tokens()).sum()
     }
 
-    /// Live upstreams of a service, those with least work first.
-    fn calm_upstreams(&self, service: &str) -> Vec<UpstreamKey> {
+    /// Returns the upstreams of a service that are up, the smallest backlog first.
+    fn upstreams_by_backlog(&self, service: &str) -> Vec<UpstreamKey> {
         let Some(service_queue) = self.services.get(service) else { return Vec::new() };
         let is_up = |key: &UpstreamKey| self.table.state(*key) == Some(UpstreamState::Up);
         let mut upstreams =
@@ -364,84 +398,93 @@
         upstreams
     }
 
-    fn apply_suspect(&mut self, actions: SuspectActions) -> Vec<SuspectAction> {
-        let mut rest = Vec::new();
+    /// Performs the actions that concern this node and returns the others, which the control thread
+    /// must perform.
+    fn apply_suspect_actions(&mut self, actions: SuspectActions) -> Vec<SuspectAction> {
+        let mut remaining = Vec::new();
         for action in actions {
             match action {
                 SuspectAction::RunIsolated { request, upstream } => {
-                    if let Some(reply) = self.isolated.remove(&request) {
+                    if let Some(reply) = self.isolation_replies.remove(&request) {
                         let _ = reply.send(Ok(upstream));
                     }
                 }
                 SuspectAction::Refuse { request, refusal } => {
-                    if let Some(reply) = self.isolated.remove(&request) {
+                    if let Some(reply) = self.isolation_replies.remove(&request) {
                         let _ = reply.send(Err(refusal));
                     }
                 }
                 SuspectAction::Reserve(notice) => {
                     self.table.reserve(notice.upstream);
-                    rest.push(SuspectAction::Reserve(notice));
+                    remaining.push(SuspectAction::Reserve(notice));
                 }
                 SuspectAction::Release(notice) => {
                     self.table.release(notice.upstream);
-                    rest.push(SuspectAction::Release(notice));
+                    remaining.push(SuspectAction::Release(notice));
                 }
-                other => rest.push(other),
+                other => remaining.push(other),
             }
         }
-        rest
+        remaining
     }
 }
 
 impl ServiceQueue {
     fn new(table: &UpstreamTable, own_zone: ZoneKey, seed: u64) -> Self {
-        let capacity =
-            ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: MIN_IN_SERVICE };
+        let capacity = ServiceCapacity {
+            tokens_per_second: 1_000,
+            max_in_service_tokens: MIN_IN_SERVICE_TOKENS,
+        };
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self {
             candidates: RouteUpstreams::new(table, own_zone, []),
             upstreams: Vec::new(),
             started: 0,
             queue: FairQueue::new(QueueSettings::default(), capacity, rng),
-            waiting: HashMap::new(),
+            replies: HashMap::new(),
         }
     }
 
-    /// Returns what this node can expect: its equal part of the service, or what the other nodes
-    /// leave unused when that is more. `None` while no upstream can be chosen: the choice then
-    /// refuses for the true reason, where a rate of zero would claim an overload.
+    /// Returns the part of the service's capacity that this node may use: an equal part, or what
+    /// the other nodes leave unused if that is more. Returns `None` while no upstream can be
+    /// picked, so that requests pass the queue and are refused by the picker for lack of an
+    /// upstream. With a rate of zero the queue would refuse them as an overload.
     fn capacity(&self, table: &UpstreamTable, live_nodes: u32) -> Option<ServiceCapacity> {
-        let mut total = 0.0;
-        let mut others = 0.0;
+        let mut total_speed = 0.0;
+        let mut others_backlog = 0.0;
         for key in &self.upstreams {
-            // A suspect upstream may have closed one idle connection only, and can be chosen.
+            // An upstream counts as suspect after a single refused or closed connection, and it can
+            // still be picked.
             if !matches!(table.state(*key), Some(UpstreamState::Up | UpstreamState::Suspect)) {
                 continue;
             }
-            total += table.speed(*key).unwrap_or(0.0);
-            others += table.other_nodes_backlog(*key).unwrap_or(0.0);
+            total_speed += table.speed(*key).unwrap_or(0.0);
+            others_backlog += table.other_nodes_backlog(*key).unwrap_or(0.0);
         }
-        if total <= 0.0 {
+        if total_speed <= 0.0 {
             return None;
         }
-        let horizon = SERVICE_HORIZON.as_secs_f64() as f32;
-        let unused = (1.0 - others / (total * horizon).max(1.0)).max(0.0);
-        let share = unused.max(1.0 / live_nodes as f32);
-        let tokens_per_second = (total * share).max(1.0) as u32;
+        let horizon_seconds = SERVICE_HORIZON.as_secs_f64() as f32;
+        let unused_share =
+            (1.0 - others_backlog / (total_speed * horizon_seconds).max(1.0)).max(0.0);
+        let share = unused_share.max(1.0 / live_nodes as f32);
+        let tokens_per_second = (total_speed * share).max(1.0) as u32;
         let max_in_service_tokens =
-            ((tokens_per_second as f32 * horizon) as u32).max(MIN_IN_SERVICE);
+            ((tokens_per_second as f32 * horizon_seconds) as u32).max(MIN_IN_SERVICE_TOKENS);
         Some(ServiceCapacity { tokens_per_second, max_in_service_tokens })
     }
 
+    /// Sends the decisions of the queue to the requests that wait for them.
     fn apply(&mut self, actions: QueueActions) {
         for action in actions {
-            let (ticket, answer) = match action {
+            let (ticket, result) = match action {
                 QueueAction::Dispatch(ticket) => (ticket, Ok(())),
                 QueueAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
-            // A caller that has gone is taken out of the queue by `TrafficScheduler::release`.
-            if let Some(reply) = self.waiting.remove(&ticket) {
-                let _ = reply.send(answer);
+            // The reply channel is missing when the caller disconnected:
+            // `TrafficScheduler::release` has removed it.
+            if let Some(reply) = self.replies.remove(&ticket) {
+                let _ = reply.send(result);
             }
         }
     }
--- a/crates/hibiscushinged/src/shared.rs
+++ b/crates/hibiscushinged/src/shared.rs
@@ -1,4 +1,4 @@
-//! State that the control thread and the traffic threads share.
+//! State that the control thread and the traffic threads share, and the lifecycle of a node.
 
 use std::sync::{
     Arc, Mutex, MutexGuard,
@@ -16,12 +16,14 @@
     scheduler::TrafficScheduler, view::RoutingView,
 };
 
-/// Shared state of one daemon.
+/// State of one daemon that all its threads share.
 pub(crate) struct SharedState {
     pub(crate) settings: DaemonSettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: ProcessClock,
+    /// Snapshot that the control thread publishes and the traffic threads read without a lock.
     pub(crate) view: ArcSwap<RoutingView>,
+    /// Channel to the control thread.
     pub(crate) control: mpsc::Sender<ControlMessage>,
     pub(crate) metrics: DaemonMetrics,
     scheduler: Mutex<TrafficScheduler>,
@@ -29,24 +31,25 @@
     last_request: AtomicU64,
 }
 
-/// Stage of the daemon's life.
+/// Phase of a node's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NodePhase {
     /// No configuration is in force yet.
     Starting,
+    /// Requests are accepted.
     Serving,
-    /// New requests are refused and running ones are finished.
+    /// New requests are refused and those in flight are finished.
     Draining,
 }
 
-/// Phase of a process and the requests that it is working on.
+/// Phase of a process and the number of its requests in flight.
 #[derive(Debug, Default)]
 pub(crate) struct NodeLifecycle {
     phase: AtomicU8,
     in_flight: AtomicUsize,
 }
 
-/// Counts a request as running until dropped.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlightGuard {
     lifecycle: Arc<NodeLifecycle>,
 }
@@ -73,15 +76,23 @@
         }
     }
 
-    /// Locks the traffic state. The lock is held for one decision, never across an await.
+    /// Locks the traffic scheduler. Callers hold the lock for one decision and never across an
+    /// await.
+    ///
+    /// # Panics
+    ///
+    /// Panics when another thread panicked while it held the lock.
     pub(crate) fn scheduler(&self) -> MutexGuard<'_, TrafficScheduler> {
-        self.scheduler.lock().expect("no decision panics while it holds the lock")
+        self.scheduler
+            .lock()
+            .expect("the scheduler is unusable: a thread panicked while it held the lock")
     }
 
     pub(crate) fn phase(&self) -> NodePhase {
         self.lifecycle.phase()
     }
 
+    /// Moves on to `phase`, see [`NodeLifecycle::advance_to`].
     pub(crate) fn advance_to(&self, phase: NodePhase) {
         self.lifecycle.advance_to(phase);
     }
@@ -90,10 +101,12 @@
         self.lifecycle.in_flight()
     }
 
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn track_in_flight(&self) -> InFlightGuard {
         InFlightGuard::new(&self.lifecycle)
     }
 
+    /// Returns a new request id. It is unique, since it contains the incarnation of this process.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let sequence = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         RequestId { node: self.incarnation, sequence }
@@ -109,7 +122,7 @@
         }
     }
 
-    /// Moves on to `phase`. A process never goes back to an earlier phase.
+    /// Moves on to `phase`. Does nothing when the process is in a later phase already.
     pub(crate) fn advance_to(&self, phase: NodePhase) {
         let code = match phase {
             NodePhase::Starting => 0,
@@ -125,9 +138,9 @@
 }
 
 impl InFlightGuard {
-    pub(crate) fn new(life: &Arc<NodeLifecycle>) -> Self {
-        life.in_flight.fetch_add(1, Ordering::AcqRel);
-        Self { lifecycle: Arc::clone(life) }
+    pub(crate) fn new(lifecycle: &Arc<NodeLifecycle>) -> Self {
+        lifecycle.in_flight.fetch_add(1, Ordering::AcqRel);
+        Self { lifecycle: Arc::clone(lifecycle) }
     }
 }
 
@@ -137,7 +150,8 @@
     }
 }
 
-/// Writes a request id as it appears on the wire and in logs.
+/// Formats a request id as it appears in headers, logs and `explain`: the node's incarnation and
+/// the sequence number, both in hexadecimal.
 pub(crate) fn format_request_id(id: RequestId) -> String {
     format!("{:016x}-{:x}", id.node.0, id.sequence)
 }
--- a/crates/hibiscushinged/src/traffic.rs
+++ b/crates/hibiscushinged/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Serving of callers and trainers on the traffic threads.
+//! Serves callers and trainers on the traffic threads.
 
 mod admitted;
 mod caller;
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -1,4 +1,5 @@
-//! An admitted request: what it holds until it ends, and how its ends are told.
+//! An admitted request: the resources that it holds until it ends, and the reports of its end to
+//! the control thread, the metrics and the log.
 
 use std::sync::Arc;
 
@@ -22,33 +23,37 @@
     view::ResolvedRoute,
 };
 
-/// An admitted request.
+/// An admitted request. Dropping it ends its claim and, through the other fields, releases its
+/// admission and its place among the requests in flight.
 pub(crate) struct CallerRequest {
     pub(crate) id: RequestId,
     pub(crate) route: ResolvedRoute,
+    /// `None` on open routes.
     pub(crate) owner: Option<KeyOwner>,
     pub(crate) body: Bytes,
     pub(crate) arrived_at: Moment,
     pub(crate) deadline: Moment,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) tracker: AttemptTracker,
-    /// Whether the request holds an idempotency claim that must be ended.
+    /// The claim of the idempotency key that the request holds and must end.
     pub(crate) claim: Option<ClaimKey>,
     pub(crate) _in_flight: InFlightGuard,
     pub(crate) meter: RequestMeter,
 }
 
-/// Frees the request's place in the queue and meters its usage when the request ends, however it
-/// ends.
+/// Releases the admission ticket and reports the usage when it is dropped, so that both happen
+/// however the request ends.
 pub(crate) struct RequestMeter {
     pub(crate) shared: Arc<SharedState>,
     pub(crate) ticket: Option<AdmissionTicket>,
+    /// Customer to whom the usage is charged, `None` on open routes.
     pub(crate) customer: Option<String>,
     pub(crate) amount: UsageAmount,
 }
 
-/// Sends a message that must not be lost, waiting in a task when the channel is full.
-pub(crate) fn tell_control(shared: &SharedState, message: ControlMessage) {
+/// Sends a message to the control thread. If the channel is full, a task waits for room, so that
+/// the message is not lost and the caller of this function does not block.
+pub(crate) fn send_to_control(shared: &SharedState, message: ControlMessage) {
     let Err(TrySendError::Full(message)) = shared.control.try_send(message) else { return };
     let control = shared.control.clone();
     actix_rt::spawn(async move {
@@ -56,13 +61,18 @@
     });
 }
 
-/// An upstream that a suspect may use alone, or `None` when the request is not suspect.
-pub(crate) async fn isolation(
+/// Waits until an upstream is reserved for the request if it is suspect. Returns `None` at once if
+/// it is not.
+///
+/// # Errors
+///
+/// Returns the refusal of the suspect table, for example when no upstream becomes free in time.
+pub(crate) async fn await_isolation(
     shared: &SharedState,
     request: &CallerRequest,
 ) -> Result<Option<UpstreamKey>, Refusal> {
     let (now, wall) = (shared.clock.now(), wall_now());
-    let (reply, answer) = oneshot::channel();
+    let (reply, reserved) = oneshot::channel();
     let actions = {
         let mut scheduler = shared.scheduler();
         match scheduler.fingerprint_status(wall, request.fingerprint) {
@@ -79,22 +89,25 @@
         };
         scheduler.request_isolation(now, wall, &request.route.entry.service, isolation, reply)
     };
-    forward(shared, actions);
+    forward_suspect_actions(shared, actions);
     let mut guard = IsolationGuard { shared, request: Some(request.id) };
-    let result = answer.await;
+    let result = reserved.await;
     guard.request = None;
     match result {
         Ok(Ok(upstream)) => Ok(Some(upstream)),
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => {
-            let mut refusal = Refusal::not_run(RefusalCode::NoUpstream, "no upstream is free");
+            let mut refusal = Refusal::not_run(
+                RefusalCode::NoUpstream,
+                "no upstream is free for an isolated run",
+            );
             refusal.execution = request.tracker.execution();
             Err(refusal.with_retry_after(Span::from_secs(1)))
         }
     }
 }
 
-/// Takes a suspect out of the queue when its caller disconnects.
+/// Withdraws a suspect that waits for an isolated run when its caller disconnects.
 struct IsolationGuard<'a> {
     shared: &'a SharedState,
     request: Option<RequestId>,
@@ -109,44 +122,50 @@
             wall_now(),
             event,
         );
-        forward(self.shared, actions);
+        forward_suspect_actions(self.shared, actions);
     }
 }
 
-/// Sends what other nodes must learn about suspects to the control thread.
-pub(crate) fn forward(shared: &SharedState, actions: Vec<delivery::SuspectAction>) {
+/// Passes actions of the suspect table to the control thread, which informs the other nodes.
+pub(crate) fn forward_suspect_actions(shared: &SharedState, actions: Vec<delivery::SuspectAction>) {
     if !actions.is_empty() {
-        // A full channel delays the spread; the next heartbeat carries the same state.
+        // If the channel is full, the message is dropped: the other nodes get the same state later,
+        // with the next heartbeat.
         let _ = shared.control.try_send(ControlMessage::Suspicion(actions));
     }
 }
 
 impl CallerRequest {
-    /// Counts the request as answered.
+    /// Sends the metrics of a completed request: its duration since arrival and its generated
+    /// tokens.
     pub(crate) fn count_answered(&self, shared: &SharedState) {
         let took = shared.clock.now().since(self.arrived_at);
         let tokens = self.meter.amount.generated_tokens;
         shared.metrics.count_answered(&self.route.entry.service, took, tokens);
     }
 
+    /// Returns the name of the customer, empty on open routes.
     pub(crate) fn customer(&self) -> &str {
         self.owner.as_ref().map_or("", |owner| &owner.customer)
     }
 
-    /// Counts generated tokens, which are billed also when the answer ends early.
-    pub(crate) const fn count(&mut self, amount: UsageAmount) {
+    /// Sets the usage of the request so far. Generated tokens are billed even if the response ends
+    /// early.
+    pub(crate) const fn set_usage(&mut self, amount: UsageAmount) {
         self.meter.amount = amount;
     }
 
-    /// Ends the idempotency claim.
+    /// Reports the outcome of the idempotency claim. Does nothing if the request holds no claim or
+    /// has ended it.
     pub(crate) fn end_claim(&mut self, shared: &SharedState, outcome: ClaimOutcome) {
         if self.claim.take().is_none() {
             return;
         }
-        tell_control(shared, ControlMessage::ClaimEnded { request: self.id, outcome });
+        send_to_control(shared, ControlMessage::ClaimEnded { request: self.id, outcome });
     }
 
-    /// Returns the outcome of a claim whose request ended without a whole answer.
+    /// Returns the claim's outcome for a request that ended without a complete response. It is
+    /// unknown once an upstream may have run the request.
     pub(crate) const fn failed_outcome(&self) -> ClaimOutcome {
         match self.tracker.execution() {
             Execution::NotRun => ClaimOutcome::NotRun,
@@ -157,7 +176,7 @@
 
 impl Drop for CallerRequest {
     fn drop(&mut self) {
-        // A request that ended without stating an outcome was given up on the way.
+        // The claim is still held only if the request was abandoned before it reported an outcome.
         let (shared, outcome) = (Arc::clone(&self.meter.shared), self.failed_outcome());
         self.end_claim(&shared, outcome);
     }
@@ -178,23 +197,30 @@
         if usage.add(&customer, self.amount).is_err() {
             return;
         }
-        tell_control(&self.shared, ControlMessage::UsageMetered(usage));
+        send_to_control(&self.shared, ControlMessage::UsageMetered(usage));
     }
 }
 
+/// Counts and logs a refusal and keeps it for `explain`.
 pub(crate) fn log_refusal(shared: &SharedState, id: RequestId, refusal: &Refusal) {
     shared.metrics.count_refused(refusal);
     log_event!(RequestRefused, request = format_request_id(id), refusal = %refusal);
-    record(shared, id, base::EventCode::RequestRefused, refusal.to_string());
+    record_decision(shared, id, base::EventCode::RequestRefused, refusal.to_string());
 }
 
-/// Keeps a decision for `explain`. A full channel drops it, since the log has the same line.
-pub(crate) fn record(shared: &SharedState, id: RequestId, code: base::EventCode, detail: String) {
+/// Sends a decision event to be kept for `explain`. It is dropped if the channel is full: the log
+/// has the same event.
+pub(crate) fn record_decision(
+    shared: &SharedState,
+    id: RequestId,
+    code: base::EventCode,
+    detail: String,
+) {
     let event = DecisionEvent { subject: format_request_id(id), code, detail };
     let _ = shared.control.try_send(ControlMessage::Decision(event));
 }
 
-/// Time left before the deadline of a request.
+/// Returns the time left before the deadline of a request, zero when it has passed.
 pub(crate) fn time_left(shared: &SharedState, deadline: Moment) -> std::time::Duration {
     to_duration(deadline.since(shared.clock.now()))
 }
--- a/crates/hibiscushinged/src/traffic/response.rs
+++ b/crates/hibiscushinged/src/traffic/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers and trainers.
+//! HTTP responses to callers and trainers.
 
 use actix_http::{
     Response, StatusCode,
@@ -9,28 +9,29 @@
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-/// Names the request in the answer, so that a caller can ask operators about it.
+/// Header with the request id, by which operators look the request up with `explain`. It is set on
+/// responses to callers and on requests to upstreams.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Builds the answer to a refused request.
+/// Builds the response to a refused request, with a `Retry-After` header if the refusal has a time.
 pub(crate) fn refusal(refusal: &Refusal) -> Response<BoxBody> {
     let mut response = refusal_without_retry_after(refusal);
     if let Some(span) = refusal.retry_after {
-        // The header counts whole seconds; the body gives milliseconds.
+        // The header counts whole seconds, rounded up; the body gives milliseconds.
         let seconds = HeaderValue::from(span.0.div_ceil(1_000_000));
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
     response
 }
 
-/// Builds the answer to a refused request without the time to come back.
+/// Builds the response to a refused request without a `Retry-After` header.
 pub(crate) fn refusal_without_retry_after(refusal: &Refusal) -> Response<BoxBody> {
     let status = StatusCode::from_u16(refusal.code.http_status());
     let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     json(status, &json!({ "error": error_value(refusal) }))
 }
 
-/// Builds the `error` member of a refusal.
+/// Builds the value of the JSON member `error` for a refusal.
 pub(crate) fn error_value(refusal: &Refusal) -> Value {
     json!({
         "code": refusal.code.as_str(),
@@ -40,12 +41,12 @@
     })
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json(status: StatusCode, value: &Value) -> Response<BoxBody> {
     with_body(status, "application/json", Bytes::from(value.to_string()))
 }
 
-/// Builds an answer with a whole body.
+/// Builds a response whose body is sent as a whole, not streamed.
 pub(crate) fn with_body(
     status: StatusCode,
     content_type: &'static str,
--- a/crates/hibiscushinged/src/traffic/server.rs
+++ b/crates/hibiscushinged/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! The server for callers and trainers.
+//! The HTTP server for callers and trainers.
 
 use std::{convert::Infallible, io, net::TcpListener, rc::Rc, sync::Arc};
 
@@ -11,7 +11,8 @@
     traffic::{caller, response, trainer, worker::TrafficWorker},
 };
 
-/// Starts the traffic threads on `listener`.
+/// Starts the traffic threads, which serve the connections of `listener`. Must be called inside an
+/// `actix_rt` system.
 ///
 /// # Errors
 ///
@@ -39,16 +40,17 @@
 
 async fn serve(worker: Rc<TrafficWorker>, request: Request) -> Response<BoxBody> {
     let path = String::from(request.path());
-    let Some(rest) = path.strip_prefix("/v1/") else {
+    let Some(route) = path.strip_prefix("/v1/") else {
         return response::refusal(&unknown_path(&path));
     };
-    if let Some(rest) = rest.strip_prefix("trainers/") {
-        return trainer::serve(worker, rest, request).await;
+    if let Some(trainer_path) = route.strip_prefix("trainers/") {
+        return trainer::serve(worker, trainer_path, request).await;
     }
-    caller::serve(worker, rest, request).await
+    caller::serve(worker, route, request).await
 }
 
 fn unknown_path(path: &str) -> Refusal {
-    let message = format!("path \"{path}\" does not exist; routes are below /v1/");
+    let message =
+        format!("path \"{path}\" does not exist; the paths of all routes start with /v1/");
     Refusal::not_run(RefusalCode::RouteUnknown, message)
 }
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -1,4 +1,5 @@
-//! Streamed answers of model engines: attempts, resumption and whole endings.
+//! Streamed answers of model engines: attempts, resumption on another engine, and the end of the
+//! stream.
 
 use std::rc::Rc;
 
@@ -27,7 +28,7 @@
     shared::format_request_id,
     telemetry::log_event,
     traffic::{
-        admitted::{self, CallerRequest, record, time_left},
+        admitted::{self, CallerRequest, record_decision, time_left},
         choice::{self, ChosenUpstream},
         request::GenerateBody,
         response,
@@ -35,17 +36,19 @@
     },
 };
 
-/// Lines that wait for a slow caller before the engine's stream is read no further.
-const LINE_BUFFER: usize = 64;
+/// Bound on the lines that wait for a slow caller. While it is reached, the engine's stream is not
+/// read.
+const MAX_BUFFERED_LINES: usize = 64;
 
-/// How often a stream may continue on another upstream.
+/// How many times a stream may be resumed on another upstream.
 const MAX_RESUMES: u8 = 3;
 
-/// How often a silent stream checks that its key still stands; others check it with each token.
-/// Withdrawn keys must stop within 2 s, of which following the log takes most.
+/// Period at which a stream without tokens checks that its API key is still valid; with tokens the
+/// key is checked at each of them. The streams of a withdrawn key must stop within 2 s, and most of
+/// this time passes until the node has read the withdrawal from the log.
 const KEY_CHECK_PERIOD: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// One generation for a caller.
+/// The task of one generation for a caller.
 struct StreamTask {
     worker: Rc<TrafficWorker>,
     request: CallerRequest,
@@ -53,37 +56,40 @@
     assembler: StreamAssembler,
     output: CallerOutput,
     prompt_tokens: u64,
-    kept: Option<Vec<u8>>,
+    /// All lines sent so far, if a claim must be able to replay the response.
+    replay_body: Option<Vec<u8>>,
 }
 
-/// The caller's side of a generation.
+/// Channels to the task that sends the response to the caller.
 struct CallerOutput {
+    /// Starts the streamed response or refuses the request. `None` once it was used.
     head: Option<oneshot::Sender<Result<(), Refusal>>>,
     lines: mpsc::Sender<Result<Bytes, std::io::Error>>,
 }
 
 /// How an exchange with an engine ended.
 enum ExchangeEnd {
-    /// The end marker arrived and the answer is whole.
+    /// The end marker arrived and the answer is complete.
     Whole,
-    /// The exchange failed; the error tells whether the engine may have run it.
+    /// The exchange failed. The error says whether the engine may have run the request.
     Broken(CallError),
     CallerDisconnected,
     DeadlinePassed,
     KeyWithdrawn,
 }
 
+/// Starts a generation and returns the response once its first line or a refusal is there.
 pub(crate) async fn run(
     worker: Rc<TrafficWorker>,
     request: CallerRequest,
     body: GenerateBody,
 ) -> Response<BoxBody> {
-    let (head, head_answer) = oneshot::channel();
-    let (lines, line_source) = mpsc::channel(LINE_BUFFER);
+    let (head, head_result) = oneshot::channel();
+    let (lines, line_receiver) = mpsc::channel(MAX_BUFFERED_LINES);
     let shared = &worker.shared;
     let assembler = StreamAssembler::new(request.id, request.deadline, MAX_RESUMES);
     let id = request.id;
-    let kept = request.claim.map(|_| Vec::new());
+    let replay_body = request.claim.map(|_| Vec::new());
     let task = StreamTask {
         worker: Rc::clone(&worker),
         request,
@@ -91,23 +97,25 @@
         assembler,
         output: CallerOutput { head: Some(head), lines },
         prompt_tokens: 0,
-        kept,
+        replay_body,
     };
-    // The task outlives a caller that disconnects, so that it can cancel the upstream request.
+    // The task continues after the caller has disconnected, so that it can cancel the request on
+    // the engine.
     actix_rt::spawn(task.generate());
-    match head_answer.await {
-        Ok(Ok(())) => stream_response(line_source),
+    match head_result.await {
+        Ok(Ok(())) => stream_response(line_receiver),
         Ok(Err(refusal)) => {
             admitted::log_refusal(shared, id, &refusal);
             response::refusal(&refusal)
         }
         Err(_) => {
-            let message = "the request ended without an answer";
+            let message = "the task of the request ended without a response";
             response::refusal(&Refusal::may_have_run(RefusalCode::UpstreamFailed, message))
         }
     }
 }
 
+/// Builds the response that streams the lines as newline-delimited JSON.
 fn stream_response(lines: mpsc::Receiver<Result<Bytes, std::io::Error>>) -> Response<BoxBody> {
     let source = futures_util::stream::unfold(lines, |mut lines| async move {
         lines.recv().await.map(|line| (line, lines))
@@ -120,15 +128,16 @@
 }
 
 impl StreamTask {
+    /// Runs the generation to its end and reports how it ended.
     async fn generate(mut self) {
-        let refusal = self.attempts().await;
-        let shared = Rc::clone(&self.worker);
+        let refusal = self.run_attempts().await;
+        let worker = Rc::clone(&self.worker);
         match refusal {
             None => {
-                let body = self.kept.take().unwrap_or_default();
+                let body = self.replay_body.take().unwrap_or_default();
                 let outcome = ClaimOutcome::Answered { status: 200, body };
-                self.request.end_claim(&shared.shared, outcome);
-                self.request.count_answered(&shared.shared);
+                self.request.end_claim(&worker.shared, outcome);
+                self.request.count_answered(&worker.shared);
                 let detail = format!("{} tokens", self.assembler.offset());
                 log_event!(
                     RequestCompleted,
@@ -136,18 +145,23 @@
                     customer = self.request.customer(),
                     tokens = self.assembler.offset()
                 );
-                record(&shared.shared, self.request.id, base::EventCode::RequestCompleted, detail);
+                record_decision(
+                    &worker.shared,
+                    self.request.id,
+                    base::EventCode::RequestCompleted,
+                    detail,
+                );
             }
             Some(refusal) => {
                 let outcome = self.request.failed_outcome();
-                self.request.end_claim(&shared.shared, outcome);
+                self.request.end_claim(&worker.shared, outcome);
                 self.output.fail(&refusal).await;
             }
         }
     }
 
-    /// Runs exchanges until the answer is whole. Returns the refusal that ends it otherwise.
-    async fn attempts(&mut self) -> Option<Refusal> {
+    /// Runs exchanges until the answer is complete. Returns the refusal if it cannot be completed.
+    async fn run_attempts(&mut self) -> Option<Refusal> {
         loop {
             let chosen = match self.choose().await {
                 Ok(chosen) => chosen,
@@ -164,28 +178,31 @@
                 tokens,
                 Some(self.request.fingerprint),
             );
-            let before = self.offset();
+            let offset_before = self.offset();
             let end = self.exchange(&chosen).await;
-            let work_end = match end {
-                ExchangeEnd::Whole => RequestOutcome::Completed { tokens: self.offset() - before },
+            let outcome = match end {
+                ExchangeEnd::Whole => {
+                    RequestOutcome::Completed { tokens: self.offset() - offset_before }
+                }
                 _ => RequestOutcome::Failed,
             };
-            self.worker.shared.scheduler().finish(self.now(), in_flight, work_end);
-            self.count_usage();
-            match self.after(upstream, end).await {
+            self.worker.shared.scheduler().finish(self.now(), in_flight, outcome);
+            self.update_usage();
+            match self.finish_exchange(upstream, end).await {
                 AfterExchange::Done => return None,
                 AfterExchange::Refused(refusal) => return Some(refusal),
-                AfterExchange::Again => {}
+                AfterExchange::Retry => {}
             }
         }
     }
 
+    /// Picks an upstream, or waits for a reserved one if the request is suspect.
     async fn choose(&self) -> Result<ChosenUpstream, Refusal> {
         let shared = &self.worker.shared;
-        if let Some(upstream) = admitted::isolation(shared, &self.request).await? {
-            return choice::isolated(shared, &self.request, upstream);
+        if let Some(upstream) = admitted::await_isolation(shared, &self.request).await? {
+            return choice::isolated_upstream(shared, &self.request, upstream);
         }
-        let prefix_length = self.body.prompt.len().min(PREFIX_BYTES);
+        let prefix_length = self.body.prompt.len().min(CACHE_PREFIX_BYTES);
         let size = choice::WorkSize {
             tokens: self.body.max_tokens.saturating_sub(self.offset()),
             prompt_tokens: (self.body.prompt.len() / 4) as u32,
@@ -194,7 +211,7 @@
         choice::pick(shared, &self.request, &size)
     }
 
-    /// Runs one exchange and forwards its tokens.
+    /// Runs one exchange with an engine and sends its tokens to the caller.
     async fn exchange(&mut self, chosen: &ChosenUpstream) -> ExchangeEnd {
         let request = GenerateRequest {
             id: format_request_id(self.request.id),
@@ -210,7 +227,7 @@
         let worker = Rc::clone(&self.worker);
         let opened = tokio::select! {
             opened = worker.engines.generate(chosen.address, &request) => opened,
-            end = self.interrupted() => return end,
+            end = self.wait_for_interruption() => return end,
         };
         let mut tokens = match opened {
             Ok(tokens) => tokens,
@@ -220,83 +237,92 @@
         loop {
             let event = tokio::select! {
                 event = tokens.next() => event,
-                end = self.interrupted() => return end,
+                end = self.wait_for_interruption() => return end,
             };
-            // The timer of `interrupted` starts anew with each token, so a fast stream would never
-            // reach it.
-            if !choice::key_stands(&worker.shared, &self.request) {
+            // Each token restarts the timer in `wait_for_interruption`, so that with fast tokens it
+            // never fires.
+            if !choice::key_is_valid(&worker.shared, &self.request) {
                 return ExchangeEnd::KeyWithdrawn;
             }
-            let line = match event {
+            let result = match event {
                 Ok(Some(TokenEvent::Token { index, text, version })) => {
-                    self.piece(index, text, version)
+                    self.apply_token(index, text, version)
                 }
                 Ok(Some(TokenEvent::End { tokens, prompt_tokens })) => {
-                    self.end(tokens, prompt_tokens)
+                    self.apply_end_marker(tokens, prompt_tokens)
                 }
                 Ok(None) => return ExchangeEnd::Whole,
                 Err(error) => return ExchangeEnd::Broken(error),
             };
-            match line {
-                PieceResult::Line { text, last } => {
-                    if self.output.send(&mut self.kept, text).await.is_err() {
+            match result {
+                EventResult::Line { text, last } => {
+                    if self.output.send(&mut self.replay_body, text).await.is_err() {
                         return ExchangeEnd::CallerDisconnected;
                     }
                     if last {
                         return ExchangeEnd::Whole;
                     }
                 }
-                PieceResult::Dropped => {}
-                PieceResult::Broken => {
-                    return ExchangeEnd::Broken(choice::truncated());
+                EventResult::Dropped => {}
+                EventResult::Broken => {
+                    return ExchangeEnd::Broken(choice::truncated_answer_error());
                 }
             }
         }
     }
 
-    fn piece(&mut self, index: u32, token: String, version: base::WeightVersion) -> PieceResult {
-        let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
+    /// Applies a token of the running exchange.
+    fn apply_token(
+        &mut self,
+        index: u32,
+        token: String,
+        version: base::WeightVersion,
+    ) -> EventResult {
+        let Some(exchange) = self.assembler.exchange() else { return EventResult::Dropped };
         let answer_token =
             AnswerToken { request: self.request.id, index: u64::from(index), token, version };
-        self.apply(StreamEvent::Token { exchange, token: answer_token })
+        self.apply_event(StreamEvent::Token { exchange, token: answer_token })
     }
 
-    fn end(&mut self, tokens: u32, prompt_tokens: u32) -> PieceResult {
-        let Some(exchange) = self.assembler.exchange() else { return PieceResult::Dropped };
+    /// Applies the end marker of the running exchange.
+    fn apply_end_marker(&mut self, tokens: u32, prompt_tokens: u32) -> EventResult {
+        let Some(exchange) = self.assembler.exchange() else { return EventResult::Dropped };
         self.prompt_tokens = u64::from(prompt_tokens);
         let marker = EndMarker {
             request: self.request.id,
             tokens: u64::from(tokens),
             prompt_tokens: u64::from(prompt_tokens),
         };
-        self.apply(StreamEvent::End { exchange, marker })
+        self.apply_event(StreamEvent::End { exchange, marker })
     }
 
-    fn apply(&mut self, event: StreamEvent) -> PieceResult {
-        let mut result = PieceResult::Dropped;
+    /// Applies an event to the assembler and returns the line that it delivers.
+    fn apply_event(&mut self, event: StreamEvent) -> EventResult {
+        let mut result = EventResult::Dropped;
         for action in self.assembler.handle(self.now(), event) {
             match action {
                 StreamAction::Deliver { index, token, version } => {
                     let value = json!({ "index": index, "token": token, "version": version.0 });
-                    result = PieceResult::Line { text: value.to_string(), last: false };
+                    result = EventResult::Line { text: value.to_string(), last: false };
                 }
                 StreamAction::Complete { tokens, prompt_tokens } => {
                     let value =
                         json!({ "end": true, "tokens": tokens, "prompt_tokens": prompt_tokens });
-                    result = PieceResult::Line { text: value.to_string(), last: true };
+                    result = EventResult::Line { text: value.to_string(), last: true };
                 }
                 StreamAction::Resume { .. } | StreamAction::Fail(_) => {
-                    return PieceResult::Broken;
+                    return EventResult::Broken;
                 }
-                // The connection closes when its token stream is dropped.
+                // The connection closes when the exchange's token stream is dropped.
                 StreamAction::CloseExchange { .. } => {}
             }
         }
         result
     }
 
-    /// Waits for a reason to stop the running exchange.
-    async fn interrupted(&self) -> ExchangeEnd {
+    /// Waits until the caller disconnects, the deadline passes or the API key is withdrawn, and
+    /// returns which of them it was.
+    async fn wait_for_interruption(&self) -> ExchangeEnd {
         let shared = &self.worker.shared;
         loop {
             tokio::select! {
@@ -306,59 +332,67 @@
                 }
                 () = actix_rt::time::sleep(KEY_CHECK_PERIOD) => {}
             }
-            if !choice::key_stands(shared, &self.request) {
+            if !choice::key_is_valid(shared, &self.request) {
                 return ExchangeEnd::KeyWithdrawn;
             }
         }
     }
 
-    async fn after(&mut self, upstream: UpstreamKey, end: ExchangeEnd) -> AfterExchange {
+    /// Records the end of an exchange and decides whether the generation is done, refused or
+    /// retried.
+    async fn finish_exchange(&mut self, upstream: UpstreamKey, end: ExchangeEnd) -> AfterExchange {
         let shared = &self.worker.shared;
         if let ExchangeEnd::Broken(error) = &end
             && error.may_have_run()
         {
-            // The request counts as in flight until the control thread knows whether the upstream
-            // crashed, so that it becomes a suspect before it runs anywhere else.
+            // The request stays in flight in the suspect table until the control thread knows
+            // whether the upstream crashed. If it did, the request becomes suspect before it is
+            // retried anywhere else.
             choice::check_crash(shared, upstream, &self.request).await;
         } else {
             let fingerprint = self.request.fingerprint;
             let event = SuspectEvent::Finished { upstream, fingerprint };
             let actions = shared.scheduler().handle_suspect_event(self.now(), wall_now(), event);
-            admitted::forward(shared, actions);
+            admitted::forward_suspect_actions(shared, actions);
         }
         match end {
             ExchangeEnd::Whole => {
                 self.handle_attempt(AttemptEvent::Answered);
                 AfterExchange::Done
             }
-            ExchangeEnd::Broken(error) => self.broken(upstream, &error),
+            ExchangeEnd::Broken(error) => self.handle_broken_exchange(upstream, &error),
             ExchangeEnd::CallerDisconnected => {
-                self.stop(upstream, AttemptEvent::CallerDisconnected);
-                let message = "the caller has disconnected";
+                self.cancel_exchange(upstream, AttemptEvent::CallerDisconnected);
+                let message = "the caller disconnected before the answer was complete";
                 AfterExchange::Refused(self.refusal(RefusalCode::DeadlineExceeded, message))
             }
             ExchangeEnd::DeadlinePassed => {
-                let refusal = self.stop(upstream, AttemptEvent::Tick);
-                let message = "the deadline passed";
+                let refusal = self.cancel_exchange(upstream, AttemptEvent::Tick);
+                let message = "the deadline passed before the answer was complete";
                 AfterExchange::Refused(
                     refusal.unwrap_or_else(|| self.refusal(RefusalCode::DeadlineExceeded, message)),
                 )
             }
             ExchangeEnd::KeyWithdrawn => {
-                self.stop(upstream, AttemptEvent::CallerDisconnected);
+                self.cancel_exchange(upstream, AttemptEvent::CallerDisconnected);
                 log_event!(StreamCutKeyWithdrawn, request = format_request_id(self.request.id));
-                let message = "the key was withdrawn while the answer was running";
+                let message = "the API key is no longer accepted; the answer was cut off";
                 AfterExchange::Refused(self.refusal(RefusalCode::KeyRefused, message))
             }
         }
     }
 
-    fn broken(&mut self, upstream: UpstreamKey, error: &CallError) -> AfterExchange {
-        let shared = Rc::clone(&self.worker);
+    /// Decides whether a generation whose exchange failed is retried or refused.
+    fn handle_broken_exchange(
+        &mut self,
+        upstream: UpstreamKey,
+        error: &CallError,
+    ) -> AfterExchange {
+        let worker = Rc::clone(&self.worker);
         if error.may_have_run() {
             self.handle_attempt(AttemptEvent::Sending);
         } else {
-            choice::suspect_down(&shared.shared, upstream);
+            choice::mark_upstream_suspect(&worker.shared, upstream);
         }
         if let Some(exchange) = self.assembler.exchange() {
             self.assembler.handle(self.now(), StreamEvent::Closed { exchange });
@@ -373,7 +407,7 @@
         for action in self.request.tracker.handle(self.now(), AttemptEvent::Failed(cause)) {
             match action {
                 AttemptAction::Refuse(refusal) => return AfterExchange::Refused(refusal),
-                AttemptAction::Retry if !shared.shared.scheduler().take_retry() => {
+                AttemptAction::Retry if !worker.shared.scheduler().withdraw_retry() => {
                     let refusal = self.refusal(RefusalCode::UpstreamFailed, &error.message);
                     return AfterExchange::Refused(self.give_up(refusal));
                 }
@@ -383,21 +417,23 @@
                         request = format_request_id(self.request.id),
                         offset = self.offset()
                     );
-                    let detail = format!("at token {}: {error}", self.offset());
+                    let detail = format!("resumed at token {}: {error}", self.offset());
                     let code = base::EventCode::RequestResumed;
-                    record(&shared.shared, self.request.id, code, detail);
+                    record_decision(&worker.shared, self.request.id, code, detail);
                 }
                 AttemptAction::Retry
                 | AttemptAction::Cancel(_)
                 | AttemptAction::CloseConnection(_) => {}
             }
         }
-        AfterExchange::Again
+        AfterExchange::Retry
     }
 
-    /// Ends the running exchange and cancels it on its upstream.
-    fn stop(&mut self, upstream: UpstreamKey, event: AttemptEvent) -> Option<Refusal> {
-        // The exchange may have been interrupted while its first bytes were being written.
+    /// Ends the running exchange and cancels it on its engine. Returns the refusal of the attempt
+    /// tracker.
+    fn cancel_exchange(&mut self, upstream: UpstreamKey, event: AttemptEvent) -> Option<Refusal> {
+        // The exchange may have been interrupted while the request was being written, so the engine
+        // may have run it.
         if matches!(self.request.tracker.state(), AttemptState::Connecting(_)) {
             self.handle_attempt(AttemptEvent::Sending);
         }
@@ -409,6 +445,8 @@
         })
     }
 
+    /// Gives the request up for a reason found outside the attempt tracker. Returns the tracker's
+    /// refusal, which also says whether an attempt may have run.
     fn give_up(&mut self, refusal: Refusal) -> Refusal {
         let event = AttemptEvent::GivenUp {
             code: refusal.code,
@@ -416,32 +454,36 @@
             message: refusal.message.clone(),
         };
         let actions = self.request.tracker.handle(self.now(), event);
-        let found = actions.into_iter().find_map(|action| match action {
+        let final_refusal = actions.into_iter().find_map(|action| match action {
             AttemptAction::Refuse(refusal) => Some(refusal),
             _ => None,
         });
-        found.unwrap_or(refusal)
+        final_refusal.unwrap_or(refusal)
     }
 
+    /// Builds a refusal that says whether an attempt may have run.
     fn refusal(&self, code: RefusalCode, message: &str) -> Refusal {
         let mut refusal = Refusal::not_run(code, message);
         refusal.execution = self.request.tracker.execution();
         refusal
     }
 
+    /// Applies an event to the attempt tracker that needs no action here.
     fn handle_attempt(&mut self, event: AttemptEvent) {
         let now = self.now();
         self.request.tracker.handle(now, event);
     }
 
-    fn count_usage(&mut self) {
-        self.request.count(UsageAmount {
+    /// Sets the usage to all tokens generated so far, over all exchanges.
+    fn update_usage(&mut self) {
+        self.request.set_usage(UsageAmount {
             requests: 1,
             prompt_tokens: self.prompt_tokens,
             generated_tokens: self.assembler.offset(),
         });
     }
 
+    /// Returns the number of tokens delivered so far, the index of the next one.
     fn offset(&self) -> u32 {
         u32::try_from(self.assembler.offset()).unwrap_or(u32::MAX)
     }
@@ -451,27 +493,37 @@
     }
 }
 
-/// Bytes of a prompt that decide on the upstream whose cache may hold its prefix.
-const PREFIX_BYTES: usize = 64;
+/// Bytes at the beginning of a prompt that are hashed for cache affinity.
+const CACHE_PREFIX_BYTES: usize = 64;
 
-enum PieceResult {
+/// What follows from one event of an engine's stream.
+enum EventResult {
+    /// A line for the caller. The last one completes the answer.
     Line { text: String, last: bool },
+    /// Nothing, for example for a token that the caller has already.
     Dropped,
+    /// The stream is truncated or inconsistent, so the exchange failed.
     Broken,
 }
 
+/// What follows from the end of an exchange.
 enum AfterExchange {
     Done,
-    Again,
+    Retry,
     Refused(Refusal),
 }
 
 impl CallerOutput {
-    /// Sends a line to the caller, after the response head for the first one.
-    async fn send(&mut self, kept: &mut Option<Vec<u8>>, mut line: String) -> Result<(), ()> {
+    /// Sends a line to the caller, and the response head before the first line. Fails when the
+    /// caller has disconnected.
+    async fn send(
+        &mut self,
+        replay_body: &mut Option<Vec<u8>>,
+        mut line: String,
+    ) -> Result<(), ()> {
         line.push('\n');
-        if let Some(kept) = kept {
-            kept.extend_from_slice(line.as_bytes());
+        if let Some(replay_body) = replay_body {
+            replay_body.extend_from_slice(line.as_bytes());
         }
         if let Some(head) = self.head.take() {
             head.send(Ok(())).map_err(|_| ())?;
@@ -479,7 +531,7 @@
         self.lines.send(Ok(Bytes::from(line))).await.map_err(|_| ())
     }
 
-    /// Ends the answer with a refusal, or with an error line when tokens were sent.
+    /// Refuses the request, or ends the stream with an error line if tokens were already sent.
     async fn fail(&mut self, refusal: &Refusal) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Err(refusal.clone()));
--- a/crates/hibiscushinged/src/traffic/trainer.rs
+++ b/crates/hibiscushinged/src/traffic/trainer.rs
@@ -1,4 +1,4 @@
-//! The trainers' interface.
+//! The trainers' API: opening steps and fetching samples.
 
 use std::rc::Rc;
 
@@ -13,6 +13,7 @@
     traffic::{request, response, worker::TrafficWorker},
 };
 
+/// JSON body of a request that opens a step.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StepBody {
@@ -24,19 +25,21 @@
     max_tokens: u32,
 }
 
+/// Serves a trainer's request. `path` is the part of the path after `/v1/trainers/`.
 pub(crate) async fn serve(
     worker: Rc<TrafficWorker>,
     path: &str,
     mut incoming: Request,
 ) -> Response<BoxBody> {
-    let _flight = worker.shared.track_in_flight();
-    match answer(&worker, path, &mut incoming).await {
+    let _in_flight = worker.shared.track_in_flight();
+    match handle(&worker, path, &mut incoming).await {
         Ok(value) => response::json(StatusCode::OK, &value),
         Err(refusal) => response::refusal(&refusal),
     }
 }
 
-async fn answer(
+/// Validates a request and passes it to the control thread. Returns the JSON body of the response.
+async fn handle(
     worker: &TrafficWorker,
     path: &str,
     incoming: &mut Request,
@@ -44,32 +47,36 @@
     let shared = &worker.shared;
     request::check_phase(shared)?;
     let Some((name, action)) = path.split_once('/') else {
-        return Err(unknown(path));
+        return Err(unknown_path(path));
     };
     let trainer = authenticate(worker, name, incoming)?;
     let request = match (action, incoming.method()) {
         ("steps", &Method::POST) => {
-            let limit = shared.settings.bounds.request_bytes as usize;
-            let body = request::read_body(incoming, limit).await?;
-            TrainerRequest::OpenStep(step(trainer, request::parse(&body)?)?)
+            let max_bytes = shared.settings.bounds.request_bytes as usize;
+            let body = request::read_body(incoming, max_bytes).await?;
+            TrainerRequest::OpenStep(step_request(trainer, request::parse(&body)?)?)
         }
         ("samples", &Method::GET) => TrainerRequest::FetchSamples {
             trainer: trainer.name,
-            after: query(incoming, "after")?,
-            version: query(incoming, "version")?,
+            after: query_number(incoming, "after")?,
+            version: query_number(incoming, "version")?,
         },
-        _ => return Err(unknown(path)),
+        _ => return Err(unknown_path(path)),
     };
-    let (reply, answer) = oneshot::channel();
+    let (reply, result) = oneshot::channel();
     let unavailable = || {
-        let refusal = Refusal::not_run(RefusalCode::Draining, "this node is stopping");
+        let refusal = Refusal::not_run(
+            RefusalCode::Draining,
+            "this node is draining and accepts no new requests",
+        );
         refusal.with_retry_after(Span::from_secs(1))
     };
     let message = ControlMessage::Trainer { request, reply };
     shared.control.send(message).await.map_err(|_| unavailable())?;
-    answer.await.map_err(|_| unavailable())?
+    result.await.map_err(|_| unavailable())?
 }
 
+/// Returns the entry of the trainer if the request has the trainer's key.
 fn authenticate(
     worker: &TrafficWorker,
     name: &str,
@@ -77,19 +84,21 @@
 ) -> Result<TrainerEntry, Refusal> {
     let view = worker.shared.view.load();
     let digest = request::bearer_digest(incoming);
-    let found = view.trainers.iter().find(|trainer| trainer.name == name);
-    match (found, digest) {
+    let entry = view.trainers.iter().find(|trainer| trainer.name == name);
+    match (entry, digest) {
         (Some(trainer), Some(digest)) if trainer.key == digest => Ok(trainer.clone()),
-        // The same answer for an unknown trainer and a wrong key tells nothing about names.
+        // An unknown trainer and a wrong key get the same refusal, so that nobody can find out the
+        // names of trainers by trying.
         _ => Err(Refusal::not_run(RefusalCode::KeyRefused, "the trainer or its key is unknown")),
     }
 }
 
-fn step(trainer: TrainerEntry, body: StepBody) -> Result<StepRequest, Refusal> {
+/// Checks the body against the trainer's entry in the document.
+fn step_request(trainer: TrainerEntry, body: StepBody) -> Result<StepRequest, Refusal> {
     let allowed = trainer.min_group..=trainer.max_group;
     if !allowed.contains(&body.samples_per_group) || body.prompts.is_empty() {
         let message = format!(
-            "a step needs prompts and {} to {} samples per group",
+            "a step must have at least one prompt and {} to {} samples per group",
             trainer.min_group, trainer.max_group
         );
         return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
@@ -105,17 +114,18 @@
     })
 }
 
-fn query(incoming: &Request, key: &str) -> Result<u64, Refusal> {
+/// Returns the value of a query parameter that must be a number.
+fn query_number(incoming: &Request, key: &str) -> Result<u64, Refusal> {
     let query = incoming.uri().query().unwrap_or("");
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let found = pairs.into_iter().find(|(name, _)| *name == key);
-    found.and_then(|(_, value)| value.parse().ok()).ok_or_else(|| {
+    let parameter = pairs.into_iter().find(|(name, _)| *name == key);
+    parameter.and_then(|(_, value)| value.parse().ok()).ok_or_else(|| {
         let message = format!("query parameter \"{key}\" is missing or is not a number");
         Refusal::not_run(RefusalCode::RequestInvalid, message)
     })
 }
 
-fn unknown(path: &str) -> Refusal {
-    let message = format!("path \"/v1/trainers/{path}\" does not exist");
+fn unknown_path(path: &str) -> Refusal {
+    let message = format!("path \"/v1/trainers/{path}\" does not exist for this method");
     Refusal::not_run(RefusalCode::RouteUnknown, message)
 }
--- a/crates/hibiscushinged/src/traffic/worker.rs
+++ b/crates/hibiscushinged/src/traffic/worker.rs
@@ -1,4 +1,4 @@
-//! What every request on a traffic thread uses.
+//! State of a traffic thread.
 
 use std::sync::Arc;
 
@@ -6,7 +6,8 @@
 
 use crate::shared::SharedState;
 
-/// State of one traffic thread.
+/// The shared state and the HTTP clients of one traffic thread. Each thread has its own clients and
+/// so its own connections.
 pub(crate) struct TrafficWorker {
     pub(crate) shared: Arc<SharedState>,
     pub(crate) http: HttpClient,
