--- a/crates/hibiscushinged/src/control.rs
+++ b/crates/hibiscushinged/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: drives the pure state machines and performs their actions.
+//! The control thread: passes events and timer ticks to the state machines, which do no I/O, and
+//! performs the actions that they return.
 
 mod admin;
 mod authority;
@@ -47,27 +48,31 @@
     trace::{DecisionEvent, DecisionTrace},
 };
 
-/// Period of the timers of all state machines. It bounds how late a timer can act.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between two ticks of all state machines. A timer fires at most this much late.
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 
-/// Period of the gauges among the metrics.
+/// Time between two updates of the gauge metrics.
 const GAUGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The control thread's view of the daemon. Clones of the `Rc` are held by its tasks.
+/// Clients and state of the control thread. Its tasks share it through an `Rc`.
 pub(crate) struct Control {
     pub(crate) shared: Arc<SharedState>,
     pub(crate) platform: PlatformClient,
-    /// The platform's log. Its exchanges are counted apart from other calls to the platform.
+    /// Client of the platform's log. A client of its own, so that the bytes of the log are counted
+    /// apart from those of other platform calls.
     pub(crate) log: PlatformClient,
     pub(crate) transfer: transfer::ControlTransfer,
     pub(crate) peer_http: HttpClient,
     pub(crate) http: HttpClient,
     pub(crate) engines: EngineClient,
     state: RefCell<ControlState>,
-    kicks: RefCell<BTreeMap<String, Rc<Notify>>>,
+    /// Wakes the reader of a stream, by stream, after an append of this node.
+    read_wakeups: RefCell<BTreeMap<String, Rc<Notify>>>,
 }
 
-/// All control state. It is borrowed for one decision at a time and never across an await.
+/// All state of the control thread.
+///
+/// A borrow must end before the next await, because every other task of the thread borrows it too.
 pub(crate) struct ControlState {
     pub(crate) writer: LogWriter,
     pub(crate) log: follow::LogHealth,
@@ -109,7 +114,7 @@
 }
 
 async fn tick_loop(control: Rc<Control>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -147,7 +152,7 @@
                     let _ = reply.send(());
                 });
             }
-            ControlMessage::Suspicion(actions) => control.spread(actions),
+            ControlMessage::Suspicion(actions) => control.perform_suspect_actions(actions),
             ControlMessage::Decision(event) => control.state().trace.record(event),
             ControlMessage::Trainer { request, reply } => {
                 actix_rt::spawn(Rc::clone(&control).handle_trainer_request(request, reply));
@@ -195,7 +200,7 @@
             transfer,
             engines,
             state: RefCell::new(state),
-            kicks: RefCell::new(BTreeMap::new()),
+            read_wakeups: RefCell::new(BTreeMap::new()),
         }
     }
 
@@ -211,7 +216,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`BufferFull`] when the log has been down for so long that the buffer is full.
+    /// Returns [`BufferFull`] when the log has been down for so long that the write buffer is full.
     pub(crate) fn append<T: StreamRecord>(
         self: &Rc<Self>,
         stream: &str,
@@ -222,7 +227,8 @@
         Ok(id)
     }
 
-    /// Appends a record under an id that was chosen before.
+    /// Appends a record under an id that was assigned earlier, so that a repeat of it is recognized
+    /// as a duplicate.
     ///
     /// # Errors
     ///
@@ -238,20 +244,20 @@
         if let Err(full) = &result {
             log_event!(warn, LogBufferFull, stream, records = full.records, bytes = full.bytes);
         }
-        self.pump_writer();
+        self.tick_writer();
         result
     }
 
-    /// Keeps a decision for `explain`.
+    /// Records a decision event, which the operators' `explain` returns for `subject`.
     pub(crate) fn trace(&self, subject: String, code: base::EventCode, detail: String) {
         self.state().trace.record(DecisionEvent { subject, code, detail });
     }
 
     fn tick(self: &Rc<Self>) {
         let now = self.now();
-        self.pump_writer();
+        self.tick_writer();
         let actions = self.shared.scheduler().tick(now, wall_now());
-        self.spread(actions);
+        self.perform_suspect_actions(actions);
         self.tick_config(now);
         self.tick_scopes(now);
         self.tick_usage(now);
@@ -281,7 +287,7 @@
             log: follow::LogHealth::new(now),
             config: config::ConfigDriver::new(settings, now),
             peers: peers::PeerDriver::new(shared, now),
-            scopes: authority::drivers(shared),
+            scopes: authority::scope_drivers(shared),
             usage: usage::UsageDriver::new(),
             claims: claims::ClaimDriver::new(),
             limits: limits::LimitDriver::default(),
--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -1,4 +1,4 @@
-//! Answers to operators, and the planned stop.
+//! Requests of operators, and the graceful shutdown.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,10 +11,12 @@
     telemetry::log_event,
 };
 
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Time between two checks whether the shutdown can go on.
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Time that a planned stop waits for the balancer to see that the node is not ready.
-const BALANCER_NOTICE: Duration = Duration::from_millis(500);
+/// Wait at the start of a shutdown, in which the load balancer sees that the readiness check fails
+/// and stops sending requests.
+const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 impl Control {
     pub(crate) fn admin(self: &Rc<Self>, request: AdminRequest) -> Value {
@@ -94,8 +96,8 @@
 
     fn usage(&self) -> Value {
         let state = self.state();
-        let figures = |figures: &usage::UsageByCustomer| {
-            let entries = figures.0.iter().map(|(customer, amount)| {
+        let usage_json = |customers: &usage::UsageByCustomer| {
+            let entries = customers.0.iter().map(|(customer, amount)| {
                 let amount = json!({
                     "requests": amount.requests,
                     "prompt_tokens": amount.prompt_tokens,
@@ -109,34 +111,37 @@
             json!({
                 "window": window.0,
                 "reported": closed.reported,
-                "figures": figures(&closed.usage),
+                "figures": usage_json(&closed.usage),
             })
         });
         json!({
-            "open": figures(state.usage.ledger.open_usage()),
+            "open": usage_json(state.usage.ledger.open_usage()),
             "windows": windows.collect::<Vec<_>>(),
             "pending_batches": state.usage.pending.len(),
             "held_batches": state.usage.replicas.len(),
         })
     }
 
-    /// Finishes all requests, hands over usage and leases, and returns when the daemon may exit.
+    /// Drains the node and returns when the daemon may exit: waits for running requests and sample
+    /// slots until the drain timeout, gives up the leases, and waits up to 10 s for the log to
+    /// acknowledge the remaining records and usage.
     pub(crate) async fn drain(self: &Rc<Self>) {
         self.shared.advance_to(NodePhase::Draining);
         log_event!(ProcessDraining, in_flight = self.shared.in_flight());
         let deadline = self.now() + self.shared.settings.timeouts.drain;
-        actix_rt::time::sleep(BALANCER_NOTICE).await;
-        // Slots of this node wait for it until it is gone, so those in progress are finished.
+        actix_rt::time::sleep(BALANCER_NOTICE_DELAY).await;
+        // No other node takes over this node's slots while it is a member, so running slots are
+        // finished first.
         while self.has_work() && self.now() < deadline {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+            actix_rt::time::sleep(DRAIN_POLL_PERIOD).await;
         }
         self.resign();
-        // Requests that ended last are still on their way through the channel.
-        actix_rt::time::sleep(DRAIN_POLL).await;
+        // Usage of the last requests may still be queued in the channel to this thread.
+        actix_rt::time::sleep(DRAIN_POLL_PERIOD).await;
         self.flush_usage(self.now());
         let limit = self.now() + base::Span::from_secs(10);
-        while self.has_unsaved() && self.now() < limit {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+        while self.has_unlogged_records() && self.now() < limit {
+            actix_rt::time::sleep(DRAIN_POLL_PERIOD).await;
         }
         let left = to_duration(deadline.since(self.now())).as_secs();
         log_event!(ProcessStopped, in_flight = self.shared.in_flight(), left_s = left);
@@ -146,8 +151,8 @@
         self.shared.in_flight() > 0 || self.state().samples.generation.running() > 0
     }
 
-    /// Tells whether the log lacks anything that only this node has.
-    fn has_unsaved(&self) -> bool {
+    /// Returns whether this node still has records or usage that the log does not hold.
+    fn has_unlogged_records(&self) -> bool {
         let state = self.state();
         state.writer.buffered_records() > 0 || !state.usage.pending.is_empty()
     }
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -1,4 +1,4 @@
-//! Leases of the scopes that this node may hold.
+//! Leases that this node claims: those of its own zone, of usage reports and of the fleet.
 
 use std::rc::Rc;
 
@@ -20,37 +20,40 @@
     telemetry::log_event,
 };
 
-/// Candidates of a scope claim in different moments, so that most claims meet no other.
-const CLAIM_SPREAD: Span = Span::from_millis(1_500);
+/// Upper bound of the delay before a node claims a free lease. Each node derives its own delay from
+/// its incarnation, so that candidates rarely claim at the same moment.
+const MAX_CLAIM_DELAY: Span = Span::from_millis(1_500);
 
-/// One scope on this node.
+/// Lease and order state machines of one scope.
 pub(crate) struct ScopeDriver {
     pub(crate) scope: LeaseScope,
     pub(crate) lease_manager: LeaseManager,
     pub(crate) order_manager: OrderManager,
-    was_held: Option<FencingToken>,
+    held_token: Option<FencingToken>,
 }
 
-/// Creates the scopes of a node: its own zone, `usage` and `fleet`.
-pub(crate) fn drivers(shared: &SharedState) -> Vec<ScopeDriver> {
+/// Creates the drivers of a node's scopes: its own zone, `usage` and `fleet`.
+pub(crate) fn scope_drivers(shared: &SharedState) -> Vec<ScopeDriver> {
     let zone = LeaseScope::Zone(shared.settings.zone.clone());
     let scopes = [zone, LeaseScope::Usage, LeaseScope::Fleet];
     let driver = |scope: LeaseScope| ScopeDriver::new(shared, scope);
     scopes.into_iter().map(driver).collect()
 }
 
+/// Starts to follow the authority streams of the own zone and the fleet. The lease of the usage
+/// scope is in the stream `usage`, which the usage driver follows.
 pub(crate) fn start(control: &Rc<Control>) {
     for scope in [LeaseScope::Zone(control.shared.settings.zone.clone()), LeaseScope::Fleet] {
         let stream = scope.stream();
         follow::<AuthorityRecord>(control, stream, move |control, event| {
             control.on_authority(&scope, event);
-            NextRead::Onwards
+            NextRead::Continue
         });
     }
 }
 
 /// Returns the stream that carries the lease records of a scope.
-fn stream_of(scope: &LeaseScope) -> String {
+fn lease_stream(scope: &LeaseScope) -> String {
     match scope {
         LeaseScope::Usage => String::from(USAGE_STREAM),
         LeaseScope::Zone(_) | LeaseScope::Fleet => scope.stream(),
@@ -77,11 +80,11 @@
             fencing_support: fencing_support(shared.settings.platform_fencing),
         };
         let order_manager = OrderManager::new(order_settings, scope.clone(), incarnation);
-        Self { scope, lease_manager, order_manager, was_held: None }
+        Self { scope, lease_manager, order_manager, held_token: None }
     }
 }
 
-/// Translates what the operators state about a receiver of orders.
+/// Converts the configured fencing support of a receiver of orders.
 pub(crate) const fn fencing_support(check: FencingCheck) -> FencingSupport {
     match check {
         FencingCheck::Checked => FencingSupport::Checked,
@@ -95,22 +98,23 @@
         LeaseScope::Usage => 1,
         LeaseScope::Fleet => 2,
     };
-    Span(rendezvous_weight(incarnation.0, scope_number) % CLAIM_SPREAD.0)
+    Span(rendezvous_weight(incarnation.0, scope_number) % MAX_CLAIM_DELAY.0)
 }
 
 impl Control {
-    /// Tells whether this node holds the lease of a scope now.
+    /// Returns whether this node holds the lease of a scope now.
     pub(crate) fn holds(&self, scope: &LeaseScope, now: Moment) -> bool {
         self.fencing(scope, now).is_some()
     }
 
-    /// Returns the fencing number while this node holds the lease of a scope.
+    /// Returns the fencing token while this node holds the lease of a scope. Receivers must check
+    /// the token; for others see [`Control::permit`].
     pub(crate) fn fencing(&self, scope: &LeaseScope, now: Moment) -> Option<FencingToken> {
         self.permit(scope, now, FencingSupport::Checked)
     }
 
-    /// Returns the check for orders under a lease to receivers that need no record in the log, such as
-    /// engines. It grants them while this node holds the scope under `fencing`.
+    /// Returns the check that runs just before an order is sent to a receiver that needs no intent
+    /// in the log, such as an engine. It grants while this node holds the scope under `fencing`.
     pub(crate) fn lease_check(
         self: &Rc<Self>,
         scope: &LeaseScope,
@@ -124,7 +128,9 @@
         }
     }
 
-    /// Returns the fencing number under which an order may go to this kind of receiver now.
+    /// Returns the fencing token under which an order may be sent now to a receiver with this
+    /// fencing support. A receiver that ignores tokens gets no order until the lease of an earlier
+    /// holder has surely ended.
     pub(crate) fn permit(
         &self,
         scope: &LeaseScope,
@@ -162,43 +168,45 @@
         let now = self.now();
         self.with_scope(scope, |driver| {
             let lease_actions = driver.lease_manager.read(now, offset, record).into_vec();
-            let desk_actions =
+            let order_actions =
                 driver.order_manager.read(now, &driver.lease_manager, record).into_vec();
-            (lease_actions, desk_actions)
+            (lease_actions, order_actions)
         });
     }
 
     pub(crate) fn tick_scopes(self: &Rc<Self>, now: Moment) {
-        for scope in self.scope_names() {
+        for scope in self.scopes() {
             self.with_scope(&scope, |driver| {
                 let lease_actions = driver.lease_manager.tick(now).into_vec();
-                let desk_actions = driver.order_manager.tick(now, &driver.lease_manager).into_vec();
-                (lease_actions, desk_actions)
+                let order_actions =
+                    driver.order_manager.tick(now, &driver.lease_manager).into_vec();
+                (lease_actions, order_actions)
             });
         }
     }
 
-    fn scope_names(&self) -> Vec<LeaseScope> {
+    fn scopes(&self) -> Vec<LeaseScope> {
         let state = self.state();
         state.scopes.iter().map(|driver| driver.scope.clone()).collect()
     }
 
-    /// Gives up all leases, as a planned stop requires.
+    /// Gives up all leases, so that other nodes need not wait for their expiry after a shutdown.
     pub(crate) fn resign(self: &Rc<Self>) {
-        for scope in self.scope_names() {
+        for scope in self.scopes() {
             self.with_scope(&scope, |driver| {
                 (driver.lease_manager.resign().into_vec(), Vec::new())
             });
         }
     }
 
-    /// Runs one decision on a scope and performs its actions.
+    /// Runs `decide` on the driver of a scope and performs the actions that it returns. Does
+    /// nothing for an unknown scope.
     pub(crate) fn with_scope(
         self: &Rc<Self>,
         scope: &LeaseScope,
         decide: impl FnOnce(&mut ScopeDriver) -> (Vec<LeaseAction>, Vec<OrderAction>),
     ) {
-        let (lease_actions, desk_actions) = {
+        let (lease_actions, order_actions) = {
             let mut state = self.state();
             let found = state.scopes.iter_mut().find(|driver| driver.scope == *scope);
             let Some(driver) = found else { return };
@@ -209,23 +217,23 @@
                 LeaseAction::Append(record) => self.append_lease(scope, &record),
                 LeaseAction::Acquired(fencing) => {
                     log_event!(LeaseAcquired, scope = %scope, fencing = fencing.0);
-                    self.note_held(scope, Some(fencing));
+                    self.set_held_token(scope, Some(fencing));
                 }
                 LeaseAction::Lost { cause, .. } => {
                     log_event!(LeaseLost, scope = %scope, cause = ?cause);
-                    self.note_held(scope, None);
+                    self.set_held_token(scope, None);
                 }
             }
         }
-        for action in desk_actions {
+        for action in order_actions {
             self.perform_order(scope, action);
         }
     }
 
-    fn note_held(&self, scope: &LeaseScope, fencing: Option<FencingToken>) {
+    fn set_held_token(&self, scope: &LeaseScope, fencing: Option<FencingToken>) {
         let mut state = self.state();
         if let Some(driver) = state.scopes.iter_mut().find(|driver| driver.scope == *scope) {
-            driver.was_held = fencing;
+            driver.held_token = fencing;
         }
     }
 
@@ -243,7 +251,7 @@
         scope: &LeaseScope,
         record: &AuthorityRecord,
     ) -> Result<(), record_log::BufferFull> {
-        let stream = stream_of(scope);
+        let stream = lease_stream(scope);
         match scope {
             LeaseScope::Usage => {
                 let entry = protocol::UsageEntry::Lease(record.clone());
--- a/crates/hibiscushinged/src/control/claims.rs
+++ b/crates/hibiscushinged/src/control/claims.rs
@@ -1,4 +1,5 @@
-//! Idempotency claims, settled by the stream `claims`.
+//! Claims of idempotency keys. The order of the records in the stream `claims` decides which
+//! request wins a key.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -19,20 +20,20 @@
     control_message::{ClaimDecision, ClaimRequest},
 };
 
-/// Claims of this node.
+/// Claim table of this node and the requests that wait for a decision.
 pub(crate) struct ClaimDriver {
     table: ClaimTable,
-    waiting: HashMap<RequestId, oneshot::Sender<ClaimDecision>>,
-    log: LogAvailability,
+    replies: HashMap<RequestId, oneshot::Sender<ClaimDecision>>,
+    log_availability: LogAvailability,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
     follow::<ClaimEvent>(control, String::from(CLAIM_STREAM), |control, event| {
-        // A gap loses only claims that are older than the log's retention.
+        // A gap is ignored: it loses only claims that are older than the log's retention.
         if let StreamEvent::Record { record, .. } = event {
-            control.claim_event(record);
+            control.handle_claim_event(record);
         }
-        NextRead::Onwards
+        NextRead::Continue
     });
 }
 
@@ -40,8 +41,8 @@
     pub(crate) fn new() -> Self {
         Self {
             table: ClaimTable::new(ClaimPolicy::default()),
-            waiting: HashMap::new(),
-            log: LogAvailability::Up,
+            replies: HashMap::new(),
+            log_availability: LogAvailability::Up,
         }
     }
 }
@@ -53,12 +54,12 @@
         reply: oneshot::Sender<ClaimDecision>,
     ) {
         let ClaimRequest { claim, fingerprint, request, deadline } = claim_request;
-        self.state().claims.waiting.insert(request, reply);
-        self.claim_event(ClaimEvent::Requested { claim, fingerprint, request, deadline });
+        self.state().claims.replies.insert(request, reply);
+        self.handle_claim_event(ClaimEvent::Requested { claim, fingerprint, request, deadline });
     }
 
     pub(crate) fn claim_ended(self: &Rc<Self>, request: RequestId, outcome: ClaimOutcome) {
-        self.claim_event(ClaimEvent::Ended { request, outcome });
+        self.handle_claim_event(ClaimEvent::Ended { request, outcome });
     }
 
     pub(crate) fn tick_claims(self: &Rc<Self>, now: Moment) {
@@ -68,65 +69,66 @@
                 true => LogAvailability::Down,
                 false => LogAvailability::Up,
             };
-            let changed = state.claims.log != availability;
-            state.claims.log = availability;
+            let changed = state.claims.log_availability != availability;
+            state.claims.log_availability = availability;
             changed.then_some(availability)
         };
         if let Some(availability) = changed {
-            self.claim_event(ClaimEvent::LogAvailabilityChanged(availability));
+            self.handle_claim_event(ClaimEvent::LogAvailabilityChanged(availability));
         }
-        self.claim_event(ClaimEvent::Tick);
+        self.handle_claim_event(ClaimEvent::Tick);
         self.drop_abandoned_claims();
     }
 
-    /// Withdraws the claims of callers that have disconnected.
+    /// Withdraws the claims of requests whose caller has disconnected.
     fn drop_abandoned_claims(self: &Rc<Self>) {
-        let gone = {
+        let disconnected = {
             let state = self.state();
-            let waiting = state.claims.waiting.iter();
-            let gone = waiting.filter(|(_, reply)| reply.is_closed()).map(|(id, _)| *id);
-            gone.collect::<Vec<_>>()
+            let replies = state.claims.replies.iter();
+            let disconnected = replies.filter(|(_, reply)| reply.is_closed()).map(|(id, _)| *id);
+            disconnected.collect::<Vec<_>>()
         };
-        for request in gone {
-            self.state().claims.waiting.remove(&request);
-            self.claim_event(ClaimEvent::CallerDisconnected(request));
+        for request in disconnected {
+            self.state().claims.replies.remove(&request);
+            self.handle_claim_event(ClaimEvent::CallerDisconnected(request));
         }
     }
 
-    fn claim_event(self: &Rc<Self>, event: ClaimEvent) {
+    fn handle_claim_event(self: &Rc<Self>, event: ClaimEvent) {
         let now = self.now();
         let actions = self.state().claims.table.handle(now, wall_now(), event);
-        self.claim_actions(actions);
+        self.perform_claim_actions(actions);
     }
 
-    fn claim_actions(self: &Rc<Self>, actions: ClaimActions) {
+    fn perform_claim_actions(self: &Rc<Self>, actions: ClaimActions) {
         for action in actions {
             match action {
                 ClaimAction::AppendTaken(taken) => {
-                    // Without room in the buffer the claim is refused when its wait ends.
+                    // When the write buffer is full, the claim is refused at its timeout.
                     let _ = self.append(CLAIM_STREAM, &ClaimEvent::TakenRead(taken));
                 }
                 ClaimAction::AppendDone(done) => {
                     let _ = self.append(CLAIM_STREAM, &ClaimEvent::DoneRead(done));
                 }
                 ClaimAction::Run(request) => {
-                    if !self.answer_claim(request, ClaimDecision::Run) {
+                    if !self.reply_to_claim(request, ClaimDecision::Run) {
                         self.claim_ended(request, ClaimOutcome::NotRun);
                     }
                 }
                 ClaimAction::Replay { request, status, body } => {
-                    self.answer_claim(request, ClaimDecision::Replay { status, body });
+                    self.reply_to_claim(request, ClaimDecision::Replay { status, body });
                 }
                 ClaimAction::Refuse { request, refusal } => {
-                    self.answer_claim(request, ClaimDecision::Refuse(refusal));
+                    self.reply_to_claim(request, ClaimDecision::Refuse(refusal));
                 }
             }
         }
     }
 
-    /// Returns whether the request is still there.
-    fn answer_claim(&self, request: RequestId, decision: ClaimDecision) -> bool {
-        let reply = self.state().claims.waiting.remove(&request);
+    /// Sends the decision to the waiting request. Returns `false` when the request has ended
+    /// meanwhile.
+    fn reply_to_claim(&self, request: RequestId, decision: ClaimDecision) -> bool {
+        let reply = self.state().claims.replies.remove(&request);
         reply.is_some_and(|reply| reply.send(decision).is_ok())
     }
 }
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: follows the stream `config` and puts accepted documents in force.
+//! Configuration: follows the stream `config` and applies the newest accepted document to the node.
 
 use std::rc::Rc;
 
@@ -20,13 +20,15 @@
     view::{KeyAcceptance, RoutingView},
 };
 
-/// Time between snapshots of the documents. It must stay well below the log's retention.
+/// Time between snapshots of the documents. It must stay well below the log's retention, so that
+/// the log always holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+/// Wait before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
 type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
 
-/// Configuration of this node.
+/// Configuration state of this node.
 pub(crate) struct ConfigDriver {
     pub(crate) registry: ConfigRegistry<DocumentCheckFn>,
     pub(crate) document: Option<EnvironmentDocument>,
@@ -35,8 +37,9 @@
     isolation: IsolationTracker,
     environment: EnvironmentName,
     applied: ConfigVersion,
-    /// Offset at which a peer's state of the log ends, until the reader of the stream goes there.
-    read_again: Option<LogOffset>,
+    /// Offset after the last record in a snapshot adopted from a peer. The reader of the stream
+    /// continues there at its next read.
+    reread_from: Option<LogOffset>,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -45,18 +48,19 @@
     });
 }
 
-/// Decides whether a document may be accepted. Every node and the operators' tool give the same
-/// verdict.
+/// Checks whether a document may be accepted. Every node and the operators' tool run the same
+/// check, so that they agree on the accepted documents.
 ///
 /// # Errors
 ///
-/// Returns all problems of the document in one text.
+/// Returns all problems of the document, joined by `; `.
 pub fn check_document(environment: &EnvironmentName, text: &str) -> Result<(), String> {
     let document = EnvironmentDocument::parse("document", text).map_err(|problems| {
         let lines = problems.iter().map(ToString::to_string).collect::<Vec<_>>();
         lines.join("; ")
     })?;
-    // A promoted document names the environment it was written for, so the name is no condition.
+    // A promoted document still names the environment that it was written for, so the name is not
+    // compared.
     let _ = (environment, document);
     Ok(())
 }
@@ -71,7 +75,7 @@
             isolation: IsolationTracker::new(IsolationPolicy::default(), now),
             environment: EnvironmentName(settings.environment.clone()),
             applied: ConfigVersion::default(),
-            read_again: None,
+            reread_from: None,
         }
     }
 
@@ -87,7 +91,7 @@
         self.isolation.contact_age(now)
     }
 
-    /// Version in force on this node.
+    /// Returns the version of the own environment's document that is in force on this node.
     pub(crate) fn version(&self) -> ConfigVersion {
         self.registry.version(&self.environment)
     }
@@ -101,7 +105,7 @@
         self.isolation.status(now) == IsolationStatus::Refusing
     }
 
-    /// Documents in force, for a peer.
+    /// Returns the documents in force of all environments, to send to a peer.
     pub(crate) fn in_force(&self) -> ConfigSnapshot {
         let documents = self.registry.documents().into_iter().cloned().collect();
         ConfigSnapshot { next: LogOffset(0), documents }
@@ -116,7 +120,7 @@
 impl Control {
     fn on_config(self: &Rc<Self>, event: StreamEvent<ConfigRecord>) -> NextRead {
         let now = self.now();
-        let mut next = NextRead::Onwards;
+        let mut next = NextRead::Continue;
         match event {
             StreamEvent::ReadingFrom(offset) => {
                 let mut state = self.state();
@@ -128,8 +132,8 @@
                 let mut state = self.state();
                 state.config.registry.note_retention(offset);
                 state.config.snapshot_schedule.note_retention(offset);
-                let read_again = state.config.read_again.take();
-                return read_again.map_or(next, NextRead::From);
+                let reread_from = state.config.reread_from.take();
+                return reread_from.map_or(next, NextRead::From);
             }
             StreamEvent::Record { offset, id, record, catching_up } => {
                 let read_at = (!catching_up).then_some(now);
@@ -158,7 +162,8 @@
         next
     }
 
-    /// Takes documents that a peer holds.
+    /// Adopts the documents of a peer that has a newer version: its snapshot of the log, if any,
+    /// and its documents in force. The latter count as possibly stale until the log confirms them.
     pub(crate) fn adopt_config(
         self: &Rc<Self>,
         snapshot: Option<&ConfigSnapshot>,
@@ -167,12 +172,13 @@
         let now = self.now();
         {
             let mut state = self.state();
-            // The reader may have passed records that the peer's state does not contain.
+            // The reader may be past records that the snapshot does not contain, so they are read
+            // again.
             if let Some(snapshot) = snapshot
                 && let ConfigOutcome::Restored(offset) =
                     state.config.registry.adopt_snapshot(snapshot)
             {
-                state.config.read_again = Some(offset);
+                state.config.reread_from = Some(offset);
             }
             for document in &in_force.documents {
                 let outcome = state.config.registry.adopt_peer_document(document);
@@ -188,7 +194,7 @@
         self.apply_config(now);
     }
 
-    /// Puts the newest accepted document in force if it is not yet.
+    /// Applies the newest accepted document unless it is applied already.
     fn apply_config(self: &Rc<Self>, now: Moment) {
         let mut state = self.state();
         let config = &mut state.config;
@@ -197,9 +203,9 @@
         if version <= config.applied {
             return;
         }
-        // The text was checked when it was accepted, so a failure here is a broken invariant.
+        // Only documents that `check_document` accepted are in force, so parsing cannot fail.
         let document = EnvironmentDocument::parse("document", &found.document.text)
-            .expect("an accepted document is valid");
+            .expect("a document in force passed the check before it was accepted");
         config.applied = version;
         config.isolation.set_policy(match document.keys_when_isolated {
             IsolatedKeyPolicy::ServeFor(limit) => IsolationPolicy::ServeFor(limit),
@@ -248,7 +254,7 @@
         };
         if let Some(snapshot) = latest {
             let record = ConfigRecord::Snapshot(configuration::ConfigSnapshotRecord { snapshot });
-            // A full buffer is reported by `append`; the schedule tries again.
+            // A full buffer is logged by `append`, and the schedule retries the snapshot.
             let _ = self.append(CONFIG_STREAM, &record);
         }
     }
@@ -268,10 +274,12 @@
     }
 }
 
-/// One-way time to a zone of another region. Within a region zones are about a millisecond apart.
+/// Assumed one-way network latency to a zone of another region.
 const REGION_LATENCY: Span = Span::from_millis(30);
+/// Assumed one-way network latency to another zone of the same region.
 const ZONE_LATENCY: Span = Span::from_millis(1);
-const OWN_LATENCY: Span = Span::from_micros(200);
+/// Assumed one-way network latency within the own zone.
+const OWN_ZONE_LATENCY: Span = Span::from_micros(200);
 
 fn zone_latencies(
     zones: &Arena<ZoneKey, String>,
@@ -281,7 +289,7 @@
     let region = |name: &str| document.zone(name).map(|zone| zone.region.as_str());
     let own_region = zones.get(own).and_then(|name| region(name));
     let distance = |(key, name): (ZoneKey, &String)| match region(name) == own_region {
-        _ if key == own => OWN_LATENCY,
+        _ if key == own => OWN_ZONE_LATENCY,
         true => ZONE_LATENCY,
         false => REGION_LATENCY,
     };
--- a/crates/hibiscushinged/src/control/fleet/demand.rs
+++ b/crates/hibiscushinged/src/control/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! Demand: what is seen now, and the snapshots of what was learned.
+//! Observation of demand, and snapshots of the demand model in the log.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -18,26 +18,29 @@
     },
 };
 
-/// Time between two observations of demand. Load reports arrive every half second.
+/// Time between two observations of demand. Load reports arrive every 0.5 s, so each observation
+/// sees new ones.
 const OBSERVE_PERIOD: Span = Span::from_secs(5);
 
-/// Time between snapshots. It must stay well below the log's retention.
+/// Time between snapshots. It must stay well below the log's retention, so that the log always
+/// holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+/// Wait before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
-/// Demand as this node sees it.
+/// Demand model of this node and the state of its observations.
 pub(crate) struct DemandDriver {
     model: Option<DemandModel>,
     snapshot_schedule: SnapshotSchedule,
     observed_at: Option<Moment>,
-    /// Requests that this node had started by the last observation, by plain service.
-    started: BTreeMap<String, u64>,
+    /// Count of requests that this node had started at the last observation, by plain service.
+    started_requests: BTreeMap<String, u64>,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
     follow::<DemandSnapshot>(control, String::from(DEMAND_STREAM), |control, event| {
         control.on_demand(event);
-        NextRead::Onwards
+        NextRead::Continue
     });
 }
 
@@ -47,12 +50,12 @@
             model: None,
             snapshot_schedule: SnapshotSchedule::new(SNAPSHOT_PERIOD, SNAPSHOT_RETRY),
             observed_at: None,
-            started: BTreeMap::new(),
+            started_requests: BTreeMap::new(),
         }
     }
 
-    /// Follows the civil time of a document. What was learned under another time zone is dropped,
-    /// since its slots mean other times.
+    /// Sets the time zone of a document. A change drops the learned demand, because the slots of
+    /// the week then stand for other times. An unknown time zone leaves the model as it is.
     pub(crate) fn set_time_zone(&mut self, name: &str) {
         let known = self.model.as_ref().map(DemandModel::time_zone);
         if known == Some(name) {
@@ -60,13 +63,14 @@
         }
         match CivilClock::named(name) {
             Ok(clock) => self.model = Some(DemandModel::new(clock)),
-            Err(error) => tracing::error!(%error, "demand is not learned"),
+            Err(error) => tracing::error!(%error, "cannot set time zone; demand model unchanged"),
         }
     }
 
-    /// Returns the highest demand expected until `ahead` from now.
-    pub(crate) fn peak(&self, ahead: Span, key: &DemandKey) -> f64 {
-        self.model.as_ref().map_or(0.0, |model| model.peak(wall_now(), ahead, key))
+    /// Returns the highest demand, in tokens or calls per second, expected from now until
+    /// `lookahead` later. Returns 0 without a model.
+    pub(crate) fn peak(&self, lookahead: Span, key: &DemandKey) -> f64 {
+        self.model.as_ref().map_or(0.0, |model| model.peak(wall_now(), lookahead, key))
     }
 }
 
@@ -86,13 +90,18 @@
                 }
                 let Some(model) = &mut demand.model else { return };
                 if let Err(error) = model.restore(&record) {
-                    tracing::warn!(%error, offset = offset.0, "a demand snapshot is not used");
+                    tracing::warn!(
+                        %error,
+                        offset = offset.0,
+                        "demand snapshot does not fit the model and is ignored"
+                    );
                 }
             }
         }
     }
 
-    /// Observes demand, and appends snapshots while this node holds the fleet scope.
+    /// Observes demand when it is due, and then appends due snapshots if this node holds the fleet
+    /// lease.
     pub(crate) fn tick_demand(self: &Rc<Self>, now: Moment) {
         if !self.observe_demand(now) || !self.holds(&LeaseScope::Fleet, now) {
             return;
@@ -116,74 +125,76 @@
             snapshots
         };
         for snapshot in snapshots {
-            // A full buffer is reported by `append`; the schedule tries again.
+            // A full buffer is logged by `append`, and the schedule retries the snapshots.
             let _ = self.append(DEMAND_STREAM, &snapshot);
         }
     }
 
-    /// Observes demand when it is due, and tells whether it was.
+    /// Feeds the current demand to the model when an observation is due. Returns whether it was.
     fn observe_demand(&self, now: Moment) -> bool {
         let wall = wall_now();
         let mut state = self.state();
         let state = &mut *state;
         let Some(document) = &state.config.document else { return false };
         let demand = &mut state.fleet.demand;
-        let passed = demand.observed_at.map(|at| now.since(at));
-        if passed.is_some_and(|passed| passed < OBSERVE_PERIOD) {
+        let elapsed = demand.observed_at.map(|at| now.since(at));
+        if elapsed.is_some_and(|elapsed| elapsed < OBSERVE_PERIOD) {
             return false;
         }
         demand.observed_at = Some(now);
         let Some(model) = &mut demand.model else { return false };
-        let mut seen = BTreeMap::<DemandKey, f64>::new();
-        for key in series(document) {
-            seen.insert(key, 0.0);
+        let mut observed = BTreeMap::<DemandKey, f64>::new();
+        for key in demand_keys(document) {
+            observed.insert(key, 0.0);
         }
         let view = self.shared.view.load();
         for (_, target) in view.upstreams.iter() {
             let Some(found) = state.peers.load_table.view(now, &target.name) else { continue };
             let key = live_key(&target.service, &target.zone_name);
-            if let Some(sum) = seen.get_mut(&key) {
-                *sum += work_rate(&found.report);
+            if let Some(sum) = observed.get_mut(&key) {
+                *sum += engine_demand(&found.report);
             }
         }
         for service in document.services.iter().filter(|one| one.kind == ServiceKind::Plain) {
             let count = self.shared.scheduler().started_requests(&service.name);
-            let before = demand.started.insert(service.name.clone(), count);
-            let (Some(before), Some(passed)) = (before, passed) else { continue };
-            let own_rate = count.saturating_sub(before) as f64 / passed.as_secs_f64().max(1e-3);
+            let before = demand.started_requests.insert(service.name.clone(), count);
+            let (Some(before), Some(elapsed)) = (before, elapsed) else { continue };
+            let own_rate = count.saturating_sub(before) as f64 / elapsed.as_secs_f64().max(1e-3);
             for zone in &document.zones {
                 let nodes = state.peers.table.iter().filter(|(_, record)| {
                     record.vm.zone == zone.name && record.state == PeerState::Live
                 });
-                // The balancer spreads callers evenly, so other nodes see the same rate.
+                // The load balancer distributes callers evenly, so the other nodes see the same
+                // rate.
                 let rate = own_rate * nodes.count() as f64;
-                if let Some(sum) = seen.get_mut(&live_key(&service.name, &zone.name)) {
+                if let Some(sum) = observed.get_mut(&live_key(&service.name, &zone.name)) {
                     *sum = rate;
                 }
             }
         }
-        for (key, demand) in seen {
+        for (key, demand) in observed {
             model.observe(wall, &key, demand);
         }
         true
     }
 }
 
+/// Returns the key of the demand of live callers.
 pub(crate) fn live_key(service: &str, zone: &str) -> DemandKey {
     let (service, zone) = (String::from(service), String::from(zone));
     DemandKey { service, zone, class: WorkClass::Live }
 }
 
-fn series(document: &EnvironmentDocument) -> impl Iterator<Item = DemandKey> {
+fn demand_keys(document: &EnvironmentDocument) -> impl Iterator<Item = DemandKey> {
     document
         .services
         .iter()
         .flat_map(|service| document.zones.iter().map(|zone| live_key(&service.name, &zone.name)))
 }
 
-/// Returns the demand on an engine in tokens per second. Waiting work counts at the rate of running
-/// work; otherwise demand could never be seen to exceed the capacity.
-fn work_rate(report: &LoadReport) -> f64 {
+/// Returns the demand on an engine in tokens per second. Queued requests count at the rate of
+/// running ones; otherwise the observed demand could never exceed the capacity.
+fn engine_demand(report: &LoadReport) -> f64 {
     if report.phase == UpstreamPhase::Unreachable {
         return 0.0;
     }
--- a/crates/hibiscushinged/src/control/fleet/pools.rs
+++ b/crates/hibiscushinged/src/control/fleet/pools.rs
@@ -1,4 +1,4 @@
-//! What the document says about upstreams that can be ordered.
+//! Conversion of the document's pools and the platform's list into inputs of the fleet planner.
 
 use authority::PriceClass;
 use base::ZoneKey;
@@ -6,10 +6,10 @@
 use document::{EnvironmentDocument, PoolEntry};
 use fleet::{PoolSettings, ServiceSettings, UpstreamCount};
 
-/// Returns the settings of all services that have a pool without addresses.
+/// Returns the planner settings of all services that have a pool without fixed addresses.
 ///
-/// A pool with addresses is planned as one whose size is fixed. Its upstreams serve demand, and the
-/// plan has nothing to order for it.
+/// A pool with addresses gets equal minimum and maximum counts: its upstreams serve demand, but
+/// none are ordered for it. Pools of the same zone and price class are merged into one.
 pub(crate) fn service_settings(
     document: &EnvironmentDocument,
     mut zone_key: impl FnMut(&str) -> ZoneKey,
@@ -21,15 +21,16 @@
         if pools.iter().all(|pool| !pool.addresses.is_empty()) {
             continue;
         }
-        // The slowest pool decides, so that no upstream is planned for more than it can serve.
+        // The slowest pool sets the capacity, so that no upstream is planned for more than it can
+        // serve.
         let capacity = pools.iter().map(|pool| pool.speed).min().unwrap_or(0);
         let mut merged = Vec::<PoolSettings>::new();
         for pool in pools {
             let settings = pool_settings(pool, zone_key(&pool.zone));
-            let same = |known: &&mut PoolSettings| {
+            let is_same_pool = |known: &&mut PoolSettings| {
                 known.zone == settings.zone && known.price_class == settings.price_class
             };
-            match merged.iter_mut().find(same) {
+            match merged.iter_mut().find(is_same_pool) {
                 Some(known) => {
                     known.min += settings.min;
                     known.max += settings.max;
@@ -62,8 +63,9 @@
     }
 }
 
-/// Returns the listed upstreams of a zone that orders may concern and that are not about to stop.
-pub(crate) fn ordered<'l>(
+/// Returns the listed upstreams of a zone that can be started and stopped by orders and are not
+/// leaving.
+pub(crate) fn orderable<'l>(
     document: &'l EnvironmentDocument,
     zone: &'l str,
     listed: &'l [UpstreamInfo],
@@ -76,8 +78,8 @@
     })
 }
 
-/// Counts the upstreams of a zone, those of pools with addresses included.
-pub(crate) fn counts(
+/// Counts the upstreams of a zone that are not leaving, including those of pools with addresses.
+pub(crate) fn upstream_counts(
     document: &EnvironmentDocument,
     zone: &str,
     key: ZoneKey,
@@ -90,18 +92,19 @@
         price_class: if pool.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: pool.addresses.len() as u32,
     });
-    let staying = ordered(document, zone, listed).filter(|info| !is_leaving(&info.name));
-    let ordered = staying.map(|info| UpstreamCount {
+    let staying = orderable(document, zone, listed).filter(|info| !is_leaving(&info.name));
+    let orderable = staying.map(|info| UpstreamCount {
         service: info.service.clone(),
         zone: key,
         price_class: if info.cheap { fleet::PriceClass::Cheap } else { fleet::PriceClass::Regular },
         count: 1,
     });
-    fixed.chain(ordered).collect()
+    fixed.chain(orderable).collect()
 }
 
-pub(crate) const fn price_class(kind: fleet::PriceClass) -> PriceClass {
-    match kind {
+/// Converts the planner's price class to that of an order.
+pub(crate) const fn price_class(class: fleet::PriceClass) -> PriceClass {
+    match class {
         fleet::PriceClass::Regular => PriceClass::Regular,
         fleet::PriceClass::Cheap => PriceClass::Cheap,
     }
--- a/crates/hibiscushinged/src/control/fleet/tests.rs
+++ b/crates/hibiscushinged/src/control/fleet/tests.rs
@@ -1,4 +1,5 @@
-//! Guards against orders for pools with addresses and against upstreams that are counted twice.
+//! Guards against orders for pools with fixed addresses, and against upstreams that are counted
+//! twice because they are both in such a pool and in the platform's list.
 
 use std::net::SocketAddr;
 
@@ -7,9 +8,9 @@
 use document::EnvironmentDocument;
 use fleet::{PoolSettings, PriceClass};
 
-use super::pools::{counts, service_settings};
+use super::pools::{service_settings, upstream_counts};
 
-const FIXED: &str = "127.0.0.1:9001";
+const FIXED_ADDRESS: &str = "127.0.0.1:9001";
 
 fn document() -> EnvironmentDocument {
     let pool = |service: &str, cheap: bool, addresses: &str| {
@@ -51,7 +52,7 @@
 }
 
 #[track_caller]
-fn check(listed: &[(&str, &str, UpstreamState, bool)], regular: u32, cheap: u32) {
+fn check_counts(listed: &[(&str, &str, UpstreamState, bool)], regular: u32, cheap: u32) {
     let info = |&(name, zone, state, cheap): &(&str, &str, UpstreamState, bool)| UpstreamInfo {
         name: String::from(name),
         zone: String::from(zone),
@@ -61,9 +62,10 @@
         cheap,
     };
     let listed = listed.iter().map(info).collect::<Vec<_>>();
-    let counts = counts(&document(), "hobart-a", ZoneKey(0), &listed, |name| name == "marked");
+    let upstream_counts =
+        upstream_counts(&document(), "hobart-a", ZoneKey(0), &listed, |name| name == "marked");
     let sum = |price_class: PriceClass| {
-        let same = counts
+        let same = upstream_counts
             .iter()
             .filter(|one| one.price_class == price_class && one.service == "draft-models");
         same.map(|one| one.count).sum::<u32>()
@@ -72,10 +74,18 @@
 }
 
 #[test]
-fn counts_hold_what_will_serve() {
+fn starting_and_running_upstreams_of_the_zone_are_counted_once() {
     use UpstreamState::{Leaving, Running, Starting};
-    check(&[], 2, 0);
-    check(&[("e1", "hobart-a", Starting, false), ("e2", "hobart-a", Running, true)], 3, 1);
-    check(&[("e1", "hobart-a", Leaving, false), ("marked", "hobart-a", Running, false)], 2, 0);
-    check(&[("e1", "hobart-b", Running, false), (FIXED, "hobart-a", Running, false)], 2, 0);
+    check_counts(&[], 2, 0);
+    check_counts(&[("e1", "hobart-a", Starting, false), ("e2", "hobart-a", Running, true)], 3, 1);
+    check_counts(
+        &[("e1", "hobart-a", Leaving, false), ("marked", "hobart-a", Running, false)],
+        2,
+        0,
+    );
+    check_counts(
+        &[("e1", "hobart-b", Running, false), (FIXED_ADDRESS, "hobart-a", Running, false)],
+        2,
+        0,
+    );
 }
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of the platform's log.
+//! Reads and writes the streams of the platform's log.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,100 +15,105 @@
     telemetry::log_event,
 };
 
-/// Time between two reads of a stream that has news. Configuration must be in force everywhere within
-/// 2 s, so its stream is always read this often.
-const POLL: Duration = Duration::from_millis(500);
+/// Time between two reads of an active stream. The configuration stream is always read this often,
+/// because a new document must be in force on every node within 2 s.
+const POLL_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time between two reads of any other stream without news. A node that appends reads back at once,
-/// whatever this is; other nodes learn of the first record this much later.
-const IDLE_POLL: Duration = Duration::from_secs(2);
+/// Time between two reads of an idle stream. Other nodes see the first new record up to this much
+/// later. A node that appends is not affected: it reads the stream again at once.
+const IDLE_POLL_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a stream counts as having news after a record.
-const NEWS: Span = Span::from_secs(10);
+/// Time for which a stream counts as active after a record.
+const ACTIVE_PERIOD: Span = Span::from_secs(10);
 
-/// Records asked for in one read.
-const PAGE: u32 = 500;
+/// Most records that one read returns.
+const MAX_PAGE_RECORDS: u32 = 500;
 
-/// Silence of the log after which claims are refused at once instead of waiting for it.
-const DOWN_AFTER: Span = Span::from_secs(3);
+/// Time without a response of the log after which it counts as down. Requests that need it are then
+/// refused at once instead of waiting.
+const DOWN_TIMEOUT: Span = Span::from_secs(3);
 
-/// When the log last answered.
+/// Responses and errors of the log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LogHealth {
-    answered_at: Moment,
+    last_response_at: Moment,
     failures: u64,
     pub(crate) malformed: u64,
     pub(crate) gaps: u64,
 }
 
-/// What a driver of a stream learns, in log order.
+/// What the follower of a stream is told, in log order.
 pub(crate) enum StreamEvent<T> {
-    /// Reading starts at the oldest retained offset, or continues there after a gap.
+    /// Reading starts at the oldest retained offset, or resumes at this offset after a gap.
     ReadingFrom(LogOffset),
-    /// The oldest retained offset.
+    /// The oldest retained offset, reported after each read.
     Retained(LogOffset),
-    /// A record seen for the first time.
+    /// A record that was not delivered before. `catching_up` is true while the reader has not
+    /// reached the end of the stream.
     Record { offset: LogOffset, id: RecordId, record: T, catching_up: bool },
 }
 
 impl LogHealth {
     pub(crate) const fn new(now: Moment) -> Self {
-        Self { answered_at: now, failures: 0, malformed: 0, gaps: 0 }
+        Self { last_response_at: now, failures: 0, malformed: 0, gaps: 0 }
     }
 
     pub(crate) fn is_down(&self, now: Moment) -> bool {
-        now.since(self.answered_at) > DOWN_AFTER
+        now.since(self.last_response_at) > DOWN_TIMEOUT
     }
 
     pub(crate) fn silence(&self, now: Moment) -> Span {
-        now.since(self.answered_at)
+        now.since(self.last_response_at)
     }
 }
 
-/// Where reading goes on after an event.
+/// Where the reader continues after an event.
 pub(crate) enum NextRead {
-    Onwards,
-    /// The state was taken from a snapshot, and the records from this offset on must be read again.
+    /// At the next record.
+    Continue,
+    /// At this offset: the state was restored from a snapshot that ends there.
     From(LogOffset),
 }
 
-/// Reads a stream for good and hands its records to `apply`.
+/// Starts a task that reads a stream until the process ends and passes its events to
+/// `handle_event`. A failed read is retried after [`POLL_PERIOD`].
 pub(crate) fn follow<T: StreamRecord + 'static>(
     control: &Rc<Control>,
     stream: String,
-    apply: impl Fn(&Rc<Control>, StreamEvent<T>) -> NextRead + 'static,
+    handle_event: impl Fn(&Rc<Control>, StreamEvent<T>) -> NextRead + 'static,
 ) {
     let control = Rc::clone(control);
     actix_rt::spawn(async move {
-        let kick = control.kick(&stream);
+        let read_wakeup = control.read_wakeup(&stream);
         let mut reader = LogReader::new(ReaderSettings::default(), LogOffset(0));
         let mut started = false;
-        let mut news_at = control.now();
+        let mut last_record_at = control.now();
         loop {
-            let Ok(page) = control.log.read(&stream, reader.next_offset(), PAGE).await else {
-                control.log_failed(&stream);
-                actix_rt::time::sleep(POLL).await;
+            let Ok(page) = control.log.read(&stream, reader.next_offset(), MAX_PAGE_RECORDS).await
+            else {
+                control.record_log_failure(&stream);
+                actix_rt::time::sleep(POLL_PERIOD).await;
                 continue;
             };
-            control.log_answered();
-            let behind = page.records.len() >= PAGE as usize;
+            control.record_log_response();
+            let catching_up = page.records.len() >= MAX_PAGE_RECORDS as usize;
             if !page.records.is_empty() {
-                news_at = control.now();
+                last_record_at = control.now();
             }
             if !started {
                 started = true;
-                // A stream that was trimmed before this process started has no gap to report.
+                // Records that retention dropped before this process started are not a gap.
                 reader = LogReader::new(ReaderSettings::default(), page.first);
-                apply(&control, StreamEvent::ReadingFrom(page.first));
+                handle_event(&control, StreamEvent::ReadingFrom(page.first));
             }
-            let retained = apply(&control, StreamEvent::Retained(page.first));
+            let retained = handle_event(&control, StreamEvent::Retained(page.first));
             if let NextRead::From(offset) = retained {
                 reader = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
-            let mut next = NextRead::Onwards;
+            let mut next = NextRead::Continue;
             for action in reader.handle(decode(page)) {
-                next = control.apply(&stream, action, behind, &apply);
+                next = control.handle_reader_action(&stream, action, catching_up, &handle_event);
                 if matches!(next, NextRead::From(_)) {
                     break;
                 }
@@ -117,14 +122,15 @@
                 reader = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
-            if behind {
+            if catching_up {
                 continue;
             }
-            let is_idle = control.now().since(news_at) > NEWS && stream != CONFIG_STREAM;
-            let period = if is_idle { IDLE_POLL } else { POLL };
+            let is_idle =
+                control.now().since(last_record_at) > ACTIVE_PERIOD && stream != CONFIG_STREAM;
+            let period = if is_idle { IDLE_POLL_PERIOD } else { POLL_PERIOD };
             tokio::select! {
                 () = actix_rt::time::sleep(period) => {}
-                () = kick.notified() => {}
+                () = read_wakeup.notified() => {}
             }
         }
     });
@@ -139,38 +145,38 @@
 }
 
 impl Control {
-    fn apply<T>(
+    fn handle_reader_action<T>(
         self: &Rc<Self>,
         stream: &str,
         action: ReaderAction<T>,
         catching_up: bool,
-        apply: &impl Fn(&Rc<Self>, StreamEvent<T>) -> NextRead,
+        handle_event: &impl Fn(&Rc<Self>, StreamEvent<T>) -> NextRead,
     ) -> NextRead {
         match action {
             ReaderAction::Gap { expected, resumed } => {
                 log_event!(warn, LogGapFound, stream, expected = expected.0, resumed = resumed.0);
                 self.state().log.gaps += 1;
-                apply(self, StreamEvent::ReadingFrom(resumed))
+                handle_event(self, StreamEvent::ReadingFrom(resumed))
             }
             ReaderAction::Deliver { offset, id, record } => {
-                apply(self, StreamEvent::Record { offset, id, record, catching_up })
+                handle_event(self, StreamEvent::Record { offset, id, record, catching_up })
             }
             ReaderAction::Malformed { offset, problem } => {
                 log_event!(warn, LogRecordRefused, stream, offset = offset.0, problem);
                 self.state().log.malformed += 1;
-                NextRead::Onwards
+                NextRead::Continue
             }
         }
     }
 
-    /// Sends what the writer has to send.
-    pub(crate) fn pump_writer(self: &Rc<Self>) {
+    /// Sends the batches of records that the log writer has due.
+    pub(crate) fn tick_writer(self: &Rc<Self>) {
         let now = self.now();
         let actions = self.state().writer.tick(now);
-        self.write(actions);
+        self.perform_writer_actions(actions);
     }
 
-    fn write(self: &Rc<Self>, actions: impl IntoIterator<Item = WriterAction>) {
+    fn perform_writer_actions(self: &Rc<Self>, actions: impl IntoIterator<Item = WriterAction>) {
         for action in actions {
             let WriterAction::Send { stream, ticket, records } = action else { continue };
             let control = Rc::clone(self);
@@ -182,12 +188,12 @@
                 let batch = batch.collect::<Vec<_>>();
                 match control.log.append(&stream, &batch).await {
                     Ok(first) => {
-                        control.log_answered();
+                        control.record_log_response();
                         let now = control.now();
                         let actions =
                             control.state().writer.acknowledge(now, &stream, ticket, first);
-                        control.kick(&stream).notify_one();
-                        control.write(actions);
+                        control.read_wakeup(&stream).notify_one();
+                        control.perform_writer_actions(actions);
                     }
                     Err(error) => {
                         log_event!(warn, LogAppendFailed, stream, %error);
@@ -199,24 +205,26 @@
         }
     }
 
-    /// Wakes the reader of a stream, so that own records are read back at once.
-    pub(crate) fn kick(&self, stream: &str) -> Rc<Notify> {
-        let mut kicks = self.kicks.borrow_mut();
-        Rc::clone(kicks.entry(String::from(stream)).or_default())
+    /// Returns the notifier that wakes the reader of a stream, so that a node reads its own records
+    /// back without waiting for the next poll.
+    pub(crate) fn read_wakeup(&self, stream: &str) -> Rc<Notify> {
+        let mut read_wakeups = self.read_wakeups.borrow_mut();
+        Rc::clone(read_wakeups.entry(String::from(stream)).or_default())
     }
 
-    fn log_answered(self: &Rc<Self>) {
+    fn record_log_response(self: &Rc<Self>) {
         let now = self.now();
         let mut state = self.state();
-        state.log.answered_at = now;
+        state.log.last_response_at = now;
         state.config.note_contact(now);
     }
 
-    fn log_failed(&self, stream: &str) {
+    fn record_log_failure(&self, stream: &str) {
         let now = self.now();
         let mut state = self.state();
         state.log.failures += 1;
-        // One line per outage and stream is enough; status shows how long it lasts.
+        // Logs only those failures whose number is a power of two, so that an outage does not flood
+        // the output. The status shows how long the outage lasts.
         if state.log.failures.is_power_of_two() {
             let silence_ms = state.log.silence(now).as_millis();
             log_event!(warn, LogReadFailed, stream, silence_ms);
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -1,7 +1,8 @@
-//! Generation of samples: placement of open slots, attempts on engines and re-runs of late ones.
+//! Generation of samples: placement of open slots, attempts on engines and reruns of stragglers.
 //!
-//! Each open slot belongs to one live node. When two nodes disagree on which, both make it and the
-//! first fill record in log order wins.
+//! Each open slot is owned by one live node. When two nodes both take a slot for theirs, because
+//! their views of the membership differ, both generate a sample and the first fill record in log
+//! order wins.
 
 mod attempt;
 
@@ -27,37 +28,40 @@
     telemetry::log_event,
 };
 
-/// Slots that this node makes at once. At 320 nodes two trainers with 2,048 samples a step need 13.
+/// Most slots that this node runs at once. Two trainers with 2,048 samples a step need 13 on each
+/// of 320 nodes.
 const MAX_SLOTS: usize = 64;
 
-/// Slots made at once while live callers wait: the guaranteed minimum of samples, 10%.
-const MIN_SLOTS: usize = 6;
+/// Most slots that this node runs at once while live requests are queued: about 10% of
+/// [`MAX_SLOTS`], the share that is guaranteed to samples.
+const MAX_SLOTS_UNDER_LOAD: usize = 6;
 
-/// Time between two looks at all open slots when no slot was opened. A look compares the nodes for
-/// each slot, which at 4,096 slots and 320 nodes takes milliseconds.
+/// Time between two scans of all open slots when no slot was opened. A scan compares the nodes for
+/// each slot, which takes milliseconds at 4,096 slots and 320 nodes.
 const SCAN_PERIOD: Span = Span::from_secs(2);
 
-/// Expected bytes of one token of text, to reserve room before a sample is made.
+/// Expected bytes of one token of text, to reserve space in the store before a sample is generated.
 const BYTES_PER_TOKEN: usize = 8;
 
-/// Slots that this node makes.
+/// Slots that this node runs or is to run.
 pub(crate) struct GenerationDriver {
     pub(crate) trainer_scheduler: TrainerScheduler,
     pub(crate) stragglers: StragglerDetector<CostBenefitRule>,
     running: BTreeMap<SlotKey, SlotRun>,
-    wanted: BTreeMap<TrainerId, VecDeque<OpenSlot>>,
+    /// Open slots that this node owns and does not run, by trainer.
+    queued_slots: BTreeMap<TrainerId, VecDeque<OpenSlot>>,
     owners: Option<SlotOwners>,
     next_scan: Moment,
     last_attempt: u64,
 }
 
-/// A slot with its attempts.
+/// A slot with its running attempts.
 struct SlotRun {
     generation: u32,
     attempts: Vec<Rc<SampleAttempt>>,
 }
 
-/// One attempt at a slot. It may go through several engines.
+/// One attempt at a slot. It resumes on another engine when a stream fails.
 pub(crate) struct SampleAttempt {
     slot: SlotKey,
     generation: u32,
@@ -67,7 +71,7 @@
     cancel: Notify,
 }
 
-/// What an attempt has to make.
+/// Parameters of the sample that an attempt generates.
 #[derive(Debug, Clone)]
 pub(crate) struct SampleWork {
     trainer: String,
@@ -83,21 +87,21 @@
             trainer_scheduler: TrainerScheduler::default(),
             stragglers: StragglerDetector::new(CostBenefitRule::default()),
             running: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            queued_slots: BTreeMap::new(),
             owners: None,
             next_scan: Moment(0),
             last_attempt: 0,
         }
     }
 
-    /// Notes that slots were opened.
-    pub(crate) fn slots_opened(&mut self) {
+    /// Makes the next placement scan all open slots, after slots were opened or freed.
+    pub(crate) fn request_scan(&mut self) {
         self.next_scan = Moment(0);
     }
 
-    /// Forgets a slot that was to be placed.
-    fn unwant(&mut self, slot: SlotKey) {
-        if let Some(slots) = self.wanted.get_mut(&slot.trainer) {
+    /// Removes a slot from the queue of its trainer.
+    fn dequeue(&mut self, slot: SlotKey) {
+        if let Some(slots) = self.queued_slots.get_mut(&slot.trainer) {
             slots.retain(|open| open.slot != slot);
         }
     }
@@ -110,12 +114,12 @@
         self.running.len()
     }
 
-    /// Takes the next slot, fairly between trainers.
+    /// Removes the next slot to place from the queues. The trainer is chosen by fair queueing.
     fn next_slot(&mut self) -> Option<OpenSlot> {
-        let Self { trainer_scheduler, wanted, .. } = self;
+        let Self { trainer_scheduler, queued_slots, .. } = self;
         let trainer = trainer_scheduler
-            .select(|id| wanted.get(&id).is_some_and(|slots| !slots.is_empty()))?;
-        wanted.get_mut(&trainer)?.pop_front()
+            .select(|id| queued_slots.get(&id).is_some_and(|slots| !slots.is_empty()))?;
+        queued_slots.get_mut(&trainer)?.pop_front()
     }
 
     fn add_attempt(&mut self, open: OpenSlot, work: &SampleWork) -> Rc<SampleAttempt> {
@@ -146,13 +150,13 @@
 }
 
 impl Control {
-    /// Starts attempts at open slots of this node.
+    /// Starts attempts at open slots that this node owns, up to the limit of running slots.
     pub(crate) fn place_samples(self: &Rc<Self>, now: Moment, owners: &SlotOwners) {
         if self.shared.phase() != NodePhase::Serving {
             return;
         }
         let live_callers_wait = self.shared.scheduler().queued_tokens() > 0;
-        let limit = if live_callers_wait { MIN_SLOTS } else { MAX_SLOTS };
+        let limit = if live_callers_wait { MAX_SLOTS_UNDER_LOAD } else { MAX_SLOTS };
         self.scan_slots(now, owners);
         loop {
             let next = {
@@ -173,7 +177,8 @@
         }
     }
 
-    /// Lists the open slots of this node when the book or the live nodes have changed.
+    /// Queues the open slots that this node owns when the set of live nodes has changed, a scan was
+    /// requested or [`SCAN_PERIOD`] has passed.
     fn scan_slots(&self, now: Moment, owners: &SlotOwners) {
         let mut state = self.state();
         let samples = &mut state.samples;
@@ -184,31 +189,32 @@
         }
         generation.next_scan = now + SCAN_PERIOD;
         generation.owners = Some(owners.clone());
-        generation.wanted.clear();
+        generation.queued_slots.clear();
         for (trainer, _) in samples.table.trainers() {
             let open = samples.table.open_slots(trainer);
             let open = open.filter(|open| {
                 !generation.running.contains_key(&open.slot) && owners.owns(open.slot)
             });
-            generation.wanted.insert(trainer, open.collect());
+            generation.queued_slots.insert(trainer, open.collect());
         }
     }
 
     fn sample_work(&self, open: OpenSlot) -> Option<SampleWork> {
         let entry = self.trainer_entry(open.slot.trainer)?;
         let state = self.state();
-        let step_prompts = state.samples.opened.get(&(open.slot.trainer, open.slot.step))?;
+        let step_prompts = state.samples.step_prompts.get(&(open.slot.trainer, open.slot.step))?;
         Some(SampleWork {
             trainer: entry.name,
             service: entry.service,
             prompt: step_prompts.prompts.get(open.slot.group as usize)?.clone(),
             max_tokens: step_prompts.max_tokens,
-            // Samples of a group must differ, and a replacement must differ from a void one.
+            // Samples of a group must differ, and so must a replacement from the voided sample.
             seed: base::rendezvous_weight(slot_hash(open.slot), u64::from(open.generation)),
         })
     }
 
-    /// Tells whether the bytes of all running slots and of one more fit.
+    /// Returns whether the store has space for the samples of all running slots and of one more.
+    /// Evicts acknowledged samples where needed.
     fn has_room(&self, work: &SampleWork) -> bool {
         let mut state = self.state();
         let samples = &mut state.samples;
@@ -216,8 +222,8 @@
         samples.store.make_room(one.saturating_mul(samples.generation.running() + 1))
     }
 
-    /// Runs late slots again on another engine.
-    pub(crate) fn rerun_late(self: &Rc<Self>, now: Moment) {
+    /// Starts a second attempt on another engine for slots whose attempt is a straggler.
+    pub(crate) fn rerun_stragglers(self: &Rc<Self>, now: Moment) {
         let actions = {
             let mut state = self.state();
             let generation = &mut state.samples.generation;
@@ -233,7 +239,7 @@
             };
             let Some(open) = open else { continue };
             let Some(work) = self.sample_work(open) else { continue };
-            let (name, late) = (self.state().samples.slot_text(slot), self.upstream_name(avoid));
+            let (name, late) = (self.state().samples.slot_name(slot), self.upstream_name(avoid));
             log_event!(StragglerRerun, slot = name, late);
             self.trace(name, EventCode::StragglerRerun, format!("late on {late}"));
             let attempt = self.state().samples.generation.add_attempt(open, &work);
@@ -241,12 +247,12 @@
         }
     }
 
-    /// Ends all attempts at a slot that is filled or has no use for them any more.
+    /// Stops all attempts at a slot that is filled or no longer needed, and removes the slot.
     pub(crate) fn end_slot(&self, slot: SlotKey) {
         let mut state = self.state();
         let generation = &mut state.samples.generation;
-        generation.unwant(slot);
-        // Cancelled attempts hear of it below, whether the policy counts them or not.
+        generation.dequeue(slot);
+        // All attempts are stopped below, so the detector's list of them is not needed.
         let _ = generation.stragglers.cancel_slot(slot);
         let Some(run) = generation.running.remove(&slot) else { return };
         for attempt in run.attempts {
@@ -254,7 +260,7 @@
         }
     }
 
-    /// Ends one attempt, so that the slot can be placed again when it was the last one.
+    /// Removes an ended attempt. When it was the slot's last one, the slot is queued again.
     fn end_attempt(&self, attempt: &SampleAttempt) {
         let mut state = self.state();
         let generation = &mut state.samples.generation;
@@ -263,16 +269,16 @@
         if run.attempts.is_empty() {
             generation.running.remove(&attempt.slot);
             let open = OpenSlot { slot: attempt.slot, generation: attempt.generation };
-            generation.wanted.entry(attempt.slot.trainer).or_default().push_back(open);
+            generation.queued_slots.entry(attempt.slot.trainer).or_default().push_back(open);
         }
     }
 
-    /// Stops the other attempts at a slot that one attempt has finished.
-    fn stop_losers(&self, now: Moment, winner: &SampleAttempt, tokens: u32) {
+    /// Stops the other attempts at a slot after `winner` has completed.
+    fn cancel_other_attempts(&self, now: Moment, winner: &SampleAttempt, tokens: u32) {
         let mut state = self.state();
         let generation = &mut state.samples.generation;
         if let Some(upstream) = winner.upstream.get() {
-            // The losers are all attempts of the run but this one.
+            // The attempts to stop are taken from the slot's run below.
             let _ = generation.stragglers.finished(now, winner.slot, upstream, tokens);
         }
         let Some(run) = generation.running.get(&winner.slot) else { return };
@@ -281,7 +287,7 @@
         }
     }
 
-    /// Returns the trainer's version and staleness bound.
+    /// Returns the weight version that the slot's trainer stated last, and its staleness bound.
     fn trainer_version(&self, slot: SlotKey) -> Option<(WeightVersion, u64)> {
         self.state().samples.table.stated_version(slot.trainer)
     }
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at a sample slot: choice of an engine, its stream, resumption and the fill record.
+//! One attempt at a sample slot: it picks an engine, reads its token stream, resumes on another
+//! engine after a failure, stores the sample and appends the fill record.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -20,35 +21,37 @@
         Control,
         generate::{SampleAttempt, SampleWork},
         sample_store::StoreOutcome,
-        slots::is_heard,
+        slots::has_reported,
         streams::SAMPLE_STREAM,
     },
     telemetry::log_event,
 };
 
-/// Engines that one attempt may go through before its slot is placed anew.
+/// Most engines that one attempt uses before it ends and its slot is placed again.
 const MAX_ENGINES: u32 = 4;
 
-/// Engines that are looked at for one choice. The picker compares a few of them each time.
+/// Most picks for one choice of an engine. An engine that may not take the sample is excluded from
+/// the next pick.
 const MAX_PICKS: usize = 8;
 
-/// Wait before an attempt that found no engine or failed is given up. It bounds how often a slot
-/// without any engine is placed.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Wait before a failed attempt ends. It limits how often a slot is placed while no engine can take
+/// it.
+const FAILED_ATTEMPT_DELAY: Duration = Duration::from_millis(300);
 
-/// Peers that are asked to hold a copy before a node holds its sample alone.
-const MAX_COPIES: usize = 4;
+/// Most peers that are asked to hold a copy. If none does, the node holds its sample alone.
+const MAX_COPY_REQUESTS: usize = 4;
 
-/// Longest wait of a suspect for an engine of its own.
-const ISOLATION_WAIT: Span = Span::from_secs(10);
+/// Longest wait of a suspect sample for an engine that runs nothing else.
+const ISOLATION_TIMEOUT: Span = Span::from_secs(10);
 
-/// Bytes of a prompt that make up its prefix.
+/// Length of the prompt prefix that is hashed for cache affinity, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// How many versions the trainer may be further when the sample is delivered, if its bound allows.
-const LEAD: u64 = 1;
+/// Versions that the trainer is assumed to advance before the sample is delivered, at most its
+/// staleness bound.
+const MAX_VERSION_LEAD: u64 = 1;
 
-/// What an attempt has made so far.
+/// Text and tokens that an attempt has generated so far.
 #[derive(Default)]
 struct Progress {
     text: String,
@@ -57,22 +60,23 @@
 
 /// How an exchange with an engine ended.
 enum ExchangeEnd {
-    Whole,
-    Broken(CallError),
+    Completed,
+    Failed(CallError),
     Cancelled,
 }
 
 impl Control {
-    /// Runs an attempt to its end.
+    /// Runs an attempt until its fill record is appended or it fails or is cancelled. `avoid` is
+    /// the engine of a straggling attempt at the same slot.
     pub(super) async fn run_attempt(
         self: Rc<Self>,
         attempt: Rc<SampleAttempt>,
         work: SampleWork,
         avoid: Option<UpstreamKey>,
     ) {
-        let made = self.make_sample(&attempt, &work, avoid).await;
+        let generated = self.generate_sample(&attempt, &work, avoid).await;
         {
-            let actual = made.as_ref().map_or(0, |progress| progress.tracker.tokens());
+            let actual = generated.as_ref().map_or(0, |progress| progress.tracker.tokens());
             let mut state = self.state();
             let trainer_scheduler = &mut state.samples.generation.trainer_scheduler;
             trainer_scheduler.reconcile(
@@ -81,22 +85,22 @@
                 actual.into(),
             );
         }
-        let filled = match made {
+        let filled = match generated {
             Some(progress) => self.fill_slot(&attempt, progress).await,
             None => false,
         };
-        // The slot stays with the attempt until its fill record is read back.
+        // After an append the slot stays in `running` until the fill record is read back.
         if !filled {
             if !attempt.cancelled.get() {
-                actix_rt::time::sleep(PAUSE).await;
+                actix_rt::time::sleep(FAILED_ATTEMPT_DELAY).await;
             }
             self.end_attempt(&attempt);
         }
     }
 
-    /// Makes the sample, on several engines when streams break. `None` when it was cancelled, no
-    /// engine could take it, or what there is of it became stale.
-    async fn make_sample(
+    /// Generates the sample, resuming on another engine after a failed stream. Returns `None` when
+    /// the attempt was cancelled, no engine could take it, or its tokens became stale.
+    async fn generate_sample(
         self: &Rc<Self>,
         attempt: &Rc<SampleAttempt>,
         work: &SampleWork,
@@ -111,31 +115,31 @@
             }
             let (upstream, address) =
                 self.choose_engine(attempt, work, fingerprint, &tried).await?;
-            self.note_placed(attempt, upstream, progress.tracker.tokens());
+            self.record_placement(attempt, upstream, progress.tracker.tokens());
             let offset = progress.tracker.tokens();
-            let left = work.max_tokens.saturating_sub(offset);
+            let remaining_tokens = work.max_tokens.saturating_sub(offset);
             let started = {
                 let now = self.now();
                 self.state().samples.generation.stragglers.started(now, attempt.slot, upstream);
                 let mut scheduler = self.shared.scheduler();
-                scheduler.start(now, wall_now(), upstream, left, Some(fingerprint))
+                scheduler.start(now, wall_now(), upstream, remaining_tokens, Some(fingerprint))
             };
             let id = self.stream_id(attempt, exchange);
             let end = self.exchange(attempt, work, &id, address, &mut progress).await;
             let tokens = progress.tracker.tokens();
-            let work_end = match end {
-                ExchangeEnd::Whole => RequestOutcome::Completed { tokens: tokens - offset },
-                ExchangeEnd::Broken(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
+            let outcome = match end {
+                ExchangeEnd::Completed => RequestOutcome::Completed { tokens: tokens - offset },
+                ExchangeEnd::Failed(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
             };
             let now = self.now();
-            self.shared.scheduler().finish(now, started, work_end);
+            self.shared.scheduler().finish(now, started, outcome);
             match end {
-                ExchangeEnd::Whole => {
+                ExchangeEnd::Completed => {
                     self.handle_suspect_event(delivery::SuspectEvent::Finished {
                         upstream,
                         fingerprint,
                     });
-                    self.stop_losers(now, attempt, tokens);
+                    self.cancel_other_attempts(now, attempt, tokens);
                     return (!self.is_stale(attempt, &progress)).then_some(progress);
                 }
                 ExchangeEnd::Cancelled => {
@@ -143,14 +147,20 @@
                         upstream,
                         fingerprint,
                     });
-                    // The closed connection tells the engine as well.
+                    // The result is ignored: the engine also stops when the connection closes.
                     let _ = self.engines.cancel(address, &id).await;
                     return None;
                 }
-                ExchangeEnd::Broken(error) => {
-                    let slot = self.state().samples.slot_text(attempt.slot);
+                ExchangeEnd::Failed(error) => {
+                    let slot = self.state().samples.slot_name(attempt.slot);
                     let upstream_name = self.upstream_name(upstream);
-                    tracing::info!(slot, upstream = upstream_name, tokens, %error, "stream broke");
+                    tracing::info!(
+                        slot,
+                        upstream = upstream_name,
+                        tokens,
+                        %error,
+                        "token stream failed; trying another engine"
+                    );
                     self.state().samples.generation.stragglers.failed(attempt.slot, upstream);
                     self.check_crash(upstream, fingerprint).await;
                     attempt.upstream.set(None);
@@ -161,7 +171,8 @@
         None
     }
 
-    /// Reads one stream. Tokens that arrived stay in `progress` when it breaks.
+    /// Reads one token stream from an engine. After a failure, `progress` keeps the received
+    /// tokens.
     async fn exchange(
         &self,
         attempt: &SampleAttempt,
@@ -184,7 +195,7 @@
         };
         let mut tokens = match opened {
             Ok(tokens) => tokens,
-            Err(error) => return ExchangeEnd::Broken(error),
+            Err(error) => return ExchangeEnd::Failed(error),
         };
         loop {
             let event = tokio::select! {
@@ -193,7 +204,7 @@
             };
             match event {
                 Ok(Some(TokenEvent::Token { index, text, version })) => {
-                    // The client checks that tokens follow each other, so this cannot fail.
+                    // The client rejects tokens out of sequence, so this cannot fail.
                     if progress.tracker.append(index, 1, version).is_err() {
                         continue;
                     }
@@ -204,13 +215,14 @@
                         state.samples.generation.stragglers.progress(attempt.slot, upstream, count);
                     }
                 }
-                Ok(Some(TokenEvent::End { .. }) | None) => return ExchangeEnd::Whole,
-                Err(error) => return ExchangeEnd::Broken(error),
+                Ok(Some(TokenEvent::End { .. }) | None) => return ExchangeEnd::Completed,
+                Err(error) => return ExchangeEnd::Failed(error),
             }
         }
     }
 
-    /// Chooses an engine whose sample will not be stale at delivery.
+    /// Chooses an engine whose weights keep the sample within the trainer's staleness bound. A
+    /// suspect gets an isolated engine, and a convicted fingerprint none.
     async fn choose_engine(
         self: &Rc<Self>,
         attempt: &SampleAttempt,
@@ -224,8 +236,10 @@
             FingerprintStatus::Suspect => self.isolated_engine(work, fingerprint).await,
             FingerprintStatus::Clear => {
                 let (version, bound) = self.trainer_version(attempt.slot)?;
-                let lead = LEAD.min(bound);
-                // An older engine makes a sample that is valid now, which beats an idle engine.
+                let lead = MAX_VERSION_LEAD.min(bound);
+                // Prefers engines whose sample stays valid if the trainer advances meanwhile.
+                // Otherwise an older engine whose sample is valid now is better than leaving it
+                // idle.
                 let fresh = self.pick_engine(work, tried, version, bound, lead);
                 fresh.or_else(|| self.pick_engine(work, tried, version, bound, 0))
             }
@@ -264,8 +278,8 @@
         None
     }
 
-    /// Waits for an engine of its own, as a request that may crash engines must. All samples of a
-    /// group are suspects together, since their prompt is what may crash an engine.
+    /// Waits for an engine that runs nothing else, as a suspect request must. All samples of a
+    /// group share one fingerprint, because it is their prompt that may crash an engine.
     async fn isolated_engine(
         self: &Rc<Self>,
         work: &SampleWork,
@@ -277,9 +291,9 @@
         let isolation = IsolationRequest {
             request,
             fingerprint,
-            // No route leads to samples.
+            // Samples come through no route, so this key matches none.
             route: RouteKey(u32::MAX),
-            deadline: now + ISOLATION_WAIT,
+            deadline: now + ISOLATION_TIMEOUT,
             execution: Execution::MayHaveRun,
             upstreams: SmallVec::new(),
         };
@@ -290,12 +304,12 @@
             isolation,
             reply,
         );
-        self.spread(actions);
+        self.perform_suspect_actions(actions);
         answer.await.ok()?.ok()
     }
 
-    fn note_placed(&self, attempt: &SampleAttempt, upstream: UpstreamKey, offset: u32) {
-        let slot = self.state().samples.slot_text(attempt.slot);
+    fn record_placement(&self, attempt: &SampleAttempt, upstream: UpstreamKey, offset: u32) {
+        let slot = self.state().samples.slot_name(attempt.slot);
         let name = self.upstream_name(upstream);
         let generation = attempt.generation;
         log_event!(SamplePlaced, slot, upstream = name, generation, offset);
@@ -308,7 +322,8 @@
         format!("{node:016x}-s{:x}-{exchange}", attempt.number)
     }
 
-    /// Tells whether the tokens so far can no longer be delivered.
+    /// Returns whether the oldest token exceeds the trainer's staleness bound, so that the sample
+    /// cannot be delivered.
     fn is_stale(&self, attempt: &SampleAttempt, progress: &Progress) -> bool {
         let oldest = progress.tracker.spans().iter().map(|span| span.version.0).min();
         let Some(oldest) = oldest else { return false };
@@ -316,28 +331,30 @@
         stated.is_none_or(|(version, bound)| oldest + bound < version.0)
     }
 
-    /// Returns the peers to ask for a copy: the replica holder of this node, then other zones.
+    /// Returns the peers to ask to hold a copy: first this node's replica holder, then peers in
+    /// other zones, then the rest.
     fn copy_targets(&self) -> Vec<SocketAddr> {
         let state = self.state();
         let table = &state.peers.table;
         let own_zone = &table.own_identity().zone;
         let others = table.iter().filter(|(key, peer)| {
-            *key != table.own() && peer.state == PeerState::Live && is_heard(&peer.vm)
+            *key != table.own() && peer.state == PeerState::Live && has_reported(&peer.vm)
         });
         let mut others =
             others.map(|(key, peer)| (peer.vm.zone == *own_zone, key)).collect::<Vec<_>>();
         others.sort_unstable();
         let keys = table.replica_holder().into_iter().chain(others.into_iter().map(|(_, key)| key));
-        keys.take(MAX_COPIES).filter_map(|key| state.peers.address(key)).collect()
+        keys.take(MAX_COPY_REQUESTS).filter_map(|key| state.peers.address(key)).collect()
     }
 
-    /// Keeps the bytes on two nodes and appends the fill record. Returns whether it was appended.
+    /// Stores the sample on this node and one peer, and appends the fill record. Returns whether it
+    /// was appended.
     async fn fill_slot(self: &Rc<Self>, attempt: &SampleAttempt, progress: Progress) -> bool {
         let Progress { text, tracker } = progress;
         let sample = self.state().writer.next_id(SAMPLE_STREAM);
         let now = self.now();
-        let kept = self.state().samples.store.insert(now, sample, text.clone());
-        if kept == StoreOutcome::Full || tracker.tokens() == 0 {
+        let stored = self.state().samples.store.insert(now, sample, text.clone());
+        if stored == StoreOutcome::Full || tracker.tokens() == 0 {
             self.state().samples.store.remove(sample);
             return false;
         }
@@ -345,9 +362,9 @@
         let copy = WireSampleCopy { sample: sample.into(), text };
         let digest = stable_hash(&copy.text);
         let copy = PeerMessage::SampleCopy(copy);
-        // A node without any peer holds its samples alone.
+        // When no peer takes a copy, this node holds the sample alone.
         for address in self.copy_targets() {
-            if let Some(PeerMessage::Done(holder)) = self.ask_peer(address, &copy).await {
+            if let Some(PeerMessage::Done(holder)) = self.call_peer(address, &copy).await {
                 holders.push(base::Incarnation(holder));
                 break;
             }
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -1,4 +1,5 @@
-//! Customers' limits: asks of this node and grants of the zone's delegate.
+//! Customers' rate limits: grant requests of this node, and grants that it makes as the zone's
+//! delegate.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -9,7 +10,7 @@
 
 use crate::control::Control;
 
-/// Limits of this node, and of its zone while it is the delegate.
+/// Limits of the zone, and their allocator while this node is the zone's delegate.
 #[derive(Default)]
 pub(crate) struct LimitDriver {
     allocator: Option<LimitAllocator>,
@@ -18,8 +19,8 @@
 }
 
 impl Control {
-    /// Takes the limits of a document. The zone's part is fixed by its number of entry VMs, so that
-    /// zones need no exchange.
+    /// Applies the limits of a document. Each zone's share of a limit is proportional to its number
+    /// of entry VMs, so that zones need not coordinate.
     pub(crate) fn apply_limits(&self, now: Moment, document: &EnvironmentDocument) {
         let zone_vms = document.zone(&self.shared.settings.zone).map_or(0, |zone| zone.entry_vms);
         let all_vms = document.zones.iter().map(|zone| zone.entry_vms).sum::<u32>().max(1);
@@ -85,13 +86,13 @@
         let message = PeerMessage::LimitAsk(wire.collect());
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let answer = control.ask_peer(delegate, &message).await;
+            let answer = control.call_peer(delegate, &message).await;
             let Some(PeerMessage::LimitGrant(grants)) = answer else { return };
-            control.take_grants(grants);
+            control.apply_grants(grants);
         });
     }
 
-    fn take_grants(&self, grants: Vec<WireLimitGrant>) {
+    fn apply_grants(&self, grants: Vec<WireLimitGrant>) {
         let (now, view) = (self.now(), self.shared.view.load());
         for grant in grants {
             let grant = LimitGrant {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Answers a peer's asks while this node is the delegate.
+    /// Answers a peer's grant requests. A node that is not the delegate answers `Missing`.
     pub(crate) fn grant_limits(&self, requests: Vec<WireLimitAsk>) -> PeerMessage {
         let now = self.now();
         self.update_allocator(now);
@@ -142,7 +143,8 @@
         PeerMessage::LimitGrant(grants)
     }
 
-    /// Opens the desk when this node becomes the delegate, and closes it when it no longer is.
+    /// Creates the allocator when this node becomes the zone's delegate, drops it when it no longer
+    /// is, and keeps its live VMs and limits up to date.
     fn update_allocator(&self, now: Moment) {
         let mut state = self.state();
         let state = &mut *state;
@@ -155,11 +157,11 @@
         let live = u32::try_from(live).unwrap_or(u32::MAX);
         let grant_duration = self.shared.settings.timeouts.limit_grant;
         let settings = AllocatorSettings { grant_duration, zone_vms: state.limits.zone_vms };
-        let me = self.shared.incarnation;
+        let incarnation = self.shared.incarnation;
         let allocator = state
             .limits
             .allocator
-            .get_or_insert_with(|| LimitAllocator::new(me, settings, now, live));
+            .get_or_insert_with(|| LimitAllocator::new(incarnation, settings, now, live));
         allocator.set_live_vms(now, live);
         for (customer, zone_limit) in &state.limits.zone_limits {
             allocator.set_zone_limit(*customer, *zone_limit);
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to the platform, checked against the lease as the last step before each is written.
+//! Orders to the platform. The lease is checked again just before an order is written to the
+//! connection.
 
 use std::rc::Rc;
 
@@ -11,6 +12,7 @@
 use crate::{control::Control, telemetry::log_event};
 
 impl Control {
+    /// Performs an action of a scope's order manager.
     pub(crate) fn perform_order(self: &Rc<Self>, scope: &LeaseScope, action: OrderAction) {
         match action {
             OrderAction::Append(record) => {
@@ -30,11 +32,12 @@
                 actix_rt::spawn(async move { control.query_order(scope, id).await });
             }
             OrderAction::Voided(id) => {
-                let detail = String::from("void: its intent took effect under a later lease");
+                let detail =
+                    String::from("voided and not sent: its intent took effect under a later lease");
                 self.trace(id.to_string(), base::EventCode::OrderSettled, detail);
             }
             OrderAction::Settled(outcome) => {
-                self.fleet_settled(&outcome);
+                self.record_settled_order(&outcome);
                 log_event!(
                     OrderSettled,
                     scope = %scope,
@@ -51,8 +54,8 @@
     async fn send_order(self: Rc<Self>, scope: LeaseScope, intent: OrderIntent) {
         let Some(fencing) = self.order_permit(&scope, intent.id) else { return };
         let order = wire_order(&intent, fencing);
-        // The call may first wait for a connection, so the clock is checked again by the last step
-        // before the bytes.
+        // The call may wait for a connection first, so the lease is checked again just before the
+        // request is written.
         let (control, checked, id) = (Rc::clone(&self), scope.clone(), intent.id);
         let guarded = self.platform.guarded(move || match control.order_permit(&checked, id) {
             Some(permitted) if permitted == fencing => SendPermit::Granted,
@@ -60,18 +63,19 @@
         });
         let result = guarded.place_order(&order).await;
         if result.as_ref().is_err_and(|error| error.failure == CallFailure::Denied) {
-            // The order stays open. The desk asks for it after its timeout, under a lease.
+            // The order was not sent and stays open. The order manager queries it after its
+            // timeout, if this node then holds the lease.
             return;
         }
         log_event!(OrderIssued, scope = %scope, order = order.id, kind = ?order.kind);
         let detail = format!("{:?} of {} in {}", order.kind, order.service, order.zone);
         self.trace(order.id, base::EventCode::OrderIssued, detail);
         let response = match result {
-            Ok(response) => response_of(response),
+            Ok(response) => order_response(response),
             Err(error) if error.failure == CallFailure::Status(409) => OrderResponse::FencingTooLow,
             Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, intent.id, response);
+        self.handle_order_response(&scope, intent.id, response);
     }
 
     fn order_permit(&self, scope: &LeaseScope, id: OrderId) -> Option<FencingToken> {
@@ -83,14 +87,19 @@
 
     async fn query_order(self: Rc<Self>, scope: LeaseScope, id: OrderId) {
         let response = match self.platform.find_order(&id.to_string()).await {
-            Ok(Some(response)) => response_of(response),
+            Ok(Some(response)) => order_response(response),
             Ok(None) => OrderResponse::NotFound,
             Err(_) => OrderResponse::Lost,
         };
-        self.order_answered(&scope, id, response);
+        self.handle_order_response(&scope, id, response);
     }
 
-    fn order_answered(self: &Rc<Self>, scope: &LeaseScope, id: OrderId, response: OrderResponse) {
+    fn handle_order_response(
+        self: &Rc<Self>,
+        scope: &LeaseScope,
+        id: OrderId,
+        response: OrderResponse,
+    ) {
         let now = self.now();
         self.with_scope(scope, |driver| {
             let actions =
@@ -120,7 +129,7 @@
     }
 }
 
-fn response_of(response: clients::OrderInfo) -> OrderResponse {
+fn order_response(response: clients::OrderInfo) -> OrderResponse {
     let state = match response.state {
         clients::OrderState::Accepted => authority::OrderState::Accepted,
         clients::OrderState::Done => authority::OrderState::Done,
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Membership: heartbeats, zone summaries and messages between daemons.
+//! Membership and messages between nodes: heartbeats, zone summaries and all other peer requests.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,17 +21,18 @@
 const LIST_PERIOD: Duration = Duration::from_secs(2);
 
 /// Time between two attempts to reach the initial peers.
-const CONTACT_PERIOD: Duration = Duration::from_secs(2);
+const INITIAL_CONTACT_PERIOD: Duration = Duration::from_secs(2);
 
-/// Path of messages between daemons. The number changes with incompatible messages.
+/// HTTP path of messages between nodes. The number is the protocol version.
 pub(crate) const PEER_PATH: &str = "/peer/1";
 
-/// Peers and upstream states as this node knows them.
+/// Membership and load of the upstreams, as this node knows them.
 pub(crate) struct PeerDriver {
     pub(crate) table: PeerTable,
     pub(crate) load_table: LoadTable,
     pub(crate) malformed: u64,
-    fetching: bool,
+    /// Whether a request for a peer's configuration is in flight. There is one at a time.
+    fetching_config: bool,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -59,11 +60,11 @@
             table: PeerTable::new(PeerSettings::default(), own, now),
             load_table: LoadTable::new(LoadTableSettings::default(), shared.incarnation),
             malformed: 0,
-            fetching: false,
+            fetching_config: false,
         }
     }
 
-    /// Addresses of all live peers.
+    /// Returns the addresses of all peers that are not gone.
     fn live_addresses(&self) -> Vec<SocketAddr> {
         let own = self.table.own();
         let live = self.table.iter().filter(|(key, record)| {
@@ -89,11 +90,11 @@
         }
     }
 
-    /// Makes this node known to the peers of its settings until one of them is heard, so that it can
-    /// start while the platform is down.
+    /// Sends heartbeats to the configured initial peers, and fetches their configuration, until a
+    /// message of any peer arrives. With this a node can start while the platform is down.
     async fn contact_initial_peers(self: Rc<Self>) {
         let addresses = self.shared.settings.initial_peers.clone();
-        while !self.hears_peers() {
+        while !self.has_heard_peer() {
             for address in &addresses {
                 let heartbeat = {
                     let (now, state) = (self.now(), self.state());
@@ -107,14 +108,14 @@
                         upstreams: Vec::new(),
                     }
                 };
-                self.tell_peer(Some(*address), PeerMessage::Heartbeat((&heartbeat).into()));
+                self.send_to_peer(Some(*address), PeerMessage::Heartbeat((&heartbeat).into()));
                 self.fetch_config(*address);
             }
-            actix_rt::time::sleep(CONTACT_PERIOD).await;
+            actix_rt::time::sleep(INITIAL_CONTACT_PERIOD).await;
         }
     }
 
-    fn hears_peers(&self) -> bool {
+    fn has_heard_peer(&self) -> bool {
         let state = self.state();
         let table = &state.peers.table;
         table.iter().any(|(key, record)| key != table.own() && record.heard)
@@ -137,8 +138,8 @@
     fn peer_event(self: &Rc<Self>, event: PeerEvent) {
         let now = self.now();
         let actions = self.state().peers.table.handle(now, event);
-        // All receivers get the same changes. A change taken anew for each of them would reach only
-        // the first.
+        // All receivers get the same delta. `next_delta` returns each change once, so a call for
+        // each receiver would send it to the first only.
         let mut changes = None;
         for action in actions {
             match action {
@@ -191,7 +192,7 @@
             };
             (state.peers.address(to), heartbeat)
         };
-        self.tell_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
+        self.send_to_peer(address, PeerMessage::Heartbeat((&heartbeat).into()));
     }
 
     fn send_summary(self: &Rc<Self>, now: Moment, to: VmKey, liveness: LivenessMessage) {
@@ -209,41 +210,41 @@
             };
             (state.peers.address(to), summary)
         };
-        self.tell_peer(address, PeerMessage::Summary((&summary).into()));
+        self.send_to_peer(address, PeerMessage::Summary((&summary).into()));
     }
 
-    /// Sends changes that must not wait for the next heartbeat to all peers.
+    /// Sends load updates that cannot wait for the next heartbeat to all peers.
     fn send_urgent(self: &Rc<Self>, upstreams: &[LoadUpdate]) {
         let upstreams = upstreams.iter().map(WireUpstream::from).collect();
-        self.tell_all_peers(&PeerMessage::Upstreams(upstreams));
+        self.send_to_all_peers(&PeerMessage::Upstreams(upstreams));
     }
 
-    /// Counts a message that cannot be read.
+    /// Logs and counts a message that cannot be decoded.
     pub(crate) fn refuse_peer_message(&self, sender: &str, error: &str) -> PeerMessage {
         log_event!(warn, PeerMessageRefused, sender, error);
         self.state().peers.malformed += 1;
         PeerMessage::Missing
     }
 
-    /// Answers a message of a peer.
-    pub(crate) fn peer_message(self: &Rc<Self>, sender: &str, body: &[u8]) -> PeerMessage {
+    /// Handles a message of a peer and returns the response.
+    pub(crate) fn handle_peer_message(self: &Rc<Self>, sender: &str, body: &[u8]) -> PeerMessage {
         let message = match decode_message::<PeerMessage>(body) {
             Ok(message) => message,
             Err(error) => return self.refuse_peer_message(sender, &error.to_string()),
         };
         match message {
-            PeerMessage::Heartbeat(wire) => self.heartbeat(wire.into()),
-            PeerMessage::Summary(wire) => self.summary(wire.into()),
+            PeerMessage::Heartbeat(wire) => self.handle_heartbeat(wire.into()),
+            PeerMessage::Summary(wire) => self.handle_summary(wire.into()),
             PeerMessage::Upstreams(entries) => {
-                self.learn_entries(entries.into_iter().map(LoadUpdate::from));
+                self.merge_load_updates(entries.into_iter().map(LoadUpdate::from));
             }
             PeerMessage::ConfigFetch => return self.config_copy(),
             PeerMessage::BatchHold(hold) => return self.hold_batch(hold),
             PeerMessage::LimitAsk(requests) => return self.grant_limits(requests),
             PeerMessage::Suspicions { notes, verdicts, reserved, released } => {
-                self.hear_suspicions(notes, verdicts, &reserved, &released);
+                self.receive_suspicions(notes, verdicts, &reserved, &released);
             }
-            PeerMessage::SampleCopy(copy) => return self.hold_sample(copy),
+            PeerMessage::SampleCopy(copy) => return self.store_sample_copy(copy),
             PeerMessage::SampleFetch(sample) => return self.sample_copy(sample.into()),
             PeerMessage::ConfigCopy(_)
             | PeerMessage::LimitGrant(_)
@@ -253,19 +254,21 @@
         PeerMessage::Done(self.shared.incarnation.0)
     }
 
-    fn heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) {
+    fn handle_heartbeat(self: &Rc<Self>, heartbeat: Heartbeat) {
         let now = self.now();
         self.state().config.note_peer_contact(now, heartbeat.contact_age);
-        self.heard(heartbeat.liveness, heartbeat.config_version, heartbeat.upstreams);
+        self.handle_liveness(heartbeat.liveness, heartbeat.config_version, heartbeat.upstreams);
     }
 
-    fn summary(self: &Rc<Self>, summary: ZoneSummary) {
+    fn handle_summary(self: &Rc<Self>, summary: ZoneSummary) {
         let now = self.now();
         self.state().config.note_contact(now);
-        self.heard(summary.liveness, summary.config_version, summary.upstreams);
+        self.handle_liveness(summary.liveness, summary.config_version, summary.upstreams);
     }
 
-    fn heard(
+    /// Handles the common part of heartbeats and zone summaries, and fetches the sender's
+    /// configuration when its version is newer.
+    fn handle_liveness(
         self: &Rc<Self>,
         liveness: LivenessMessage,
         config_version: u64,
@@ -273,14 +276,14 @@
     ) {
         let address = liveness.from.address.parse::<SocketAddr>().ok();
         self.peer_event(PeerEvent::MessageReceived(liveness));
-        self.learn_entries(upstreams);
+        self.merge_load_updates(upstreams);
         let behind = config_version > self.state().config.version().0;
         if let Some(address) = address.filter(|_| behind) {
             self.fetch_config(address);
         }
     }
 
-    fn learn_entries(self: &Rc<Self>, entries: impl IntoIterator<Item = LoadUpdate>) {
+    fn merge_load_updates(self: &Rc<Self>, entries: impl IntoIterator<Item = LoadUpdate>) {
         let now = self.now();
         for entry in entries {
             let name = entry.upstream.clone();
@@ -290,15 +293,16 @@
         }
     }
 
-    /// Fetches the documents of a peer that has a higher version.
+    /// Fetches the documents of a peer in the background and adopts them. Does nothing while
+    /// another fetch is in flight.
     fn fetch_config(self: &Rc<Self>, address: SocketAddr) {
-        if std::mem::replace(&mut self.state().peers.fetching, true) {
+        if std::mem::replace(&mut self.state().peers.fetching_config, true) {
             return;
         }
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let answer = control.ask_peer(address, &PeerMessage::ConfigFetch).await;
-            control.state().peers.fetching = false;
+            let answer = control.call_peer(address, &PeerMessage::ConfigFetch).await;
+            control.state().peers.fetching_config = false;
             let Some(PeerMessage::ConfigCopy(copy)) = answer else { return };
             let snapshot = copy.snapshot.map(ConfigSnapshot::from);
             control.adopt_config(snapshot.as_ref(), &ConfigSnapshot::from(copy.in_force));
@@ -313,23 +317,25 @@
         })
     }
 
-    pub(crate) fn tell_all_peers(self: &Rc<Self>, message: &PeerMessage) {
+    pub(crate) fn send_to_all_peers(self: &Rc<Self>, message: &PeerMessage) {
         let addresses = self.state().peers.live_addresses();
         for address in addresses {
-            self.tell_peer(Some(address), message.clone());
+            self.send_to_peer(Some(address), message.clone());
         }
     }
 
-    fn tell_peer(self: &Rc<Self>, address: Option<SocketAddr>, message: PeerMessage) {
+    /// Sends a message in the background and ignores the response. Does nothing without an address.
+    fn send_to_peer(self: &Rc<Self>, address: Option<SocketAddr>, message: PeerMessage) {
         let Some(address) = address else { return };
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            control.ask_peer(address, &message).await;
+            control.call_peer(address, &message).await;
         });
     }
 
-    /// Sends a message and returns the answer, or `None` when none came.
-    pub(crate) async fn ask_peer(
+    /// Sends a message to a peer and returns its response, or `None` after a timeout, an HTTP error
+    /// or a response that cannot be decoded.
+    pub(crate) async fn call_peer(
         &self,
         address: SocketAddr,
         message: &PeerMessage,
--- a/crates/hibiscushinged/src/control/sample_store.rs
+++ b/crates/hibiscushinged/src/control/sample_store.rs
@@ -1,68 +1,72 @@
-//! Bytes of samples that this node holds, its own and copies for other nodes.
+//! Texts of the samples that this node holds: its own, and copies for other nodes.
 
 use std::collections::HashMap;
 
 use base::{Moment, RecordId, Span};
 use rollout::{DeliveryNumber, SlotKey, TrainerId};
 
-/// How long bytes are kept whose fill record was not read. The node that made them may have died
-/// before its append; a slower append only costs a fetch from the other holder.
-const ORPHAN_AFTER: Span = Span::from_secs(120);
+/// Time after which a sample without a fill record is dropped. Its node may have died before the
+/// append. If the append is merely slower, the sample is fetched from its other holder.
+const ORPHAN_TIMEOUT: Span = Span::from_secs(120);
 
-/// Bytes of samples, bounded by the setting `bounds.sample_bytes`.
+/// Store of sample texts, limited to `bounds.sample_bytes` of the settings.
 ///
-/// Acknowledged bytes stay while there is room, because a trainer that returns to a checkpoint
-/// fetches the same numbers again.
+/// Acknowledged samples stay until their space is needed, because a trainer that goes back to a
+/// checkpoint fetches the same numbers again.
 pub(crate) struct SampleStore {
-    held: HashMap<RecordId, HeldSample>,
+    samples: HashMap<RecordId, StoredSample>,
     bytes: usize,
-    bound: usize,
+    max_bytes: usize,
 }
 
-struct HeldSample {
+struct StoredSample {
     text: String,
-    since: Moment,
+    inserted_at: Moment,
     slot: Option<SlotKey>,
     number: Option<DeliveryNumber>,
     acknowledged: bool,
 }
 
-/// Whether bytes were taken.
+/// Whether the store took a sample. `Full` means that evicting all acknowledged samples would not
+/// make enough space.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StoreOutcome {
-    Kept,
+    Stored,
     Full,
 }
 
 impl SampleStore {
-    pub(crate) fn new(bound: usize) -> Self {
-        Self { held: HashMap::new(), bytes: 0, bound }
+    pub(crate) fn new(max_bytes: usize) -> Self {
+        Self { samples: HashMap::new(), bytes: 0, max_bytes }
     }
 
     pub(crate) fn insert(&mut self, now: Moment, sample: RecordId, text: String) -> StoreOutcome {
-        if self.held.contains_key(&sample) {
-            return StoreOutcome::Kept;
+        if self.samples.contains_key(&sample) {
+            return StoreOutcome::Stored;
         }
         if !self.make_room(text.len()) {
             return StoreOutcome::Full;
         }
         self.bytes += text.len();
-        let held = HeldSample { text, since: now, slot: None, number: None, acknowledged: false };
-        self.held.insert(sample, held);
-        StoreOutcome::Kept
+        let stored =
+            StoredSample { text, inserted_at: now, slot: None, number: None, acknowledged: false };
+        self.samples.insert(sample, stored);
+        StoreOutcome::Stored
     }
 
-    /// Drops acknowledged bytes, the oldest first, until `wanted` more fit.
-    pub(crate) fn make_room(&mut self, wanted: usize) -> bool {
-        if self.bytes + wanted <= self.bound {
+    /// Evicts acknowledged samples, the oldest first, until `needed` more bytes fit. Returns
+    /// whether they fit.
+    pub(crate) fn make_room(&mut self, needed: usize) -> bool {
+        if self.bytes + needed <= self.max_bytes {
             return true;
         }
-        let done = self.held.iter().filter(|(_, held)| held.acknowledged);
-        let mut done = done.map(|(&sample, held)| (held.since, sample)).collect::<Vec<_>>();
-        done.sort_unstable();
-        for (_, sample) in done {
+        let evictable = self.samples.iter().filter(|(_, stored)| stored.acknowledged);
+        let mut evictable =
+            evictable.map(|(&sample, stored)| (stored.inserted_at, sample)).collect::<Vec<_>>();
+        evictable.sort_unstable();
+        for (_, sample) in evictable {
             self.remove(sample);
-            if self.bytes + wanted <= self.bound {
+            if self.bytes + needed <= self.max_bytes {
                 return true;
             }
         }
@@ -70,54 +74,59 @@
     }
 
     pub(crate) fn get(&self, sample: RecordId) -> Option<&str> {
-        self.held.get(&sample).map(|held| held.text.as_str())
+        self.samples.get(&sample).map(|stored| stored.text.as_str())
     }
 
     pub(crate) fn remove(&mut self, sample: RecordId) {
-        if let Some(held) = self.held.remove(&sample) {
-            self.bytes -= held.text.len();
+        if let Some(stored) = self.samples.remove(&sample) {
+            self.bytes -= stored.text.len();
         }
     }
 
-    pub(crate) fn filled(&mut self, sample: RecordId, slot: SlotKey) {
-        if let Some(held) = self.held.get_mut(&sample) {
-            held.slot = Some(slot);
+    /// Sets the slot of a sample whose fill record was read.
+    pub(crate) fn set_slot(&mut self, sample: RecordId, slot: SlotKey) {
+        if let Some(stored) = self.samples.get_mut(&sample) {
+            stored.slot = Some(slot);
         }
     }
 
-    pub(crate) fn bound(&mut self, sample: RecordId, number: DeliveryNumber) {
-        if let Some(held) = self.held.get_mut(&sample) {
-            held.number = Some(number);
+    /// Sets the delivery number of a sample that was bound.
+    pub(crate) fn set_number(&mut self, sample: RecordId, number: DeliveryNumber) {
+        if let Some(stored) = self.samples.get_mut(&sample) {
+            stored.number = Some(number);
         }
     }
 
-    /// Notes which samples the trainer has. A trainer may go back to a lower number.
-    pub(crate) fn acknowledged(&mut self, trainer: TrainerId, until: DeliveryNumber) {
-        for held in self.held.values_mut() {
-            if held.slot.is_some_and(|slot| slot.trainer == trainer) {
-                held.acknowledged = held.number.is_some_and(|number| number <= until);
+    /// Marks which samples the trainer has acknowledged: those up to the number `until`. It may be
+    /// lower than before, when the trainer goes back to a checkpoint.
+    pub(crate) fn mark_acknowledged(&mut self, trainer: TrainerId, until: DeliveryNumber) {
+        for stored in self.samples.values_mut() {
+            if stored.slot.is_some_and(|slot| slot.trainer == trainer) {
+                stored.acknowledged = stored.number.is_some_and(|number| number <= until);
             }
         }
     }
 
-    pub(crate) fn retired(&mut self, trainer: TrainerId, step: u64) {
+    /// Removes the samples of a retired step.
+    pub(crate) fn remove_step(&mut self, trainer: TrainerId, step: u64) {
         let of_step = |slot: SlotKey| slot.trainer == trainer && slot.step == step;
-        self.held.retain(|_, held| !held.slot.is_some_and(of_step));
+        self.samples.retain(|_, stored| !stored.slot.is_some_and(of_step));
         self.recount();
     }
 
-    /// Drops bytes whose fill record did not come.
+    /// Removes samples whose fill record was not read within [`ORPHAN_TIMEOUT`].
     pub(crate) fn drop_orphans(&mut self, now: Moment) {
-        let old = |held: &HeldSample| now.since(held.since) > ORPHAN_AFTER;
-        self.held.retain(|_, held| held.slot.is_some() || !old(held));
+        let old = |stored: &StoredSample| now.since(stored.inserted_at) > ORPHAN_TIMEOUT;
+        self.samples.retain(|_, stored| stored.slot.is_some() || !old(stored));
         self.recount();
     }
 
-    pub(crate) fn figures(&self) -> (usize, usize) {
-        (self.held.len(), self.bytes)
+    /// Returns the number of samples and their bytes.
+    pub(crate) fn totals(&self) -> (usize, usize) {
+        (self.samples.len(), self.bytes)
     }
 
     fn recount(&mut self) {
-        self.bytes = self.held.values().map(|held| held.text.len()).sum();
+        self.bytes = self.samples.values().map(|stored| stored.text.len()).sum();
     }
 }
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -1,9 +1,10 @@
-//! The stream `samples`: the book of sample slots, binding of delivery numbers and voiding.
+//! The stream `samples`: applies its records to the sample table, and appends the records that bind
+//! samples to delivery numbers and void lost ones.
 //!
-//! Samples belong to no customer, so their tokens are not metered to any.
+//! Samples belong to no customer, so their tokens are not metered.
 //!
-//! A node that starts after retention dropped the first records knows a trainer once it has read a
-//! snapshot of it.
+//! A node that starts after retention has dropped the first records knows a trainer only once it
+//! has read its snapshot.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -34,36 +35,37 @@
     telemetry::log_event,
 };
 
-/// Time between two looks for samples to bind.
-const CARE_PERIOD: Span = Span::from_millis(100);
+/// Time between two scans for samples to score and bind, and for due snapshots.
+const BIND_PERIOD: Span = Span::from_millis(100);
 
-/// Time between two looks at the holders of all samples.
-const AUDIT_PERIOD: Span = Span::from_secs(1);
+/// Time between two checks of the holders of all samples.
+const HOLDER_CHECK_PERIOD: Span = Span::from_secs(1);
 
 /// Wait before a record that was not read back is appended again.
-const RETRY: Span = Span::from_secs(5);
+const RETRY_DELAY: Span = Span::from_secs(5);
 
-/// Scoring calls that this node has in progress.
-const MAX_SCORING: usize = 16;
+/// Most scoring calls that this node has in flight.
+const MAX_SCORING_CALLS: usize = 16;
 
-/// Uptime after which a holder that this node has not heard of counts as gone. A peer is heard
-/// within a few heartbeats, and within 10 s it is gone.
-const HEARD_ALL_AFTER: Span = Span::from_secs(20);
+/// Time after the start of reading the stream from which an unknown holder counts as gone. A live
+/// peer is discovered within a few heartbeats, and a failed one is declared gone within 10 s.
+const PEER_DISCOVERY_TIME: Span = Span::from_secs(20);
 
-/// Samples as this node knows them.
+/// Sample state of this node.
 pub(crate) struct SampleDriver {
     pub(crate) table: SampleTable,
-    pub(crate) opened: BTreeMap<(TrainerId, u64), StepPrompts>,
+    pub(crate) step_prompts: BTreeMap<(TrainerId, u64), StepPrompts>,
     pub(crate) store: SampleStore,
     pub(crate) waiters: StatementWaiters,
     pub(crate) generation: GenerationDriver,
     pub(crate) scores: ScoreQueue,
-    /// Bound and voided records that were appended and not read back.
-    appended: HashMap<RecordId, Moment>,
+    /// Samples with a bound or voided record that was appended and not read back, with the append
+    /// time.
+    pending_appends: HashMap<RecordId, Moment>,
     pub(crate) snapshots: SnapshotTracker,
-    started: Option<Moment>,
-    next_care: Moment,
-    next_audit: Moment,
+    following_since: Option<Moment>,
+    next_bind: Moment,
+    next_holder_check: Moment,
     caught_up: bool,
 }
 
@@ -75,22 +77,22 @@
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
         Self {
             table: SampleTable::default(),
-            opened: BTreeMap::new(),
+            step_prompts: BTreeMap::new(),
             store: SampleStore::new(settings.bounds.sample_bytes as usize),
             waiters: StatementWaiters::default(),
             generation: GenerationDriver::new(),
             scores: ScoreQueue::default(),
-            appended: HashMap::new(),
+            pending_appends: HashMap::new(),
             snapshots: SnapshotTracker::default(),
-            started: None,
-            next_care: Moment(0),
-            next_audit: Moment(0),
+            following_since: None,
+            next_bind: Moment(0),
+            next_holder_check: Moment(0),
             caught_up: false,
         }
     }
 
-    /// Returns the name of a slot in logs and for `explain`.
-    pub(crate) fn slot_text(&self, slot: SlotKey) -> String {
+    /// Returns the name of a slot for logs and `explain`: `trainer/step/group/index`.
+    pub(crate) fn slot_name(&self, slot: SlotKey) -> String {
         let mut trainers = self.table.trainers();
         let name = trainers.find(|(id, _)| *id == slot.trainer).map_or("", |(_, name)| name);
         format!("{name}/{}/{}/{}", slot.step, slot.group, slot.index)
@@ -107,7 +109,7 @@
                 "acknowledged": self.table.acknowledged(id).0,
             })
         });
-        let (held, held_bytes) = self.store.figures();
+        let (held, held_bytes) = self.store.totals();
         let (useful, extra) = self.generation.stragglers.tokens();
         json!({
             "trainers": trainers.collect::<Vec<_>>(),
@@ -119,12 +121,13 @@
         })
     }
 
-    /// Tells whether a record of the sample may be appended, and notes that it is.
-    fn is_due(&mut self, now: Moment, sample: RecordId) -> bool {
-        if self.appended.contains_key(&sample) {
+    /// Returns whether a record of the sample may be appended, and marks the append as pending if
+    /// so.
+    fn begin_append(&mut self, now: Moment, sample: RecordId) -> bool {
+        if self.pending_appends.contains_key(&sample) {
             return false;
         }
-        self.appended.insert(sample, now);
+        self.pending_appends.insert(sample, now);
         true
     }
 }
@@ -132,33 +135,34 @@
 impl Control {
     fn on_samples(self: &Rc<Self>, event: StreamEvent<SampleEntry>) -> NextRead {
         match event {
-            StreamEvent::ReadingFrom(offset) => self.samples_from(offset),
+            StreamEvent::ReadingFrom(offset) => self.restart_samples_at(offset),
             StreamEvent::Retained(offset) => {
-                // Records that follow on the same page are applied before anything else runs.
+                // Records of the same page are applied before any other task of this thread runs,
+                // so the state is caught up by then.
                 let now = self.now();
                 let mut state = self.state();
-                state.samples.started.get_or_insert(now);
+                state.samples.following_since.get_or_insert(now);
                 state.samples.caught_up = true;
-                state.samples.snapshots.retained(offset);
+                state.samples.snapshots.set_first_retained(offset);
             }
             StreamEvent::Record { offset, id, record, catching_up } => {
                 {
                     let mut state = self.state();
                     state.samples.caught_up = !catching_up;
-                    state.samples.snapshots.read(offset);
+                    state.samples.snapshots.record_read(offset);
                 }
                 match record {
                     SampleEntry::Record { record, step_prompts } => {
-                        self.sample_record(offset, id, &record, step_prompts);
+                        self.handle_sample_record(offset, id, &record, step_prompts);
                     }
-                    SampleEntry::Snapshot(snapshot) => self.adopt_trainer(offset, *snapshot),
+                    SampleEntry::Snapshot(snapshot) => self.restore_trainer(offset, *snapshot),
                 }
             }
         }
-        NextRead::Onwards
+        NextRead::Continue
     }
 
-    fn sample_record(
+    fn handle_sample_record(
         self: &Rc<Self>,
         offset: LogOffset,
         id: RecordId,
@@ -173,61 +177,66 @@
                 if let Some(shape) = stated.opened.filter(|_| actions.is_empty())
                     && let Some(opened) = opened.take()
                 {
-                    // The trainer is not known yet, and a snapshot may show that the step is open.
-                    samples.opened.insert((stated.trainer, shape.step), opened);
+                    // The trainer is unknown so far. Keeps the prompts, because its snapshot may
+                    // show that the step is open.
+                    samples.step_prompts.insert((stated.trainer, shape.step), opened);
                 }
                 samples.generation.trainer_scheduler.set_weight(stated.trainer, 1);
-                let has = samples.table.acknowledged(stated.trainer);
-                samples.store.acknowledged(stated.trainer, has);
-                samples.waiters.read(id, &samples.table, &actions);
+                let acknowledged = samples.table.acknowledged(stated.trainer);
+                samples.store.mark_acknowledged(stated.trainer, acknowledged);
+                samples.waiters.resolve(id, &samples.table, &actions);
             }
         }
         for action in actions {
             match action {
                 SampleOutcome::StepOpened { trainer, step, slots } => {
-                    tracing::info!(trainer = trainer.0, step, slots, "a step was opened");
+                    tracing::info!(trainer = trainer.0, step, slots, "opened step");
                     let mut state = self.state();
                     state.samples.snapshots.step_opened(trainer);
-                    state.samples.generation.slots_opened();
+                    state.samples.generation.request_scan();
                     if let Some(opened) = opened.take() {
-                        state.samples.opened.insert((trainer, step), opened);
+                        state.samples.step_prompts.insert((trainer, step), opened);
                     }
                 }
                 SampleOutcome::Filled { slot, sample } => self.slot_filled(slot, sample, record),
                 SampleOutcome::FillRefused { slot, sample, reason } => {
-                    let name = self.state().samples.slot_text(slot);
-                    tracing::info!(slot = name, reason = ?reason, "a fill record lost");
+                    let name = self.state().samples.slot_name(slot);
+                    tracing::info!(
+                        slot = name,
+                        reason = ?reason,
+                        "fill record refused; its sample is dropped"
+                    );
                     self.state().samples.store.remove(sample);
                     if sample.writer == self.shared.incarnation {
                         self.end_slot(slot);
-                        self.state().samples.generation.slots_opened();
+                        self.state().samples.generation.request_scan();
                     }
                 }
                 SampleOutcome::Bound { sample, number, .. } => {
                     let mut state = self.state();
                     state.samples.scores.remove(sample);
-                    state.samples.appended.remove(&sample);
-                    state.samples.store.bound(sample, number);
+                    state.samples.pending_appends.remove(&sample);
+                    state.samples.store.set_number(sample, number);
                 }
                 SampleOutcome::Voided { slot, sample, number, reason } => {
-                    let name = self.state().samples.slot_text(slot);
+                    let name = self.state().samples.slot_name(slot);
                     let number = number.map(|number| number.0);
                     log_event!(warn, SampleVoided, slot = name, number, reason = ?reason);
                     let detail = format!("number {number:?}: {reason:?}");
                     self.trace(name, EventCode::SampleVoided, detail);
                     let mut state = self.state();
                     state.samples.scores.remove(sample);
-                    state.samples.appended.remove(&sample);
+                    state.samples.pending_appends.remove(&sample);
                     state.samples.store.remove(sample);
-                    state.samples.generation.slots_opened();
+                    state.samples.generation.request_scan();
                 }
                 SampleOutcome::StepRetired { trainer, step } => {
                     let mut state = self.state();
-                    state.samples.opened.remove(&(trainer, step));
-                    state.samples.store.retired(trainer, step);
+                    state.samples.step_prompts.remove(&(trainer, step));
+                    state.samples.store.remove_step(trainer, step);
                 }
                 SampleOutcome::StepCompleted { trainer, step } => {
-                    tracing::info!(trainer = trainer.0, step, "a step is complete");
+                    tracing::info!(trainer = trainer.0, step, "completed step");
                 }
                 SampleOutcome::StepRefused { .. }
                 | SampleOutcome::DeliveriesReady { .. }
@@ -238,7 +247,7 @@
 
     fn slot_filled(self: &Rc<Self>, slot: SlotKey, sample: RecordId, record: &SampleRecord) {
         let SampleRecord::Filled(filled) = record else { return };
-        let name = self.state().samples.slot_text(slot);
+        let name = self.state().samples.slot_name(slot);
         log_event!(
             SampleFilled,
             slot = name,
@@ -251,8 +260,9 @@
         {
             let mut state = self.state();
             match filled.holders.contains(&self.shared.incarnation) {
-                true => state.samples.store.filled(sample, slot),
-                // A copy whose answer was lost is not in the record, so nobody asks for it.
+                true => state.samples.store.set_slot(sample, slot),
+                // The record does not name this node as a holder, because its response to the copy
+                // was lost, so nobody fetches the copy.
                 false => state.samples.store.remove(sample),
             }
         }
@@ -270,17 +280,17 @@
         self.tick_weights(now);
         let owners = self.slot_owners();
         self.place_samples(now, &owners);
-        self.rerun_late(now);
-        if self.state().samples.next_care > now {
+        self.rerun_stragglers(now);
+        if self.state().samples.next_bind > now {
             return;
         }
-        self.state().samples.next_care = now + CARE_PERIOD;
+        self.state().samples.next_bind = now + BIND_PERIOD;
         self.bind_samples(now, &owners);
         self.append_trainer_snapshots(now);
-        if self.state().samples.next_audit > now {
+        if self.state().samples.next_holder_check > now {
             return;
         }
-        self.state().samples.next_audit = now + AUDIT_PERIOD;
+        self.state().samples.next_holder_check = now + HOLDER_CHECK_PERIOD;
         self.void_lost(now, &owners);
         self.state().samples.store.drop_orphans(now);
     }
@@ -290,19 +300,20 @@
         SlotOwners::of(&state.peers.table, |peer| peer != PeerState::Gone)
     }
 
-    /// Asks for scores and appends the records that ask for delivery numbers.
+    /// Queues the unbound samples of owned slots for scoring and starts the due scoring calls. Each
+    /// sample is bound to a delivery number once it has its score.
     fn bind_samples(self: &Rc<Self>, now: Moment, owners: &SlotOwners) {
         let actions = {
             let mut state = self.state();
             let samples = &mut state.samples;
-            samples.appended.retain(|_, at| now.since(*at) < RETRY);
+            samples.pending_appends.retain(|_, at| now.since(*at) < RETRY_DELAY);
             for filled in samples.table.unbound() {
-                let waits = samples.appended.contains_key(&filled.sample);
-                if owners.owns(filled.slot) && !waits {
+                let is_pending = samples.pending_appends.contains_key(&filled.sample);
+                if owners.owns(filled.slot) && !is_pending {
                     samples.scores.enqueue(now, filled.slot, filled.sample);
                 }
             }
-            samples.scores.poll(now, MAX_SCORING)
+            samples.scores.poll(now, MAX_SCORING_CALLS)
         };
         for action in actions {
             match action {
@@ -312,22 +323,25 @@
         }
     }
 
-    /// Takes a score and appends the record that binds the sample to a number.
+    /// Handles a sample's score, or `None` if its trainer has no scorer: appends the record that
+    /// binds the sample to a delivery number.
     pub(crate) fn sample_scored(self: &Rc<Self>, sample: RecordId, score: Option<rollout::Score>) {
         let now = self.now();
         let action = self.state().samples.scores.scored(sample, score);
         let Some(ScoreAction::Bind(bound)) = action else { return };
-        self.state().samples.appended.insert(sample, now);
+        self.state().samples.pending_appends.insert(sample, now);
         self.append_sample(SampleRecord::Bound(bound));
     }
 
-    /// Voids samples whose holders are all gone.
+    /// Appends void records for the samples whose holders are all gone. Does nothing until the
+    /// peers are discovered.
     fn void_lost(self: &Rc<Self>, now: Moment, owners: &SlotOwners) {
         let lost = {
             let mut state = self.state();
             let state = &mut *state;
-            let settled = state.samples.started.is_some_and(|at| now.since(at) > HEARD_ALL_AFTER);
-            if !settled {
+            let has_discovered_peers =
+                state.samples.following_since.is_some_and(|at| now.since(at) > PEER_DISCOVERY_TIME);
+            if !has_discovered_peers {
                 return;
             }
             let present = state.peers.table.iter();
@@ -336,7 +350,7 @@
             let is_gone = |holder: Incarnation| !present.contains(&holder);
             let mut lost = state.samples.table.lost_samples(is_gone);
             lost.retain(|voided| {
-                owners.owns(voided.slot) && state.samples.is_due(now, voided.sample)
+                owners.owns(voided.slot) && state.samples.begin_append(now, voided.sample)
             });
             lost
         };
@@ -345,10 +359,10 @@
         }
     }
 
-    /// Voids a sample that its holders no longer have.
-    pub(crate) fn void_missing(self: &Rc<Self>, filled: &SampleFilled) {
+    /// Appends a void record for a sample that its holders no longer have.
+    pub(crate) fn void_unavailable(self: &Rc<Self>, filled: &SampleFilled) {
         let now = self.now();
-        if !self.state().samples.is_due(now, filled.sample) {
+        if !self.state().samples.begin_append(now, filled.sample) {
             return;
         }
         let (slot, sample) = (filled.slot, filled.sample);
@@ -356,22 +370,23 @@
         self.append_sample(SampleRecord::Voided(voided));
     }
 
-    /// Appends a record that is repeated until it is read back.
+    /// Appends a record. The caller's next scan repeats it when it is not read back in time.
     fn append_sample(self: &Rc<Self>, record: SampleRecord) {
-        // A full buffer is reported by `append`, and the record is made again after a while.
+        // A full buffer is logged by `append`, and the record is appended again after
+        // `RETRY_DELAY`.
         let _ = self.append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: None });
     }
 
-    /// Holds the bytes of another node's sample.
-    pub(crate) fn hold_sample(&self, copy: WireSampleCopy) -> PeerMessage {
+    /// Stores a copy of another node's sample. Responds with `Missing` when the store is full.
+    pub(crate) fn store_sample_copy(&self, copy: WireSampleCopy) -> PeerMessage {
         let now = self.now();
         match self.state().samples.store.insert(now, copy.sample.into(), copy.text) {
-            StoreOutcome::Kept => PeerMessage::Done(self.shared.incarnation.0),
+            StoreOutcome::Stored => PeerMessage::Done(self.shared.incarnation.0),
             StoreOutcome::Full => PeerMessage::Missing,
         }
     }
 
-    /// Answers with the bytes of a sample.
+    /// Returns a sample for a peer, or `Missing` if this node does not hold it.
     pub(crate) fn sample_copy(&self, sample: RecordId) -> PeerMessage {
         let state = self.state();
         match state.samples.store.get(sample) {
@@ -383,7 +398,7 @@
         }
     }
 
-    /// Returns the document's entry of a trainer.
+    /// Returns the trainer's entry in the document in force.
     pub(crate) fn trainer_entry(&self, trainer: TrainerId) -> Option<TrainerEntry> {
         let state = self.state();
         let document = state.config.document.as_ref()?;
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -1,4 +1,4 @@
-//! Servers for peers and operators, on the control thread.
+//! HTTP servers for peers and operators, on the control thread.
 
 use std::{convert::Infallible, future::Future, net::TcpListener, rc::Rc};
 
@@ -34,14 +34,14 @@
     .await;
 }
 
-/// Accepts connections on the current thread for good.
+/// Serves connections on the current thread until the process ends.
 async fn serve<F, A>(listener: TcpListener, handler: F)
 where
     F: Fn(Request) -> A + Clone + 'static,
     A: Future<Output = Response<BoxBody>> + 'static,
 {
-    let listener =
-        tokio::net::TcpListener::from_std(listener).expect("the listener was made non-blocking");
+    let listener = tokio::net::TcpListener::from_std(listener)
+        .expect("a non-blocking listener on a thread with a tokio runtime is accepted");
     let factory = HttpService::build()
         .finish(move |request| {
             let response = handler(request);
@@ -61,12 +61,12 @@
     let message = match request::read_body(&mut request, MAX_MESSAGE_BYTES).await {
         Ok(body) => {
             control.transfer.peers_served.count_exchange(0, head + body.len());
-            control.peer_message(&sender, &body)
+            control.handle_peer_message(&sender, &body)
         }
         Err(refusal) => control.refuse_peer_message(&sender, &refusal.message),
     };
     let body = Bytes::from(encode_message(&message));
-    control.transfer.peers_served.count_bytes(transfer::answer_bytes(body.len()), 0);
+    control.transfer.peers_served.count_bytes(transfer::response_bytes(body.len()), 0);
     response::with_body(StatusCode::OK, "application/msgpack", body)
 }
 
@@ -88,7 +88,7 @@
     response::json(StatusCode::OK, &control.admin(admin_request))
 }
 
-/// Tells the balancer whether to send new requests here.
+/// Responds to the load balancer's readiness check: 200 while the node is serving, 503 otherwise.
 fn ready(control: &Rc<Control>) -> Response<BoxBody> {
     let (status, phase) = match control.shared.phase() {
         NodePhase::Serving => (StatusCode::OK, "serving"),
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -1,4 +1,4 @@
-//! Spread of suspicions and convictions, and detection of crashed upstreams.
+//! Exchange of suspicions and convictions with other nodes, and detection of crashed upstreams.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
         if let StreamEvent::Record { record, .. } = event {
             control.handle_suspect_event(SuspectEvent::ConvictionReceived(record));
         }
-        NextRead::Onwards
+        NextRead::Continue
     });
 }
 
@@ -32,16 +32,17 @@
     pub(crate) fn handle_suspect_event(self: &Rc<Self>, event: SuspectEvent) {
         let now = self.now();
         let actions = self.shared.scheduler().handle_suspect_event(now, wall_now(), event);
-        self.spread(actions);
+        self.perform_suspect_actions(actions);
     }
 
-    /// Finds out whether an upstream whose exchange broke off has crashed.
+    /// Probes an upstream whose exchange failed. If it does not respond, it is marked down and the
+    /// request becomes a suspect; otherwise the exchange counts as finished.
     pub(crate) async fn check_crash(
         self: &Rc<Self>,
         upstream: UpstreamKey,
         fingerprint: Fingerprint,
     ) {
-        if self.answers(upstream).await {
+        if self.responds(upstream).await {
             self.handle_suspect_event(SuspectEvent::Finished { upstream, fingerprint });
             return;
         }
@@ -51,8 +52,9 @@
         self.handle_suspect_event(SuspectEvent::Crashed(upstream));
     }
 
-    /// Tells whether an upstream takes connections and answers.
-    async fn answers(&self, upstream: UpstreamKey) -> bool {
+    /// Returns whether an upstream responds: an engine to a load report, a plain service to
+    /// `/health`.
+    async fn responds(&self, upstream: UpstreamKey) -> bool {
         let view = self.shared.view.load_full();
         let Some(target) = view.upstreams.get(upstream) else { return false };
         let is_model = {
@@ -69,14 +71,15 @@
         self.http.exchange(probe, timeout, 1 << 16).await.is_ok()
     }
 
-    /// Makes convictions known through the log and everything else through peers.
-    pub(crate) fn spread(self: &Rc<Self>, actions: Vec<SuspectAction>) {
-        let (mut notes, mut verdicts) = (Vec::new(), Vec::new());
+    /// Performs the actions of the suspect table: convictions are appended to the log and
+    /// broadcast, suspicions and isolation notices are broadcast only.
+    pub(crate) fn perform_suspect_actions(self: &Rc<Self>, actions: Vec<SuspectAction>) {
+        let (mut suspicions, mut convictions) = (Vec::new(), Vec::new());
         let (mut reserved, mut released) = (Vec::new(), Vec::new());
         for action in actions {
             match action {
                 SuspectAction::BroadcastSuspicion(suspicion) => {
-                    notes.push(self.wire_suspicion(&suspicion));
+                    suspicions.push(self.wire_suspicion(&suspicion));
                 }
                 SuspectAction::Convict(conviction) => {
                     log_event!(
@@ -85,8 +88,9 @@
                         fingerprint = ?conviction.fingerprint,
                         expires_at_ms = conviction.expires_at.0
                     );
-                    verdicts.push(WireConviction::from(&conviction));
-                    // Peers hear it as well, so an unreachable log only delays distant zones.
+                    convictions.push(WireConviction::from(&conviction));
+                    // The result is ignored: all live peers get the conviction too, so the log
+                    // serves only nodes that are not reached or start later.
                     let _ = self.append(CONVICTION_STREAM, &conviction);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
@@ -94,29 +98,34 @@
                 SuspectAction::RunIsolated { .. } | SuspectAction::Refuse { .. } => {}
             }
         }
-        let counts = [notes.len(), verdicts.len(), reserved.len(), released.len()];
+        let counts = [suspicions.len(), convictions.len(), reserved.len(), released.len()];
         if counts.iter().all(|count| *count == 0) {
             return;
         }
-        self.tell_all_peers(&PeerMessage::Suspicions { notes, verdicts, reserved, released });
+        self.send_to_all_peers(&PeerMessage::Suspicions {
+            notes: suspicions,
+            verdicts: convictions,
+            reserved,
+            released,
+        });
     }
 
-    /// Takes in what a peer spreads.
-    pub(crate) fn hear_suspicions(
+    /// Handles a broadcast of a peer. Upstreams that this node does not know are skipped.
+    pub(crate) fn receive_suspicions(
         self: &Rc<Self>,
-        notes: Vec<WireSuspicion>,
-        verdicts: Vec<WireConviction>,
+        suspicions: Vec<WireSuspicion>,
+        convictions: Vec<WireConviction>,
         reserved: &[WireIsolation],
         released: &[WireIsolation],
     ) {
         let view = self.shared.view.load_full();
-        for suspicion in notes {
+        for suspicion in suspicions {
             let (fingerprint, expires_at) = suspicion.fingerprint_and_expiry();
             let crashed = suspicion.crashed.iter().filter_map(|name| view.upstream_key(name));
             let suspicion = Suspicion { fingerprint, crashed: crashed.collect(), expires_at };
             self.handle_suspect_event(SuspectEvent::SuspicionReceived(suspicion));
         }
-        for conviction in verdicts {
+        for conviction in convictions {
             self.handle_suspect_event(SuspectEvent::ConvictionReceived(conviction.into()));
         }
         let notice = |wire: &WireIsolation| {
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -1,4 +1,5 @@
-//! Answers to trainers: statements, read back from the stream `samples`, and deliveries.
+//! Requests of trainers. Each request is appended to the stream `samples` as a statement and
+//! answered once the statement is read back. Fetched samples are then delivered in the response.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -21,55 +22,56 @@
     telemetry::log_event,
 };
 
-/// Longest wait of a fetch for samples. It stays below the time after which balancers cut a silent
-/// connection.
-const FETCH_WAIT: Span = Span::from_secs(5);
+/// Longest wait of a fetch for samples. It must stay below the idle timeout of load balancers.
+const FETCH_TIMEOUT: Span = Span::from_secs(5);
 
-/// How often a waiting fetch looks for samples.
-const FETCH_POLL: Duration = Duration::from_millis(25);
+/// Time between two checks of a waiting fetch for samples.
+const FETCH_POLL_PERIOD: Duration = Duration::from_millis(25);
 
-/// Longest wait for a statement to be read back. An append takes a few round trips.
-const STATEMENT_WAIT: Span = Span::from_secs(10);
+/// Longest wait for a statement to be read back from the log, which normally takes a few round
+/// trips.
+const STATEMENT_TIMEOUT: Span = Span::from_secs(10);
 
-/// How often a refused statement is stated again. A node that reads the log late needs one more
-/// attempt, and two nodes that serve one trainer at the same moment need a few.
-const MAX_RESTATES: u32 = 4;
+/// Most retries of a refused statement. One is enough for a node whose reader lags behind the log;
+/// two nodes that serve the same trainer at the same time need a few.
+const MAX_STATEMENT_RETRIES: u32 = 4;
 
-/// When a trainer without samples may ask again.
-const ASK_AGAIN: Span = Span::from_millis(500);
+/// Retry-After for a trainer that got no samples or whose statement lost to another one.
+const RETRY_AFTER: Span = Span::from_millis(500);
 
-/// Statements of this node that were not read back yet.
+/// Requests that wait until their statement is read back, by the statement's record id.
 #[derive(Debug, Default)]
 pub(crate) struct StatementWaiters {
-    waiting: HashMap<RecordId, oneshot::Sender<StatementEnd>>,
+    waiting: HashMap<RecordId, oneshot::Sender<StatementOutcome>>,
 }
 
-/// What became of a statement.
+/// Result of a statement.
 #[derive(Debug)]
-pub(crate) enum StatementEnd {
-    /// It is valid, and this answers it.
-    Offered { statement: u64, deliveries: Vec<Delivery>, step: StepOutcome },
-    /// Another statement came first.
+pub(crate) enum StatementOutcome {
+    /// It took effect. `deliveries` are the samples that answer it.
+    Accepted { statement: u64, deliveries: Vec<Delivery>, step: StepOutcome },
+    /// It had no effect, because another statement of the trainer came first.
     Refused,
 }
 
-/// What became of the step of a statement.
+/// Result of the step that a statement opens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StepOutcome {
-    /// It is open, or the statement opens none.
-    Taken,
+    /// The step is open, or the statement opens none.
+    Accepted,
     Refused,
 }
 
-/// Why the bytes of a sample cannot be had.
+/// Why the text of a sample is not available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum BytesMissing {
-    /// A holder did not answer.
-    Now,
-    /// All holders answered that they do not have them.
-    ForGood,
+pub(crate) enum SampleUnavailable {
+    /// A holder is not known or did not respond, so a later fetch may succeed.
+    Temporarily,
+    /// All holders responded that they do not have it, so the sample is lost.
+    Permanently,
 }
 
+/// Content of a trainer's request that is appended as a statement.
 struct Statement<'a> {
     entry: &'a TrainerEntry,
     version: u64,
@@ -78,31 +80,33 @@
 }
 
 impl StatementWaiters {
-    /// Answers the request that waits for a record.
-    pub(crate) fn read(&mut self, id: RecordId, table: &SampleTable, actions: &[SampleOutcome]) {
+    /// Gives the request that waits for a record its result, after the record was applied to the
+    /// table.
+    pub(crate) fn resolve(&mut self, id: RecordId, table: &SampleTable, actions: &[SampleOutcome]) {
         let Some(waiter) = self.waiting.remove(&id) else { return };
         let refused =
             actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
-        let step = if refused { StepOutcome::Refused } else { StepOutcome::Taken };
-        let offered = actions.iter().find_map(|action| match action {
+        let step = if refused { StepOutcome::Refused } else { StepOutcome::Accepted };
+        let accepted = actions.iter().find_map(|action| match action {
             SampleOutcome::DeliveriesReady { trainer, range } => Some((*trainer, range.statement)),
             _ => None,
         });
-        let end = offered.and_then(|(trainer, statement)| {
+        let end = accepted.and_then(|(trainer, statement)| {
             let deliveries = table.deliveries(trainer, statement)?;
-            Some(StatementEnd::Offered { statement, deliveries, step })
+            Some(StatementOutcome::Accepted { statement, deliveries, step })
         });
-        // A request that was given up has dropped its end.
-        let _ = waiter.send(end.unwrap_or(StatementEnd::Refused));
+        // Fails if the request timed out or was cancelled.
+        let _ = waiter.send(end.unwrap_or(StatementOutcome::Refused));
     }
 
+    /// Removes the waiters of requests that timed out or were cancelled.
     pub(crate) fn drop_abandoned(&mut self) {
         self.waiting.retain(|_, waiter| !waiter.is_closed());
     }
 }
 
 impl Control {
-    /// Answers a trainer, unless it gives up first.
+    /// Handles a request of a trainer and sends the response, or stops when the caller disconnects.
     pub(crate) async fn handle_trainer_request(
         self: Rc<Self>,
         request: TrainerRequest,
@@ -125,7 +129,7 @@
 
     async fn open_step(self: &Rc<Self>, request: StepRequest) -> Result<Value, Refusal> {
         let id = TrainerId::from_name(&request.trainer);
-        let entry = self.trainer_entry(id).ok_or_else(trainer_unknown)?;
+        let entry = self.trainer_entry(id).ok_or_else(unknown_trainer)?;
         let groups = u32::try_from(request.prompts.len()).unwrap_or(u32::MAX);
         let shape =
             StepShape { step: request.step, groups, samples_per_group: request.samples_per_group };
@@ -134,7 +138,7 @@
             let message = "max_tokens must be at least 1";
             return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
         }
-        for _ in 0..=MAX_RESTATES {
+        for _ in 0..=MAX_STATEMENT_RETRIES {
             let follows = self.state().samples.table.statements(id);
             let acknowledged = self.state().samples.table.acknowledged(id);
             let statement = Statement {
@@ -143,27 +147,27 @@
                 acknowledged: request.after.map_or(acknowledged, DeliveryNumber),
                 opened: Some((shape, opened.clone())),
             };
-            match self.state_trainer(statement, follows).await? {
-                StatementEnd::Offered { step: StepOutcome::Taken, .. } => {
+            match self.append_statement(statement, follows).await? {
+                StatementOutcome::Accepted { step: StepOutcome::Accepted, .. } => {
                     return Ok(json!({
                         "step": request.step,
                         "samples": shape.slots(),
                     }));
                 }
-                StatementEnd::Offered { step: StepOutcome::Refused, .. } => {
+                StatementOutcome::Accepted { step: StepOutcome::Refused, .. } => {
                     let message = "the step is too large or already retired, or too many steps \
                                    are unfinished";
                     return Err(Refusal::not_run(RefusalCode::RequestInvalid, message));
                 }
-                StatementEnd::Refused => {
-                    if !self.may_restate(id, request.version, request.after) {
+                StatementOutcome::Refused => {
+                    if !self.may_retry_statement(id, request.version, request.after) {
                         break;
                     }
                 }
             }
         }
-        let message = "another statement of this trainer came first";
-        Err(Refusal::not_run(RefusalCode::AlreadyClaimed, message).with_retry_after(ASK_AGAIN))
+        let message = "another request of this trainer came first";
+        Err(Refusal::not_run(RefusalCode::AlreadyClaimed, message).with_retry_after(RETRY_AFTER))
     }
 
     async fn fetch_samples(
@@ -173,37 +177,41 @@
         version: u64,
     ) -> Result<Value, Refusal> {
         let id = TrainerId::from_name(trainer);
-        let entry = self.trainer_entry(id).ok_or_else(trainer_unknown)?;
-        let deadline = self.now() + FETCH_WAIT;
+        let entry = self.trainer_entry(id).ok_or_else(unknown_trainer)?;
+        let deadline = self.now() + FETCH_TIMEOUT;
         let mut follows = self.state().samples.table.statements(id);
-        let mut restates = 0;
+        let mut retries = 0;
         loop {
             let acknowledged = DeliveryNumber(after);
             let statement = Statement { entry: &entry, version, acknowledged, opened: None };
-            match self.state_trainer(statement, follows).await? {
-                StatementEnd::Refused => {
-                    restates += 1;
-                    if restates > MAX_RESTATES || !self.may_restate(id, version, Some(after)) {
-                        return Ok(empty_answer());
+            match self.append_statement(statement, follows).await? {
+                StatementOutcome::Refused => {
+                    retries += 1;
+                    if retries > MAX_STATEMENT_RETRIES
+                        || !self.may_retry_statement(id, version, Some(after))
+                    {
+                        return Ok(empty_response());
                     }
                     follows = self.state().samples.table.statements(id);
                 }
-                StatementEnd::Offered { statement, deliveries, .. } => {
+                StatementOutcome::Accepted { statement, deliveries, .. } => {
                     if !deliveries.is_empty() {
-                        return Ok(self.deliver(trainer, deliveries).await);
+                        return Ok(self.delivery_response(trainer, deliveries).await);
                     }
-                    if !self.samples_come(id, DeliveryNumber(after), deadline).await {
-                        return Ok(empty_answer());
+                    if !self.wait_for_samples(id, DeliveryNumber(after), deadline).await {
+                        return Ok(empty_response());
                     }
-                    // Names the statement of this request, so that it cannot follow a later one.
+                    // The next statement follows this request's own one, so that it is refused if
+                    // the trainer has sent a later request meanwhile.
                     follows = statement;
                 }
             }
         }
     }
 
-    /// Waits for a bound number after `after`. Returns whether there is one.
-    async fn samples_come(
+    /// Waits until a delivery number after `after` is bound. Returns `false` at the deadline or
+    /// when the node drains.
+    async fn wait_for_samples(
         &self,
         trainer: TrainerId,
         after: DeliveryNumber,
@@ -213,34 +221,40 @@
             if self.state().samples.table.has_deliveries_after(trainer, after) {
                 return true;
             }
-            let stops = self.shared.phase() == NodePhase::Draining;
-            if stops || self.now() >= deadline {
+            let is_draining = self.shared.phase() == NodePhase::Draining;
+            if is_draining || self.now() >= deadline {
                 return false;
             }
-            actix_rt::time::sleep(FETCH_POLL).await;
+            actix_rt::time::sleep(FETCH_POLL_PERIOD).await;
         }
     }
 
-    /// Tells whether a refused statement may be stated again. One that would take back a version or
-    /// an acknowledgement may not: the trainer may have given the request up and sent a later one,
-    /// and samples in its hands would be made again.
-    fn may_restate(&self, trainer: TrainerId, version: u64, after: Option<u64>) -> bool {
+    /// Returns whether a refused statement may be retried. One that would lower the version or the
+    /// acknowledged number may not: the trainer may have abandoned the request and sent a later
+    /// one, and samples that it has would be generated again.
+    fn may_retry_statement(&self, trainer: TrainerId, version: u64, after: Option<u64>) -> bool {
         let state = self.state();
         let table = &state.samples.table;
         let stated = table.stated_version(trainer);
-        let rises = stated.is_none_or(|(stated, _)| version >= stated.0);
-        rises && after.is_none_or(|after| after >= table.acknowledged(trainer).0)
+        let is_not_older = stated.is_none_or(|(stated, _)| version >= stated.0);
+        is_not_older && after.is_none_or(|after| after >= table.acknowledged(trainer).0)
     }
 
-    /// Appends a statement and waits until it is read back.
-    async fn state_trainer(
+    /// Appends a statement and waits until it is read back from the log.
+    ///
+    /// # Errors
+    ///
+    /// Refuses with `LogUnavailable` when the log is down, the write buffer is full or the
+    /// statement is not read back within [`STATEMENT_TIMEOUT`]. In the last case it may still take
+    /// effect.
+    async fn append_statement(
         self: &Rc<Self>,
         statement: Statement<'_>,
         follows: u64,
-    ) -> Result<StatementEnd, Refusal> {
+    ) -> Result<StatementOutcome, Refusal> {
         let now = self.now();
         if self.state().log.is_down(now) {
-            let message = "the log does not answer, so the statement cannot be recorded";
+            let message = "the log does not respond, so the request cannot be recorded";
             let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
             return Err(refusal.with_retry_after(Span::from_secs(1)));
         }
@@ -259,22 +273,22 @@
         let id = self
             .append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: opened })
             .map_err(|_| {
-                let message = "the log has been down for too long to record the statement";
+                let message = "the log's write buffer is full, so the request is not recorded";
                 let refusal = Refusal::not_run(RefusalCode::LogUnavailable, message);
                 refusal.with_retry_after(Span::from_secs(1))
             })?;
         self.state().samples.waiters.waiting.insert(id, waiter);
-        let waited = tokio::time::timeout(to_duration(STATEMENT_WAIT), end).await;
+        let waited = tokio::time::timeout(to_duration(STATEMENT_TIMEOUT), end).await;
         waited.ok().and_then(Result::ok).ok_or_else(|| {
-            let message = "the statement was not read back from the log in time";
+            let message = "the recorded request was not read back from the log in time";
             let refusal = Refusal::may_have_run(RefusalCode::LogUnavailable, message);
             refusal.with_retry_after(Span::from_secs(1))
         })
     }
 
-    /// Builds the answer. It ends before the first sample whose bytes cannot be had, so that the
-    /// trainer acknowledges no number that it does not have.
-    async fn deliver(self: &Rc<Self>, trainer: &str, deliveries: Vec<Delivery>) -> Value {
+    /// Builds the response from the deliveries. It ends before the first sample whose text is not
+    /// available, so that the trainer never acknowledges a number that it did not get.
+    async fn delivery_response(self: &Rc<Self>, trainer: &str, deliveries: Vec<Delivery>) -> Value {
         let mut entries = Vec::new();
         for delivery in deliveries {
             let entry = match delivery {
@@ -282,13 +296,13 @@
                     let text = match self.sample_text(&filled).await {
                         Ok(text) => text,
                         Err(missing) => {
-                            if missing == BytesMissing::ForGood {
-                                self.void_missing(&filled);
+                            if missing == SampleUnavailable::Permanently {
+                                self.void_unavailable(&filled);
                             }
                             break;
                         }
                     };
-                    self.note_delivered(trainer, number, &filled);
+                    self.record_delivery(trainer, number, &filled);
                     sample_entry(number, &filled, &text, score, replaces)
                 }
                 Delivery::Void { number, slot, reason } => json!({
@@ -303,27 +317,32 @@
             entries.push(entry);
         }
         if entries.is_empty() {
-            return empty_answer();
+            return empty_response();
         }
         json!({ "samples": entries, "retry_after_ms": 0 })
     }
 
-    fn note_delivered(&self, trainer: &str, number: DeliveryNumber, filled: &SampleFilled) {
-        let slot = self.state().samples.slot_text(filled.slot);
+    fn record_delivery(&self, trainer: &str, number: DeliveryNumber, filled: &SampleFilled) {
+        let slot = self.state().samples.slot_name(filled.slot);
         log_event!(SampleDelivered, slot, number = number.0, trainer);
         self.trace(slot, EventCode::SampleDelivered, format!("number {}", number.0));
     }
 
-    /// Returns the bytes of a sample, from this node or a holder.
+    /// Returns the text of a sample, from this node or another holder. A copy with a wrong digest
+    /// counts as missing.
+    ///
+    /// # Errors
+    ///
+    /// Returns whether the sample is unavailable for now or lost at all holders.
     pub(crate) async fn sample_text(
         self: &Rc<Self>,
         filled: &SampleFilled,
-    ) -> Result<String, BytesMissing> {
+    ) -> Result<String, SampleUnavailable> {
         let held = self.state().samples.store.get(filled.sample).map(String::from);
         if let Some(text) = held {
             return Ok(text);
         }
-        let mut missing = BytesMissing::ForGood;
+        let mut missing = SampleUnavailable::Permanently;
         for &holder in &filled.holders {
             if holder == self.shared.incarnation {
                 continue;
@@ -335,16 +354,16 @@
                 found.and_then(|(_, record)| record.vm.address.parse().ok())
             };
             let Some(address) = address else {
-                missing = BytesMissing::Now;
+                missing = SampleUnavailable::Temporarily;
                 continue;
             };
             let request = PeerMessage::SampleFetch(filled.sample.into());
-            match self.ask_peer(address, &request).await {
+            match self.call_peer(address, &request).await {
                 Some(PeerMessage::SampleCopy(copy)) if stable_hash(&copy.text) == filled.digest => {
                     return Ok(copy.text);
                 }
                 Some(PeerMessage::SampleCopy(_) | PeerMessage::Missing) => {}
-                Some(_) | None => missing = BytesMissing::Now,
+                Some(_) | None => missing = SampleUnavailable::Temporarily,
             }
         }
         Err(missing)
@@ -375,10 +394,10 @@
     })
 }
 
-fn empty_answer() -> Value {
-    json!({ "samples": [], "retry_after_ms": ASK_AGAIN.as_millis() })
+fn empty_response() -> Value {
+    json!({ "samples": [], "retry_after_ms": RETRY_AFTER.as_millis() })
 }
 
-fn trainer_unknown() -> Refusal {
+fn unknown_trainer() -> Refusal {
     Refusal::not_run(RefusalCode::KeyRefused, "the trainer or its key is unknown")
 }
--- a/crates/hibiscushinged/src/control/transfer.rs
+++ b/crates/hibiscushinged/src/control/transfer.rs
@@ -1,4 +1,4 @@
-//! Bytes that the control thread exchanges, by kind of partner.
+//! Counts of the bytes that the control thread exchanges, by kind of remote side.
 
 use clients::{HTTP_DATE_LEN, TransferCounter, header_len};
 use serde_json::{Value, json};
@@ -6,9 +6,9 @@
 /// Counts since the start of the process.
 #[derive(Debug, Default)]
 pub(crate) struct ControlTransfer {
-    /// Messages to peers, with their answers.
+    /// Requests to peers, with their responses.
     pub(crate) peers_asked: TransferCounter,
-    /// Messages of peers, with the answers to them.
+    /// Requests from peers, with the responses to them.
     pub(crate) peers_served: TransferCounter,
     /// Reads and appends of the platform's log.
     pub(crate) log: TransferCounter,
@@ -20,7 +20,7 @@
 
 impl ControlTransfer {
     pub(crate) fn status(&self) -> Value {
-        let value = |counter: &TransferCounter| {
+        let counter_json = |counter: &TransferCounter| {
             let totals = counter.totals();
             json!({
                 "exchanges": totals.exchanges,
@@ -29,17 +29,18 @@
             })
         };
         json!({
-            "peers_asked": value(&self.peers_asked),
-            "peers_served": value(&self.peers_served),
-            "log": value(&self.log),
-            "platform": value(&self.platform),
-            "upstreams": value(&self.upstreams),
+            "peers_asked": counter_json(&self.peers_asked),
+            "peers_served": counter_json(&self.peers_served),
+            "log": counter_json(&self.log),
+            "platform": counter_json(&self.platform),
+            "upstreams": counter_json(&self.upstreams),
         })
     }
 }
 
-/// Returns the bytes of an answer to a peer. The server adds its length and the date.
-pub(crate) fn answer_bytes(body: usize) -> usize {
+/// Returns the size of a response to a peer: the body with the head, in which the server adds the
+/// length and the date.
+pub(crate) fn response_bytes(body: usize) -> usize {
     "HTTP/1.1 200 OK\r\n\r\n".len()
         + header_len("content-type", "application/msgpack".len())
         + header_len("content-length", body.to_string().len())
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -1,4 +1,5 @@
-//! Usage: metering, replicas of batches, windows and their reports.
+//! Usage: metering of requests, replication of batches until the log holds them, and closing and
+//! reporting of windows.
 
 use std::rc::Rc;
 
@@ -23,19 +24,20 @@
     telemetry::log_event,
 };
 
-/// Batches held for other nodes. At one batch in 5 s from each of a few nodes this covers an hour of
-/// log outage.
+/// Most batches held for other nodes. With one batch every 5 s from each of a few nodes, this
+/// covers a log outage of an hour.
 const REPLICA_CAPACITY: usize = 4_096;
 
-/// Wait before an unanswered hold request, append or report is repeated.
-const RETRY: Span = Span::from_secs(2);
+/// Wait before a hold request, append or report without a response is repeated.
+const RETRY_DELAY: Span = Span::from_secs(2);
 
-/// Time after which a replica holder appends a batch that the log does not show.
-const TAKEOVER: Span = Span::from_secs(20);
+/// Time after which the holder of a replica appends a batch that the log does not show, in case the
+/// batch's own node cannot.
+const TAKEOVER_DELAY: Span = Span::from_secs(20);
 
-/// How long a window that could not be restored after a gap is waited for before the holder starts
-/// afresh.
-const RESTORE_WAIT: Span = Span::from_secs(30);
+/// Wait after a gap for a snapshot of another node. After it, the lease holder continues with an
+/// empty ledger.
+const RESTORE_TIMEOUT: Span = Span::from_secs(30);
 
 /// Usage state of this node.
 pub(crate) struct UsageDriver {
@@ -43,9 +45,9 @@
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) ledger: UsageLedger,
-    reports: WindowReporter,
-    closing: Option<WindowNumber>,
-    awaits_since: Option<Moment>,
+    reporter: WindowReporter,
+    closing_window: Option<WindowNumber>,
+    gap_noticed_at: Option<Moment>,
     snapshot_tried_at: Option<Moment>,
 }
 
@@ -57,12 +59,12 @@
     pub(crate) fn new() -> Self {
         Self {
             meter: UsageMeter::new(UsageMeter::DEFAULT_PERIOD),
-            pending: PendingBatches::new(RETRY),
-            replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
+            pending: PendingBatches::new(RETRY_DELAY),
+            replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY_DELAY, TAKEOVER_DELAY),
             ledger: UsageLedger::new(),
-            reports: WindowReporter::new(RETRY),
-            closing: None,
-            awaits_since: None,
+            reporter: WindowReporter::new(RETRY_DELAY),
+            closing_window: None,
+            gap_noticed_at: None,
             snapshot_tried_at: None,
         }
     }
@@ -74,8 +76,12 @@
         let now = self.now();
         let mut state = self.state();
         for (customer, amount) in &usage.0 {
-            // A sum beyond 64 bits is impossible within one batch of 5 s.
-            state.usage.meter.record(now, customer, *amount).expect("a batch fits in 64 bits");
+            // The counts of one batch, which covers 5 s, cannot overflow 64 bits.
+            state
+                .usage
+                .meter
+                .record(now, customer, *amount)
+                .expect("the usage counts of one batch fit in 64 bits");
         }
     }
 
@@ -90,18 +96,23 @@
                 self.lease_record(&LeaseScope::Usage, offset, &record);
             }
             StreamEvent::Record { offset, id, record: UsageEntry::Usage(record), .. } => {
-                return self.usage_record(offset, id, &record);
+                return self.handle_usage_record(offset, id, &record);
             }
         }
-        NextRead::Onwards
+        NextRead::Continue
     }
 
-    fn usage_record(&self, offset: LogOffset, id: RecordId, record: &UsageRecord) -> NextRead {
+    fn handle_usage_record(
+        &self,
+        offset: LogOffset,
+        id: RecordId,
+        record: &UsageRecord,
+    ) -> NextRead {
         let mut state = self.state();
         let scope = state.scopes.iter().find(|driver| driver.scope == LeaseScope::Usage);
-        let valid = scope.and_then(|driver| driver.lease_manager.claim_in_force());
+        let lease_token = scope.and_then(|driver| driver.lease_manager.claim_in_force());
         let usage = &mut state.usage;
-        let outcome = usage.ledger.apply(offset, record, valid);
+        let outcome = usage.ledger.apply(offset, record, lease_token);
         if let UsageRecord::Batch(batch) = record {
             usage.pending.mark_committed(batch.id);
             usage.replicas.mark_committed(batch.id);
@@ -109,19 +120,19 @@
         }
         match outcome {
             LedgerOutcome::Closed(window) => {
-                usage.closing = None;
+                usage.closing_window = None;
                 log_event!(UsageWindowClosed, window = window.0, offset = offset.0);
             }
             LedgerOutcome::Reported(window) => {
                 log_event!(UsageWindowReported, window = window.0);
             }
             LedgerOutcome::Restored(next) => {
-                usage.awaits_since = None;
+                usage.gap_noticed_at = None;
                 return NextRead::From(next);
             }
             LedgerOutcome::Counted | LedgerOutcome::Ignored(_) => {}
         }
-        NextRead::Onwards
+        NextRead::Continue
     }
 
     pub(crate) fn tick_usage(self: &Rc<Self>, now: Moment) {
@@ -129,7 +140,7 @@
         self.hold_batches(now);
         self.append_replicas(now);
         let Some(fencing) = self.fencing(&LeaseScope::Usage, now) else {
-            self.state().usage.closing = None;
+            self.state().usage.closing_window = None;
             return;
         };
         self.close_window(fencing);
@@ -147,7 +158,7 @@
         self.append_batch(now, batch);
     }
 
-    /// Appends what was metered so far at once.
+    /// Appends the usage metered so far without waiting for the end of the period.
     pub(crate) fn flush_usage(self: &Rc<Self>, now: Moment) {
         let batch = {
             let mut state = self.state();
@@ -164,12 +175,13 @@
         let id = batch.id;
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
         if self.append_with_id(USAGE_STREAM, id, &entry).is_err() {
-            // The replica store repeats the append until the buffer has room.
+            // Kept as a replica of a process that is gone, which the store appends until the buffer
+            // has space.
             self.state().usage.replicas.hold(now, batch, OriginState::Gone);
         }
     }
 
-    /// Sends batches that the log does not show yet to the replica holder.
+    /// Sends the batches that the log does not show yet to this node's replica holder.
     fn hold_batches(self: &Rc<Self>, now: Moment) {
         let (batches, holder, own) = {
             let mut state = self.state();
@@ -185,7 +197,7 @@
             let hold = WireBatchHold { from: (&own).into(), batch: (&batch).into() };
             let control = Rc::clone(self);
             actix_rt::spawn(async move {
-                let answer = control.ask_peer(holder, &PeerMessage::BatchHold(hold)).await;
+                let answer = control.call_peer(holder, &PeerMessage::BatchHold(hold)).await;
                 if let Some(PeerMessage::Done(incarnation)) = answer {
                     control.state().usage.pending.mark_held(id, Incarnation(incarnation));
                 }
@@ -193,7 +205,8 @@
         }
     }
 
-    /// Holds a batch for another node.
+    /// Holds a replica of another node's batch. Responds with `Missing` when the replica store is
+    /// full.
     pub(crate) fn hold_batch(&self, hold: WireBatchHold) -> PeerMessage {
         let now = self.now();
         let batch = UsageBatch::from(hold.batch);
@@ -204,7 +217,8 @@
         }
     }
 
-    /// Takes over the batches of a process that is gone.
+    /// Handles the end of a process: its replicated batches become due for append, and own batches
+    /// that it held are sent to another holder.
     pub(crate) fn usage_peer_gone(&self, now: Moment, incarnation: Incarnation) {
         let mut state = self.state();
         state.usage.replicas.origin_gone(now, incarnation);
@@ -216,7 +230,7 @@
         for batch in due {
             let id = batch.id;
             let entry = UsageEntry::Usage(UsageRecord::Batch(batch));
-            // A full buffer is reported by `append_with_id`; the store repeats the append.
+            // A full buffer is logged by `append_with_id`, and the store repeats the append.
             let _ = self.append_with_id(USAGE_STREAM, id, &entry);
         }
     }
@@ -227,16 +241,16 @@
             let Some(document) = &state.config.document else { return };
             let current = current_window(document.usage_window);
             let due = state.usage.ledger.window_to_close(current);
-            if due.is_none() || due == state.usage.closing {
+            if due.is_none() || due == state.usage.closing_window {
                 return;
             }
-            state.usage.closing = due;
+            state.usage.closing_window = due;
             due
         };
         let Some(window) = due else { return };
         let record = UsageRecord::Close(WindowClose { window, fencing });
         if self.append(USAGE_STREAM, &UsageEntry::Usage(record)).is_err() {
-            self.state().usage.closing = None;
+            self.state().usage.closing_window = None;
         }
     }
 
@@ -244,13 +258,13 @@
         let snapshot = {
             let mut state = self.state();
             let usage = &mut state.usage;
-            if usage.snapshot_tried_at.is_some_and(|at| now.since(at) < RETRY) {
+            if usage.snapshot_tried_at.is_some_and(|at| now.since(at) < RETRY_DELAY) {
                 return;
             }
             let snapshot = match usage.ledger.next_offset() {
                 Some(_) if usage.ledger.snapshot_due() => usage.ledger.snapshot(),
                 Some(_) => None,
-                None => usage.fresh_snapshot(now),
+                None => usage.empty_snapshot_after_gap(now),
             };
             if snapshot.is_some() {
                 usage.snapshot_tried_at = Some(now);
@@ -266,7 +280,7 @@
         let report = {
             let mut state = self.state();
             let usage = &mut state.usage;
-            usage.reports.poll(now, &usage.ledger, fencing)
+            usage.reporter.poll(now, &usage.ledger, fencing)
         };
         let Some(report) = report else { return };
         let control = Rc::clone(self);
@@ -281,13 +295,16 @@
         let answer = match guarded.report_usage(&wire_report(&report)).await {
             Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
             Ok(ReportOutcome::Conflict) => {
-                tracing::error!(window = window.0, "the platform has other figures");
+                tracing::error!(
+                    window = window.0,
+                    "the platform has different usage for this window; the report is repeated"
+                );
                 ReportAnswer::Conflict
             }
             Err(_) => ReportAnswer::Lost,
         };
         let now = self.now();
-        let reported = self.state().usage.reports.answer(now, answer);
+        let reported = self.state().usage.reporter.answer(now, answer);
         if let Some(reported) = reported {
             let record = UsageRecord::Reported(reported);
             let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
@@ -296,16 +313,17 @@
 }
 
 impl UsageDriver {
-    /// Returns a fresh state once no other node has offered one for a while after a gap.
-    fn fresh_snapshot(&mut self, now: Moment) -> Option<LedgerSnapshot> {
-        let since = *self.awaits_since.get_or_insert(now);
-        if now.since(since) < RESTORE_WAIT {
+    /// Returns an empty snapshot once no snapshot was read for [`RESTORE_TIMEOUT`] after a gap.
+    fn empty_snapshot_after_gap(&mut self, now: Moment) -> Option<LedgerSnapshot> {
+        let since = *self.gap_noticed_at.get_or_insert(now);
+        if now.since(since) < RESTORE_TIMEOUT {
             return None;
         }
         self.ledger.oldest_retained_offset().map(LedgerSnapshot::empty)
     }
 }
 
+/// Returns the window that the current wall time lies in.
 fn current_window(length: Span) -> WindowNumber {
     let millis = u64::try_from(wall_now().0).unwrap_or_default();
     WindowNumber(millis / length.as_millis().max(1))
--- a/crates/hibiscushinged/src/control/watch.rs
+++ b/crates/hibiscushinged/src/control/watch.rs
@@ -1,5 +1,5 @@
-//! Knowledge of upstreams: the platform's list, the watch of load reports, and what follows for
-//! routing.
+//! Discovery and probing of upstreams: reads the platform's list, polls load reports, and applies
+//! both to the routing view and the scheduler.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -22,13 +22,13 @@
 /// Time between two load reports of a watched upstream.
 const WATCH_PERIOD: Duration = Duration::from_millis(500);
 
-/// How long after its time a reclaim notice is heeded. Clocks of VMs differ by less.
-const RECLAIM_KEPT_MS: i64 = 60_000;
+/// Time for which a reclaim notice stays valid. Clocks of VMs differ by less.
+const RECLAIM_NOTICE_VALIDITY_MS: i64 = 60_000;
 
-/// Upstreams that this node knows and watches.
+/// Zones of the known upstreams, and the choice of those that this node watches.
 pub(crate) struct WatchDriver {
     assignment: WatchAssignment,
-    zones: BTreeMap<String, String>,
+    upstream_zones: BTreeMap<String, String>,
 }
 
 pub(crate) fn start(control: &Rc<Control>) {
@@ -42,7 +42,7 @@
     let watcher = Rc::clone(control);
     actix_rt::spawn(async move {
         loop {
-            watcher.watch();
+            watcher.probe_watched();
             actix_rt::time::sleep(WATCH_PERIOD).await;
         }
     });
@@ -50,16 +50,19 @@
 
 impl WatchDriver {
     pub(crate) fn new(settings: &DaemonSettings) -> Self {
-        Self { assignment: WatchAssignment::new(settings.vm_name.clone()), zones: BTreeMap::new() }
+        Self {
+            assignment: WatchAssignment::new(settings.vm_name.clone()),
+            upstream_zones: BTreeMap::new(),
+        }
     }
 
     pub(crate) fn is_in_zone(&self, upstream: &str, zone: &str) -> bool {
-        self.zones.get(upstream).is_some_and(|found| found == zone)
+        self.upstream_zones.get(upstream).is_some_and(|found| found == zone)
     }
 }
 
 impl Control {
-    /// Adds the upstreams that a document names by address.
+    /// Adds the upstreams of pools with fixed addresses.
     pub(crate) fn apply_static_upstreams(self: &Rc<Self>, document: &EnvironmentDocument) {
         for pool in &document.pools {
             for address in &pool.addresses {
@@ -71,7 +74,7 @@
                     state: UpstreamState::Running,
                     cheap: pool.cheap,
                 };
-                self.learn_upstream(&info);
+                self.add_upstream(&info);
             }
         }
     }
@@ -84,29 +87,29 @@
         }
         for info in &listed {
             match info.state {
-                // Its watcher finds out when it takes work; until then it is not known.
+                // It is added once the platform lists it as running.
                 UpstreamState::Starting => {}
-                UpstreamState::Running => self.learn_upstream(info),
+                UpstreamState::Running => self.add_upstream(info),
                 UpstreamState::Leaving => {
-                    self.learn_upstream(info);
+                    self.add_upstream(info);
                     self.mark_leaving(&info.name, LeavingCause::OrderIntended);
                 }
             }
         }
         let reclaims = self.platform.reclaims().await.unwrap_or_default();
         for notice in reclaims {
-            // Later cheap upstreams of the zone are not concerned by an old notice.
-            if wall_now().0 > notice.at.0 + RECLAIM_KEPT_MS {
+            // An old notice must not affect cheap upstreams that were started after it.
+            if wall_now().0 > notice.at.0 + RECLAIM_NOTICE_VALIDITY_MS {
                 continue;
             }
-            self.reclaim_noticed(&notice.zone);
-            self.fleet_reclaim(&notice);
+            self.mark_reclaimed_upstreams(&notice.zone);
+            self.record_fleet_reclaim(&notice);
         }
         self.plan_fleet(listed_at, &listed);
     }
 
-    /// Adds an upstream to the routing view and the traffic state.
-    fn learn_upstream(self: &Rc<Self>, info: &UpstreamInfo) {
+    /// Adds an upstream to the routing view and the scheduler unless it is known.
+    fn add_upstream(self: &Rc<Self>, info: &UpstreamInfo) {
         let view = self.shared.view.load();
         if view.upstream_key(&info.name).is_some() {
             return;
@@ -116,7 +119,7 @@
         let speed = self.pool_speed(info);
         let zone = {
             let mut state = self.state();
-            state.watch.zones.insert(info.name.clone(), info.zone.clone());
+            state.watch.upstream_zones.insert(info.name.clone(), info.zone.clone());
             state.config.zone_key(&info.zone)
         };
         let key = changed.upstreams.push(UpstreamTarget {
@@ -135,8 +138,11 @@
                 routing::UpstreamProperties { name_hash, zone, price_class },
                 speed,
             );
-            assert_eq!(added, key, "view and desk list upstreams in the same order");
-            // It takes no work until a watcher has seen it answer.
+            assert_eq!(
+                added, key,
+                "the routing view and the scheduler must assign the same key to an upstream"
+            );
+            // It gets no requests until a load report shows that it responds.
             scheduler.set_state(key, routing::UpstreamState::Down);
         }
         self.shared.view.store(changed.into());
@@ -144,7 +150,8 @@
         self.apply_load_report(self.now(), &info.name);
     }
 
-    /// Returns the speed in tokens per second that the document expects of an upstream.
+    /// Returns the speed of an upstream by the document, in tokens per second. For a plain service,
+    /// each call counts as a fixed number of tokens.
     fn pool_speed(&self, info: &UpstreamInfo) -> Option<u32> {
         let state = self.state();
         let document = state.config.document.as_ref()?;
@@ -157,13 +164,15 @@
         }
     }
 
+    /// Marks an upstream as leaving, so that it gets no new requests.
     pub(crate) fn mark_leaving(self: &Rc<Self>, upstream: &str, cause: LeavingCause) {
         let now = self.now();
         self.state().peers.load_table.mark_leaving(now, upstream, cause);
         self.apply_load_report(now, upstream);
     }
 
-    fn reclaim_noticed(self: &Rc<Self>, zone: &str) {
+    /// Marks the cheap upstreams of a zone as leaving after a reclaim notice.
+    fn mark_reclaimed_upstreams(self: &Rc<Self>, zone: &str) {
         let view = self.shared.view.load_full();
         for (_, target) in view.upstreams.iter() {
             if target.zone_name != zone || target.price_class != PriceClass::Cheap {
@@ -178,8 +187,8 @@
         }
     }
 
-    /// Asks the watched upstreams for their load.
-    fn watch(self: &Rc<Self>) {
+    /// Updates the watch assignment and probes the watched upstreams.
+    fn probe_watched(self: &Rc<Self>) {
         let view = self.shared.view.load_full();
         let watched = {
             let mut state = self.state();
@@ -201,7 +210,7 @@
     }
 
     async fn probe(self: &Rc<Self>, target: &UpstreamTarget) {
-        let report = match self.kind_of(&target.service) {
+        let report = match self.service_kind(&target.service) {
             Some(ServiceKind::Model) => self.probe_engine(target).await,
             Some(ServiceKind::Plain) => self.probe_plain(target).await,
             None => return,
@@ -230,20 +239,20 @@
     async fn probe_plain(&self, target: &UpstreamTarget) -> LoadReport {
         let probe = HttpRequest::get(target.address, "/health");
         let timeout = self.shared.settings.timeouts.engine_control;
-        // Any answer shows that the service takes calls.
+        // Any HTTP response shows that the service accepts calls.
         match self.http.exchange(probe, timeout, 1 << 16).await {
             Ok(_) => LoadReport { phase: UpstreamPhase::Serving, ..unreachable_report() },
             Err(_) => unreachable_report(),
         }
     }
 
-    fn kind_of(&self, service: &str) -> Option<ServiceKind> {
+    fn service_kind(&self, service: &str) -> Option<ServiceKind> {
         let state = self.state();
         let document = state.config.document.as_ref()?;
         document.service(service).map(|service| service.kind)
     }
 
-    /// Applies what the board says of an upstream to routing.
+    /// Applies the newest load report of an upstream to the scheduler and the routing view.
     pub(crate) fn apply_load_report(self: &Rc<Self>, now: Moment, upstream: &str) {
         let Some(found) = self.state().peers.load_table.view(now, upstream) else { return };
         let view = self.shared.view.load();
@@ -255,7 +264,7 @@
             UpstreamPhase::Unreachable => routing::UpstreamState::Down,
         };
         let version = (report.version > WeightVersion(0)).then_some(report.version);
-        let sample = LoadMeasurement {
+        let measurement = LoadMeasurement {
             running: report.running,
             queued: report.queued,
             version,
@@ -268,9 +277,9 @@
             if before != Some(state) {
                 log_event!(UpstreamChanged, upstream, state = ?state);
             }
-            scheduler.apply_load_report(now, wall_now(), key, sample)
+            scheduler.apply_load_report(now, wall_now(), key, measurement)
         };
-        self.spread(actions);
+        self.perform_suspect_actions(actions);
         if view.upstreams.get(key).is_some_and(|target| target.version != version) {
             let mut changed = RoutingView::clone(&view);
             if let Some(target) = changed.upstreams.get_mut(key) {
