--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -1,5 +1,5 @@
-//! Weight loads: the holder of a zone's lease orders the zone's engines to load the version that a
-//! trainer states.
+//! Weight loads: the holder of a zone's lease orders the zone's engines to load the weight version
+//! that a trainer has stated.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -16,21 +16,21 @@
     telemetry::log_event,
 };
 
-/// Time between two comparisons of the engines with the plans.
+/// Time between two updates of the weight schedulers from load reports and trainer statements.
 const UPDATE_PERIOD: Span = Span::from_millis(200);
 
-/// Time after which a load without a report of the version is ordered again. All engines should
-/// hold a version within 12 s, and an engine that is still loading ignores the repeated order.
+/// Time after which a load is ordered again if the engine has not reported the version. All engines
+/// should have a version within 12 s. An engine that is still loading ignores the repeated order.
 const LOAD_TIMEOUT: Span = Span::from_secs(10);
 
-/// Versions held by engines, and the loads that this node orders.
+/// Weight versions of the engines, and the loads that this node orders.
 pub(crate) struct WeightDriver {
-    /// All engines, to judge which of them may take a sample.
-    held: WeightScheduler,
-    /// The engines of the own zone. It is made anew with each lease.
-    orders: WeightScheduler,
+    /// All engines, to decide which of them may take a sample.
+    all_engines: WeightScheduler,
+    /// The engines of the own zone, to order loads. Created again with each lease.
+    own_zone_engines: WeightScheduler,
     fencing: Option<FencingToken>,
-    share: f64,
+    swapping_share: f64,
     next_update: Moment,
 }
 
@@ -38,15 +38,16 @@
     pub(crate) fn new(now: Moment) -> Self {
         let settings = WeightSettings::default();
         Self {
-            held: WeightScheduler::new(now, settings),
-            orders: WeightScheduler::new(now, settings),
+            all_engines: WeightScheduler::new(now, settings),
+            own_zone_engines: WeightScheduler::new(now, settings),
             fencing: None,
-            share: settings.max_swapping_share,
+            swapping_share: settings.max_swapping_share,
             next_update: now,
         }
     }
 
-    /// Tells whether the engine may take a sample, like [`WeightScheduler::may_take`].
+    /// Returns whether the engine may take a sample. An engine with an ordered load that is not
+    /// reported yet may not; otherwise [`WeightScheduler::may_take`] decides.
     pub(crate) fn may_take(
         &self,
         upstream: UpstreamKey,
@@ -54,23 +55,29 @@
         bound: u64,
         lead: u64,
     ) -> bool {
-        let ordered = self.orders.engine(upstream);
+        let ordered = self.own_zone_engines.engine(upstream);
         let loading = ordered.is_some_and(|engine| engine.loading.is_some());
-        !loading && self.held.may_take(upstream, trainer, bound, lead)
+        !loading && self.all_engines.may_take(upstream, trainer, bound, lead)
     }
 
-    /// Starts a new plan when the lease or the document's share has changed.
-    fn prepare(&mut self, now: Moment, fencing: Option<FencingToken>, share: f64) {
-        if self.fencing == fencing && self.share == share {
+    /// Creates the scheduler of the own zone again when the lease or the document's maximum share
+    /// of engines that load at once has changed.
+    fn recreate_scheduler_if_changed(
+        &mut self,
+        now: Moment,
+        fencing: Option<FencingToken>,
+        swapping_share: f64,
+    ) {
+        if self.fencing == fencing && self.swapping_share == swapping_share {
             return;
         }
-        (self.fencing, self.share) = (fencing, share);
+        (self.fencing, self.swapping_share) = (fencing, swapping_share);
         let settings = WeightSettings {
-            max_swapping_share: share,
+            max_swapping_share: swapping_share,
             load_timeout: LOAD_TIMEOUT,
             ..WeightSettings::default()
         };
-        self.orders = WeightScheduler::new(now, settings);
+        self.own_zone_engines = WeightScheduler::new(now, settings);
     }
 }
 
@@ -84,7 +91,7 @@
         if fencing.is_none() {
             return;
         }
-        let actions = self.state().weights.orders.poll(now);
+        let actions = self.state().weights.own_zone_engines.poll(now);
         for action in actions {
             match action {
                 WeightAction::Load { upstream, version } => {
@@ -92,13 +99,18 @@
                     actix_rt::spawn(async move { control.order_load(upstream, version).await });
                 }
                 WeightAction::Failed { upstream, version } => {
-                    self.load_failed(upstream, version, "no report of the version in time");
+                    self.load_failed(
+                        upstream,
+                        version,
+                        "the engine did not report the version within the load timeout",
+                    );
                 }
             }
         }
     }
 
-    /// Takes versions from load reports, and targets from the trainers' statements.
+    /// Updates the schedulers with the versions of load reports and the targets of trainers'
+    /// statements.
     fn update_engines(self: &Rc<Self>, now: Moment, fencing: Option<FencingToken>) {
         let view = self.shared.view.load_full();
         let states = {
@@ -112,9 +124,9 @@
             view.upstreams.iter().map(|(_, target)| state.config.zone_key(&target.zone_name));
         let zones = zones.collect::<Vec<_>>();
         let Some(document) = state.config.document.as_ref() else { return };
-        let share = document.max_swapping_share;
+        let swapping_share = document.max_swapping_share;
         state.weights.next_update = now + UPDATE_PERIOD;
-        state.weights.prepare(now, fencing, share);
+        state.weights.recreate_scheduler_if_changed(now, fencing, swapping_share);
         for ((key, found), zone) in states.into_iter().zip(zones) {
             let Some(target) = view.upstreams.get(key) else { continue };
             let service = document.service(&target.service);
@@ -123,9 +135,10 @@
             }
             let is_own = target.zone_name == self.shared.settings.zone;
             let serves = found == Some(UpstreamState::Up);
-            for (scheduler, wanted) in
-                [(&mut state.weights.held, true), (&mut state.weights.orders, is_own)]
-            {
+            for (scheduler, wanted) in [
+                (&mut state.weights.all_engines, true),
+                (&mut state.weights.own_zone_engines, is_own),
+            ] {
                 if !wanted {
                     continue;
                 }
@@ -143,7 +156,7 @@
             let Some((version, _)) = state.samples.table.stated_version(id) else { continue };
             let entry = document.trainers.iter().find(|trainer| trainer.name == name);
             let Some(entry) = entry.filter(|_| version > WeightVersion(0)) else { continue };
-            state.weights.orders.set_target(&entry.service, version);
+            state.weights.own_zone_engines.set_target(&entry.service, version);
         }
     }
 
@@ -151,16 +164,17 @@
         let target = self.engine_target(upstream);
         let Some((name, model, address)) = target else { return };
         let scope = own_scope(&self.shared);
-        let fencing_support = self.engine_fencing(upstream);
+        let fencing_support = self.engine_fencing_support(upstream);
         let now = self.now();
         let Some(fencing) = self.permit(&scope, now, fencing_support) else {
-            // A new holder waits longer towards engines that ignore fencing numbers.
-            self.state().weights.orders.load_failed(now, upstream);
+            // A new lease holder must wait longer before it orders from engines that ignore fencing
+            // tokens. The load is scheduled again.
+            self.state().weights.own_zone_engines.load_failed(now, upstream);
             return;
         };
         let order = WeightLoadOrder { model, version, fencing };
-        // The call may first wait for a connection, so the clock is checked again by the last step
-        // before the bytes.
+        // The call may wait for a connection first, so the lease is checked again just before the
+        // request is written.
         let guarded = self.engines.guarded(self.lease_check(&scope, fencing, fencing_support));
         let result = guarded.load_version(address, &order).await;
         if result.as_ref().is_err_and(|error| error.failure == CallFailure::Denied) {
@@ -177,7 +191,7 @@
         self.trace(name, EventCode::WeightLoadOrdered, detail);
         if let Err(error) = result {
             let now = self.now();
-            self.state().weights.orders.load_failed(now, upstream);
+            self.state().weights.own_zone_engines.load_failed(now, upstream);
             self.load_failed(upstream, version, &error.to_string());
         }
     }
@@ -189,10 +203,9 @@
         self.trace(name, EventCode::WeightLoadFailed, detail);
     }
 
-    /// Returns name, service and address of an upstream.
-    /// Tells what an engine does with old fencing numbers, by the document. An engine that the document
-    /// does not name is taken to ignore them.
-    fn engine_fencing(&self, upstream: UpstreamKey) -> FencingSupport {
+    /// Returns whether an engine checks fencing tokens, by its pool in the document. An engine
+    /// without a pool is assumed to ignore them.
+    fn engine_fencing_support(&self, upstream: UpstreamKey) -> FencingSupport {
         let view = self.shared.view.load();
         let Some(target) = view.upstreams.get(upstream) else { return FencingSupport::Ignored };
         let is_cheap = target.price_class == PriceClass::Cheap;
@@ -206,6 +219,7 @@
         pools.next().map_or(FencingSupport::Ignored, |pool| fencing_support(pool.fencing))
     }
 
+    /// Returns the name, service and address of an upstream.
     pub(crate) fn engine_target(
         &self,
         upstream: UpstreamKey,
