--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -19,10 +19,10 @@
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 impl Control {
-    pub(crate) fn admin(self: &Rc<Self>, request: AdminRequest) -> Value {
+    pub(crate) fn handle_admin_request(self: &Rc<Self>, request: AdminRequest) -> Value {
         match request {
             AdminRequest::Status => self.status(self.now()),
-            AdminRequest::Usage => self.usage(),
+            AdminRequest::Usage => self.usage_status(),
             AdminRequest::Explain(id) => self.state().trace.explain(&id),
         }
     }
@@ -94,7 +94,7 @@
         })
     }
 
-    fn usage(&self) -> Value {
+    fn usage_status(&self) -> Value {
         let state = self.state();
         let usage_json = |customers: &usage::UsageByCustomer| {
             let entries = customers.0.iter().map(|(customer, amount)| {
@@ -148,7 +148,7 @@
     }
 
     fn has_work(&self) -> bool {
-        self.shared.in_flight() > 0 || self.state().samples.generation.running() > 0
+        self.shared.in_flight() > 0 || self.state().samples.generation.running_count() > 0
     }
 
     /// Returns whether this node still has records or usage that the log does not hold.
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -288,10 +288,10 @@
 ) -> Vec<Span> {
     let region = |name: &str| document.zone(name).map(|zone| zone.region.as_str());
     let own_region = zones.get(own).and_then(|name| region(name));
-    let distance = |(key, name): (ZoneKey, &String)| match region(name) == own_region {
+    let latency = |(key, name): (ZoneKey, &String)| match region(name) == own_region {
         _ if key == own => OWN_ZONE_LATENCY,
         true => ZONE_LATENCY,
         false => REGION_LATENCY,
     };
-    zones.iter().map(distance).collect()
+    zones.iter().map(latency).collect()
 }
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -328,13 +328,14 @@
             // A plain service reports no load. Its last request has ended once the longest deadline
             // of its routes has passed.
             let routes = document.routes.iter().filter(|route| route.service == service);
-            let longest = routes.map(|route| route.max_deadline).max().unwrap_or(Span::ZERO);
-            return now >= reports_valid_from + longest;
+            let longest_deadline =
+                routes.map(|route| route.max_deadline).max().unwrap_or(Span::ZERO);
+            return now >= reports_valid_from + longest_deadline;
         }
         let found = self.state().peers.load_table.view(now, upstream);
         found.is_some_and(|found| {
-            let work = found.report.running + found.report.queued;
-            work == 0 && now - found.age >= reports_valid_from
+            let requests = found.report.running + found.report.queued;
+            requests == 0 && now - found.age >= reports_valid_from
         })
     }
 
@@ -349,11 +350,11 @@
             return;
         }
         let now = self.now();
-        let mut given = None;
+        let mut submitted = None;
         self.with_scope(scope, |driver| {
             match driver.order_manager.submit(now, &driver.lease_manager, request) {
                 Ok((id, action)) => {
-                    given = Some(id);
+                    submitted = Some(id);
                     (Vec::new(), vec![action])
                 }
                 Err(refusal) => {
@@ -366,7 +367,7 @@
                 }
             }
         });
-        if let Some(id) = given {
+        if let Some(id) = submitted {
             self.state().fleet.orders.insert(id, target);
         }
     }
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -106,11 +106,11 @@
         }
     }
 
-    pub(crate) fn slots(&self) -> Vec<SlotKey> {
+    pub(crate) fn running_slots(&self) -> Vec<SlotKey> {
         self.running.keys().copied().collect()
     }
 
-    pub(crate) fn running(&self) -> usize {
+    pub(crate) fn running_count(&self) -> usize {
         self.running.len()
     }
 
@@ -162,7 +162,7 @@
             let next = {
                 let mut state = self.state();
                 let generation = &mut state.samples.generation;
-                if generation.running() >= limit {
+                if generation.running_count() >= limit {
                     return;
                 }
                 generation.next_slot()
@@ -218,8 +218,8 @@
     fn has_room(&self, work: &SampleWork) -> bool {
         let mut state = self.state();
         let samples = &mut state.samples;
-        let one = (work.max_tokens as usize).saturating_mul(BYTES_PER_TOKEN);
-        samples.store.make_room(one.saturating_mul(samples.generation.running() + 1))
+        let sample_bytes = (work.max_tokens as usize).saturating_mul(BYTES_PER_TOKEN);
+        samples.store.make_room(sample_bytes.saturating_mul(samples.generation.running_count() + 1))
     }
 
     /// Starts a second attempt on another engine for slots whose attempt is a straggler.
@@ -227,8 +227,8 @@
         let actions = {
             let mut state = self.state();
             let generation = &mut state.samples.generation;
-            let free = MAX_SLOTS.saturating_sub(generation.running());
-            generation.stragglers.poll(now, free)
+            let free_slots = MAX_SLOTS.saturating_sub(generation.running_count());
+            generation.stragglers.poll(now, free_slots)
         };
         for action in actions {
             let StragglerAction::Rerun { slot, avoid } = action else { continue };
@@ -265,7 +265,7 @@
         let mut state = self.state();
         let generation = &mut state.samples.generation;
         let Some(run) = generation.running.get_mut(&attempt.slot) else { return };
-        run.attempts.retain(|one| one.number != attempt.number);
+        run.attempts.retain(|other| other.number != attempt.number);
         if run.attempts.is_empty() {
             generation.running.remove(&attempt.slot);
             let open = OpenSlot { slot: attempt.slot, generation: attempt.generation };
@@ -282,7 +282,7 @@
             let _ = generation.stragglers.finished(now, winner.slot, upstream, tokens);
         }
         let Some(run) = generation.running.get(&winner.slot) else { return };
-        for attempt in run.attempts.iter().filter(|one| one.number != winner.number) {
+        for attempt in run.attempts.iter().filter(|other| other.number != winner.number) {
             attempt.stop();
         }
     }
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -118,7 +118,7 @@
             self.record_placement(attempt, upstream, progress.tracker.tokens());
             let offset = progress.tracker.tokens();
             let remaining_tokens = work.max_tokens.saturating_sub(offset);
-            let started = {
+            let in_flight = {
                 let now = self.now();
                 self.state().samples.generation.stragglers.started(now, attempt.slot, upstream);
                 let mut scheduler = self.shared.scheduler();
@@ -132,7 +132,7 @@
                 ExchangeEnd::Failed(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
             };
             let now = self.now();
-            self.shared.scheduler().finish(now, started, outcome);
+            self.shared.scheduler().finish(now, in_flight, outcome);
             match end {
                 ExchangeEnd::Completed => {
                     self.handle_suspect_event(delivery::SuspectEvent::Finished {
@@ -286,7 +286,7 @@
         fingerprint: Fingerprint,
     ) -> Option<UpstreamKey> {
         let now = self.now();
-        let (reply, answer) = oneshot::channel();
+        let (reply, isolated) = oneshot::channel();
         let request = self.shared.next_request_id();
         let isolation = IsolationRequest {
             request,
@@ -305,7 +305,7 @@
             reply,
         );
         self.perform_suspect_actions(actions);
-        answer.await.ok()?.ok()
+        isolated.await.ok()?.ok()
     }
 
     fn record_placement(&self, attempt: &SampleAttempt, upstream: UpstreamKey, offset: u32) {
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -51,7 +51,7 @@
         if requests.is_empty() {
             return;
         }
-        let (delegate, is_own) = {
+        let (delegate, is_delegate) = {
             let state = self.state();
             let table = &state.peers.table;
             let zone = &table.own_identity().zone;
@@ -59,7 +59,7 @@
             let address = delegate.and_then(|record| record.vm.address.parse().ok());
             (address, table.is_delegate())
         };
-        if is_own {
+        if is_delegate {
             let grants = requests.into_iter().filter_map(|request| {
                 self.state()
                     .limits
@@ -86,8 +86,8 @@
         let message = PeerMessage::LimitAsk(wire.collect());
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let answer = control.call_peer(delegate, &message).await;
-            let Some(PeerMessage::LimitGrant(grants)) = answer else { return };
+            let response = control.call_peer(delegate, &message).await;
+            let Some(PeerMessage::LimitGrant(grants)) = response else { return };
             control.apply_grants(grants);
         });
     }
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -56,11 +56,12 @@
         let order = wire_order(&intent, fencing);
         // The call may wait for a connection first, so the lease is checked again just before the
         // request is written.
-        let (control, checked, id) = (Rc::clone(&self), scope.clone(), intent.id);
-        let guarded = self.platform.guarded(move || match control.order_permit(&checked, id) {
-            Some(permitted) if permitted == fencing => SendPermit::Granted,
-            _ => SendPermit::Denied,
-        });
+        let (control, checked_scope, id) = (Rc::clone(&self), scope.clone(), intent.id);
+        let guarded =
+            self.platform.guarded(move || match control.order_permit(&checked_scope, id) {
+                Some(permitted) if permitted == fencing => SendPermit::Granted,
+                _ => SendPermit::Denied,
+            });
         let result = guarded.place_order(&order).await;
         if result.as_ref().is_err_and(|error| error.failure == CallFailure::Denied) {
             // The order was not sent and stays open. The order manager queries it after its
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -200,9 +200,10 @@
             let mut state = self.state();
             let state = &mut *state;
             let own_zone = &state.peers.table.own_identity().zone;
-            let full = state.peers.load_table.all_updates(now);
-            let upstreams =
-                full.into_iter().filter(|entry| state.watch.is_in_zone(&entry.upstream, own_zone));
+            let all_updates = state.peers.load_table.all_updates(now);
+            let upstreams = all_updates
+                .into_iter()
+                .filter(|update| state.watch.is_in_zone(&update.upstream, own_zone));
             let summary = ZoneSummary {
                 liveness,
                 config_version: state.config.version().0,
@@ -283,11 +284,11 @@
         }
     }
 
-    fn merge_load_updates(self: &Rc<Self>, entries: impl IntoIterator<Item = LoadUpdate>) {
+    fn merge_load_updates(self: &Rc<Self>, updates: impl IntoIterator<Item = LoadUpdate>) {
         let now = self.now();
-        for entry in entries {
-            let name = entry.upstream.clone();
-            if self.state().peers.load_table.merge(now, entry) {
+        for update in updates {
+            let name = update.upstream.clone();
+            if self.state().peers.load_table.merge(now, update) {
                 self.apply_load_report(now, &name);
             }
         }
@@ -301,9 +302,9 @@
         }
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let answer = control.call_peer(address, &PeerMessage::ConfigFetch).await;
+            let response = control.call_peer(address, &PeerMessage::ConfigFetch).await;
             control.state().peers.fetching_config = false;
-            let Some(PeerMessage::ConfigCopy(copy)) = answer else { return };
+            let Some(PeerMessage::ConfigCopy(copy)) = response else { return };
             let snapshot = copy.snapshot.map(ConfigSnapshot::from);
             control.adopt_config(snapshot.as_ref(), &ConfigSnapshot::from(copy.in_force));
         });
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -76,7 +76,7 @@
             };
             samples.step_prompts.clear();
             samples.snapshots = SnapshotTracker::default();
-            samples.generation.slots()
+            samples.generation.running_slots()
         };
         for slot in slots {
             self.end_slot(slot);
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -113,7 +113,7 @@
         let (useful, extra) = self.generation.stragglers.tokens();
         json!({
             "trainers": trainers.collect::<Vec<_>>(),
-            "running": self.generation.running(),
+            "running": self.generation.running_count(),
             "held": held,
             "held_bytes": held_bytes,
             "useful_tokens": useful,
--- a/crates/hibiscushinged/src/control/score.rs
+++ b/crates/hibiscushinged/src/control/score.rs
@@ -88,7 +88,7 @@
             HeaderValue::from_str(&id)
                 .expect("hexadecimal digits, `-` and `s` form a valid header value"),
         );
-        let work =
+        let in_flight =
             self.shared.scheduler().start(now, wall_now(), choice.upstream, SCORE_TOKENS, None);
         let response =
             self.http.exchange(score_request, SCORE_TIMEOUT, MAX_SCORE_RESPONSE_BYTES).await;
@@ -97,9 +97,9 @@
             Err(_) => RequestOutcome::Failed,
         };
         let now: Moment = self.now();
-        self.shared.scheduler().finish(now, work, outcome);
+        self.shared.scheduler().finish(now, in_flight, outcome);
         let response = response.and_then(clients::HttpResponse::error_for_status).ok()?;
-        let found = serde_json::from_slice::<ScoreResponse>(&response.body).ok()?;
-        found.score.is_finite().then_some(Score((found.score * 1e6) as i64))
+        let scored = serde_json::from_slice::<ScoreResponse>(&response.body).ok()?;
+        scored.score.is_finite().then_some(Score((scored.score * 1e6) as i64))
     }
 }
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -21,7 +21,7 @@
 pub(crate) async fn serve_peers(control: Rc<Control>, listener: TcpListener) {
     serve(listener, move |request| {
         let control = Rc::clone(&control);
-        async move { peer(&control, request).await }
+        async move { handle_peer_request(&control, request).await }
     })
     .await;
 }
@@ -29,7 +29,7 @@
 pub(crate) async fn serve_admin(control: Rc<Control>, listener: TcpListener) {
     serve(listener, move |request| {
         let control = Rc::clone(&control);
-        async move { admin(&control, &request) }
+        async move { handle_admin_request(&control, &request) }
     })
     .await;
 }
@@ -51,13 +51,13 @@
     serve_connections(listener, factory).await;
 }
 
-async fn peer(control: &Rc<Control>, mut request: Request) -> Response<BoxBody> {
+async fn handle_peer_request(control: &Rc<Control>, mut request: Request) -> Response<BoxBody> {
     if request.path() != PEER_PATH || *request.method() != Method::POST {
         return Response::with_body(StatusCode::NOT_FOUND, BoxBody::new(Bytes::new()));
     }
     let sender = request.peer_addr().map(|address| address.to_string()).unwrap_or_default();
-    let first_line = "POST  HTTP/1.1".len() + PEER_PATH.len();
-    let head = head_len(first_line, request.headers());
+    let request_line_len = "POST  HTTP/1.1".len() + PEER_PATH.len();
+    let head = head_len(request_line_len, request.headers());
     let message = match request::read_body(&mut request, MAX_MESSAGE_BYTES).await {
         Ok(body) => {
             control.transfer.peers_served.count_exchange(0, head + body.len());
@@ -70,9 +70,9 @@
     response::with_body(StatusCode::OK, "application/msgpack", body)
 }
 
-fn admin(control: &Rc<Control>, request: &Request) -> Response<BoxBody> {
+fn handle_admin_request(control: &Rc<Control>, request: &Request) -> Response<BoxBody> {
     let admin_request = match request.path() {
-        "/admin/ready" => return ready(control),
+        "/admin/ready" => return readiness(control),
         "/admin/status" => AdminRequest::Status,
         "/admin/usage" => AdminRequest::Usage,
         "/admin/explain" => {
@@ -85,11 +85,11 @@
             return response::json(StatusCode::NOT_FOUND, &json!({ "error": message }));
         }
     };
-    response::json(StatusCode::OK, &control.admin(admin_request))
+    response::json(StatusCode::OK, &control.handle_admin_request(admin_request))
 }
 
 /// Responds to the load balancer's readiness check: 200 while the node is serving, 503 otherwise.
-fn ready(control: &Rc<Control>) -> Response<BoxBody> {
+fn readiness(control: &Rc<Control>) -> Response<BoxBody> {
     let (status, phase) = match control.shared.phase() {
         NodePhase::Serving => (StatusCode::OK, "serving"),
         NodePhase::Starting => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -91,12 +91,12 @@
             SampleOutcome::DeliveriesReady { trainer, range } => Some((*trainer, range.statement)),
             _ => None,
         });
-        let end = accepted.and_then(|(trainer, statement)| {
+        let outcome = accepted.and_then(|(trainer, statement)| {
             let deliveries = table.deliveries(trainer, statement)?;
             Some(StatementOutcome::Accepted { statement, deliveries, step })
         });
         // Fails if the request timed out or was cancelled.
-        let _ = waiter.send(end.unwrap_or(StatementOutcome::Refused));
+        let _ = waiter.send(outcome.unwrap_or(StatementOutcome::Refused));
     }
 
     /// Removes the waiters of requests that timed out or were cancelled.
@@ -112,7 +112,7 @@
         request: TrainerRequest,
         mut reply: oneshot::Sender<Result<Value, Refusal>>,
     ) {
-        let answer = async {
+        let response = async {
             match request {
                 TrainerRequest::OpenStep(step) => self.open_step(step).await,
                 TrainerRequest::FetchSamples { trainer, after, version } => {
@@ -121,7 +121,7 @@
             }
         };
         let result = tokio::select! {
-            result = answer => result,
+            result = response => result,
             () = reply.closed() => return,
         };
         let _ = reply.send(result);
@@ -269,7 +269,7 @@
             acknowledged,
             opened: shape,
         });
-        let (waiter, end) = oneshot::channel();
+        let (waiter, outcome) = oneshot::channel();
         let id = self
             .append(SAMPLE_STREAM, &SampleEntry::Record { record, step_prompts: opened })
             .map_err(|_| {
@@ -278,7 +278,7 @@
                 refusal.with_retry_after(Span::from_secs(1))
             })?;
         self.state().samples.waiters.waiting.insert(id, waiter);
-        let waited = tokio::time::timeout(to_duration(STATEMENT_TIMEOUT), end).await;
+        let waited = tokio::time::timeout(to_duration(STATEMENT_TIMEOUT), outcome).await;
         waited.ok().and_then(Result::ok).ok_or_else(|| {
             let message = "the recorded request was not read back from the log in time";
             let refusal = Refusal::may_have_run(RefusalCode::LogUnavailable, message);
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -197,8 +197,8 @@
             let hold = WireBatchHold { from: (&own).into(), batch: (&batch).into() };
             let control = Rc::clone(self);
             actix_rt::spawn(async move {
-                let answer = control.call_peer(holder, &PeerMessage::BatchHold(hold)).await;
-                if let Some(PeerMessage::Done(incarnation)) = answer {
+                let response = control.call_peer(holder, &PeerMessage::BatchHold(hold)).await;
+                if let Some(PeerMessage::Done(incarnation)) = response {
                     control.state().usage.pending.mark_held(id, Incarnation(incarnation));
                 }
             });
@@ -292,7 +292,7 @@
         let fencing_support = fencing_support(self.shared.settings.platform_fencing);
         let check = self.lease_check(&LeaseScope::Usage, report.fencing, fencing_support);
         let guarded = self.platform.guarded(check);
-        let answer = match guarded.report_usage(&wire_report(&report)).await {
+        let response = match guarded.report_usage(&wire_report(&report)).await {
             Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
             Ok(ReportOutcome::Conflict) => {
                 tracing::error!(
@@ -304,7 +304,7 @@
             Err(_) => ReportAnswer::Lost,
         };
         let now = self.now();
-        let reported = self.state().usage.reporter.answer(now, answer);
+        let reported = self.state().usage.reporter.answer(now, response);
         if let Some(reported) = reported {
             let record = UsageRecord::Reported(reported);
             let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
--- a/crates/hibiscushinged/src/control/weights.rs
+++ b/crates/hibiscushinged/src/control/weights.rs
@@ -127,22 +127,22 @@
         let swapping_share = document.max_swapping_share;
         state.weights.next_update = now + UPDATE_PERIOD;
         state.weights.recreate_scheduler_if_changed(now, fencing, swapping_share);
-        for ((key, found), zone) in states.into_iter().zip(zones) {
+        for ((key, upstream_state), zone) in states.into_iter().zip(zones) {
             let Some(target) = view.upstreams.get(key) else { continue };
             let service = document.service(&target.service);
             if service.is_none_or(|service| service.kind != ServiceKind::Model) {
                 continue;
             }
             let is_own = target.zone_name == self.shared.settings.zone;
-            let serves = found == Some(UpstreamState::Up);
-            for (scheduler, wanted) in [
+            let is_up = upstream_state == Some(UpstreamState::Up);
+            for (scheduler, included) in [
                 (&mut state.weights.all_engines, true),
                 (&mut state.weights.own_zone_engines, is_own),
             ] {
-                if !wanted {
+                if !included {
                     continue;
                 }
-                if !serves {
+                if !is_up {
                     scheduler.engine_left(key);
                     continue;
                 }
