--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -29,6 +29,7 @@
     pub(crate) scope: LeaseScope,
     pub(crate) lease_manager: LeaseManager,
     pub(crate) order_manager: OrderManager,
+    /// Fencing token of the lease while it is held.
     held_token: Option<FencingToken>,
 }
 
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -23,6 +23,7 @@
 /// Time between snapshots of the documents. It must stay well below the log's retention, so that
 /// the log always holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+
 /// Wait before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
@@ -276,8 +277,10 @@
 
 /// Assumed one-way network latency to a zone of another region.
 const REGION_LATENCY: Span = Span::from_millis(30);
+
 /// Assumed one-way network latency to another zone of the same region.
 const ZONE_LATENCY: Span = Span::from_millis(1);
+
 /// Assumed one-way network latency within the own zone.
 const OWN_ZONE_LATENCY: Span = Span::from_micros(200);
 
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -51,6 +51,7 @@
     pub(crate) demand: DemandDriver,
     planner: FleetPlanner,
     services: Vec<String>,
+    /// Desired counts of the own zone that were logged last, by service.
     desired: BTreeMap<String, DesiredCounts>,
     /// Fencing token of the own zone's lease under which this node plans, and the start of
     /// planning.
@@ -58,6 +59,7 @@
     /// When an order of the own zone was last settled. A list requested earlier may lack its
     /// effect.
     last_settled_at: Moment,
+    /// Orders that were submitted and not settled.
     orders: BTreeMap<OrderId, OrderTarget>,
     /// End of the backoff of each refused order.
     refused_until: BTreeMap<OrderTarget, Moment>,
--- a/crates/hibiscushinged/src/control/fleet/demand.rs
+++ b/crates/hibiscushinged/src/control/fleet/demand.rs
@@ -25,6 +25,7 @@
 /// Time between snapshots. It must stay well below the log's retention, so that the log always
 /// holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
+
 /// Wait before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -64,8 +64,8 @@
 }
 
 impl Control {
-    /// Resets the sample state to read the stream from `offset`, after a start or a gap. The state
-    /// of the trainers may lack records of the gap, and running slots are stopped.
+    /// Drops the sample state, which lacks the records of a gap, and starts again at `offset`, the
+    /// oldest retained record. Running slots are stopped.
     pub(crate) fn restart_samples_at(&self, offset: LogOffset) {
         let slots = {
             let mut state = self.state();
@@ -92,7 +92,7 @@
         let trainer = snapshot.state.id;
         samples.snapshots.record_snapshot(trainer, offset);
         let was_known = samples.table.trainers().any(|(id, _)| id == trainer);
-        // The outcomes need no handling: this node holds none of the samples' bytes.
+        // The outcomes need no handling: the texts of the snapshot's samples are held elsewhere.
         let _ = samples.table.install_snapshot(&snapshot);
         let is_known = samples.table.trainers().any(|(id, _)| id == trainer);
         if was_known || !is_known {
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -54,6 +54,7 @@
 /// Sample state of this node.
 pub(crate) struct SampleDriver {
     pub(crate) table: SampleTable,
+    /// Prompts of the open steps, by trainer and step.
     pub(crate) step_prompts: BTreeMap<(TrainerId, u64), StepPrompts>,
     pub(crate) store: SampleStore,
     pub(crate) waiters: StatementWaiters,
@@ -63,6 +64,7 @@
     /// time.
     pending_appends: HashMap<RecordId, Moment>,
     pub(crate) snapshots: SnapshotTracker,
+    /// When the stream was first read.
     following_since: Option<Moment>,
     next_bind: Moment,
     next_holder_check: Moment,
--- a/crates/hibiscushinged/src/control/server.rs
+++ b/crates/hibiscushinged/src/control/server.rs
@@ -41,7 +41,7 @@
     A: Future<Output = Response<BoxBody>> + 'static,
 {
     let listener = tokio::net::TcpListener::from_std(listener)
-        .expect("a non-blocking listener on a thread with a tokio runtime is accepted");
+        .expect("the listener is non-blocking and can be registered with the runtime");
     let factory = HttpService::build()
         .finish(move |request| {
             let response = handler(request);
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -35,8 +35,8 @@
         self.perform_suspect_actions(actions);
     }
 
-    /// Probes an upstream whose exchange failed. If it does not respond, it is marked down and the
-    /// request becomes a suspect; otherwise the exchange counts as finished.
+    /// Probes an upstream whose exchange failed. If it does not respond, it is marked down and
+    /// reported as crashed to the suspect table; otherwise the exchange counts as finished.
     pub(crate) async fn check_crash(
         self: &Rc<Self>,
         upstream: UpstreamKey,
@@ -89,8 +89,8 @@
                         expires_at_ms = conviction.expires_at.0
                     );
                     convictions.push(WireConviction::from(&conviction));
-                    // The result is ignored: all live peers get the conviction too, so the log
-                    // serves only nodes that are not reached or start later.
+                    // A failed append is ignored. Peers get the conviction directly too, so without
+                    // the log only distant zones learn of it later.
                     let _ = self.append(CONVICTION_STREAM, &conviction);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -67,7 +67,8 @@
 pub(crate) enum SampleUnavailable {
     /// A holder is not known or did not respond, so a later fetch may succeed.
     Temporarily,
-    /// All holders responded that they do not have it, so the sample is lost.
+    /// All holders responded that they do not have it, or sent a copy with a wrong digest. The
+    /// sample is lost and gets voided.
     Permanently,
 }
 
@@ -280,7 +281,7 @@
         self.state().samples.waiters.waiting.insert(id, waiter);
         let waited = tokio::time::timeout(to_duration(STATEMENT_TIMEOUT), outcome).await;
         waited.ok().and_then(Result::ok).ok_or_else(|| {
-            let message = "the recorded request was not read back from the log in time";
+            let message = "the request was not read back from the log in time";
             let refusal = Refusal::may_have_run(RefusalCode::LogUnavailable, message);
             refusal.with_retry_after(Span::from_secs(1))
         })
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -46,7 +46,9 @@
     pub(crate) replicas: ReplicaStore,
     pub(crate) ledger: UsageLedger,
     reporter: WindowReporter,
+    /// Window whose close record was appended and not read back yet.
     closing_window: Option<WindowNumber>,
+    /// When this node, as the lease holder, first found that the ledger lacks records.
     gap_noticed_at: Option<Moment>,
     snapshot_tried_at: Option<Moment>,
 }
