--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -106,8 +106,8 @@
                 reader = LogReader::new(ReaderSettings::default(), page.first);
                 handle_event(&control, StreamEvent::ReadingFrom(page.first));
             }
-            let retained = handle_event(&control, StreamEvent::Retained(page.first));
-            if let NextRead::From(offset) = retained {
+            let next_read = handle_event(&control, StreamEvent::Retained(page.first));
+            if let NextRead::From(offset) = next_read {
                 reader = LogReader::new(ReaderSettings::default(), offset);
                 continue;
             }
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -74,7 +74,7 @@
         }
         let Some(delegate) = delegate else { return };
         let view = self.shared.view.load_full();
-        let wire = requests.iter().filter_map(|request| {
+        let wire_requests = requests.iter().filter_map(|request| {
             Some(WireLimitAsk {
                 node: request.node.0,
                 customer: String::from(view.customer_name(request.customer)?),
@@ -83,7 +83,7 @@
                 held: request.held.map(|id| (id.delegate.0, id.number)),
             })
         });
-        let message = PeerMessage::LimitAsk(wire.collect());
+        let message = PeerMessage::LimitAsk(wire_requests.collect());
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
             let response = control.call_peer(delegate, &message).await;
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -140,13 +140,13 @@
         let actions = self.state().peers.table.handle(now, event);
         // All receivers get the same delta. `next_delta` returns each change once, so a call for
         // each receiver would send it to the first only.
-        let mut changes = None;
+        let mut delta = None;
         for action in actions {
             match action {
                 PeerAction::SendHeartbeat { to, message } => {
-                    let changes = changes
-                        .get_or_insert_with(|| self.state().peers.load_table.next_delta(now));
-                    self.send_heartbeat(now, to, message, changes.clone());
+                    let delta =
+                        delta.get_or_insert_with(|| self.state().peers.load_table.next_delta(now));
+                    self.send_heartbeat(now, to, message, delta.clone());
                 }
                 PeerAction::SendSummary { to, message } => self.send_summary(now, to, message),
                 PeerAction::Changed { vm, state } => self.peer_changed(now, vm, state),
--- a/crates/hibiscushinged/src/control/sample_store.rs
+++ b/crates/hibiscushinged/src/control/sample_store.rs
@@ -116,8 +116,8 @@
 
     /// Removes samples whose fill record was not read within [`ORPHAN_TIMEOUT`].
     pub(crate) fn drop_orphans(&mut self, now: Moment) {
-        let old = |stored: &StoredSample| now.since(stored.inserted_at) > ORPHAN_TIMEOUT;
-        self.samples.retain(|_, stored| stored.slot.is_some() || !old(stored));
+        let is_expired = |stored: &StoredSample| now.since(stored.inserted_at) > ORPHAN_TIMEOUT;
+        self.samples.retain(|_, stored| stored.slot.is_some() || !is_expired(stored));
         self.recount();
     }
 
--- a/crates/hibiscushinged/src/control/slots.rs
+++ b/crates/hibiscushinged/src/control/slots.rs
@@ -7,8 +7,8 @@
 /// The owner of each sample slot and trainer, by rendezvous hashing over the member nodes.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotOwners {
-    own: u64,
-    others: Vec<u64>,
+    own_hash: u64,
+    other_hashes: Vec<u64>,
 }
 
 impl SlotOwners {
@@ -18,9 +18,10 @@
         let others = table.iter().filter(|(key, peer)| {
             *key != table.own() && is_member(peer.state) && has_reported(&peer.vm)
         });
-        let mut others = others.map(|(_, peer)| stable_hash(&peer.vm.name)).collect::<Vec<_>>();
-        others.sort_unstable();
-        Self { own: stable_hash(&table.own_identity().name), others }
+        let mut other_hashes =
+            others.map(|(_, peer)| stable_hash(&peer.vm.name)).collect::<Vec<_>>();
+        other_hashes.sort_unstable();
+        Self { own_hash: stable_hash(&table.own_identity().name), other_hashes }
     }
 
     /// Returns whether this node owns the slot.
@@ -30,13 +31,13 @@
 
     /// Returns whether this node owns the item with this hash.
     pub(crate) fn owns_item(&self, item: u64) -> bool {
-        let own = base::rendezvous_weight(self.own, item);
-        self.others.iter().all(|node| base::rendezvous_weight(*node, item) < own)
+        let own = base::rendezvous_weight(self.own_hash, item);
+        self.other_hashes.iter().all(|node| base::rendezvous_weight(*node, item) < own)
     }
 
     /// Returns whether both have the same nodes, so that all slots have the same owners.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
-        self.own == other.own && self.others == other.others
+        self.own_hash == other.own_hash && self.other_hashes == other.other_hashes
     }
 }
 
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -185,7 +185,7 @@
 
     /// Sends the batches that the log does not show yet to this node's replica holder.
     fn hold_batches(self: &Rc<Self>, now: Moment) {
-        let (batches, holder, own) = {
+        let (batches, holder, own_identity) = {
             let mut state = self.state();
             let batches = state.usage.pending.poll(now);
             let table = &state.peers.table;
@@ -196,7 +196,7 @@
         let Some(holder) = holder else { return };
         for batch in batches {
             let id = batch.id;
-            let hold = WireBatchHold { from: (&own).into(), batch: (&batch).into() };
+            let hold = WireBatchHold { from: (&own_identity).into(), batch: (&batch).into() };
             let control = Rc::clone(self);
             actix_rt::spawn(async move {
                 let response = control.call_peer(holder, &PeerMessage::BatchHold(hold)).await;
