--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -1,4 +1,4 @@
-//! Calls about submissions: handing in, reading results and bodies, ending.
+//! Requests about submissions: accepting them, reading results and item bodies, ending them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,24 +22,24 @@
     traffic::response::with_body,
 };
 
-/// Time for which an append is tried. Senders come back to another node after a refusal.
-const COMMIT_PATIENCE: Span = Span::from_millis(1_500);
+/// Timeout of an append with its retries. Senders try another node after a refusal.
+const COMMIT_TIMEOUT: Span = Span::from_millis(1_500);
 
-/// Pause before a sender may come back while the store is away from this node.
-const STORE_PAUSE: Span = Span::from_millis(300);
+/// Retry-After of a request that this node refuses because it cannot reach the store.
+const STORE_RETRY_AFTER: Span = Span::from_millis(300);
 
-/// Part of the time within which all nodes must agree, after which a copy is read again before it is
-/// answered from.
-const FRESH_SHARE: f64 = 0.6;
+/// Fraction of the time within which all nodes must agree. A cache that was last confirmed longer
+/// ago is brought up to date before a response is made from it.
+const MAX_STALENESS_FRACTION: f64 = 0.6;
 
-/// Part of the longest record that a chunk of items fills.
-const CHUNK_SHARE: f64 = 0.6;
+/// Fraction of the store's record size limit up to which a record is filled with items.
+const CHUNK_FILL_FRACTION: f64 = 0.6;
 
-/// Bytes that an item takes beside its bodies and headers.
-const ITEM_OVERHEAD: usize = 300;
+/// Bytes that an item takes in a record in addition to its bodies and headers.
+const ITEM_OVERHEAD_BYTES: usize = 300;
 
-/// A submission that arrived.
-pub(crate) struct Arrival<'a> {
+/// A submission that a trainer sends.
+pub(crate) struct NewSubmission<'a> {
     pub(crate) id: &'a str,
     pub(crate) customer: &'a str,
     pub(crate) host: &'a str,
@@ -48,81 +48,96 @@
     pub(crate) deadline: Moment,
 }
 
-/// A call about a submission that was handed in before.
-pub(crate) struct Inquiry<'a> {
+/// Names a submission that was accepted before, and the customer that asks about it.
+pub(crate) struct SubmissionRef<'a> {
     pub(crate) submission: &'a str,
     pub(crate) customer: &'a str,
 }
 
-/// Accepts a submission. It is accepted once its records are in the store.
+/// Accepts a submission. It is accepted once its records are in the store. Sending it again has no
+/// further effect.
 ///
 /// # Errors
 ///
-/// Returns a refusal that says whether any part of it may run.
+/// Returns a refusal that says whether any item may run.
 pub(crate) async fn accept(
     traffic: &Rc<TrafficState>,
-    arrival: &Arrival<'_>,
+    new_submission: &NewSubmission<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let body = decode_submission(arrival.body).map_err(|error| invalid(&error))?;
-    check_submission(arrival.id, &body.items).map_err(|error| invalid(&error))?;
-    let follower = traffic.partitions.of_customer(arrival.customer);
+    let body = decode_submission(new_submission.body).map_err(|error| invalid_request(&error))?;
+    check_submission(new_submission.id, &body.items).map_err(|error| invalid_request(&error))?;
+    let follower = traffic.partitions.of_customer(new_submission.customer);
     follower.follow(&traffic.store);
-    let records = records(traffic, arrival, body);
-    let left = arrival.deadline.since(traffic.node.now());
-    let patience = COMMIT_PATIENCE.min(left);
-    let items: usize = records.iter().map(items_of).sum();
-    let mut known = true;
-    let submissions = [arrival.id];
-    let stored = commit(traffic, follower, patience, &submissions, |table| {
-        let opening = opening_records(table, arrival.id, &records);
-        known = opening.is_none();
+    let records = submission_records(traffic, new_submission, body);
+    let time_left = new_submission.deadline.since(traffic.node.now());
+    let timeout = COMMIT_TIMEOUT.min(time_left);
+    let items: usize = records.iter().map(items_in).sum();
+    let mut already_known = true;
+    let submissions = [new_submission.id];
+    let stored = commit(traffic, follower, timeout, &submissions, |table| {
+        let opening = opening_records(table, new_submission.id, &records);
+        already_known = opening.is_none();
         opening
     });
     match stored.await {
         Ok(()) => {
-            if let Some(state) = follower.table().get(arrival.id) {
-                check_owner(state, arrival.customer).map_err(|error| invalid(&error))?;
+            if let Some(state) = follower.table().get(new_submission.id) {
+                check_owner(state, new_submission.customer)
+                    .map_err(|error| invalid_request(&error))?;
             }
-            let (submission, customer) = (arrival.id, arrival.customer);
-            let part = follower.name.part;
-            log_event!(SubmissionAccepted, submission, customer, part, items, repeated = known);
+            let (submission, customer) = (new_submission.id, new_submission.customer);
+            let partition = follower.name.partition;
+            log_event!(
+                SubmissionAccepted,
+                submission,
+                customer,
+                part = partition,
+                items,
+                repeated = already_known
+            );
             Ok(super::response::status(StatusCode::ACCEPTED))
         }
-        Err(error) => Err(unsettled(error)),
+        Err(error) => Err(commit_refusal(error)),
     }
 }
 
-fn invalid(error: &impl std::error::Error) -> Refusal {
+fn invalid_request(error: &impl std::error::Error) -> Refusal {
     Refusal::not_run(RefusalCode::RequestInvalid, error.to_string())
 }
 
-fn unsettled(error: CommitError) -> Refusal {
+fn commit_refusal(error: CommitError) -> Refusal {
     let code = RefusalCode::LogUnavailable;
     match error {
-        CommitError::NotStored => Refusal::not_run(code, "the store does not take the records"),
+        CommitError::NotStored => {
+            Refusal::not_run(code, "the store did not accept the records in time")
+        }
         CommitError::Unknown => {
-            // The status must not promise that the submission will not run.
-            Refusal::may_have_run(RefusalCode::UpstreamFailed, "the store has not answered")
+            // Not `LogUnavailable`: its status would promise that the submission does not run.
+            Refusal::may_have_run(
+                RefusalCode::UpstreamFailed,
+                "the store did not confirm the records, which may be stored",
+            )
         }
     }
-    .with_retry_after(STORE_PAUSE)
+    .with_retry_after(STORE_RETRY_AFTER)
 }
 
-fn items_of(record: &SubmissionRecord) -> usize {
+fn items_in(record: &SubmissionRecord) -> usize {
     if let SubmissionRecord::Items { items, .. } = record { items.len() } else { 0 }
 }
 
-fn records(
+fn submission_records(
     traffic: &TrafficState,
-    arrival: &Arrival<'_>,
+    new_submission: &NewSubmission<'_>,
     body: SubmissionBody,
 ) -> Vec<SubmissionRecord> {
-    let most = (f64::from(traffic.node.settings.store.record_bytes) * CHUNK_SHARE) as usize;
+    let max_chunk_bytes =
+        (f64::from(traffic.node.settings.store.record_bytes) * CHUNK_FILL_FRACTION) as usize;
     let mut records = vec![SubmissionRecord::Opened(SubmissionMetadata {
-        id: String::from(arrival.id),
-        customer: String::from(arrival.customer),
-        host: String::from(arrival.host),
-        path: String::from(arrival.path),
+        id: String::from(new_submission.id),
+        customer: String::from(new_submission.customer),
+        host: String::from(new_submission.host),
+        path: String::from(new_submission.path),
         model: body.model,
         step: body.step,
         min_version: body.min_version,
@@ -134,11 +149,11 @@
     let (mut first, mut size) = (0, 0);
     for item in body.items {
         let length = item_bytes(&item);
-        if size + length > most && !chunk.is_empty() {
+        if size + length > max_chunk_bytes && !chunk.is_empty() {
             let items = std::mem::take(&mut chunk);
             let count = items.len() as u32;
             records.push(SubmissionRecord::Items {
-                submission: String::from(arrival.id),
+                submission: String::from(new_submission.id),
                 first,
                 items,
             });
@@ -148,65 +163,68 @@
         size += length;
         chunk.push(item);
     }
-    let submission = String::from(arrival.id);
+    let submission = String::from(new_submission.id);
     records.push(SubmissionRecord::Items { submission, first, items: chunk });
-    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from(arrival.id) });
+    records.push(SubmissionRecord::OpenMarkerSet { submission: String::from(new_submission.id) });
     records
 }
 
 fn item_bytes(item: &SubmissionItem) -> usize {
     let headers: usize = item.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
     let reward = item.reward.as_ref().map_or(0, |reward| reward.body.len());
-    ITEM_OVERHEAD + headers + item.body.len() + reward
+    ITEM_OVERHEAD_BYTES + headers + item.body.len() + reward
 }
 
-/// Answers a read of results. It waits up to `wait` for the first one.
+/// Returns the results of a submission from position `after` on. Waits up to `wait` for one.
 ///
 /// # Errors
 ///
 /// Returns a refusal when this node cannot be sure of what there is.
 pub(crate) async fn results(
     traffic: &Rc<TrafficState>,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
     after: u32,
     wait: Span,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let follower = traffic.partitions.of_customer(inquiry.customer);
+    let follower = traffic.partitions.of_customer(submission_ref.customer);
     let mut changes = follower.subscribe();
-    require(traffic, follower, inquiry).await?;
-    let until = traffic.node.now() + wait;
+    require_submission(traffic, follower, submission_ref).await?;
+    let deadline = traffic.node.now() + wait;
     loop {
-        let listed = result_count(follower, inquiry);
+        let listed = result_count(follower, submission_ref);
         if listed < after {
-            // Another node has listed more than this copy holds.
-            catch_up(traffic, follower, inquiry).await?;
+            // Another node has returned more results than this cache holds.
+            catch_up(traffic, follower, submission_ref).await?;
         }
-        let left = until.since(traffic.node.now());
-        if listed > after || is_complete(follower, inquiry) || left == Span::ZERO {
-            refresh(traffic, follower, inquiry).await?;
-            return Ok(results_answer(follower, inquiry, after));
+        let time_left = deadline.since(traffic.node.now());
+        if listed > after || is_complete(follower, submission_ref) || time_left == Span::ZERO {
+            refresh(traffic, follower, submission_ref).await?;
+            return Ok(results_response(follower, submission_ref, after));
         }
         changes.borrow_and_update();
-        // A time-out ends the wait as the check above says.
-        let _ = tokio::time::timeout(to_duration(left), changes.changed()).await;
+        // After a timeout the check above ends the loop.
+        let _ = tokio::time::timeout(to_duration(time_left), changes.changed()).await;
     }
 }
 
-fn result_count(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> u32 {
-    follower.table().get(inquiry.submission).map_or(0, submissions::SubmissionState::result_count)
+fn result_count(follower: &PartitionFollower, submission_ref: &SubmissionRef<'_>) -> u32 {
+    follower
+        .table()
+        .get(submission_ref.submission)
+        .map_or(0, submissions::SubmissionState::result_count)
 }
 
-fn is_complete(follower: &PartitionFollower, inquiry: &Inquiry<'_>) -> bool {
-    follower.table().get(inquiry.submission).is_none_or(|state| !state.is_open())
+fn is_complete(follower: &PartitionFollower, submission_ref: &SubmissionRef<'_>) -> bool {
+    follower.table().get(submission_ref.submission).is_none_or(|state| !state.is_open())
 }
 
-fn results_answer(
+fn results_response(
     follower: &PartitionFollower,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
     after: u32,
 ) -> Response<BoxBody> {
     let table = follower.table();
-    let Some(state) = table.get(inquiry.submission) else {
+    let Some(state) = table.get(submission_ref.submission) else {
         return super::response::status(StatusCode::NOT_FOUND);
     };
     let total = state.metadata().item_count;
@@ -214,92 +232,95 @@
     with_body(StatusCode::OK, "application/json", encode_results(total, after, results))
 }
 
-/// Answers a read of an item's body.
+/// Returns the body of an item.
 ///
 /// # Errors
 ///
 /// Returns a refusal when this node cannot be sure of what there is.
 pub(crate) async fn item_body(
     traffic: &Rc<TrafficState>,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
     item: &str,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let follower = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, follower, inquiry).await?;
+    let follower = traffic.partitions.of_customer(submission_ref.customer);
+    require_submission(traffic, follower, submission_ref).await?;
     let table = follower.table();
-    let found = table.get(inquiry.submission).and_then(|state| state.item(item));
+    let found = table.get(submission_ref.submission).and_then(|state| state.item(item));
     let Some(item) = found else { return Ok(super::response::status(StatusCode::NOT_FOUND)) };
     Ok(with_body(StatusCode::OK, "application/octet-stream", item.body.clone()))
 }
 
-/// Ends a submission.
+/// Ends a submission. Items without a result are not run further.
 ///
 /// # Errors
 ///
-/// Returns a refusal when the end is not in the store.
+/// Returns a refusal when the end could not be stored.
 pub(crate) async fn end(
     traffic: &Rc<TrafficState>,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
 ) -> Result<Response<BoxBody>, Refusal> {
-    let follower = traffic.partitions.of_customer(inquiry.customer);
-    require(traffic, follower, inquiry).await?;
-    let submission = inquiry.submission;
+    let follower = traffic.partitions.of_customer(submission_ref.customer);
+    require_submission(traffic, follower, submission_ref).await?;
+    let submission = submission_ref.submission;
     let submissions = [submission];
-    let stored = commit(traffic, follower, COMMIT_PATIENCE, &submissions, |table| {
+    let stored = commit(traffic, follower, COMMIT_TIMEOUT, &submissions, |table| {
         ending_records(table, submission)
     });
-    stored.await.map_err(unsettled)?;
-    log_event!(SubmissionEnded, submission, customer = inquiry.customer);
+    stored.await.map_err(commit_refusal)?;
+    log_event!(SubmissionEnded, submission, customer = submission_ref.customer);
     Ok(super::response::status(StatusCode::OK))
 }
 
-/// Makes sure that the submission is known, belongs to the customer, and is fresh.
-async fn require(
+/// Checks that the submission exists and belongs to the customer, with a cache that is fresh
+/// enough.
+async fn require_submission(
     traffic: &Rc<TrafficState>,
     follower: &Rc<PartitionFollower>,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
 ) -> Result<(), Refusal> {
     follower.follow(&traffic.store);
-    refresh(traffic, follower, inquiry).await?;
+    refresh(traffic, follower, submission_ref).await?;
     let table = follower.table();
-    let state = table.get(inquiry.submission);
-    if state.is_some_and(|state| state.metadata().customer == inquiry.customer) {
+    let state = table.get(submission_ref.submission);
+    if state.is_some_and(|state| state.metadata().customer == submission_ref.customer) {
         return Ok(());
     }
-    let message = format!("submission \"{}\" does not exist", inquiry.submission);
+    let message = format!("submission \"{}\" does not exist", submission_ref.submission);
     Err(Refusal::not_run(RefusalCode::RouteUnknown, message))
 }
 
-/// Reads what is new when the copy may be older than other nodes' answers.
+/// Brings the cache up to date when it may be older than what other nodes have returned.
 async fn refresh(
     traffic: &Rc<TrafficState>,
     follower: &PartitionFollower,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
 ) -> Result<(), Refusal> {
     let settle = traffic.node.settings.promises.settle.0 as f64;
-    let fresh = Span((settle * FRESH_SHARE) as u64);
+    let max_staleness = Span((settle * MAX_STALENESS_FRACTION) as u64);
     let age = follower.cache().staleness(traffic.node.now());
-    if follower.cache().is_loaded(inquiry.submission) && age.is_some_and(|age| age <= fresh) {
+    if follower.cache().is_loaded(submission_ref.submission)
+        && age.is_some_and(|age| age <= max_staleness)
+    {
         return Ok(());
     }
-    catch_up(traffic, follower, inquiry).await
+    catch_up(traffic, follower, submission_ref).await
 }
 
 async fn catch_up(
     traffic: &Rc<TrafficState>,
     follower: &PartitionFollower,
-    inquiry: &Inquiry<'_>,
+    submission_ref: &SubmissionRef<'_>,
 ) -> Result<(), Refusal> {
-    /// Time for which a read is tried before the caller is sent to another node. A small node takes
-    /// half a second for a large submission.
-    const PATIENCE: Duration = Duration::from_millis(1_200);
+    /// Timeout after which the caller is sent to another node. A small node takes half a second for
+    /// a large submission.
+    const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1_200);
     let work = async {
         follower.catch_up(&traffic.store).await?;
-        follower.load(&traffic.store, inquiry.submission).await
+        follower.load(&traffic.store, submission_ref.submission).await
     };
-    if matches!(tokio::time::timeout(PATIENCE, work).await, Ok(Ok(()))) {
+    if matches!(tokio::time::timeout(CATCH_UP_TIMEOUT, work).await, Ok(Ok(()))) {
         return Ok(());
     }
-    let message = "the store does not answer, so results may be missing here";
-    Err(Refusal::not_run(RefusalCode::LogUnavailable, message).with_retry_after(STORE_PAUSE))
+    let message = "this node could not read the newest records of the store in time";
+    Err(Refusal::not_run(RefusalCode::LogUnavailable, message).with_retry_after(STORE_RETRY_AFTER))
 }
--- a/crates/hibiscushinged/src/gateway/traffic_state.rs
+++ b/crates/hibiscushinged/src/gateway/traffic_state.rs
@@ -6,7 +6,7 @@
 use dispatch::UpstreamBalancer;
 
 use crate::gateway::{
-    channel::Exchange, items::ItemDesk, node::NodeState, partitions::PartitionSet,
+    channel::Exchange, items::ItemScheduler, node::NodeState, partitions::PartitionSet,
     pool::ChannelPool, store::StoreSession,
 };
 
@@ -17,7 +17,7 @@
     pub(crate) pool: ChannelPool,
     pub(crate) store: Rc<StoreSession>,
     pub(crate) partitions: PartitionSet,
-    pub(crate) items: ItemDesk,
+    pub(crate) items: ItemScheduler,
 }
 
 impl TrafficState {
@@ -25,14 +25,14 @@
         Self {
             store: Rc::new(StoreSession::new(Arc::clone(&node))),
             partitions: PartitionSet::new(&node.settings.store),
-            items: ItemDesk::default(),
+            items: ItemScheduler::default(),
             balancer: RefCell::default(),
             pool: ChannelPool::new(),
             node,
         }
     }
 
-    /// Keeps the connection of a complete exchange, if it can be used again.
+    /// Returns the connection of a complete exchange to the pool, if it can be reused.
     pub(crate) fn keep_channel(&self, upstream: UpstreamKey, exchange: Exchange) {
         let idle_timeout = exchange.metadata().idle_timeout;
         if let Some(channel) = exchange.into_reusable() {
--- a/crates/hibiscushinged/src/gateway/upstreams.rs
+++ b/crates/hibiscushinged/src/gateway/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams as the control thread reports them.
+//! Applies the changes of upstreams that the control thread reports, and closes idle connections.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 
 use crate::{gateway::traffic_state::TrafficState, telemetry::log_event};
 
-/// Change of an upstream's entry.
+/// Change of an upstream's entry in the store.
 #[derive(Debug)]
 pub(crate) enum UpstreamUpdate {
     Updated(UpstreamEntry),
@@ -50,14 +50,14 @@
     }
 }
 
-/// Time between two sweeps of idle connections.
-const SWEEP_PERIOD: std::time::Duration = std::time::Duration::from_secs(1);
+/// Interval between checks for idle connections to close.
+const IDLE_CHECK_PERIOD: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Closes idle connections whose time has passed.
-pub(crate) async fn sweep_channels(traffic: Rc<TrafficState>) {
+/// Closes connections whose idle timeout has passed, until the process ends.
+pub(crate) async fn close_idle_channels(traffic: Rc<TrafficState>) {
     loop {
-        tokio::time::sleep(SWEEP_PERIOD).await;
+        tokio::time::sleep(IDLE_CHECK_PERIOD).await;
         let now: Moment = traffic.node.now();
-        traffic.pool.sweep(now);
+        traffic.pool.close_expired(now);
     }
 }
--- a/crates/hibiscushinged/src/gateway/usage.rs
+++ b/crates/hibiscushinged/src/gateway/usage.rs
@@ -1,4 +1,4 @@
-//! Usage of this node in the store.
+//! Storing of this node's usage totals.
 
 use std::{rc::Rc, time::Duration};
 
@@ -17,17 +17,17 @@
 /// Topic of usage totals and reports.
 pub(crate) const USAGE_TOPIC: &str = "keyed.usage";
 
-/// Time between two writes. What a crash can lose is what began in this time.
+/// Interval between writes. A crash loses the requests that began after the last one.
 const WRITE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Windows whose totals this node keeps for repeats.
-const KEPT_WINDOWS: u64 = 8;
+/// Number of windows whose totals are kept in memory for repeated writes.
+const RETAINED_WINDOWS: u64 = 8;
 
-/// Time after the end of a window from which this node counts it as closed. Requests that turn out not
-/// to have run are taken back by then.
+/// Delay from the end of a window until this node counts it as closed. Requests that turn out not
+/// to have run are uncounted by then.
 const CLOSE_DELAY: Span = Span::from_millis(300);
 
-/// Writes changed totals, and those of windows that have ended, until the process ends.
+/// Writes the changed totals and those of closed windows until the process ends.
 pub(crate) async fn store_usage(control: Rc<ControlState>) {
     let length = control.node.settings.promises.window;
     let first = window_of(wall_now(), length);
@@ -35,7 +35,7 @@
     loop {
         tokio::time::sleep(WRITE_PERIOD).await;
         let ended = WallTime(wall_now().0 - CLOSE_DELAY.as_millis() as i64);
-        // The window before the one that is running has ended.
+        // The window that contains this moment is still open; the one before it has closed.
         let ended = WindowNumber(window_of(ended, length).0.saturating_sub(1));
         let mut changed = control.node.window_totals().take_changed();
         let include = |changed: &mut Vec<(WindowNumber, CustomerCounts)>, window| {
@@ -47,10 +47,10 @@
             include(&mut changed, ended);
         }
         let last_totals = control.node.last_totals();
-        // Requests that come after the last totals change them, and do not reopen the window.
+        // Requests after the last totals change the totals, but do not reopen the window.
         let last = last_totals != LastTotals::NotDue;
         if last_totals == LastTotals::Due {
-            // The window before may have ended a moment ago, and not count as closed yet.
+            // The previous window may have ended too recently to count as closed.
             let newest = window_of(wall_now(), length);
             include(&mut changed, WindowNumber(newest.0.saturating_sub(1)));
             include(&mut changed, newest);
@@ -62,18 +62,18 @@
         if stored {
             closed = closed.max(ended);
             if last {
-                control.node.last_totals_stored();
+                control.node.mark_last_totals_stored();
             }
             let (windows, newest) = (changed.len(), changed.last().map(|(window, _)| window.0));
             log_event!(UsageBatchAppended, windows, newest);
         } else {
-            // Totals replace each other, so a write whose answer was lost is made again.
+            // Totals replace earlier ones, so a write whose response was lost can be repeated.
             let mut window_totals = control.node.window_totals();
             for (window, _) in &changed {
                 window_totals.mark_changed(*window);
             }
         }
-        let oldest = WindowNumber(ended.0.saturating_sub(KEPT_WINDOWS));
+        let oldest = WindowNumber(ended.0.saturating_sub(RETAINED_WINDOWS));
         control.node.window_totals().forget_before(oldest);
     }
 }
--- a/crates/hibiscushinged/src/gateway/usage_reports.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Usage reports by the lease holder.
+//! Reporting of closed usage windows, by the holder of the fleet lease.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,68 +25,70 @@
     telemetry::log_event,
 };
 
-/// Time between two looks at the windows.
-const PERIOD: Duration = Duration::from_millis(200);
+/// Interval between checks for windows to report.
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// Part of the time until a report is due for which nodes that have not closed the window are waited
-/// for. Nodes that were cut off for some seconds still get their totals in, and a successor has time to
-/// report.
-const CLOSE_SHARE: f64 = 0.6;
+/// Fraction of the time until a report is due during which nodes that have not closed the window
+/// are waited for. Within it, nodes that were cut off for some seconds can still store their
+/// totals. The rest leaves a successor of the lease holder time to report.
+const CLOSE_WAIT_FRACTION: f64 = 0.6;
 
-/// Windows before the newest one that are looked at.
-const LOOK_BACK: u64 = 6;
+/// Number of windows before the newest one that are checked for reporting.
+const LOOKBACK_WINDOWS: u64 = 6;
 
-/// Windows that stay in the store before the newest one. Every report is due long before.
-const KEPT_WINDOWS: u64 = 24;
+/// Number of windows before the newest one whose records stay in the store. Their reports are due
+/// long before.
+const RETAINED_WINDOWS: u64 = 24;
 
-/// Windows whose records are deleted in one append.
-const DELETED_AT_ONCE: usize = 32;
+/// Maximum number of windows whose records are deleted in one append.
+const MAX_WINDOWS_PER_DELETE: usize = 32;
 
-/// Idle time after which a connection is not used again. Each report has a connection of its own.
-const IDLE_TIME: Span = Span::from_secs(1);
+/// Idle timeout of a connection. A new client, with its own connection, is created for each report.
+const IDLE_TIMEOUT: Span = Span::from_secs(1);
 
-/// Windows as the store holds them.
+/// Usage windows as read from the store.
 #[derive(Default)]
 struct UsageState {
-    next: Option<u64>,
+    next_offset: Option<u64>,
     aggregator: WindowAggregator,
     reports: BTreeMap<WindowNumber, CustomerCounts>,
     confirmed: BTreeSet<WindowNumber>,
 }
 
-/// Reports usage windows for as long as the process lives, while it holds the lease.
+/// Reports due usage windows while this node holds the fleet lease. It runs until the process ends.
 pub(crate) async fn run(control: Rc<ControlState>) {
-    let name = PartitionName { topic: String::from(USAGE_TOPIC), part: 0 };
+    let name = PartitionName { topic: String::from(USAGE_TOPIC), partition: 0 };
     let mut state = UsageState::default();
     loop {
-        tokio::time::sleep(PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         let Some(address) = control.node.settings.duties else { continue };
         if control.lease.permit(&control.node).is_none() {
             continue;
         }
         for window in due_windows(&control, &state) {
             if !state.reports.contains_key(&window) {
-                fix(&control, &name, &mut state, window).await;
+                close_window(&control, &name, &mut state, window).await;
             }
             if let Some(counts) = state.reports.get(&window).cloned() {
                 let report = UsageReport { window: window.0, counts };
-                if send(&control, address, &report).await {
+                if send_report(&control, address, &report).await {
                     state.confirmed.insert(window);
                 }
             }
         }
-        delete_old(&control, &mut state).await;
+        delete_old_windows(&control, &mut state).await;
     }
 }
 
-/// Deletes the records of windows that are long reported, so that the store does not fill up.
-async fn delete_old(control: &ControlState, state: &mut UsageState) {
+/// Deletes the records of windows older than [`RETAINED_WINDOWS`], so that the store does not fill
+/// up.
+async fn delete_old_windows(control: &ControlState, state: &mut UsageState) {
     let newest = window_of(wall_now(), control.node.settings.promises.window);
-    let oldest = WindowNumber(newest.0.saturating_sub(KEPT_WINDOWS));
+    let oldest = WindowNumber(newest.0.saturating_sub(RETAINED_WINDOWS));
     state.confirmed = state.confirmed.split_off(&oldest);
     state.reports = state.reports.split_off(&oldest);
     let old = state.aggregator.forget_before(oldest);
-    for windows in old.chunks(DELETED_AT_ONCE) {
+    for windows in old.chunks(MAX_WINDOWS_PER_DELETE) {
         let mut records = Vec::new();
         for (window, processes) in windows {
             let keys =
@@ -94,36 +96,39 @@
             records.extend(keys.map(|key| encode_keyed_record(&key, None)));
             records.push(encode_keyed_record(&usage_report_key(*window), None));
         }
-        // What is not deleted now is found again by the next holder, which reads all keys.
+        // Records that are not deleted now are found by the next holder, which reads all keys.
         if let Err(error) = control.store.append(USAGE_TOPIC, 0, None, &records).await {
-            tracing::warn!(%error, "old usage records stay for now");
+            tracing::warn!(
+                %error,
+                "old usage records were not deleted; the next lease holder deletes them"
+            );
         }
     }
 }
 
 fn due_windows(control: &ControlState, state: &UsageState) -> Vec<WindowNumber> {
     let newest = window_of(wall_now(), control.node.settings.promises.window);
-    let windows = (newest.0.saturating_sub(LOOK_BACK)..newest.0).map(WindowNumber);
+    let windows = (newest.0.saturating_sub(LOOKBACK_WINDOWS)..newest.0).map(WindowNumber);
     windows.filter(|window| !state.confirmed.contains(window)).collect()
 }
 
-/// Tells whether nodes that have not closed the window are no longer waited for.
+/// Tells whether the window is reported without the nodes that have not closed it.
 fn is_overdue(control: &ControlState, window: WindowNumber) -> bool {
     let promises = &control.node.settings.promises;
-    let delay = (promises.usage_due.as_millis() as f64 * CLOSE_SHARE) as i64;
+    let delay = (promises.usage_due.as_millis() as f64 * CLOSE_WAIT_FRACTION) as i64;
     let end = window_end(window, promises.window);
     WallTime(end.0 + delay) <= wall_now()
 }
 
-/// Fixes the figures of a window by a record in the store, so that every holder sends the same ones.
-/// The record is conditional on the end of the totals that were summed.
-async fn fix(
+/// Stores the totals of a window before they are sent, so that every lease holder reports the same
+/// ones. The append is conditional on the end of the records that were summed.
+async fn close_window(
     control: &ControlState,
     name: &PartitionName,
     state: &mut UsageState,
     window: WindowNumber,
 ) {
-    if !read(control, name, state).await || state.reports.contains_key(&window) {
+    if !read_totals(control, name, state).await || state.reports.contains_key(&window) {
         return;
     }
     if !state.aggregator.is_closed(window) && !is_overdue(control, window) {
@@ -132,21 +137,21 @@
     let counts = state.aggregator.totals(window);
     let (key, value) = encode_usage_report(window, &counts);
     let record = encode_keyed_record(&key, Some(&value));
-    let stored = control.store.append(USAGE_TOPIC, 0, state.next, &[record]).await;
+    let stored = control.store.append(USAGE_TOPIC, 0, state.next_offset, &[record]).await;
     if let Ok(AppendResponse::Appended { offset, end }) = stored {
         let requests: u64 = counts.values().sum();
         log_event!(UsageWindowClosed, window = window.0, offset, requests);
-        state.next = Some(end);
+        state.next_offset = Some(end);
         state.reports.insert(window, counts);
     }
 }
 
-async fn read(control: &ControlState, name: &PartitionName, state: &mut UsageState) -> bool {
+async fn read_totals(control: &ControlState, name: &PartitionName, state: &mut UsageState) -> bool {
     loop {
-        let Ok(fetched) = fetch(&control.store, name, state.next, Span::ZERO).await else {
+        let Ok(fetched) = fetch(&control.store, name, state.next_offset, Span::ZERO).await else {
             return false;
         };
-        state.next = Some(fetched.next);
+        state.next_offset = Some(fetched.next_offset);
         let changes = match fetched.keys {
             FetchedKeys::All(changes) | FetchedKeys::Changes(changes) => changes,
         };
@@ -177,13 +182,13 @@
     }
 }
 
-async fn send(
+async fn send_report(
     control: &Rc<ControlState>,
     address: std::net::SocketAddr,
     report: &UsageReport,
 ) -> bool {
     let Some(identity) = control.lease.identity(&control.node) else { return false };
-    let client = UsageClient::new(holder_client(control, IDLE_TIME), address);
+    let client = UsageClient::new(holder_client(control, IDLE_TIMEOUT), address);
     match client.report_usage(&identity, report, ORDER_TIMEOUT).await {
         Ok(()) => {
             control.node.metrics.usage_reports.inc();
@@ -193,7 +198,11 @@
             true
         }
         Err(error) => {
-            tracing::warn!(window = report.window, %error, "a usage report was not confirmed");
+            tracing::warn!(
+                window = report.window,
+                %error,
+                "a usage report was not confirmed; it is sent again"
+            );
             false
         }
     }
--- a/crates/hibiscushinged/src/gateway/weight_loads.rs
+++ b/crates/hibiscushinged/src/gateway/weight_loads.rs
@@ -1,4 +1,4 @@
-//! Orders of weight loads by the lease holder.
+//! Weight load orders, issued by the holder of the fleet lease.
 
 use std::{
     cell::RefCell,
@@ -18,35 +18,39 @@
     telemetry::log_event,
 };
 
-/// Time between two looks at the plan.
+/// Interval between planning rounds.
 const PLAN_PERIOD: Duration = Duration::from_millis(100);
 
-/// Time from an order to the first question about its load, which takes 0.9 s when few engines load.
-const FIRST_REPORT: Duration = Duration::from_millis(950);
+/// Delay from an order to the first poll of the engine's report. A load takes 0.9 s when few
+/// engines load at once.
+const FIRST_REPORT_DELAY: Duration = Duration::from_millis(950);
 
-/// Time between two further questions. Reports are 100 to 200 ms old.
-const REPORT_PERIOD: Duration = Duration::from_millis(120);
+/// Interval between further polls. Reports are 100 to 200 ms old.
+const REPORT_POLL_PERIOD: Duration = Duration::from_millis(120);
 
-/// Questions to an engine that loads before its load counts as failed.
-const MOST_REPORTS: u32 = 20;
+/// Maximum number of polls before a load counts as failed.
+const MAX_REPORT_POLLS: u32 = 20;
 
-/// Pause before an engine that refused an order, or did not answer, gets another one.
-const FAILURE_PAUSE: Span = Span::from_millis(700);
+/// Backoff before an engine that refused an order or did not respond gets another one.
+const FAILURE_BACKOFF: Span = Span::from_millis(700);
 
-/// Idle time after which a connection to an engine is not used again. Engines state 10 s.
-const IDLE_TIME: Span = Span::from_secs(8);
+/// Idle timeout of a connection to an engine. Engines announce 10 s.
+const IDLE_TIMEOUT: Span = Span::from_secs(8);
 
-/// Loads in progress as this node knows them.
+/// Weight loads in progress, as this node knows them. Keys are engine ids.
 struct WeightLoader {
-    /// Checks the lease as the last step before an order is written.
+    /// Writes an order only while this node holds the lease, checked as the last step before the
+    /// bytes are sent.
     engines: EngineControlClient,
     loading: RefCell<HashMap<String, (String, WeightVersion, Moment)>>,
-    /// Versions that reports have shown, which may be newer than the entries.
-    shown: RefCell<HashMap<String, Vec<(String, WeightVersion)>>>,
-    paused: RefCell<HashMap<String, Moment>>,
+    /// Versions that engines have reported, which may be newer than those in their entries.
+    reported_versions: RefCell<HashMap<String, Vec<(String, WeightVersion)>>>,
+    /// Moments before which an engine gets no further order.
+    backoffs: RefCell<HashMap<String, Moment>>,
 }
 
-/// Orders loads for as long as the process lives, while it holds the lease.
+/// Plans and orders weight loads while this node holds the fleet lease. It runs until the process
+/// ends.
 pub(crate) async fn order_weight_loads(control: Rc<ControlState>) {
     let loader = Rc::new(WeightLoader::new(&control));
     loop {
@@ -60,7 +64,7 @@
             let load = (order.model.clone(), order.version, now);
             loader.loading.borrow_mut().insert(order.engine.clone(), load);
             let (control, loader) = (Rc::clone(&control), Rc::clone(&loader));
-            actix_rt::spawn(async move { carry_out(&control, &loader, &order).await });
+            actix_rt::spawn(async move { execute_order(&control, &loader, &order).await });
         }
     }
 }
@@ -81,8 +85,8 @@
         let limits = WeightLoadLimits::for_service(engines.len(), engine.models.len());
         orders.extend(plan_weight_loads(now, &engines, &newest_versions, limits));
     }
-    let paused = loader.paused.borrow();
-    orders.retain(|order| paused.get(&order.engine).is_none_or(|until| now >= *until));
+    let backoffs = loader.backoffs.borrow();
+    orders.retain(|order| backoffs.get(&order.engine).is_none_or(|until| now >= *until));
     orders
 }
 
@@ -96,20 +100,20 @@
 
 impl WeightLoader {
     fn new(control: &Rc<ControlState>) -> Self {
-        let http = holder_client(control, IDLE_TIME);
+        let http = holder_client(control, IDLE_TIMEOUT);
         Self {
             engines: EngineControlClient::new(http),
             loading: RefCell::default(),
-            shown: RefCell::default(),
-            paused: RefCell::default(),
+            reported_versions: RefCell::default(),
+            backoffs: RefCell::default(),
         }
     }
 
     fn engine(&self, entry: &UpstreamEntry) -> EngineWeights {
         let mut versions = entry.versions.clone();
-        if let Some(shown) = self.shown.borrow().get(&entry.id) {
+        if let Some(reported_versions) = self.reported_versions.borrow().get(&entry.id) {
             for (model, version) in &mut versions {
-                let newer = shown.iter().find(|(name, _)| name == model);
+                let newer = reported_versions.iter().find(|(name, _)| name == model);
                 *version = newer.map_or(*version, |(_, newer)| (*version).max(*newer));
             }
         }
@@ -117,30 +121,30 @@
         EngineWeights { id: entry.id.clone(), versions, loading }
     }
 
-    fn end(&self, engine: &str, pause_until: Option<Moment>) {
+    fn finish(&self, engine: &str, backoff_until: Option<Moment>) {
         self.loading.borrow_mut().remove(engine);
-        if let Some(until) = pause_until {
-            self.paused.borrow_mut().insert(String::from(engine), until);
+        if let Some(until) = backoff_until {
+            self.backoffs.borrow_mut().insert(String::from(engine), until);
         }
     }
 }
 
-async fn carry_out(control: &Rc<ControlState>, loader: &WeightLoader, order: &WeightLoad) {
+async fn execute_order(control: &Rc<ControlState>, loader: &WeightLoader, order: &WeightLoad) {
     let entry = control.entries.borrow().get(&order.engine).cloned();
     let Some(entry) = entry else {
-        loader.end(&order.engine, None);
+        loader.finish(&order.engine, None);
         return;
     };
-    let done = load(control, loader, order, &entry).await;
+    let result = load(control, loader, order, &entry).await;
     let (engine, model, version) = (&order.engine, &order.model, order.version.0);
-    let pause = match done {
+    let backoff_until = match result {
         Ok(()) => None,
         Err(reason) => {
             log_event!(warn, WeightLoadFailed, engine, model, version, reason);
-            Some(control.node.now() + FAILURE_PAUSE)
+            Some(control.node.now() + FAILURE_BACKOFF)
         }
     };
-    loader.end(engine, pause);
+    loader.finish(engine, backoff_until);
 }
 
 async fn load(
@@ -153,14 +157,14 @@
     let report = client.report(entry.address, ORDER_TIMEOUT).await;
     let report = report.map_err(|error| error.to_string())?;
     if report.busy {
-        return Err(String::from("another order is in progress"));
+        return Err(String::from("the engine is busy with another order"));
     }
-    loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
-    if holds(&report.versions, order) {
+    loader.reported_versions.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+    if has_version(&report.versions, order) {
         return Ok(());
     }
     let Some(identity) = control.lease.identity(&control.node) else {
-        return Err(String::from("the lease has ended"));
+        return Err(String::from("this node no longer holds the lease"));
     };
     let request = WeightLoadRequest {
         engine: order.engine.clone(),
@@ -181,25 +185,25 @@
     control.node.metrics.loads_ordered.inc();
     match client.load_weights(entry.address, &request, ORDER_TIMEOUT).await {
         Ok(WeightLoadResponse::Accepted | WeightLoadResponse::Holds) => {}
-        Ok(response) => return Err(format!("the engine answers {response:?}")),
-        // The order may have been accepted, which the reports show.
+        Ok(response) => return Err(format!("the engine responded to the order with {response:?}")),
+        // The engine may have accepted the order. Its reports tell.
         Err(error) if error.may_have_run() => {}
         Err(error) => return Err(error.to_string()),
     }
-    for asked in 0..MOST_REPORTS {
-        tokio::time::sleep(if asked == 0 { FIRST_REPORT } else { REPORT_PERIOD }).await;
+    for poll in 0..MAX_REPORT_POLLS {
+        tokio::time::sleep(if poll == 0 { FIRST_REPORT_DELAY } else { REPORT_POLL_PERIOD }).await;
         let Ok(report) = client.report(entry.address, ORDER_TIMEOUT).await else { continue };
-        loader.shown.borrow_mut().insert(order.engine.clone(), report.versions.clone());
-        if holds(&report.versions, order) {
+        loader.reported_versions.borrow_mut().insert(order.engine.clone(), report.versions.clone());
+        if has_version(&report.versions, order) {
             return Ok(());
         }
         if !report.busy && report.accepted_orders == request.accepted_orders {
-            return Err(String::from("the engine has not accepted the order"));
+            return Err(String::from("the engine is idle and has not accepted the order"));
         }
     }
-    Err(String::from("the version did not appear in time"))
+    Err(String::from("the engine did not report the version in time"))
 }
 
-fn holds(versions: &[(String, WeightVersion)], order: &WeightLoad) -> bool {
+fn has_version(versions: &[(String, WeightVersion)], order: &WeightLoad) -> bool {
     versions.iter().any(|(model, version)| *model == order.model && *version >= order.version)
 }
