--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,11 +1,13 @@
-//! Fairness between customers, limits shared over nodes, overload refusal and the retry budget.
+//! Fair queueing between customers, customer limits shared over nodes, refusal under overload, and
+//! the retry budget.
 //!
-//! - [`FairQueue`] orders waiting requests by weighted deficit round robin on tokens, and refuses
-//!   at once what cannot be served before its deadline.
-//! - [`RateLimiter`] is a node's side of the customers' limits, [`LimitAllocator`] the zone delegate's.
-//! - [`RetryBudget`] bounds retries by successes.
+//! - [`FairQueue`] orders queued requests by weighted deficit round robin on tokens, and refuses at
+//!   once those that cannot be served before their deadline.
+//! - [`RateLimiter`] enforces customer limits on one node with token buckets. [`LimitAllocator`]
+//!   runs on the zone's delegate and grants each node its share of the limits.
+//! - [`RetryBudget`] bounds retries by recorded successes.
 //!
-//! Nothing here reads a clock. Times and seeded generators are passed in.
+//! Nothing here reads a clock: times and seeded random generators are passed in.
 
 mod allocator;
 mod limiter;
--- a/crates/admission/src/limiter.rs
+++ b/crates/admission/src/limiter.rs
@@ -1,4 +1,4 @@
-//! A node's side of the customers' limits.
+//! Enforcement of customer limits on one node.
 
 use std::collections::BTreeMap;
 
@@ -9,87 +9,96 @@
 derive_copy! {
     /// Identifier of a grant.
     pub struct GrantId {
-        /// The delegate that granted.
+        /// The delegate that issued the grant.
         pub delegate: Incarnation,
         /// Number of the grant among those of its delegate, starting at 1.
         pub number: u64,
     }
 
-    /// Asks the zone's delegate for a share of a customer's limit.
+    /// Request of a node to the zone's delegate for a share of a customer's limit.
     pub struct GrantRequest {
-        /// The node that asks.
+        /// The node that sends the request.
         pub node: Incarnation,
         /// The customer.
         pub customer: CustomerKey,
-        /// Tokens per second that the node's callers ask for.
+        /// Tokens per second that the node's callers have asked for since the last request.
         pub demand: u32,
-        /// Number of the ask among those of its node and customer, starting at 1.
+        /// Number of the request among those of its node and customer, starting at 1.
         pub sequence: u64,
-        /// The grant that the node uses.
+        /// The grant that the node uses, if it has had one.
         pub held: Option<GrantId>,
     }
 
-    /// Grants a share of a customer's limit.
+    /// Time-limited share of a customer's limit, the delegate's response to a [`GrantRequest`].
     pub struct LimitGrant {
-        /// The node that asked.
+        /// The node that sent the request.
         pub node: Incarnation,
         /// The customer.
         pub customer: CustomerKey,
-        /// Number of the ask that this answers.
+        /// Sequence number of the request that this answers.
         pub sequence: u64,
-        /// Identifier of the grant.
+        /// Identifier by which the node names the grant in its next request.
         pub id: GrantId,
-        /// Tokens per second.
+        /// Granted rate in tokens per second, on top of the node's guaranteed rate.
         pub rate: u32,
-        /// How long the grant lasts, counted from the moment before its ask was sent.
+        /// How long the grant lasts, counted from when the node sent the request.
         pub duration: Span,
     }
 
-    /// Settings of a node's shares.
+    /// Settings of a [`RateLimiter`].
     pub struct LimiterSettings {
-        /// Time between two asks for a customer with demand.
+        /// Time between two grant requests for a customer with demand.
         pub request_interval: Span,
-        /// A full bucket holds this much time's worth of the rate.
+        /// Capacity of a token bucket, as the time in which the rate fills it.
         pub burst: Span,
-        /// A customer without demand for this long is no longer asked for.
+        /// Time without demand after which a customer's bucket is dropped and no more grants are
+        /// requested for it.
         pub idle_after: Span,
-        /// A node without any grant yet waits this long for its first.
-        pub first_wait: Span,
+        /// How long requests of a customer wait for the customer's first grant on this node before
+        /// they are refused, counted from the first request.
+        pub first_grant_timeout: Span,
     }
 }
 
 derive_value! {
-    /// Answer to a request of a customer that has a limit.
+    /// Whether a request of a customer that has a limit may be queued.
     pub enum LimitDecision {
-        /// The tokens are taken from the bucket.
+        /// The tokens were taken from the bucket.
         Admitted,
-        /// The node has not heard its first grant. Ask again when it arrives.
+        /// The bucket is empty and the node waits for the customer's first grant. Try again when it
+        /// arrives.
         AwaitGrant,
-        /// The bucket is empty, or no grant is in force.
+        /// The bucket is empty. The refusal states when to retry.
         Refused(Refusal),
     }
 }
 
+/// Token bucket of one customer, with the state of its grant requests.
 #[derive(Debug, Clone)]
 struct CustomerBucket {
-    /// Rate that needs no grant.
+    /// Rate that needs no grant, in tokens per second.
     guaranteed_rate: u32,
+    /// Rate of the last grant, in tokens per second, in force until `expires_at`.
     rate: u32,
     expires_at: Moment,
     held: Option<GrantId>,
+    /// Sequence number of the last grant request.
     sequence: u64,
     requested_at: Option<Moment>,
-    answered: u64,
-    /// Tokens that callers asked for since the last ask.
-    wanted: u64,
-    wanted_at: Moment,
-    first_wanted_at: Moment,
-    /// Millionths of a token in the bucket. A negative level is a debt.
-    level: i64,
-    filled_at: Moment,
+    /// Sequence number of the last grant request that was answered, or 0.
+    answered_sequence: u64,
+    /// Tokens that callers asked for since the last grant request.
+    demanded_tokens: u64,
+    last_demand_at: Moment,
+    first_demand_at: Moment,
+    /// Level of the bucket in millionths of a token. A negative level is a debt.
+    level_micro_tokens: i64,
+    refilled_at: Moment,
 }
 
-/// Shares of the customers' limits on one node, each with a token bucket.
+/// Token buckets of the customers that have a limit, on one node.
+///
+/// A bucket fills at the node's guaranteed rate plus the rate of its current grant.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
     me: Incarnation,
@@ -98,23 +107,24 @@
     buckets: BTreeMap<CustomerKey, CustomerBucket>,
 }
 
-const MICRO: i64 = 1_000_000;
+/// Units of a bucket's level in one token.
+const MICRO_TOKENS: i64 = 1_000_000;
 
 impl Default for LimiterSettings {
     fn default() -> Self {
         Self {
             request_interval: Span::from_secs(3),
-            // A node's share of a small customer is less than one request a second. A bucket of one
-            // second refused 23% of the requests of customers that were below their limit.
+            // A small customer's share on one node is less than one request per second. A burst of
+            // 1 s refused 23% of the requests of customers that were below their limit.
             burst: Span::from_secs(10),
             idle_after: Span::from_secs(30),
-            first_wait: Span::from_millis(500),
+            first_grant_timeout: Span::from_millis(500),
         }
     }
 }
 
 impl RateLimiter {
-    /// Creates the shares of the node `me`.
+    /// Creates the limiter of the node `me`, without any bucket.
     #[must_use]
     pub const fn new(me: Incarnation, settings: LimiterSettings) -> Self {
         Self { me, settings, guaranteed_rates: BTreeMap::new(), buckets: BTreeMap::new() }
@@ -129,33 +139,35 @@
     ) {
         self.guaranteed_rates.insert(customer, guaranteed_rate);
         let Some(bucket) = self.buckets.get_mut(&customer) else { return };
-        bucket.fill(now, self.settings.burst);
+        bucket.refill(now, self.settings.burst);
         bucket.guaranteed_rate = guaranteed_rate;
     }
 
     /// Takes `tokens` from the bucket of a customer that has a limit.
     ///
-    /// A request may overdraw a bucket that holds anything, so that one larger than the bucket can
-    /// run at all. The debt is paid before the next request.
+    /// A request may overdraw a bucket that is not empty, since one larger than the bucket could
+    /// otherwise never run. The debt must be refilled before the next request is admitted.
     pub fn admit(&mut self, now: Moment, customer: CustomerKey, tokens: u32) -> LimitDecision {
         let guaranteed_rate = self.guaranteed_rates.get(&customer).copied().unwrap_or(0);
         let new_bucket = || CustomerBucket::new(now, guaranteed_rate);
         let bucket = self.buckets.entry(customer).or_insert_with(new_bucket);
-        bucket.wanted = bucket.wanted.saturating_add(u64::from(tokens));
-        bucket.wanted_at = now;
-        bucket.fill(now, self.settings.burst);
-        if bucket.level > 0 {
-            bucket.level -= i64::from(tokens) * MICRO;
+        bucket.demanded_tokens = bucket.demanded_tokens.saturating_add(u64::from(tokens));
+        bucket.last_demand_at = now;
+        bucket.refill(now, self.settings.burst);
+        if bucket.level_micro_tokens > 0 {
+            bucket.level_micro_tokens -= i64::from(tokens) * MICRO_TOKENS;
             return LimitDecision::Admitted;
         }
-        if bucket.answered == 0 && now < bucket.first_wanted_at + self.settings.first_wait {
+        if bucket.answered_sequence == 0
+            && now < bucket.first_demand_at + self.settings.first_grant_timeout
+        {
             return LimitDecision::AwaitGrant;
         }
         let retry_after = match u64::from(bucket.rate_at(now)) {
             0 => self.settings.request_interval,
-            rate => Span(bucket.level.unsigned_abs() / rate + 1),
+            rate => Span(bucket.level_micro_tokens.unsigned_abs() / rate + 1),
         };
-        let message = "the customer's limit is reached";
+        let message = "the customer's token rate limit is reached";
         let refusal = Refusal::not_run(RefusalCode::LimitReached, message);
         LimitDecision::Refused(refusal.with_retry_after(retry_after))
     }
@@ -165,22 +177,26 @@
         let Some(bucket) = self.buckets.get_mut(&customer) else { return };
         let burst = i64::try_from(self.settings.burst.0).unwrap_or(i64::MAX);
         let rate = i64::from(bucket.rate) + i64::from(bucket.guaranteed_rate);
-        let full = rate.saturating_mul(burst);
-        bucket.level = bucket.level.saturating_sub(difference.saturating_mul(MICRO)).min(full);
+        let capacity = rate.saturating_mul(burst);
+        bucket.level_micro_tokens = bucket
+            .level_micro_tokens
+            .saturating_sub(difference.saturating_mul(MICRO_TOKENS))
+            .min(capacity);
     }
 
-    /// Returns the asks that are due at `now`, to be sent to the zone's delegate.
+    /// Returns the grant requests that are due at `now`, to be sent to the zone's delegate. Drops
+    /// the buckets of idle customers.
     pub fn due_requests(&mut self, now: Moment) -> Vec<GrantRequest> {
         let settings = self.settings;
-        self.buckets.retain(|_, bucket| now.since(bucket.wanted_at) < settings.idle_after);
+        self.buckets.retain(|_, bucket| now.since(bucket.last_demand_at) < settings.idle_after);
         let mut requests = Vec::new();
         for (customer, bucket) in &mut self.buckets {
             if bucket.requested_at.is_some_and(|at| now.since(at) < settings.request_interval) {
                 continue;
             }
-            let passed = bucket.requested_at.map_or(settings.request_interval, |at| now.since(at));
-            let demand = bucket.wanted.saturating_mul(1_000_000) / passed.0.max(1);
-            bucket.wanted = 0;
+            let elapsed = bucket.requested_at.map_or(settings.request_interval, |at| now.since(at));
+            let demand = bucket.demanded_tokens.saturating_mul(1_000_000) / elapsed.0.max(1);
+            bucket.demanded_tokens = 0;
             bucket.requested_at = Some(now);
             bucket.sequence += 1;
             requests.push(GrantRequest {
@@ -194,23 +210,25 @@
         requests
     }
 
-    /// Takes in a grant. One that answers an ask other than the last is ignored.
+    /// Applies a grant. One that does not answer the last request, or was applied before, is
+    /// ignored.
     pub fn apply_grant(&mut self, now: Moment, grant: LimitGrant) {
         let Some(bucket) = self.buckets.get_mut(&grant.customer) else { return };
-        let Some(asked_at) = bucket.requested_at else { return };
-        let is_last = grant.sequence == bucket.sequence && grant.sequence > bucket.answered;
-        if grant.node != self.me || !is_last {
+        let Some(requested_at) = bucket.requested_at else { return };
+        let answers_last_request =
+            grant.sequence == bucket.sequence && grant.sequence > bucket.answered_sequence;
+        if grant.node != self.me || !answers_last_request {
             return;
         }
-        bucket.fill(now, self.settings.burst);
-        bucket.answered = grant.sequence;
+        bucket.refill(now, self.settings.burst);
+        bucket.answered_sequence = grant.sequence;
         bucket.held = Some(grant.id);
         bucket.rate = grant.rate;
-        bucket.expires_at = asked_at + grant.duration;
-        bucket.fill(now, self.settings.burst);
+        bucket.expires_at = requested_at + grant.duration;
+        bucket.refill(now, self.settings.burst);
     }
 
-    /// Returns the rate in force, in tokens per second.
+    /// Returns the guaranteed rate plus the rate of an unexpired grant, in tokens per second.
     #[must_use]
     pub fn rate(&self, now: Moment, customer: CustomerKey) -> u32 {
         match self.buckets.get(&customer) {
@@ -238,31 +256,33 @@
             held: None,
             sequence: 0,
             requested_at: None,
-            answered: 0,
-            wanted: 0,
-            wanted_at: now,
-            first_wanted_at: now,
-            level: 0,
-            filled_at: now,
+            answered_sequence: 0,
+            demanded_tokens: 0,
+            last_demand_at: now,
+            first_demand_at: now,
+            level_micro_tokens: 0,
+            refilled_at: now,
         }
     }
 
     fn rate_at(&self, now: Moment) -> u32 {
-        let granted = if now < self.expires_at { self.rate } else { 0 };
-        self.guaranteed_rate.saturating_add(granted)
+        let granted_rate = if now < self.expires_at { self.rate } else { 0 };
+        self.guaranteed_rate.saturating_add(granted_rate)
     }
 
-    /// Fills the bucket by the reserve, and by the grant for the time that it was in force, up to
-    /// one burst.
-    fn fill(&mut self, now: Moment, burst: Span) {
-        let gain = |rate: u32, span: Span| {
+    /// Refills the bucket up to its capacity: by the guaranteed rate, and by the granted rate for
+    /// the time in which the grant was in force.
+    fn refill(&mut self, now: Moment, burst: Span) {
+        let micro_tokens = |rate: u32, span: Span| {
             i64::from(rate).saturating_mul(i64::try_from(span.0).unwrap_or(i64::MAX))
         };
         let granted_until = now.min(self.expires_at);
-        let granted = gain(self.rate, granted_until.since(self.filled_at));
-        let gained = granted.saturating_add(gain(self.guaranteed_rate, now.since(self.filled_at)));
-        self.filled_at = self.filled_at.max(now);
-        let full = gain(self.rate_at(now), burst);
-        self.level = self.level.saturating_add(gained).min(full);
+        let granted_tokens = micro_tokens(self.rate, granted_until.since(self.refilled_at));
+        let added_tokens = granted_tokens
+            .saturating_add(micro_tokens(self.guaranteed_rate, now.since(self.refilled_at)));
+        self.refilled_at = self.refilled_at.max(now);
+        let capacity = micro_tokens(self.rate_at(now), burst);
+        self.level_micro_tokens =
+            self.level_micro_tokens.saturating_add(added_tokens).min(capacity);
     }
 }
--- a/crates/admission/src/retry.rs
+++ b/crates/admission/src/retry.rs
@@ -1,46 +1,49 @@
-//! Bound on retries, so that they cannot multiply the load of a failing service.
+//! Retry budget: bounds retries, so that they cannot multiply the load of a failing service.
 
-/// Successes that pay for one retry: retries are at most 10% of successes.
+/// Successes needed for one retry: retries are at most 10% of successes.
 const SUCCESSES_PER_RETRY: u32 = 10;
 
-/// Retries that can be saved up, which bounds the burst after a long quiet time.
-const MAX_SAVED: u32 = 100;
+/// Maximum number of retries in the budget, which bounds a burst of retries after a long time
+/// without failures.
+const MAX_SAVED_RETRIES: u32 = 100;
 
-/// Retries that are allowed before any success, so that a fresh node can retry at all.
-const FIRST_SAVED: u32 = 10;
+/// Retries allowed before any success, so that a node that has just started can retry.
+const INITIAL_RETRIES: u32 = 10;
 
 /// Budget of retries that grows with successes.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Saved successes, of which each retry uses [`SUCCESSES_PER_RETRY`].
-    saved: u32,
+    /// Unused successes. Each retry takes [`SUCCESSES_PER_RETRY`] of them.
+    unused_successes: u32,
 }
 
 impl RetryBudget {
-    /// Creates a budget with a few retries.
+    /// Creates a budget with 10 retries.
     #[must_use]
     pub const fn new() -> Self {
-        Self { saved: FIRST_SAVED * SUCCESSES_PER_RETRY }
+        Self { unused_successes: INITIAL_RETRIES * SUCCESSES_PER_RETRY }
     }
 
     /// Counts a request that succeeded.
     pub fn record_success(&mut self) {
-        self.saved = (self.saved + 1).min(MAX_SAVED * SUCCESSES_PER_RETRY);
+        self.unused_successes =
+            (self.unused_successes + 1).min(MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY);
     }
 
-    /// Takes one retry from the budget, or returns false when it is used up.
+    /// Takes one retry from the budget. Returns `false` when none is left, and the request must not
+    /// be retried.
     pub const fn try_withdraw(&mut self) -> bool {
-        if self.saved < SUCCESSES_PER_RETRY {
+        if self.unused_successes < SUCCESSES_PER_RETRY {
             return false;
         }
-        self.saved -= SUCCESSES_PER_RETRY;
+        self.unused_successes -= SUCCESSES_PER_RETRY;
         true
     }
 
-    /// Returns how many retries are left.
+    /// Returns how many retries are left before further successes.
     #[must_use]
     pub const fn left(&self) -> u32 {
-        self.saved / SUCCESSES_PER_RETRY
+        self.unused_successes / SUCCESSES_PER_RETRY
     }
 }
 
--- a/crates/admission/tests/limit.rs
+++ b/crates/admission/tests/limit.rs
@@ -1,4 +1,5 @@
-//! Guards the limits: the sum of the nodes' shares never exceeds the zone's part.
+//! Guards the customer limits: the rates of all nodes of a zone never add up to more than the zone
+//! limit.
 
 use admission::{
     AllocatorSettings, GrantRequest, LimitAllocator, LimitDecision, LimitGrant, LimiterSettings,
@@ -13,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const CUSTOMER: CustomerKey = CustomerKey(0);
-const PART: u32 = 1_000;
+const ZONE_RATE: u32 = 1_000;
 const VMS: usize = 4;
 
 enum Message {
@@ -21,21 +22,21 @@
     Grant(LimitGrant),
 }
 
-/// The nodes of one zone. Messages wait until a step delivers or loses them.
+/// The nodes of one zone. A message stays in `messages` until a step delivers or drops it.
 struct Zone {
     now: Moment,
     limiters: Vec<RateLimiter>,
     allocators: Vec<Option<LimitAllocator>>,
     messages: Vec<Message>,
-    /// Side of the partition of each node, all 0 when there is none.
-    sides: [usize; VMS],
+    /// Side of the network partition on which each node is; all 0 when there is no partition.
+    partition_sides: [usize; VMS],
     limit: ZoneLimit,
     restarts: u64,
 }
 
 impl Zone {
     fn new() -> Self {
-        Self::with_limit(ZoneLimit { rate: PART, guaranteed_rate: 0 })
+        Self::with_limit(ZoneLimit { rate: ZONE_RATE, guaranteed_rate: 0 })
     }
 
     fn limiter(now: Moment, incarnation: u64, limit: ZoneLimit) -> RateLimiter {
@@ -53,7 +54,7 @@
             limiters: nodes.map(limiter).collect(),
             allocators: vec![None; VMS],
             messages: Vec::new(),
-            sides: [0; VMS],
+            partition_sides: [0; VMS],
             limit,
             restarts: 0,
         };
@@ -61,11 +62,11 @@
         zone
     }
 
-    /// The lowest node of each side is its delegate, which sees the side's VMs.
+    /// Makes the lowest node of each side its delegate, which sees the side's VMs alive.
     fn elect(&mut self) {
         for node in 0..VMS {
-            let side = self.sides[node];
-            let live = self.sides.iter().filter(|other| **other == side).count() as u32;
+            let side = self.partition_sides[node];
+            let live = self.partition_sides.iter().filter(|other| **other == side).count() as u32;
             if self.delegate(node) != node {
                 self.allocators[node] = None;
                 continue;
@@ -83,16 +84,17 @@
     }
 
     fn delegate(&self, node: usize) -> usize {
-        let side = self.sides[node];
-        self.sides.iter().position(|other| *other == side).unwrap_or(node)
+        let side = self.partition_sides[node];
+        self.partition_sides.iter().position(|other| *other == side).unwrap_or(node)
     }
 
-    /// Ids of one node's processes and desks differ by a multiple of [`VMS`].
+    /// Incarnations of one node differ by a multiple of [`VMS`], so that the node follows from
+    /// them.
     fn incarnation(&self, node: usize) -> Incarnation {
         Incarnation(self.restarts * VMS as u64 + node as u64)
     }
 
-    /// Replaces a process by a new one that keeps nothing.
+    /// Replaces a node's process by a new one without any state.
     fn restart(&mut self, node: usize) {
         self.restarts += 1;
         self.limiters[node] = Self::limiter(self.now, self.incarnation(node).0, self.limit);
@@ -100,7 +102,7 @@
         self.elect();
     }
 
-    fn want(&mut self, node: usize, tokens: u32) {
+    fn demand_tokens(&mut self, node: usize, tokens: u32) {
         self.limiters[node].admit(self.now, CUSTOMER, tokens);
         self.send_requests(node);
     }
@@ -127,36 +129,45 @@
         }
     }
 
-    fn sum(&self) -> u32 {
+    fn total_rate(&self) -> u32 {
         self.limiters.iter().map(|limiter| limiter.rate(self.now, CUSTOMER)).sum()
     }
 
-    /// Lets every node want `demands` tokens each second for `secs` seconds.
+    /// Runs `secs` seconds in which each node demands its number of tokens in `demands` per second.
+    /// All messages are delivered, and the sum of the rates is checked every second.
     fn run(&mut self, secs: u64, demands: [u32; VMS]) {
         for _ in 0..secs {
             self.now += Span::from_secs(1);
             for (node, demand) in demands.into_iter().enumerate() {
-                self.want(node, demand);
+                self.demand_tokens(node, demand);
             }
             while !self.messages.is_empty() {
                 self.deliver(0);
             }
-            assert!(self.sum() <= PART, "{} granted", self.sum());
+            assert!(
+                self.total_rate() <= ZONE_RATE,
+                "nodes may use {} tokens per second together",
+                self.total_rate()
+            );
         }
     }
 }
 
 #[test]
-fn new_delegate_waits_one_grant_period() {
+fn new_delegate_grants_nothing_for_one_grant_duration() {
     let mut zone = Zone::new();
     zone.run(8, [500; VMS]);
-    assert_eq!(zone.sum(), 0);
+    assert_eq!(zone.total_rate(), 0);
     zone.run(20, [500; VMS]);
-    assert!(zone.sum() > PART * 9 / 10, "{} granted", zone.sum());
+    assert!(
+        zone.total_rate() > ZONE_RATE * 9 / 10,
+        "{} tokens per second granted",
+        zone.total_rate()
+    );
 }
 
 #[test]
-fn shares_follow_demand() {
+fn granted_rates_follow_demand() {
     let mut zone = Zone::new();
     zone.run(40, [100, 100, 2_000, 0]);
     let rates = (0..VMS).map(|node| zone.limiters[node].rate(zone.now, CUSTOMER));
@@ -167,7 +178,7 @@
 }
 
 #[test]
-fn share_expires_when_the_delegate_is_out_of_reach() {
+fn grant_expires_when_the_delegate_is_unreachable() {
     let mut zone = Zone::new();
     zone.run(20, [500; VMS]);
     assert!(zone.limiters[1].rate(zone.now, CUSTOMER) > 0);
@@ -175,7 +186,7 @@
 }
 
 #[test]
-fn bucket_holds_a_customer_to_the_granted_rate() {
+fn token_bucket_enforces_the_granted_rate() {
     let mut zone = Zone::new();
     zone.run(20, [500; VMS]);
     let rate = zone.limiters[0].rate(zone.now, CUSTOMER);
@@ -184,86 +195,103 @@
         let now = zone.now + Span::from_millis(step * 10);
         match zone.limiters[0].admit(now, CUSTOMER, 50) {
             LimitDecision::Admitted => admitted += 50,
-            LimitDecision::AwaitGrant => panic!("the node has a grant"),
+            LimitDecision::AwaitGrant => {
+                panic!("request waits for a first grant, but the node already has one")
+            }
             LimitDecision::Refused(refusal) => assert!(refusal.retry_after.is_some()),
         }
     }
-    // Five seconds at the rate, one burst, and one request that overdraws.
-    assert!(admitted <= rate * 6 + 50, "{admitted} admitted at {rate} a second");
-    assert!(admitted >= rate * 4, "{admitted} admitted at {rate} a second");
+    // Upper bound: five seconds at the rate, one burst of 1 s, and one request that overdraws.
+    assert!(admitted <= rate * 6 + 50, "{admitted} tokens admitted at {rate} per second");
+    assert!(admitted >= rate * 4, "{admitted} tokens admitted at {rate} per second");
 }
 
-/// Returns the share of requests refused in the 30 s after the delegate has left for good.
+/// Returns the share of requests that are not admitted in the 30 s after the delegate has failed
+/// for good.
 fn refused_after_delegate_change(limit: ZoneLimit, seed: u64) -> f64 {
-    let mut generator = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut zone = Zone::with_limit(limit);
-    zone.run(40 + generator.random_range(0..3), [200; VMS]);
-    zone.sides[0] = 1;
-    let left_at = zone.now;
-    let (mut wanted, mut refused) = (0, 0);
+    zone.run(40 + rng.random_range(0..3), [200; VMS]);
+    zone.partition_sides[0] = 1;
+    let failed_at = zone.now;
+    let (mut sent, mut refused) = (0, 0);
     for step in 0..300 {
         zone.now += Span::from_millis(100);
-        // The others notice after three missed heartbeats.
-        if zone.now.since(left_at) == Span::from_secs(3) {
+        // The other nodes detect the failure after three missed heartbeats, one per second.
+        if zone.now.since(failed_at) == Span::from_secs(3) {
             zone.elect();
         }
         for node in 1..VMS {
-            if generator.random_ratio(1, 2) {
-                wanted += 1;
+            if rng.random_ratio(1, 2) {
+                sent += 1;
                 let decision = zone.limiters[node].admit(zone.now, CUSTOMER, 20);
                 refused += u32::from(!matches!(decision, LimitDecision::Admitted));
             }
-            if zone.now.since(left_at) >= Span::from_secs(3) {
+            if zone.now.since(failed_at) >= Span::from_secs(3) {
                 zone.send_requests(node);
             }
         }
         while !zone.messages.is_empty() {
             zone.deliver(0);
         }
-        assert!(zone.sum() <= PART, "{} granted in step {step}", zone.sum());
+        assert!(
+            zone.total_rate() <= ZONE_RATE,
+            "nodes may use {} tokens per second together in step {step}",
+            zone.total_rate()
+        );
     }
-    f64::from(refused) / f64::from(wanted)
+    f64::from(refused) / f64::from(sent)
 }
 
-/// Guards against nodes that refuse everything while a new delegate waits.
+/// Guards against nodes that refuse all requests while a new delegate waits before its first
+/// grants: their guaranteed rates must admit some.
 #[test]
-fn reserve_serves_customers_during_a_delegate_change() {
+fn guaranteed_rate_admits_requests_during_a_delegate_change() {
     let mean =
         |limit| (1..=20).map(|seed| refused_after_delegate_change(limit, seed)).sum::<f64>() / 20.0;
-    let before = mean(ZoneLimit { rate: PART, guaranteed_rate: 0 });
-    let after = mean(ZoneLimit::with_guaranteed_rate(PART, VMS as u32));
+    let without_guarantee = mean(ZoneLimit { rate: ZONE_RATE, guaranteed_rate: 0 });
+    let with_guarantee = mean(ZoneLimit::with_guaranteed_rate(ZONE_RATE, VMS as u32));
     println!(
-        "refused in 30 s after a delegate change: {before:.3} before, {after:.3} with a reserve"
+        "refused after a delegate change: {without_guarantee:.3} without guaranteed rate, \
+         {with_guarantee:.3} with it"
+    );
+    assert!(
+        with_guarantee < without_guarantee,
+        "{with_guarantee} refused with a guaranteed rate, {without_guarantee} without"
     );
-    assert!(after < before, "{after} refused with a reserve, {before} without");
 }
 
 proptest! {
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(13), ..Config::with_cases(256) })]
 
-    /// Guards the sum under lost, late and reordered messages, partitions and delegate changes.
+    /// Guards the sum of the rates under lost, delayed and reordered messages, partitions, restarts
+    /// and changes of the delegate.
     #[test]
-    fn sum_never_exceeds_the_part(
+    fn sum_of_rates_never_exceeds_the_zone_limit(
         steps in prop::collection::vec((0..13_u8, 0..VMS, 1..3_000_u32), 1..300),
-        guaranteed_rate in prop::sample::select(vec![0, 1, 50, PART / VMS as u32]),
+        guaranteed_rate in prop::sample::select(vec![0, 1, 50, ZONE_RATE / VMS as u32]),
     ) {
-        let mut zone = Zone::with_limit(ZoneLimit { rate: PART, guaranteed_rate });
+        let mut zone = Zone::with_limit(ZoneLimit { rate: ZONE_RATE, guaranteed_rate });
         for (step, node, amount) in steps {
             match step {
-                0..4 => zone.want(node, amount),
+                0..4 => zone.demand_tokens(node, amount),
                 4..8 => zone.deliver(amount as usize),
                 8 if !zone.messages.is_empty() => {
                     let lost = amount as usize % zone.messages.len();
                     zone.messages.remove(lost);
                 }
                 9 => {
-                    zone.sides[node] = amount as usize % 2;
+                    zone.partition_sides[node] = amount as usize % 2;
                     zone.elect();
                 }
                 10 => zone.restart(node),
                 _ => zone.now += Span::from_millis(u64::from(amount)),
             }
-            prop_assert!(zone.sum() <= PART, "{} granted", zone.sum());
+            prop_assert!(
+                zone.total_rate() <= ZONE_RATE,
+                "nodes may use {} tokens per second together",
+                zone.total_rate()
+            );
         }
     }
 }
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,4 +1,5 @@
-//! Guards fairness between customers, the guaranteed minimum of samples, and early refusal.
+//! Guards fair queueing between customers, the guaranteed share of samples, early refusal under
+//! overload, and the retry budget.
 
 use std::collections::BTreeMap;
 
@@ -10,29 +11,32 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
-const RATE: ServiceCapacity =
+const CAPACITY: ServiceCapacity =
     ServiceCapacity { tokens_per_second: 1_000, max_in_service_tokens: 100 };
-const FAR: Moment = Moment(1_000_000_000_000);
+const FAR_DEADLINE: Moment = Moment(1_000_000_000_000);
 
 fn queue() -> FairQueue {
-    FairQueue::new(QueueSettings::default(), RATE, ChaCha8Rng::seed_from_u64(1))
+    FairQueue::new(QueueSettings::default(), CAPACITY, ChaCha8Rng::seed_from_u64(1))
 }
 
 fn request(ticket: u64, customer: u32, class: RequestClass, tokens: u32) -> QueuedRequest {
     let customer = CustomerKey(customer);
-    QueuedRequest { ticket: TicketNumber(ticket), customer, class, tokens, deadline: FAR }
+    QueuedRequest { ticket: TicketNumber(ticket), customer, class, tokens, deadline: FAR_DEADLINE }
 }
 
-/// A backlog of equal requests of several flows, served one after another.
+/// Several flows that each queue 400 equal requests, which are completed one after another.
 struct Backlog {
+    /// Customer, class and estimated tokens per request of each flow.
     flows: Vec<(u32, RequestClass, u32)>,
+    /// True tokens per request by customer, where they differ from the estimate.
     true_tokens: BTreeMap<u32, u32>,
+    /// Customers with their weights, where these are not 1.
     weights: Vec<(u32, u32)>,
 }
 
 impl Backlog {
-    /// Compares the true tokens served per flow in the first 400 completions with the expected
-    /// shares, in hundredths, to within `tolerance`.
+    /// Compares each flow's share of the true tokens served in the first 400 completions with the
+    /// expected one. Shares and `tolerance` are in percent.
     fn check(&self, expected: &[u64], tolerance: u64) {
         let mut queue = queue();
         let mut served = vec![0; self.flows.len()];
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn customers_share_by_tokens_and_weight() {
+fn customers_share_the_service_by_tokens_and_weight() {
     let flows = vec![(0, RequestClass::Live, 50), (1, RequestClass::Live, 200)];
     let mut backlog = Backlog { flows, true_tokens: BTreeMap::new(), weights: Vec::new() };
     backlog.check(&[50, 50], 3);
@@ -83,14 +87,14 @@
 }
 
 #[test]
-fn understated_cost_is_paid_back() {
+fn underestimated_cost_is_reconciled() {
     let flows = vec![(0, RequestClass::Live, 50), (1, RequestClass::Live, 50)];
     let true_tokens = BTreeMap::from_iter([(0, 200)]);
     Backlog { flows, true_tokens, weights: Vec::new() }.check(&[50, 50], 5);
 }
 
 #[test]
-fn samples_keep_their_minimum_and_trainers_share_it() {
+fn samples_get_their_guaranteed_share_and_trainers_divide_it_equally() {
     let flows = vec![
         (0, RequestClass::Live, 50),
         (1, RequestClass::Sample(TrainerKey(0)), 50),
@@ -116,26 +120,28 @@
     let deadline = Moment(2_000_000);
     let late = QueuedRequest { deadline, ..request(40, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(late));
-    let refusal = refusal(&actions).expect("3.9 s of work are ahead of the request");
+    let refusal = refusal(&actions)
+        .expect("request with 3.9 s of work ahead and a deadline in 2 s must be refused");
     assert_eq!(refusal.execution, Execution::NotRun);
-    let retry_after = refusal.retry_after.expect("an overload refusal states a retry time");
+    let retry_after = refusal.retry_after.expect("an overload refusal must state a Retry-After");
     assert!((Span::from_millis(3_900)..=Span::from_millis(7_800)).contains(&retry_after));
-    // Another customer's share of the service is not used up.
+    // The queue of one customer does not delay another: its request still meets the deadline.
     let other = QueuedRequest { deadline, ..request(41, 1, RequestClass::Live, 100) };
     assert_eq!(queue.handle(Moment(0), QueueEvent::Offered(other)).as_slice(), []);
 }
 
 #[test]
-fn fall_of_the_service_rate_refuses_those_that_are_late_now() {
+fn lower_service_rate_refuses_requests_that_would_now_be_late() {
     let mut queue = queue();
     for ticket in 0..10 {
         let deadline = Moment(2_000_000);
         let request = QueuedRequest { deadline, ..request(ticket, 0, RequestClass::Live, 100) };
         assert_eq!(refusal(&queue.handle(Moment(0), QueueEvent::Offered(request))), None);
     }
-    let rate = ServiceCapacity { tokens_per_second: 300, ..RATE };
+    let rate = ServiceCapacity { tokens_per_second: 300, ..CAPACITY };
     let actions = queue.handle(Moment(0), QueueEvent::CapacityChanged(rate));
-    // The service does 600 tokens until the deadline. Ticket 0 runs and 1 to 5 follow in time.
+    // The service processes 600 tokens until the deadline. Ticket 0 runs, and 1 to 5 can follow in
+    // time.
     let refused = actions.iter().map(|action| match action {
         QueueAction::Refuse { ticket, .. } => ticket.0,
         QueueAction::Dispatch(_) => panic!("{action:?}"),
@@ -144,7 +150,7 @@
 }
 
 #[test]
-fn measured_time_in_service_is_kept_in_reserve_under_load() {
+fn measured_time_in_service_bounds_acceptance_under_load() {
     let mut queue = queue();
     for ticket in 0..20 {
         let event = QueueEvent::Offered(request(ticket, 0, RequestClass::Live, 100));
@@ -152,7 +158,7 @@
         let done = QueueEvent::Done { ticket: TicketNumber(ticket), tokens: 100 };
         queue.handle(Moment(1_000_000), done);
     }
-    // A request takes 1 s where the rate alone says 0.1 s.
+    // A request took 1 s, where the rate alone predicts 0.1 s.
     let deadline = Moment(800_000);
     let first = QueuedRequest { deadline, ..request(20, 0, RequestClass::Live, 100) };
     let actions = queue.handle(Moment(0), QueueEvent::Offered(first));
@@ -162,7 +168,7 @@
 }
 
 #[test]
-fn withdrawn_request_is_never_dispatched() {
+fn request_of_a_disconnected_caller_is_never_dispatched() {
     let mut queue = queue();
     for ticket in 0..3 {
         queue.handle(Moment(0), QueueEvent::Offered(request(ticket, 0, RequestClass::Live, 100)));
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn retries_are_a_tenth_of_successes() {
+fn retries_are_bounded_by_a_tenth_of_successes() {
     let mut budget = RetryBudget::new();
     while budget.try_withdraw() {}
     for _ in 0..1_000 {
@@ -185,5 +191,5 @@
     for _ in 0..1_000 {
         budget.record_success();
     }
-    assert_eq!(budget.left(), 100, "a long quiet time saves up no larger burst");
+    assert_eq!(budget.left(), 100, "the budget must not grow beyond 100 retries");
 }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -1,15 +1,15 @@
-//! What an upstream says of itself in the store.
+//! The entry by which an upstream announces itself in the store.
 
 use std::net::SocketAddr;
 
 use base::{Span, WeightVersion, derive_copy, derive_value};
 
 derive_copy! {
-    /// State of an upstream by its own entry.
+    /// State that an upstream announces in its entry.
     pub enum EntryState {
-        /// It takes requests.
+        /// It accepts requests.
         Ready,
-        /// It finishes what it has and takes no new requests.
+        /// It finishes its running requests and takes no new ones.
         Draining,
     }
 }
@@ -17,37 +17,37 @@
 derive_value! {
     /// Entry of one upstream.
     pub struct UpstreamEntry {
-        /// Identifier of the upstream, which it checks on each request that names one.
+        /// Identifier of the upstream. It rejects a request that names another identifier.
         pub id: String,
         /// Service that it runs.
         pub service: String,
-        /// Address that takes requests.
+        /// Address on which it accepts requests.
         pub address: SocketAddr,
         /// Availability zone.
         pub zone: String,
-        /// Requests that it runs at once.
+        /// Number of requests that it runs concurrently.
         pub slots: u32,
-        /// Whether it takes requests.
+        /// Whether it accepts requests.
         pub state: EntryState,
-        /// How much longer it is slow after its start.
+        /// Time left of its warm-up, during which it is slower.
         pub warmup: Span,
-        /// Versions of the weights by model. Empty for a plain service.
+        /// Loaded weight version of each model. Empty for a plain service.
         pub versions: Vec<(String, WeightVersion)>,
-        /// Start of the upstream in Unix milliseconds. A later start under the same id has lost all
-        /// state.
+        /// Start of the upstream's process in Unix milliseconds. A process with another start time
+        /// under the same id has none of the state of the one before.
         pub started_at_ms: Option<u64>,
-        /// Whether it can be reclaimed.
+        /// Whether it is of the cheap price class, which the platform can reclaim.
         pub cheap: bool,
-        /// Time left until it is reclaimed, once that is known.
+        /// Time left until it is reclaimed, if the platform has announced that.
         pub time_to_reclaim: Option<Span>,
     }
 }
 
 impl UpstreamEntry {
-    /// Returns the version of a model, if the upstream runs it.
+    /// Returns the loaded weight version of a model, or `None` if the upstream does not run it.
     #[must_use]
     pub fn version(&self, model: &str) -> Option<WeightVersion> {
-        let found = self.versions.iter().find(|(name, _)| name == model);
-        found.map(|(_, version)| *version)
+        let loaded = self.versions.iter().find(|(name, _)| name == model);
+        loaded.map(|(_, version)| *version)
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,8 @@
-//! Choice of upstreams for plain requests and generations, and the plan of weight loads.
+//! Choice of upstreams for plain requests and generations, and planning of weight loads.
 //!
-//! All decisions are pure: events and times go in, choices come out. [`UpstreamBalancer`] holds what one
-//! node knows about each upstream, and [`plan_weight_loads`] says which engines load which weights.
+//! Nothing here does I/O or reads a clock: events and times are passed in. [`UpstreamBalancer`]
+//! holds what one node knows about each upstream and chooses among them. [`plan_weight_loads`]
+//! decides which engines load which weight version next.
 
 mod balancer;
 mod entry;
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -7,7 +7,7 @@
 use crate::{UpstreamBalancer, stats::UpstreamStats};
 
 derive_copy! {
-    /// A model and the oldest version of its weights that may run a request.
+    /// A model and the oldest weight version that may generate its tokens.
     pub struct ModelRequirement<'a> {
         /// Name of the model.
         pub model: &'a str,
@@ -15,98 +15,105 @@
         pub min_version: WeightVersion,
     }
 
-    /// A plain request that needs an upstream.
+    /// Parameters of the choice of an upstream for a plain request.
     pub struct PlainPickRequest<'a> {
         /// Service that runs the request.
         pub service: &'a str,
         /// Availability zone of this node.
         pub zone: &'a str,
-        /// Upstreams that the request was sent to before.
+        /// Upstreams to which the request was sent before. They are used only when no other is
+        /// left.
         pub tried: &'a [UpstreamKey],
         /// Upstreams to which an idle connection is open.
         pub connected: &'a [UpstreamKey],
-        /// Random number that spreads equal choices of several nodes.
+        /// Seed of the jitter that keeps nodes with equal knowledge from the same choice.
         pub jitter_seed: u64,
     }
 
-    /// A generation that needs an engine.
+    /// Parameters of the choice of an engine for a generation.
     pub struct GenerationPickRequest<'a> {
         /// Service that runs the generation.
         pub service: &'a str,
-        /// Model and version.
+        /// Model and oldest weight version.
         pub requirement: ModelRequirement<'a>,
-        /// Engines that failed the generation. They are used only when no other is left.
+        /// Engines on which the generation failed. They are used only when no other is left.
         pub tried: &'a [UpstreamKey],
-        /// Engine that has read the shared part of the prompt, if any.
+        /// Engine that has the shared part of the prompt in its cache, if any.
         pub warm_engine: Option<UpstreamKey>,
         /// Engines to which an idle connection is open.
         pub connected: &'a [UpstreamKey],
-        /// Random number that spreads equal choices of several nodes.
+        /// Seed of the jitter that keeps nodes with equal knowledge from the same choice.
         pub jitter_seed: u64,
     }
 }
 
-/// Time of a plain request on an upstream of which nothing is known, in microseconds.
-const ASSUMED_ANSWER: f64 = 30_000.0;
+/// Response time assumed for a plain request on an upstream without measurements, in microseconds.
+const ASSUMED_RESPONSE_US: f64 = 30_000.0;
 
-/// Time between two events of an engine of which nothing is known, in microseconds.
-const ASSUMED_EVENT: f64 = 30_000.0;
+/// Time between two events assumed for an engine without measurements, in microseconds.
+const ASSUMED_EVENT_INTERVAL_US: f64 = 30_000.0;
 
-/// Factor on the cost of an upstream in another availability zone. It is below that of an upstream at
-/// half of its slots, so a zone's work stays there until then. Zones can be cut off from each other.
-const ZONE_FACTOR: f64 = 1.2;
+/// Factor on the cost of an upstream in another availability zone, since zones can be cut off from
+/// each other. It is below the factor of an upstream with half of its slots taken, so requests stay
+/// in their zone until about then.
+const OTHER_ZONE_FACTOR: f64 = 1.2;
 
-/// Factor on the cost of an upstream in the zone of one that has failed the request or is silent. The
-/// zone may be out of reach.
-const SAME_ZONE_FACTOR: f64 = 2.0;
+/// Factor on the cost of an upstream in the availability zone of one on which the request failed or
+/// got no response: the whole zone may be unreachable.
+const TRIED_ZONE_FACTOR: f64 = 2.0;
 
-/// Part by which the cost of an upstream has risen when all of its slots are taken.
-const SLOT_RISE: f64 = 0.5;
+/// Relative rise of an upstream's cost from no to all slots taken.
+const FULL_SLOTS_COST_RISE: f64 = 0.5;
 
-/// Part by which each running request slows the others of an engine.
-const SLOT_SLOWDOWN: f64 = 0.04;
+/// Relative slowdown of an engine's requests by each further running one.
+const SLOWDOWN_PER_REQUEST: f64 = 0.04;
 
-/// Random part of a cost, which keeps nodes with equal knowledge from choosing alike.
-const JITTER: f64 = 0.15;
+/// Largest relative jitter added to a cost, which keeps nodes with equal knowledge from the same
+/// choice.
+const MAX_JITTER: f64 = 0.15;
 
-/// Factor on the cost of an upstream to which an idle connection is open. Connections are priced, and
-/// opening one costs a round trip.
+/// Factor on the cost of an upstream to which an idle connection is open. Opening a new one costs a
+/// round trip, and connections are themselves a cost.
 const CONNECTED_FACTOR: f64 = 0.8;
 
-/// A running generation is moved when the other engine needs less than this part of the time between
-/// events. The prompt and text are read again, which takes some milliseconds, and the connection is
-/// lost, which is priced; engines that were bought as slower ones stay above this bound.
-const MOVE_BOUND: f64 = 0.4;
+/// A running generation is migrated when the other engine's time between events is below this part
+/// of the current one's. A migration costs some milliseconds for reading the prompt and text again,
+/// and the connection. Engines of the slower kinds stay above this bound, so their runs are not
+/// migrated.
+const MAX_MIGRATION_INTERVAL_RATIO: f64 = 0.4;
 
-/// An engine that has read the shared prompt is preferred while its cost is below the best one's
-/// times this.
-const WARM_BOUND: f64 = 1.2;
+/// An engine that has the shared prompt in its cache is preferred while its cost is at most that of
+/// the best engine times this.
+const MAX_WARM_COST_RATIO: f64 = 1.2;
 
 impl UpstreamBalancer {
-    /// Chooses the upstream with the least expected time for a plain request. Suspended upstreams,
-    /// then those that failed the request, are used only when no other is left.
+    /// Chooses the upstream with the lowest cost for a plain request, or returns `None` when none
+    /// is usable. Suspended upstreams, then those with a removed entry, then those tried before are
+    /// used only when no other is left.
     #[must_use]
     pub fn pick_plain(&self, now: Moment, request: &PlainPickRequest<'_>) -> Option<UpstreamKey> {
-        let tried = request.tried.iter().map(|key| self.upstreams[*key].entry.zone.as_str());
-        let tried: SmallVec<[&str; 4]> = tried.collect();
+        let tried_zones = request.tried.iter().map(|key| self.upstreams[*key].entry.zone.as_str());
+        let tried_zones: SmallVec<[&str; 4]> = tried_zones.collect();
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
-        for upstream in self.members(request.service) {
+        for upstream in self.service_upstreams(request.service) {
             if !self.is_usable(now, *upstream) {
                 continue;
             }
-            let row = &self.upstreams[*upstream];
+            let stats = &self.upstreams[*upstream];
             let rank = self.rank(now, *upstream, request.tried);
-            let cost = plain_cost(now, row, &tried, request)
+            let cost = plain_cost(now, stats, &tried_zones, request)
                 * jitter(request.jitter_seed, *upstream)
                 * connected_factor(request.connected, *upstream);
-            if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
+            if best.is_none_or(|(best_rank, best_cost, _)| (rank, cost) < (best_rank, best_cost)) {
                 best = Some((rank, cost, *upstream));
             }
         }
         best.map(|(_, _, upstream)| upstream)
     }
 
-    /// Chooses an engine with a free slot for a generation, or `None` while all are taken or suspended.
+    /// Chooses the engine with the lowest cost and a free slot for a generation, or returns `None`
+    /// while all are full, suspended or without the weights. An engine with the shared prompt in
+    /// its cache is preferred unless it costs much more than the best one.
     #[must_use]
     pub fn pick_generation(
         &self,
@@ -115,33 +122,33 @@
     ) -> Option<UpstreamKey> {
         let mut best: Option<(u8, f64, UpstreamKey)> = None;
         let mut warm_engine = None;
-        for upstream in self.members(request.service) {
-            let row = &self.upstreams[*upstream];
-            let paused = row.is_model_paused(now, request.requirement.model);
-            let full = row.load(now) >= row.entry.slots;
-            // Waiting for a suspension to end is better than a run that cannot begin.
+        for upstream in self.service_upstreams(request.service) {
+            let stats = &self.upstreams[*upstream];
+            let paused = stats.is_model_paused(now, request.requirement.model);
+            let full = stats.load(now) >= stats.entry.slots;
+            // Waiting for a suspension to end is better than a run that fails to start.
             if paused
                 || full
-                || row.is_suspended(now)
+                || stats.is_suspended(now)
                 || !self.accepts(now, *upstream, request.requirement)
             {
                 continue;
             }
             let rank = self.rank(now, *upstream, request.tried);
-            let cost = generation_cost(now, row)
+            let cost = generation_cost(now, stats)
                 * jitter(request.jitter_seed, *upstream)
                 * connected_factor(request.connected, *upstream);
             if request.warm_engine == Some(*upstream) {
                 warm_engine = Some((rank, cost, *upstream));
             }
-            if best.is_none_or(|(top, least, _)| (rank, cost) < (top, least)) {
+            if best.is_none_or(|(best_rank, best_cost, _)| (rank, cost) < (best_rank, best_cost)) {
                 best = Some((rank, cost, *upstream));
             }
         }
         let (rank, cost, upstream) = best?;
         match warm_engine {
             Some((warm_rank, warm_cost, warm_engine))
-                if warm_rank == rank && warm_cost <= cost * WARM_BOUND =>
+                if warm_rank == rank && warm_cost <= cost * MAX_WARM_COST_RATIO =>
             {
                 Some(warm_engine)
             }
@@ -149,7 +156,8 @@
         }
     }
 
-    /// Tells whether an engine may run a generation now, whatever its load.
+    /// Tells whether an engine is usable and has new enough weights for a generation, regardless of
+    /// its load.
     #[must_use]
     pub fn accepts(
         &self,
@@ -162,23 +170,28 @@
             && version.is_some_and(|version| version >= requirement.min_version)
     }
 
-    /// Tells whether a generation that runs on an engine should go on at another one, which is known to
-    /// be much faster.
+    /// Tells whether a generation that runs on the engine `from` should be migrated to the engine
+    /// `to`, because measurements show it to be much faster.
     #[must_use]
     pub fn should_migrate(&self, now: Moment, from: UpstreamKey, to: UpstreamKey) -> bool {
         let (from, to) = (&self.upstreams[from], &self.upstreams[to]);
-        let (Some(slow), Some(fast)) = (from.event_time, to.event_time) else { return false };
-        let added = 1.0 + SLOT_SLOWDOWN * f64::from(to.load(now));
-        fast * added * to.failure_factor() < slow * MOVE_BOUND
+        let (Some(from_interval), Some(to_interval)) = (from.event_interval, to.event_interval)
+        else {
+            return false;
+        };
+        let slowdown = 1.0 + SLOWDOWN_PER_REQUEST * f64::from(to.load(now));
+        to_interval * slowdown * to.failure_factor() < from_interval * MAX_MIGRATION_INTERVAL_RATIO
     }
 
+    /// Returns the rank of an upstream, which is compared before the cost; 0 is best. Suspension
+    /// adds 1, a removed entry 2, and an earlier try 4.
     fn rank(&self, now: Moment, upstream: UpstreamKey, tried: &[UpstreamKey]) -> u8 {
-        let row = &self.upstreams[upstream];
+        let stats = &self.upstreams[upstream];
         let mut rank = 0;
-        if row.is_suspended(now) {
+        if stats.is_suspended(now) {
             rank += 1;
         }
-        if row.removed_until.is_some() {
+        if stats.removed_until.is_some() {
             rank += 2;
         }
         if tried.contains(&upstream) {
@@ -188,32 +201,41 @@
     }
 }
 
+/// Returns the expected time of a plain request in microseconds, weighted by the zone factors.
+/// `tried_zones` holds the availability zones of the upstreams tried before.
 fn plain_cost(
     now: Moment,
-    row: &UpstreamStats,
-    tried: &[&str],
+    stats: &UpstreamStats,
+    tried_zones: &[&str],
     request: &PlainPickRequest<'_>,
 ) -> f64 {
-    let time = row.answer_time.unwrap_or(ASSUMED_ANSWER) * row.failure_factor();
-    let slots = f64::from(row.entry.slots.max(1));
-    let share = f64::from(row.load(now) + 1) / slots;
-    // A free slot runs the request at once; beyond that it waits for its share of the queue.
-    let wait = if share <= 1.0 { 1.0 + share * SLOT_RISE } else { (1.0 + SLOT_RISE) * share };
-    let zone = if row.entry.zone == request.zone { 1.0 } else { ZONE_FACTOR };
-    let again = if tried.contains(&row.entry.zone.as_str()) { SAME_ZONE_FACTOR } else { 1.0 };
-    time * wait * zone * again
+    let time = stats.response_time.unwrap_or(ASSUMED_RESPONSE_US) * stats.failure_factor();
+    let slots = f64::from(stats.entry.slots.max(1));
+    let utilization = f64::from(stats.load(now) + 1) / slots;
+    // With a free slot the request runs at once; without one it waits in proportion to the queue.
+    let load_factor = if utilization <= 1.0 {
+        1.0 + utilization * FULL_SLOTS_COST_RISE
+    } else {
+        (1.0 + FULL_SLOTS_COST_RISE) * utilization
+    };
+    let zone_factor = if stats.entry.zone == request.zone { 1.0 } else { OTHER_ZONE_FACTOR };
+    let tried_zone_factor =
+        if tried_zones.contains(&stats.entry.zone.as_str()) { TRIED_ZONE_FACTOR } else { 1.0 };
+    time * load_factor * zone_factor * tried_zone_factor
 }
 
-fn generation_cost(now: Moment, row: &UpstreamStats) -> f64 {
-    let time = row.event_time.unwrap_or(ASSUMED_EVENT) * row.failure_factor();
-    time * (1.0 + SLOT_SLOWDOWN * f64::from(row.load(now)))
+/// Returns the expected time between two events of a generation in microseconds.
+fn generation_cost(now: Moment, stats: &UpstreamStats) -> f64 {
+    let time = stats.event_interval.unwrap_or(ASSUMED_EVENT_INTERVAL_US) * stats.failure_factor();
+    time * (1.0 + SLOWDOWN_PER_REQUEST * f64::from(stats.load(now)))
 }
 
 fn connected_factor(connected: &[UpstreamKey], upstream: UpstreamKey) -> f64 {
     if connected.contains(&upstream) { CONNECTED_FACTOR } else { 1.0 }
 }
 
+/// Returns a factor from 1 to 1 + [`MAX_JITTER`], which depends on the seed and the upstream.
 fn jitter(seed: u64, upstream: UpstreamKey) -> f64 {
-    let weight = rendezvous_weight(u64::from(upstream.0), seed) >> 11;
-    1.0 + JITTER * (weight as f64 / (1u64 << 53) as f64)
+    let hash = rendezvous_weight(u64::from(upstream.0), seed) >> 11;
+    1.0 + MAX_JITTER * (hash as f64 / (1u64 << 53) as f64)
 }
--- a/crates/dispatch/src/stats.rs
+++ b/crates/dispatch/src/stats.rs
@@ -6,77 +6,83 @@
 use crate::UpstreamEntry;
 
 derive_copy! {
-    /// A load report of an upstream.
+    /// Load of an upstream as it reports it.
     pub struct UpstreamLoad {
-        /// Requests in its batch.
+        /// Requests that run.
         pub running: u32,
         /// Requests that wait for a slot.
         pub queued: u32,
-        /// Requests that it runs at once.
+        /// Number of requests that it runs concurrently.
         pub slots: u32,
     }
 
     /// How an exchange with an upstream ended.
     pub enum ExchangeOutcome {
-        /// The whole answer arrived after this time.
+        /// The complete response arrived after this time.
         Answered(Span),
-        /// The upstream answered with an error of its own.
+        /// The upstream responded with an internal error.
         ServerError,
         /// The upstream refused the request because it is full.
         Overloaded,
-        /// Another upstream has the address.
+        /// The response came from another upstream, which has taken over the address.
         Misdirected,
-        /// The connection failed or the answer was broken.
+        /// The connection failed or the response was malformed.
         TransportError,
-        /// No answer came in time.
+        /// No response arrived before the timeout.
         TimedOut,
-        /// The caller left or the work was moved, which tells nothing about the upstream.
+        /// The caller disconnected or the run was migrated, which says nothing about the upstream's
+        /// health.
         Cancelled,
     }
 }
 
-/// Suspension after the first failure in a row. It doubles with each further one. A quarter of a
-/// second is about ten short requests.
+/// Suspension after the first of consecutive failures. It doubles with each further one
+/// (exponential backoff). 250 ms is the time of about ten short requests.
 const FIRST_SUSPENSION: Span = Span::from_millis(250);
 
-/// Longest suspension. An engine that restarts is back after some seconds.
-const LONGEST_SUSPENSION: Span = Span::from_secs(4);
+/// Longest suspension. A restarting engine is back after a few seconds.
+const MAX_SUSPENSION: Span = Span::from_secs(4);
 
-/// Time for which an upstream that refused a request as full is passed over.
-const FULL_PAUSE: Span = Span::from_millis(60);
+/// Suspension of an upstream that refused a request as overloaded.
+const OVERLOAD_SUSPENSION: Span = Span::from_millis(60);
 
-/// Time for which an engine that refused a generation gets no other one of the same model. It refuses
-/// them while it loads the model, which takes about a second.
+/// Time for which an engine that refused a generation gets no further ones of the same model.
+/// Engines refuse them while they load the model, which takes about 1 s.
 const MODEL_PAUSE: Span = Span::from_millis(120);
 
-/// Age at which a load report tells nothing any more.
-const REPORT_LIFE: Span = Span::from_millis(1_500);
+/// Age from which a load report is ignored as outdated.
+const MAX_REPORT_AGE: Span = Span::from_millis(1_500);
 
-/// Weight of a new sample in the mean times.
-const SAMPLE_WEIGHT: f64 = 0.2;
+/// Smoothing factor of the exponential moving averages of times.
+const TIME_SMOOTHING: f64 = 0.2;
 
-/// Weight of a new outcome in the share of failures, so that about the last ten count.
-const OUTCOME_WEIGHT: f64 = 0.1;
+/// Smoothing factor of the failure rate, by which about the last ten outcomes count.
+const FAILURE_RATE_SMOOTHING: f64 = 0.1;
 
-/// Row of the board.
+/// Entry, load and health of one upstream.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamStats {
     pub(crate) entry: UpstreamEntry,
-    /// Set when the entry has left the store: until then the upstream serves as a last resort.
+    /// Set when the entry was removed from the store. Until this time the upstream is still used as
+    /// a last resort.
     pub(crate) removed_until: Option<Moment>,
-    /// Requests of this node in progress.
-    pub(crate) own: u32,
-    others: u32,
-    others_at: Moment,
-    failure_streak: u32,
+    /// Requests of this node in flight on the upstream.
+    pub(crate) own_requests: u32,
+    /// Requests of other nodes according to the last load report.
+    other_requests: u32,
+    /// When the last load report arrived.
+    reported_at: Moment,
+    /// Consecutive failures, each of which doubles the next suspension.
+    consecutive_failures: u32,
     suspended_until: Moment,
-    failure_share: f64,
-    /// Models whose generations the engine refuses, each until a moment.
+    /// Exponential moving average of the share of failed requests, 0 to 1.
+    failure_rate: f64,
+    /// Models of which the engine gets no generations, each until a time.
     paused_models: SmallVec<[(String, Moment); 2]>,
-    /// Mean time of a plain request in microseconds.
-    pub(crate) answer_time: Option<f64>,
-    /// Mean time between two events of a generation in microseconds.
-    pub(crate) event_time: Option<f64>,
+    /// Exponential moving average of the response time of plain requests, in microseconds.
+    pub(crate) response_time: Option<f64>,
+    /// Exponential moving average of the time between two events of a generation, in microseconds.
+    pub(crate) event_interval: Option<f64>,
 }
 
 impl UpstreamStats {
@@ -84,58 +90,58 @@
         Self {
             entry,
             removed_until: None,
-            own: 0,
-            others: 0,
-            others_at: Moment(0),
-            failure_streak: 0,
+            own_requests: 0,
+            other_requests: 0,
+            reported_at: Moment(0),
+            consecutive_failures: 0,
             suspended_until: Moment(0),
-            failure_share: 0.0,
+            failure_rate: 0.0,
             paused_models: SmallVec::new(),
-            answer_time: None,
-            event_time: None,
+            response_time: None,
+            event_interval: None,
         }
     }
 
     pub(crate) fn record_load_report(&mut self, now: Moment, report: UpstreamLoad) {
-        self.others = (report.running + report.queued).saturating_sub(self.own);
-        self.others_at = now;
+        self.other_requests = (report.running + report.queued).saturating_sub(self.own_requests);
+        self.reported_at = now;
     }
 
     pub(crate) fn finish(&mut self, now: Moment, outcome: ExchangeOutcome) {
         match outcome {
-            ExchangeOutcome::Answered(took) => {
-                self.failure_streak = 0;
-                self.failure_share *= 1.0 - OUTCOME_WEIGHT;
-                blend(&mut self.answer_time, took.0 as f64);
+            ExchangeOutcome::Answered(response_time) => {
+                self.consecutive_failures = 0;
+                self.failure_rate *= 1.0 - FAILURE_RATE_SMOOTHING;
+                update_mean(&mut self.response_time, response_time.0 as f64);
             }
             ExchangeOutcome::ServerError => {
-                self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
+                self.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - self.failure_rate);
             }
             ExchangeOutcome::Overloaded => {
-                self.suspended_until = self.suspended_until.max(now + FULL_PAUSE);
+                self.suspended_until = self.suspended_until.max(now + OVERLOAD_SUSPENSION);
             }
             ExchangeOutcome::TransportError
             | ExchangeOutcome::TimedOut
             | ExchangeOutcome::Misdirected => {
-                self.failure_share += OUTCOME_WEIGHT * (1.0 - self.failure_share);
+                self.failure_rate += FAILURE_RATE_SMOOTHING * (1.0 - self.failure_rate);
                 self.suspend(now);
             }
             ExchangeOutcome::Cancelled => {}
         }
     }
 
-    /// Counts a failure. Failures of requests that were sent before the suspension belong to the
-    /// same incident and do not lengthen it.
+    /// Suspends the upstream after a failure. A failure during a suspension does not extend it,
+    /// since its request was sent before and the cause is the same.
     fn suspend(&mut self, now: Moment) {
         if now < self.suspended_until {
             return;
         }
-        let doubled = FIRST_SUSPENSION.0 << self.failure_streak.min(8);
-        self.failure_streak += 1;
-        self.suspended_until = now + Span(doubled).min(LONGEST_SUSPENSION);
+        let backoff_us = FIRST_SUSPENSION.0 << self.consecutive_failures.min(8);
+        self.consecutive_failures += 1;
+        self.suspended_until = now + Span(backoff_us).min(MAX_SUSPENSION);
     }
 
-    /// Passes the engine over for generations of a model for a short time.
+    /// Excludes the engine from generations of a model for [`MODEL_PAUSE`].
     pub(crate) fn pause_model(&mut self, now: Moment, model: &str) {
         self.paused_models.retain(|(name, until)| name != model && now < *until);
         self.paused_models.push((String::from(model), now + MODEL_PAUSE));
@@ -149,32 +155,35 @@
         now < self.suspended_until
     }
 
-    /// Forgets what was learned about a process that has ended.
+    /// Drops the measurements of a process that has ended, when another one runs under the id.
     pub(crate) fn restart(&mut self) {
-        self.failure_streak = 0;
+        self.consecutive_failures = 0;
         self.suspended_until = Moment(0);
-        self.failure_share = 0.0;
-        self.event_time = None;
-        self.answer_time = None;
-        self.others = 0;
+        self.failure_rate = 0.0;
+        self.event_interval = None;
+        self.response_time = None;
+        self.other_requests = 0;
     }
 
     pub(crate) fn record_event_interval(&mut self, interval: Span) {
-        blend(&mut self.event_time, interval.0 as f64);
+        update_mean(&mut self.event_interval, interval.0 as f64);
     }
 
-    /// Requests on the upstream by the latest report and the own count.
+    /// Returns the requests on the upstream: those of this node, and those of other nodes by the
+    /// last load report unless it is outdated.
     pub(crate) fn load(&self, now: Moment) -> u32 {
-        let others = if now.since(self.others_at) < REPORT_LIFE { self.others } else { 0 };
-        self.own + others
+        let other_requests =
+            if now.since(self.reported_at) < MAX_REPORT_AGE { self.other_requests } else { 0 };
+        self.own_requests + other_requests
     }
 
-    /// Factor on expected times that stands for the tries that failures cost.
+    /// Returns the factor on expected times that accounts for the retries which failures cause.
     pub(crate) fn failure_factor(&self) -> f64 {
-        1.0 + 4.0 * self.failure_share
+        1.0 + 4.0 * self.failure_rate
     }
 }
 
-fn blend(mean: &mut Option<f64>, sample: f64) {
-    *mean = Some(mean.map_or(sample, |mean| mean + (sample - mean) * SAMPLE_WEIGHT));
+/// Updates an exponential moving average. The first sample becomes the average.
+fn update_mean(mean: &mut Option<f64>, sample: f64) {
+    *mean = Some(mean.map_or(sample, |mean| mean + (sample - mean) * TIME_SMOOTHING));
 }
--- a/crates/dispatch/tests/loads.rs
+++ b/crates/dispatch/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Plans of weight loads.
+//! Guards the planning of weight loads.
 
 use base::{Moment, WeightVersion};
 use dispatch::{EngineWeights, WeightLoadLimits, plan_weight_loads};
@@ -14,36 +14,39 @@
     }
 }
 
-fn named(version: u64) -> Vec<(String, WeightVersion)> {
+fn newest_versions(version: u64) -> Vec<(String, WeightVersion)> {
     MODELS.iter().map(|model| (String::from(*model), WeightVersion(version))).collect()
 }
 
 fn usable(engines: &[EngineWeights], version: u64) -> [usize; 3] {
     let mut count = [0; 3];
     for engine in engines {
-        for (at, (_, known)) in engine.versions.iter().enumerate() {
-            count[at] += usize::from(known.0 + 1 >= version);
+        for (model, (_, known)) in engine.versions.iter().enumerate() {
+            count[model] += usize::from(known.0 + 1 >= version);
         }
     }
     count
 }
 
-/// Pattern: versions of three models are named every four seconds, and two engines load at once in
-/// 0.95 s, so eight loads fit between two namings.
+/// Pattern: new versions of three models are published every 4 s. Two engines load at a time, in
+/// 0.95 s each, so eight loads fit between two versions.
 ///
-/// Guards against loads that pile up on the engines that are current already: with the earlier plan
-/// three of eight engines took every load of the day, and waiting items found 24 of 64 slots.
+/// Guards against loads that all go to engines which are current already: three of eight engines
+/// then got every load, and waiting items found only 24 of 64 slots usable.
 #[test]
 fn each_model_keeps_half_of_its_engines_usable() {
     let mut engines: Vec<_> = (0..8).map(|id| engine(id, [1; 3])).collect();
     for version in 2..12 {
-        let before = usable(&engines, version);
-        assert!(before.iter().all(|count| *count >= 2), "version {version}: {before:?}");
+        let usable_before = usable(&engines, version);
+        assert!(
+            usable_before.iter().all(|count| *count >= 2),
+            "version {version}: {usable_before:?}"
+        );
         for _ in 0..4 {
             let orders = plan_weight_loads(
                 Moment(1),
                 &engines,
-                &named(version),
+                &newest_versions(version),
                 WeightLoadLimits::for_service(8, 3),
             );
             assert!(orders.len() <= 2);
@@ -53,26 +56,34 @@
                 loaded.1 = order.version;
             }
         }
-        let after = usable(&engines, version);
-        assert!(after.iter().all(|count| *count >= 4), "version {version}: {after:?}");
+        let usable_after = usable(&engines, version);
+        assert!(
+            usable_after.iter().all(|count| *count >= 4),
+            "version {version}: {usable_after:?}"
+        );
     }
 }
 
-/// Guards against more loads at once than the weight store carries at full speed.
+/// Guards against more concurrent loads than the weight store serves at full speed: loads in
+/// progress count towards the bound.
 #[test]
-fn loads_in_progress_count() {
+fn loads_in_progress_count_towards_the_bound() {
     let mut engines: Vec<_> = (0..8).map(|id| engine(id, [1; 3])).collect();
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
     }
-    let orders =
-        plan_weight_loads(Moment(2), &engines, &named(3), WeightLoadLimits::for_service(8, 3));
+    let orders = plan_weight_loads(
+        Moment(2),
+        &engines,
+        &newest_versions(3),
+        WeightLoadLimits::for_service(8, 3),
+    );
     assert!(orders.is_empty(), "{orders:?}");
 }
 
-/// Guards against a load that got lost and keeps its place for good.
+/// Guards against a lost load that counts as in progress forever.
 #[test]
-fn lost_load_frees_its_place() {
+fn lost_load_no_longer_counts_after_its_timeout() {
     let mut engines: Vec<_> = (0..8).map(|id| engine(id, [1; 3])).collect();
     for engine in &mut engines[..2] {
         engine.loading = Some((String::from("a"), WeightVersion(3), Moment(1)));
@@ -80,7 +91,7 @@
     let orders = plan_weight_loads(
         Moment(10_000_000),
         &engines,
-        &named(3),
+        &newest_versions(3),
         WeightLoadLimits::for_service(8, 3),
     );
     assert_eq!(orders.len(), 2);
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Choice of upstreams under load and failures.
+//! Guards the choice of upstreams under load and failures.
 
 use base::{Moment, Span, UpstreamKey, WeightVersion};
 use dispatch::{
@@ -50,8 +50,8 @@
 
 /// Pattern: a submission of 72 items arrives at nine engines with 8 slots, one at half the speed.
 ///
-/// Guards against slots that stay empty, engines that get more than they run, and a slow engine that
-/// is filled first.
+/// Guards against slots that stay empty, engines that get more items than they have slots, and a
+/// slow engine that is filled first.
 #[test]
 fn items_of_a_submission_fill_all_slots_fast_engines_first() {
     let (mut balancer, keys) = balancer(9, 8);
@@ -65,19 +65,22 @@
         balancer.begin_request(picked);
         loads[picked.0 as usize] += 1;
         if jitter_seed == 63 {
-            assert_eq!(loads[0], 0, "the slow engine waits until the others are full: {loads:?}");
+            assert_eq!(
+                loads[0], 0,
+                "the slow engine got items before the others were full: {loads:?}"
+            );
         }
     }
     assert_eq!(loads, vec![8; 9]);
     assert_eq!(balancer.pick_generation(NOW, &generation(99, &[])), None);
 }
 
-/// Pattern: a zone is cut off with resets while items wait.
+/// Pattern: a zone is cut off, its connections are reset, and items are waiting.
 ///
-/// Guards against a queue that sends each waiting item to an engine that refuses connections, every 25
-/// ms (incident inc-ce4e of derwent-sleeves: 4,885 runs that could not begin).
+/// Guards against waiting items that are sent to an engine which refuses connections every 25 ms;
+/// 4,885 runs once failed to start that way.
 #[test]
-fn unreachable_engine_is_left_alone_while_suspended() {
+fn unreachable_engine_gets_few_runs_while_suspended() {
     let (mut balancer, keys) = balancer(1, 8);
     let mut runs = 0;
     for step in 0..400 {
@@ -88,13 +91,13 @@
             runs += 1;
         }
     }
-    assert!(runs <= 8, "{runs} runs in ten seconds");
+    assert!(runs <= 8, "{runs} runs were sent to the unreachable engine in 10 s");
     assert_eq!(balancer.entry(keys[0]).id, "u0");
 }
 
-/// Pattern: two models load in turn on all engines.
+/// Pattern: all engines load two models in turn.
 ///
-/// Guards against an engine that is shut out for all models while it loads one.
+/// Guards against an engine that is excluded for all of its models while it loads one.
 #[test]
 fn engine_that_loads_one_model_serves_others() {
     let mut engine = entry("u0", 8);
@@ -118,11 +121,12 @@
     assert_eq!(balancer.accepts(NOW, keys[0], requirement), accepted);
 }
 
-/// Pattern: live callers share a plain service with bursts of reward calls of another node.
+/// Pattern: live callers of this node share a plain service with bursts of reward calls from
+/// another node.
 ///
-/// Guards against a choice that ignores the load that upstreams report.
+/// Guards against a choice that ignores the load reports of upstreams.
 #[test]
-fn loaded_upstream_is_passed_over() {
+fn upstream_with_reported_load_is_passed_over() {
     let (mut balancer, keys) = balancer(3, 6);
     for key in &keys[..2] {
         balancer.record_load_report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
@@ -134,9 +138,9 @@
 
 /// Pattern: an upstream fails two of five requests while its health check passes.
 ///
-/// Guards against a failing upstream that gets as much as the others.
+/// Guards against a failing upstream that gets as many requests as the others.
 #[test]
-fn failing_upstream_gets_less() {
+fn failing_upstream_gets_fewer_requests() {
     let (mut balancer, keys) = balancer(3, 6);
     for key in &keys {
         for turn in 0..20 {
@@ -155,21 +159,22 @@
     assert!(picked.count() < 10);
 }
 
-/// Guards against a request that is sent again to the upstream that failed it while others are left,
-/// and against one that is refused although the only upstream lives.
+/// Guards against a retry on the upstream where the request failed while others are available, and
+/// against a refusal although the only upstreams left are usable.
 #[test]
-fn tried_upstream_comes_last() {
+fn tried_upstream_is_used_only_as_a_last_resort() {
     let (balancer, keys) = balancer(2, 6);
     assert_eq!(balancer.pick_plain(NOW, &plain(1, &[keys[0]])), Some(keys[1]));
     assert!(balancer.pick_plain(NOW, &plain(1, &keys)).is_some());
 }
 
-/// Pattern: zones are cut off from each other, silently, while requests run in all of them.
+/// Pattern: zones are cut off from each other without connection errors, while requests run in all
+/// of them.
 ///
-/// Guards against a second try in the zone that has not answered the first (incident inc-51ce of
-/// hmla-ops: both tries went to zones out of reach).
+/// Guards against a retry in the zone that did not answer the first attempt, where both attempts go
+/// to an unreachable zone.
 #[test]
-fn second_try_goes_to_another_zone() {
+fn retry_goes_to_another_zone() {
     let mut balancer = UpstreamBalancer::default();
     let mut keys = Vec::new();
     for (id, zone) in [("a1", "a"), ("b1", "b"), ("b2", "b"), ("b3", "b")] {
@@ -181,8 +186,8 @@
     }
 }
 
-/// Guards against requests that leave their zone while it has free slots, and against ones that stay
-/// when it is busy.
+/// Guards against requests that are sent to another zone while their own has free slots, and
+/// against ones that stay in it when it is busy.
 #[rstest]
 #[case(0, true)]
 #[case(5, false)]
@@ -194,42 +199,49 @@
     let picked = (0..100)
         .filter(|jitter_seed| balancer.pick_plain(NOW, &plain(*jitter_seed, &[])) == Some(own));
     let own_share = picked.count();
-    assert!(if stays { own_share > 90 } else { own_share < 40 }, "{own_share} of 100");
+    assert!(
+        if stays { own_share > 90 } else { own_share < 40 },
+        "{own_share} of 100 requests stayed in their zone"
+    );
 }
 
-/// Guards against new work for an upstream that has left, and against a refusal of all work when all
-/// entries lapse while the store is away.
+/// Guards against new requests for an upstream whose entry was removed, and against refusing all
+/// requests when all entries lapse because the store is down.
 #[rstest]
 #[case(RemovalCause::Left, 0, false)]
 #[case(RemovalCause::Lapsed, 2_000, true)]
 #[case(RemovalCause::Lapsed, 2_300, false)]
-fn check_removed(#[case] cause: RemovalCause, #[case] after_ms: u64, #[case] usable: bool) {
+fn check_removed_entry(#[case] cause: RemovalCause, #[case] after_ms: u64, #[case] usable: bool) {
     let (mut balancer, keys) = balancer(1, 6);
     balancer.remove(NOW, "u0", cause);
     let now = NOW + Span::from_millis(after_ms);
     assert_eq!(balancer.is_usable(now, keys[0]), usable);
     balancer.update(entry("u0", 6));
-    assert!(balancer.is_usable(now, keys[0]), "an entry that is back counts again");
+    assert!(
+        balancer.is_usable(now, keys[0]),
+        "an upstream that has registered again must be usable"
+    );
 }
 
-/// Guards against new work for a draining upstream.
+/// Guards against new requests for a draining upstream.
 #[test]
-fn draining_upstream_gets_no_work() {
+fn draining_upstream_gets_no_requests() {
     let (mut balancer, _) = balancer(1, 6);
     balancer.update(UpstreamEntry { state: EntryState::Draining, ..entry("u0", 6) });
     assert_eq!(balancer.pick_plain(NOW, &plain(1, &[])), None);
     assert_eq!(balancer.pick_generation(NOW, &generation(1, &[])), None);
 }
 
-/// Pattern: an engine turns three times slower while its runs are long.
+/// Pattern: an engine becomes three times slower during long runs.
 ///
-/// Guards against runs that stay where they are, and against runs that move for a small gain.
+/// Guards against runs that stay on the slow engine, and against runs that migrate for a small
+/// gain.
 #[rstest]
 #[case(90, true)]
 #[case(66, false)]
-fn check_move(#[case] slow_ms: u64, #[case] moves: bool) {
+fn check_migration(#[case] slow_ms: u64, #[case] migrates: bool) {
     let (mut balancer, keys) = balancer(2, 8);
     balancer.record_event_interval(keys[0], Span::from_millis(slow_ms));
     balancer.record_event_interval(keys[1], Span::from_millis(30));
-    assert_eq!(balancer.should_migrate(NOW, keys[0], keys[1]), moves);
+    assert_eq!(balancer.should_migrate(NOW, keys[0], keys[1]), migrates);
 }
--- a/crates/routebook/src/active.rs
+++ b/crates/routebook/src/active.rs
@@ -1,4 +1,4 @@
-//! The newest configuration that a node has seen.
+//! The active configuration of a node, which is the newest one that it has read.
 
 use std::sync::Arc;
 
@@ -7,23 +7,23 @@
 use crate::{ConfigIndex, SiteConfig};
 
 derive_copy! {
-    /// What became of a configuration that was read.
+    /// Result of applying a configuration that was read from the store.
     pub enum ApplyOutcome {
-        /// It is in force now.
+        /// It is the active configuration now.
         Applied,
-        /// It is not newer than the one in force.
+        /// It was ignored, since its version is not newer than the active one.
         NotNewer,
     }
 }
 
-/// Keeps the newest configuration. Within one process the version only rises.
+/// Holds the active configuration of a node. Within one process its version only rises.
 #[derive(Debug, Default)]
 pub struct ActiveConfig {
     newest: Option<Arc<ConfigIndex>>,
 }
 
 impl ActiveConfig {
-    /// Takes a configuration that was read from the store.
+    /// Makes a configuration that was read from the store the active one, if it is newer.
     pub fn apply(&mut self, config: SiteConfig) -> ApplyOutcome {
         if self.newest.as_ref().is_some_and(|newest| newest.version() >= config.version) {
             return ApplyOutcome::NotNewer;
@@ -32,7 +32,7 @@
         ApplyOutcome::Applied
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration, or `None` before the first one was read.
     #[must_use]
     pub const fn current(&self) -> Option<&Arc<ConfigIndex>> {
         self.newest.as_ref()
--- a/crates/routebook/src/index.rs
+++ b/crates/routebook/src/index.rs
@@ -1,4 +1,4 @@
-//! Lookups in one version of the configuration.
+//! One version of the configuration with its lookups.
 
 use std::collections::HashMap;
 
@@ -6,21 +6,23 @@
 
 use crate::{CallerLimits, CustomerSpec, RouteSpec, ServiceSpec, SiteConfig};
 
-/// One version of the configuration with its indexes.
+/// One version of the configuration, indexed for lookups by host and path, service name and key.
 #[derive(Debug)]
 pub struct ConfigIndex {
     version: u64,
     routes: Arena<RouteKey, RouteSpec>,
-    /// Routes of a host, longest prefix first.
+    /// Routes of each host, longest path prefix first.
     hosts: HashMap<String, Vec<RouteKey>>,
     services: HashMap<String, ServiceSpec>,
     limits: CallerLimits,
     customers: Option<CustomerIndex>,
 }
 
+/// Customers, indexed by the digests of their keys.
 #[derive(Debug)]
 struct CustomerIndex {
     customers: Vec<CustomerSpec>,
+    /// Positions in `customers`.
     keys: HashMap<KeyDigest, usize>,
 }
 
@@ -55,38 +57,39 @@
         self.version
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on requests of callers.
     #[must_use]
     pub const fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Finds the route of a request: the one of its host with the longest prefix of `path`.
+    /// Finds the route of a request: the one of its host with the longest prefix that matches
+    /// `path`. Host names are compared without regard to case, and query and fragment are ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&RouteSpec> {
         let path = path.split(['?', '#']).next().unwrap_or(path);
         let keys = self.hosts.get(&host.to_ascii_lowercase())?;
-        let found = keys.iter().find(|route| path.starts_with(&self.routes[**route].prefix))?;
-        Some(&self.routes[*found])
+        let route = keys.iter().find(|route| path.starts_with(&self.routes[**route].prefix))?;
+        Some(&self.routes[*route])
     }
 
-    /// Iterates over the routes.
+    /// Iterates over all routes, in the order of the configuration.
     pub fn routes(&self) -> impl Iterator<Item = &RouteSpec> {
         self.routes.iter().map(|(_, route)| route)
     }
 
-    /// Returns a service.
+    /// Finds a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
 
-    /// Iterates over the services.
+    /// Iterates over all services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &ServiceSpec> {
         self.services.values()
     }
 
-    /// Tells whether requests need a key, unless their route is open.
+    /// Tells whether requests need a key on routes that are not public.
     #[must_use]
     pub const fn needs_keys(&self) -> bool {
         self.customers.is_some()
@@ -96,16 +99,16 @@
     #[must_use]
     pub fn customer(&self, key: KeyDigest) -> Option<&CustomerSpec> {
         let index = self.customers.as_ref()?;
-        index.keys.get(&key).map(|at| &index.customers[*at])
+        index.keys.get(&key).map(|position| &index.customers[*position])
     }
 }
 
 impl CustomerIndex {
     fn new(customers: Vec<CustomerSpec>) -> Self {
         let mut keys = HashMap::new();
-        for (at, customer) in customers.iter().enumerate() {
+        for (position, customer) in customers.iter().enumerate() {
             for key in &customer.keys {
-                keys.insert(*key, at);
+                keys.insert(*key, position);
             }
         }
         Self { customers, keys }
--- a/crates/routebook/src/lib.rs
+++ b/crates/routebook/src/lib.rs
@@ -1,7 +1,7 @@
-//! The configuration in force on a node: routes, services, limits and the keys of customers.
+//! The active configuration of a node: routes, services, limits and the keys of customers.
 //!
-//! [`ConfigIndex`] is built from a decoded configuration and answers lookups. [`ActiveConfig`] keeps
-//! the newest one, so that a node never goes back to an older version.
+//! [`ConfigIndex`] is built from a decoded configuration and provides the lookups. [`ActiveConfig`]
+//! holds the newest one, so that a node never returns to an older version.
 
 mod active;
 mod index;
--- a/crates/routebook/tests/book.rs
+++ b/crates/routebook/tests/book.rs
@@ -1,4 +1,5 @@
-//! Lookups of routes and keys, and versions that only rise.
+//! Guards the lookups of routes and keys, and that the version of the active configuration only
+//! rises.
 
 use base::{KeyDigest, Span};
 use routebook::{
@@ -57,20 +58,20 @@
     assert_eq!(config.route(host, path).map(|route| route.name.as_str()), expected);
 }
 
-/// Guards against a key of one customer that opens another customer's requests.
+/// Guards against a key that is accepted for another customer, or for none.
 #[rstest]
 #[case("k1", Some("brewer"))]
 #[case("k2", Some("brewer"))]
 #[case("k3", None)]
 fn check_customer(#[case] key: &str, #[case] expected: Option<&str>) {
     let config = ConfigIndex::new(config(1));
-    let found = config.customer(KeyDigest::of(key)).map(|customer| customer.name.as_str());
-    assert_eq!(found, expected);
+    let customer_name = config.customer(KeyDigest::of(key)).map(|customer| customer.name.as_str());
+    assert_eq!(customer_name, expected);
 }
 
-/// Guards against a reread of the store that brings an older configuration back into force.
+/// Guards against reading an older configuration from the store and making it active again.
 #[test]
-fn version_only_rises() {
+fn active_version_only_rises() {
     let mut active = ActiveConfig::default();
     assert_eq!(active.apply(config(4)), ApplyOutcome::Applied);
     assert_eq!(active.apply(config(3)), ApplyOutcome::NotNewer);
@@ -79,12 +80,12 @@
     assert_eq!(active.current().map(|config| config.version()), Some(9));
 }
 
-/// Guards against a split that sends requests to a service without weight.
+/// Guards against a traffic split that sends requests to a service with weight 0.
 #[rstest]
 #[case(0, "a")]
 #[case(u32::MAX / 10 * 8, "a")]
 #[case(u32::MAX, "b")]
-fn check_split(#[case] random: u32, #[case] expected: &str) {
+fn check_traffic_split(#[case] random: u32, #[case] expected: &str) {
     let mut route = route("a", "/");
     route.targets = smallvec![
         WeightedTarget { service: String::from("a"), weight: 90 },
--- a/crates/routing/src/baseline.rs
+++ b/crates/routing/src/baseline.rs
@@ -1,23 +1,24 @@
-//! Usual policies, for comparison in experiments.
+//! Common load balancing policies, as baselines in experiments.
 
 use base::{Moment, Span, UpstreamKey};
 use rand::Rng;
 
 use crate::{
-    PickPolicy, PickReason, PickRequest, PickResult, RouteUpstreams, UpstreamTable, policy::below,
+    PickPolicy, PickReason, PickRequest, PickResult, RouteUpstreams, UpstreamTable,
+    policy::random_below,
 };
 
-/// Chooses any upstream that takes work.
+/// Chooses uniformly among the upstreams that accept the request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RandomPick;
 
-/// Chooses each upstream in turn.
+/// Chooses the upstreams one after another, passing over those that do not accept the request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
-/// Chooses the upstream with the fewest own requests, one of them at random.
+/// Chooses the upstream with the fewest requests of this node in flight. Ties are broken at random.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeastOutstanding;
 
@@ -30,14 +31,14 @@
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult> {
-        let usable = usable_from(table, upstreams, request, 0).count();
-        if usable == 0 {
+        let usable_count = usable_from(table, upstreams, request, 0).count();
+        if usable_count == 0 {
             return None;
         }
-        let position = below(rng, usable);
+        let position = random_below(rng, usable_count);
         usable_from(table, upstreams, request, 0)
             .nth(position)
-            .map(|(_, upstream)| choice(upstream))
+            .map(|(_, upstream)| baseline_result(upstream))
     }
 }
 
@@ -52,7 +53,7 @@
     ) -> Option<PickResult> {
         let (position, upstream) = usable_from(table, upstreams, request, self.next).next()?;
         self.next = position + 1;
-        Some(choice(upstream))
+        Some(baseline_result(upstream))
     }
 }
 
@@ -65,11 +66,11 @@
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult> {
-        // The scan starts anywhere and keeps the first minimum, so that ties are spread.
-        let start = below(rng, upstreams.keys().len().max(1));
+        // The scan starts at a random position and keeps the first minimum, which breaks ties.
+        let start = random_below(rng, upstreams.keys().len().max(1));
         usable_from(table, upstreams, request, start)
             .min_by_key(|(_, upstream)| table.own_requests(*upstream))
-            .map(|(_, upstream)| choice(upstream))
+            .map(|(_, upstream)| baseline_result(upstream))
     }
 }
 
@@ -87,7 +88,8 @@
     })
 }
 
-const fn choice(upstream: UpstreamKey) -> PickResult {
+/// Builds the result of a baseline, which has no expected time.
+const fn baseline_result(upstream: UpstreamKey) -> PickResult {
     PickResult {
         upstream,
         reason: PickReason::Baseline,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! Choice of an upstream by expected completion time.
+//! Choice of an upstream for a request by its expected completion time.
 //!
-//! [`UpstreamTable`] holds what the node knows about each upstream: learned speed, the node's own
-//! outstanding work and the last load report. [`RouteUpstreams`] lists the upstreams of one route.
-//! [`UpstreamPicker`] chooses among them; it and the baselines implement [`PickPolicy`].
+//! [`UpstreamTable`] holds what the node knows about each upstream: the estimated speed, the node's
+//! own requests in flight and the last load report. [`RouteUpstreams`] lists the upstreams of one
+//! route. [`UpstreamPicker`] chooses among them; it and the baselines implement [`PickPolicy`].
 //!
-//! Nothing here reads a clock or a global generator. A choice does not allocate.
+//! Nothing here reads a clock or a global random generator. A choice makes no heap allocation.
 
 mod baseline;
 mod picker;
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,14 +1,14 @@
-//! The interface that the picker and the baselines share.
+//! Interface of the pick policies: the picker and the baselines.
 
 use base::{Moment, Span, UpstreamKey, WeightVersion, derive_copy};
 use rand::Rng;
 
 use crate::{RouteUpstreams, UpstreamTable, upstream::UpstreamRow};
 
-/// What is to be placed.
+/// Parameters of one choice of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct PickRequest<'a> {
-    /// Expected work without the prompt, in tokens.
+    /// Estimated tokens of the request without its prompt.
     pub tokens: u32,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
@@ -25,57 +25,66 @@
     pub enum PickReason {
         /// It has the earliest expected completion among the sampled ones.
         EarliestCompletion,
-        /// It probably holds the prompt's prefix and is not overloaded.
+        /// It probably has the prompt's prefix in its cache, and its load is within the bound.
         PrefixOwner,
-        /// None of the sampled ones could take the request; it is the best one of a full scan.
+        /// None of the sampled upstreams accepted the request; it has the earliest expected
+        /// completion in a scan of all.
         FullScan,
-        /// Only upstreams under suspicion are left.
+        /// No upstream accepts the request. The chosen one is suspect, or the request was sent to
+        /// it before.
         LastResort,
-        /// A baseline chose it.
+        /// A baseline policy chose it.
         Baseline,
     }
 
-    /// A choice with what explains it in the log line.
+    /// A chosen upstream, with the reasons for the log.
     pub struct PickResult {
         /// The chosen upstream.
         pub upstream: UpstreamKey,
         /// Why it was chosen.
         pub reason: PickReason,
-        /// Time to completion by which it was compared, network included. Own work stands for that
-        /// of the other nodes too, see [`UpstreamTable::set_node_count`].
+        /// Expected completion time by which it was compared, with network latency. The node's own
+        /// work is scaled up for the other nodes, see [`UpstreamTable::set_node_count`]. Zero for
+        /// baselines.
         pub expected: Span,
-        /// The same of the next best candidate, or `None` when there was no other.
+        /// Expected completion time of the second best candidate, or `None` when there was no
+        /// other.
         pub runner_up: Option<Span>,
         /// Number of candidates that were compared.
         pub compared: u16,
     }
 }
 
-/// A way to choose an upstream.
+/// A policy that chooses an upstream for a request.
 pub trait PickPolicy {
-    /// Chooses an upstream, or none when no upstream of the route can take the request.
+    /// Chooses an upstream, or returns `None` when no upstream of the route can take the request.
     fn pick(
         &mut self,
         now: Moment,
         table: &UpstreamTable,
-        members: &RouteUpstreams,
+        upstreams: &RouteUpstreams,
         request: &PickRequest<'_>,
         rng: &mut impl Rng,
     ) -> Option<PickResult>;
 }
 
 impl PickRequest<'_> {
+    /// Tells whether the request may be sent to an upstream: it takes work, has the weights and was
+    /// not tried before.
     pub(crate) fn accepts(&self, upstream: UpstreamKey, row: &UpstreamRow) -> bool {
         row.takes_work() && self.accepts_version(row) && !self.avoid.contains(&upstream)
     }
 
+    /// Tells whether the upstream's last reported weights are new enough for the request.
     pub(crate) fn accepts_version(&self, row: &UpstreamRow) -> bool {
-        self.min_version.is_none_or(|lowest| row.version.is_some_and(|version| version >= lowest))
+        self.min_version
+            .is_none_or(|min_version| row.version.is_some_and(|version| version >= min_version))
     }
 }
 
-/// Draws a number below `bound`, which must not be 0 (Lemire, "Fast random integer generation in
-/// an interval", 2019, without the rejection step: the bias is below 1 in a million here).
-pub(crate) fn below(rng: &mut impl Rng, bound: usize) -> usize {
+/// Draws a uniform random number below `bound`, which must not be 0. The method is that of Lemire,
+/// "Fast random integer generation in an interval" (2019), without the rejection step; the bias is
+/// below 1 in a million for the bounds used here.
+pub(crate) fn random_below(rng: &mut impl Rng, bound: usize) -> usize {
     ((u64::from(rng.next_u32()) * bound as u64) >> 32) as usize
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! What the node knows about each upstream.
+//! Load, speed and state of the upstreams, as one node knows them.
 
 use base::{Arena, Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_copy};
 
@@ -8,20 +8,21 @@
 };
 
 derive_copy! {
-    /// Starting values of the table.
+    /// Initial estimates of the table.
     pub struct TableSettings {
-        /// Speed assumed before an upstream has completed a request, in tokens per second.
+        /// Speed assumed until an upstream has completed a request, in tokens per second.
         pub initial_speed: u32,
-        /// Mean work of a request assumed before any has completed, in tokens.
-        pub initial_request: u32,
+        /// Mean tokens of a request assumed until any has completed.
+        pub initial_request_tokens: u32,
     }
 }
 
-/// Own work counts at most for this many nodes. Beyond it, it outweighs the reports anyway.
-const MAX_OWN_WEIGHT: u32 = 32;
+/// Upper bound of the factor on the own work, in nodes. With more, the own work outweighs the load
+/// reports in any case.
+const MAX_OWN_WORK_FACTOR: u32 = 32;
 
-/// Weight of one completed request in the means over all upstreams.
-const MEAN_WEIGHT: f32 = 1.0 / 64.0;
+/// Smoothing factor of the exponential moving averages over all upstreams.
+const MEAN_SMOOTHING: f32 = 1.0 / 64.0;
 
 /// State of the upstreams, addressed by [`UpstreamKey`].
 #[derive(Debug, Clone)]
@@ -29,40 +30,45 @@
     settings: TableSettings,
     rows: Arena<UpstreamKey, UpstreamRow>,
     zone_latencies: Vec<Span>,
-    mean_request: f32,
+    /// Mean tokens of a completed request.
+    mean_request_tokens: f32,
+    /// Mean seconds per token of a completed request, or 0 before the first one.
     mean_token_time: f32,
+    /// Highest estimated speed of an upstream, in tokens per second.
     max_speed: f32,
-    own_weight: f32,
+    /// Factor on the own outstanding work, see [`UpstreamTable::set_node_count`].
+    own_work_factor: f32,
 }
 
 impl Default for TableSettings {
     fn default() -> Self {
-        Self { initial_speed: 1_000, initial_request: 200 }
+        Self { initial_speed: 1_000, initial_request_tokens: 200 }
     }
 }
 
 impl UpstreamTable {
-    /// Creates an empty table. `zone_latencies` holds the one-way time from this node to each zone, by
-    /// [`ZoneKey`].
+    /// Creates an empty table. `zone_latencies` holds the one-way network latency from this node to
+    /// each zone, indexed by [`ZoneKey`].
     #[must_use]
     pub fn new(settings: TableSettings, zone_latencies: Vec<Span>) -> Self {
         Self {
             settings,
             rows: Arena::new(),
             zone_latencies,
-            mean_request: settings.initial_request as f32,
+            mean_request_tokens: settings.initial_request_tokens as f32,
             mean_token_time: 0.0,
             max_speed: settings.initial_speed as f32,
-            own_weight: 1.0,
+            own_work_factor: 1.0,
         }
     }
 
-    /// Sets how many nodes share the upstreams, this one included. It is 1 until stated otherwise.
+    /// Sets how many nodes share the upstreams, this one included. The default is 1.
     ///
-    /// The others choose by the same rules, so what this node has sent stands for as much from each
-    /// of them until reports show it. Choices compare upstreams with that in mind.
+    /// The other nodes choose by the same rules, so each of them is assumed to have sent as much
+    /// work to an upstream as this one, until load reports show it. Choices multiply the own
+    /// outstanding work by this number.
     pub fn set_node_count(&mut self, nodes: u32) {
-        self.own_weight = nodes.clamp(1, MAX_OWN_WEIGHT) as f32;
+        self.own_work_factor = nodes.clamp(1, MAX_OWN_WORK_FACTOR) as f32;
     }
 
     /// Adds an upstream that takes work.
@@ -70,13 +76,14 @@
         self.add_with_speed(properties, self.settings.initial_speed)
     }
 
-    /// Adds an upstream that takes work at an expected speed in tokens per second, which holds until
-    /// completed requests show its true one.
+    /// Adds an upstream that takes work, with an initial estimate of its speed in tokens per
+    /// second, which completed requests replace.
     pub fn add_with_speed(&mut self, properties: UpstreamProperties, speed: u32) -> UpstreamKey {
         self.rows.push(UpstreamRow::new(properties, speed.max(1) as f32))
     }
 
-    /// Changes whether an upstream may be chosen. Leaving is final, except that it can go down.
+    /// Changes whether an upstream may be chosen. A leaving upstream can only become
+    /// [`UpstreamState::Down`]; other changes of it are ignored.
     pub fn set_state(&mut self, upstream: UpstreamKey, state: UpstreamState) {
         let Some(row) = self.rows.get_mut(upstream) else { return };
         if row.state == UpstreamState::Leaving && state != UpstreamState::Down {
@@ -85,47 +92,49 @@
         row.state = state;
     }
 
-    /// Keeps an upstream free for an isolated run.
+    /// Keeps an upstream free for an isolated run: it takes no work until
+    /// [`UpstreamTable::release`].
     pub fn reserve(&mut self, upstream: UpstreamKey) {
         if let Some(row) = self.rows.get_mut(upstream) {
             row.reserved = true;
         }
     }
 
-    /// Ends what [`UpstreamTable::reserve`] began.
+    /// Ends the reservation of [`UpstreamTable::reserve`].
     pub fn release(&mut self, upstream: UpstreamKey) {
         if let Some(row) = self.rows.get_mut(upstream) {
             row.reserved = false;
         }
     }
 
-    /// Takes in a load report. One that is not newer than the last is ignored.
+    /// Records a load report. One that is not newer than the last is ignored.
     ///
-    /// What the report holds beyond the node's own work at the time of measurement belongs to
-    /// other nodes and counts unchanged until the next report. Their arrivals make up for what the
-    /// upstream completes meanwhile, and the node's own work is known exactly.
+    /// Reported work beyond the node's own at the time of measurement is that of other nodes. It is
+    /// assumed to stay unchanged until the next report, as new requests of those nodes make up for
+    /// completed ones. The node's own work is known exactly at all times.
     pub fn record_load(&mut self, now: Moment, upstream: UpstreamKey, load: LoadMeasurement) {
-        let mean_request = self.mean_request;
+        let mean_request_tokens = self.mean_request_tokens;
         let Some(row) = self.rows.get_mut(upstream) else { return };
         if row.measured_at.is_some_and(|last| load.measured_at <= last) {
             return;
         }
-        row.keep_history(now);
-        // While a new request runs, each one in the batch gets as much as it does, so those count
-        // like the queued ones.
+        row.record_history(now);
+        // Running requests count like queued ones, since each request in the batch gets the same
+        // share of the speed as a new one.
         let requests = load.running.saturating_add(load.queued);
-        let total = (requests as f32 * mean_request) as u32;
-        let others = total.saturating_sub(row.outstanding_at(load.measured_at));
-        row.blend_others(now, load.measured_at, others as f32);
+        let total_tokens = (requests as f32 * mean_request_tokens) as u32;
+        let other_nodes_tokens = total_tokens.saturating_sub(row.outstanding_at(load.measured_at));
+        row.smooth_other_nodes_backlog(now, load.measured_at, other_nodes_tokens as f32);
         row.measured_at = Some(load.measured_at);
         row.version = load.version;
     }
 
-    /// Counts a request of `tokens` estimated work that is given to `upstream`.
+    /// Records that a request with `tokens` estimated work is sent to `upstream`. The returned
+    /// value must be passed to [`UpstreamTable::finish`] when the request ends.
     pub fn start(&mut self, now: Moment, upstream: UpstreamKey, tokens: u32) -> InFlightRequest {
         let mut backlog = 0;
         if let Some(row) = self.rows.get_mut(upstream) {
-            row.keep_history(now);
+            row.record_history(now);
             backlog = row.backlog();
             row.outstanding = row.outstanding.saturating_add(tokens);
             row.own_requests += 1;
@@ -133,28 +142,30 @@
         InFlightRequest { upstream, started_at: now, tokens, backlog }
     }
 
-    /// Ends a request and learns from it.
+    /// Records the end of a request. A completed one updates the estimates of speed and work.
     pub fn finish(&mut self, now: Moment, request: InFlightRequest, outcome: RequestOutcome) {
         let Some(row) = self.rows.get_mut(request.upstream) else { return };
-        row.keep_history(now);
+        row.record_history(now);
         row.outstanding = row.outstanding.saturating_sub(request.tokens);
         row.own_requests = row.own_requests.saturating_sub(1);
         let RequestOutcome::Completed { tokens } = outcome else { return };
-        self.mean_request += (tokens as f32 - self.mean_request) * MEAN_WEIGHT;
-        let took = now.since(request.started_at).0.max(1) as f32 / 1e6;
+        self.mean_request_tokens += (tokens as f32 - self.mean_request_tokens) * MEAN_SMOOTHING;
+        let seconds = now.since(request.started_at).0.max(1) as f32 / 1e6;
         let backlog = (request.backlog as f32 + row.backlog() as f32) / 2.0;
-        row.learn(tokens as f32, took, backlog, self.mean_request);
-        let token_time = took / tokens.max(1) as f32;
-        let weight = if self.mean_token_time > 0.0 { MEAN_WEIGHT } else { 1.0 };
-        self.mean_token_time += (token_time - self.mean_token_time) * weight;
+        row.record_completion(tokens as f32, seconds, backlog, self.mean_request_tokens);
+        let token_time = seconds / tokens.max(1) as f32;
+        let smoothing = if self.mean_token_time > 0.0 { MEAN_SMOOTHING } else { 1.0 };
+        self.mean_token_time += (token_time - self.mean_token_time) * smoothing;
         self.max_speed = self.max_speed.max(row.speed);
     }
 
-    /// Recomputes the highest speed, which only rises between two calls. Due about every second.
+    /// Recomputes the highest speed of the upstreams that take work. To be called about every
+    /// second; between two calls the value only rises.
     pub fn refresh_max_speed(&mut self) {
-        let live = self.rows.iter().filter(|(_, row)| row.takes_work());
-        let highest = live.map(|(_, row)| row.speed).fold(0.0, f32::max);
-        self.max_speed = if highest > 0.0 { highest } else { self.settings.initial_speed as f32 };
+        let available = self.rows.iter().filter(|(_, row)| row.takes_work());
+        let max_speed = available.map(|(_, row)| row.speed).fold(0.0, f32::max);
+        self.max_speed =
+            if max_speed > 0.0 { max_speed } else { self.settings.initial_speed as f32 };
     }
 
     /// Returns the number of upstreams, those that are down included.
@@ -175,25 +186,26 @@
         self.rows.get(upstream).map(|row| row.state)
     }
 
-    /// Returns the learned speed in tokens per second.
+    /// Returns the estimated speed in tokens per second, over all requests that run at once.
     #[must_use]
     pub fn speed(&self, upstream: UpstreamKey) -> Option<f32> {
         self.rows.get(upstream).map(|row| row.speed)
     }
 
-    /// Returns the estimated work on an upstream, in tokens.
+    /// Returns the estimated work on an upstream, by this node and the others, in tokens.
     #[must_use]
     pub fn backlog(&self, upstream: UpstreamKey) -> Option<u32> {
         self.rows.get(upstream).map(UpstreamRow::backlog)
     }
 
-    /// Returns the work of other nodes on an upstream by its load reports, in tokens.
+    /// Returns the smoothed work of other nodes on an upstream according to its load reports, in
+    /// tokens.
     #[must_use]
     pub fn other_nodes_backlog(&self, upstream: UpstreamKey) -> Option<f32> {
         self.rows.get(upstream).map(|row| row.other_nodes_backlog)
     }
 
-    /// Returns the node's own requests on an upstream.
+    /// Returns the number of requests that this node has in flight on an upstream.
     #[must_use]
     pub fn own_requests(&self, upstream: UpstreamKey) -> u32 {
         self.rows.get(upstream).map_or(0, |row| row.own_requests)
@@ -205,20 +217,20 @@
         self.rows.get(upstream).and_then(|row| row.version)
     }
 
-    /// Returns whether an upstream can be reclaimed.
+    /// Returns the price class of an upstream, that is, whether it can be reclaimed.
     #[must_use]
     pub fn price_class(&self, upstream: UpstreamKey) -> Option<PriceClass> {
         self.rows.get(upstream).map(|row| row.properties.price_class)
     }
 
-    /// Returns the age of the last load report.
+    /// Returns the time since the measurement of the last load report.
     #[must_use]
     pub fn report_age(&self, now: Moment, upstream: UpstreamKey) -> Option<Span> {
         let row = self.rows.get(upstream)?;
         row.measured_at.map(|measured_at| now.since(measured_at))
     }
 
-    /// Returns the one-way time from this node to a zone.
+    /// Returns the one-way network latency from this node to a zone, or zero for an unknown zone.
     #[must_use]
     pub fn zone_latency(&self, zone: ZoneKey) -> Span {
         self.zone_latencies.get(zone.0 as usize).copied().unwrap_or(Span::ZERO)
@@ -228,8 +240,8 @@
         self.rows.get(upstream)
     }
 
-    pub(crate) const fn own_weight(&self) -> f32 {
-        self.own_weight
+    pub(crate) const fn own_work_factor(&self) -> f32 {
+        self.own_work_factor
     }
 
     pub(crate) const fn mean_token_time(&self) -> f32 {
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What is known about one upstream.
+//! Load, speed and state of one upstream.
 
 use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey, derive_copy};
 
@@ -7,17 +7,17 @@
     pub enum UpstreamState {
         /// It takes work.
         Up,
-        /// It has missed probes. It is chosen only when no other upstream is left.
+        /// It has missed health probes. It is chosen only when no other upstream is left.
         Suspect,
         /// It is about to stop and gets no new work.
         Leaving,
-        /// It does not answer.
+        /// It does not answer and is never chosen.
         Down,
     }
 
-    /// Whether the platform may reclaim an upstream.
+    /// Price class of an upstream: regular, or cheap and reclaimable by the platform.
     pub enum PriceClass {
-        /// It stays until it is ordered to stop.
+        /// It runs until it is ordered to stop.
         Regular,
         /// It costs less and can be reclaimed with seconds of notice.
         Cheap,
@@ -25,27 +25,28 @@
 
     /// What stays the same while an upstream lives.
     pub struct UpstreamProperties {
-        /// Number that is the same on every node, for rendezvous hashing.
+        /// Hash of the upstream's name, for rendezvous hashing. It is the same on every node.
         pub name_hash: u64,
-        /// Where it runs.
+        /// Availability zone.
         pub zone: ZoneKey,
-        /// Whether it can be reclaimed.
+        /// Price class.
         pub price_class: PriceClass,
     }
 
-    /// A load report.
+    /// Requests on an upstream at one time, as the picker uses them.
     pub struct LoadMeasurement {
-        /// Requests in the batch.
+        /// Requests that run in the upstream's batch.
         pub running: u32,
-        /// Requests that wait for the batch.
+        /// Requests that wait for a place in the batch.
         pub queued: u32,
         /// Weight version in use, if it is an engine.
         pub version: Option<WeightVersion>,
-        /// When it was measured, on this node's clock.
+        /// Time of the measurement on this node's clock.
         pub measured_at: Moment,
     }
 
-    /// A request that was given to an upstream. It is handed back when the request ends.
+    /// A request that was sent to an upstream. It is passed to `UpstreamTable::finish` when it
+    /// ends.
     pub struct InFlightRequest {
         /// The upstream.
         pub upstream: UpstreamKey,
@@ -53,45 +54,48 @@
         pub started_at: Moment,
         /// Estimated work in tokens.
         pub tokens: u32,
-        /// Work that was ahead of it by estimate, in tokens.
+        /// Estimated work ahead of it when it started, in tokens.
         pub(crate) backlog: u32,
     }
 
-    /// How a request left its upstream.
+    /// How a request to an upstream ended.
     pub enum RequestOutcome {
-        /// The answer is whole.
+        /// The complete response arrived.
         Completed {
             /// True work in tokens.
             tokens: u32,
         },
-        /// It failed or was cancelled, so it tells nothing about speed.
+        /// It failed or was cancelled, so the speed cannot be estimated from it.
         Failed,
     }
 }
 
-/// Steps of the record of own outstanding work.
+/// Entries in the history of the own outstanding work.
 const HISTORY_STEPS: usize = 16;
 
-/// Length of one step. The record covers four seconds, twice the usual lag of load reports.
+/// Time covered by one history entry. All entries cover 4 s, twice the usual age of load reports.
 const HISTORY_STEP: Span = Span::from_millis(250);
 
-/// Reports are smoothed over this many times their age.
-const SMOOTHING_AGES: f32 = 4.0;
+/// Time constant for smoothing load reports, as a multiple of their age.
+const SMOOTHING_TIME_IN_AGES: f32 = 4.0;
 
-/// Part of the learned speed that a completion of usual length leaves in place.
-const SPEED_MEMORY: f32 = 0.95;
+/// Part of the estimated speed that remains after a completed request of usual length; the rest
+/// comes from that request.
+const SPEED_DECAY: f32 = 0.95;
 
-/// Requests that must share an upstream before a completion may lower its learned speed.
-const LEAST_SHARERS: f32 = 4.0;
+/// Fewest requests that must share an upstream for a completed one to lower its estimated speed.
+const MIN_SHARERS: f32 = 4.0;
 
-/// The assumed speed weighs as much as a request that took this many seconds.
-const FIRST_SAMPLE_TIME: f32 = 0.1;
+/// Weight of the initial speed estimate, as the duration in seconds of a request with that speed.
+const INITIAL_SAMPLE_SECONDS: f32 = 0.1;
 
-/// The seconds per token fall fast and rise slowly, since they are to be those of a request that
-/// nothing slows down.
-const TOKEN_TIME_FALL: f32 = 0.2;
-const TOKEN_TIME_RISE: f32 = 0.005;
+/// Smoothing factor of the time per token when a sample is below the mean. It is larger than that
+/// for a rise, since the estimate is for a request that no other request slows down.
+const TOKEN_TIME_FALL_SMOOTHING: f32 = 0.2;
+/// Smoothing factor of the time per token when a sample is above the mean.
+const TOKEN_TIME_RISE_SMOOTHING: f32 = 0.005;
 
+/// Row of an upstream in the `UpstreamTable`.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamRow {
     pub(crate) properties: UpstreamProperties,
@@ -99,19 +103,22 @@
     pub(crate) reserved: bool,
     pub(crate) version: Option<WeightVersion>,
     pub(crate) measured_at: Option<Moment>,
-    /// Learned speed in tokens per second, over all requests that run at once.
+    /// Estimated speed in tokens per second, over all requests that run at once.
     pub(crate) speed: f32,
-    /// Work and time of past samples, whose quotient is the speed. Newer samples weigh more.
+    /// Exponentially decayed sums of work in tokens and time in seconds of completed requests.
+    /// Their quotient is the speed.
     speed_work: f32,
-    speed_time: f32,
-    /// Learned seconds per token of a request that runs alone, or 0 while unknown.
+    speed_seconds: f32,
+    /// Estimated seconds per token of a request that runs alone, or 0 while unknown.
     pub(crate) token_time: f32,
     /// Own outstanding work in tokens.
     pub(crate) outstanding: u32,
     pub(crate) own_requests: u32,
-    /// Work of others by the reports, in tokens.
+    /// Smoothed work of other nodes by the load reports, in tokens.
     pub(crate) other_nodes_backlog: f32,
+    /// Ring buffer of the own outstanding work at the start of each history step.
     history: [u32; HISTORY_STEPS],
+    /// Number of the newest history step, counted from the start of the clock.
     history_step: u64,
 }
 
@@ -124,8 +131,8 @@
             version: None,
             measured_at: None,
             speed,
-            speed_work: speed * FIRST_SAMPLE_TIME,
-            speed_time: FIRST_SAMPLE_TIME,
+            speed_work: speed * INITIAL_SAMPLE_SECONDS,
+            speed_seconds: INITIAL_SAMPLE_SECONDS,
             token_time: 0.0,
             outstanding: 0,
             own_requests: 0,
@@ -135,88 +142,109 @@
         }
     }
 
-    /// Estimated work ahead of a new request, in tokens.
+    /// Returns the estimated work ahead of a new request, in tokens.
     pub(crate) const fn backlog(&self) -> u32 {
         (self.other_nodes_backlog as u32).saturating_add(self.outstanding)
     }
 
-    /// Takes in what a report of this age says about the work of others.
+    /// Updates the smoothed work of other nodes with that of a load report.
     ///
-    /// All nodes see the same late report, and all would send to the upstream that was idle when
-    /// it was measured. A smoothing time of several ages keeps this loop from oscillating.
-    pub(crate) fn blend_others(&mut self, now: Moment, measured_at: Moment, others: f32) {
+    /// All nodes see the same report late, and would all send their requests to the upstream that
+    /// was idle when it was measured. Smoothing over several times the age of a report keeps this
+    /// feedback loop from oscillating.
+    pub(crate) fn smooth_other_nodes_backlog(
+        &mut self,
+        now: Moment,
+        measured_at: Moment,
+        other_nodes_tokens: f32,
+    ) {
         let Some(last) = self.measured_at else {
-            self.other_nodes_backlog = others;
+            self.other_nodes_backlog = other_nodes_tokens;
             return;
         };
         let interval = measured_at.since(last).as_secs_f64() as f32;
-        let smoothing = now.since(measured_at).as_secs_f64() as f32 * SMOOTHING_AGES;
+        let smoothing = now.since(measured_at).as_secs_f64() as f32 * SMOOTHING_TIME_IN_AGES;
         self.other_nodes_backlog +=
-            (others - self.other_nodes_backlog) * interval / (interval + smoothing);
+            (other_nodes_tokens - self.other_nodes_backlog) * interval / (interval + smoothing);
     }
 
     pub(crate) const fn takes_work(&self) -> bool {
         matches!(self.state, UpstreamState::Up) && !self.reserved
     }
 
-    /// Learns from a request of `tokens` that took `seconds` while `backlog` tokens of other
-    /// requests were served next to it or before it.
+    /// Updates speed and time per token with a completed request of `tokens` that took `seconds`,
+    /// while `backlog` tokens of other requests were processed along with it or before it.
     ///
-    /// The upstream did the work of all requests that shared it meanwhile. Sums of work and time
-    /// are kept in place of a mean of quotients, which a few short requests would dominate. A
-    /// request that runs almost alone does not use the whole speed, so it can only raise it.
-    pub(crate) fn learn(&mut self, tokens: f32, seconds: f32, backlog: f32, mean_request: f32) {
-        let sharers = 1.0 + backlog / mean_request.max(1.0);
-        if sharers >= LEAST_SHARERS || tokens * sharers > self.speed * seconds {
-            self.learn_speed(tokens, seconds, sharers);
+    /// In that time the upstream did the work of all requests that shared it. The speed is computed
+    /// from sums of work and time, since a mean of the single quotients would be dominated by a few
+    /// short requests. A request that ran almost alone does not use the whole speed, so it can
+    /// raise the estimate but not lower it.
+    pub(crate) fn record_completion(
+        &mut self,
+        tokens: f32,
+        seconds: f32,
+        backlog: f32,
+        mean_request_tokens: f32,
+    ) {
+        let sharers = 1.0 + backlog / mean_request_tokens.max(1.0);
+        if sharers >= MIN_SHARERS || tokens * sharers > self.speed * seconds {
+            self.update_speed(tokens, seconds, sharers);
         }
-        self.learn_token_time(seconds / tokens.max(1.0));
+        self.update_token_time(seconds / tokens.max(1.0));
     }
 
-    fn learn_speed(&mut self, tokens: f32, seconds: f32, sharers: f32) {
-        self.speed_work = self.speed_work * SPEED_MEMORY + tokens * sharers * sharers;
-        self.speed_time = self.speed_time * SPEED_MEMORY + seconds * sharers;
-        self.speed = self.speed_work / self.speed_time;
+    fn update_speed(&mut self, tokens: f32, seconds: f32, sharers: f32) {
+        self.speed_work = self.speed_work * SPEED_DECAY + tokens * sharers * sharers;
+        self.speed_seconds = self.speed_seconds * SPEED_DECAY + seconds * sharers;
+        self.speed = self.speed_work / self.speed_seconds;
     }
 
-    fn learn_token_time(&mut self, token_time: f32) {
+    fn update_token_time(&mut self, token_time: f32) {
         if self.token_time == 0.0 {
             self.token_time = token_time;
             return;
         }
-        let falls = token_time < self.token_time;
-        let weight = if falls { TOKEN_TIME_FALL } else { TOKEN_TIME_RISE };
-        self.token_time += (token_time - self.token_time) * weight;
+        let is_below = token_time < self.token_time;
+        let smoothing =
+            if is_below { TOKEN_TIME_FALL_SMOOTHING } else { TOKEN_TIME_RISE_SMOOTHING };
+        self.token_time += (token_time - self.token_time) * smoothing;
     }
 
-    /// Expected time in seconds of a request of `work` tokens that starts now, when each token of
-    /// own outstanding work counts `own_weight` times. `mean_token_time` stands in for the time per
-    /// token of an upstream that has not completed a request; without it a new upstream would look
-    /// faster than all others until its first answer, and attract every request.
-    pub(crate) fn expected(&self, work: f32, own_weight: f32, mean_token_time: f32) -> f32 {
-        let backlog = self.other_nodes_backlog + self.outstanding as f32 * own_weight;
+    /// Returns the expected time in seconds of a request of `work` tokens that starts now.
+    ///
+    /// Own outstanding work is multiplied by `own_work_factor`. `mean_token_time` replaces the time
+    /// per token of an upstream that has not completed a request; without it, a new upstream would
+    /// look faster than all others and attract every request until its first response.
+    pub(crate) fn expected_seconds(
+        &self,
+        work: f32,
+        own_work_factor: f32,
+        mean_token_time: f32,
+    ) -> f32 {
+        let backlog = self.other_nodes_backlog + self.outstanding as f32 * own_work_factor;
         let token_time = if self.token_time > 0.0 { self.token_time } else { mean_token_time };
         ((backlog + work) / self.speed.max(1.0)).max(work * token_time)
     }
 
-    /// Records the own outstanding work before it changes at `now`.
-    pub(crate) fn keep_history(&mut self, now: Moment) {
+    /// Writes the own outstanding work into the history. To be called before it changes at `now`.
+    pub(crate) fn record_history(&mut self, now: Moment) {
         let step = now.0 / HISTORY_STEP.0;
-        let passed = step.saturating_sub(self.history_step).min(HISTORY_STEPS as u64);
-        for back in 0..passed {
-            let slot = (step - back) as usize % HISTORY_STEPS;
+        let elapsed_steps = step.saturating_sub(self.history_step).min(HISTORY_STEPS as u64);
+        for steps_back in 0..elapsed_steps {
+            let slot = (step - steps_back) as usize % HISTORY_STEPS;
             self.history[slot] = self.outstanding;
         }
         self.history_step = self.history_step.max(step);
     }
 
-    /// Own outstanding work at the start of the step of `moment`, as far back as the record goes.
+    /// Returns the own outstanding work at the start of the history step that contains `moment`, or
+    /// at the oldest step that is kept.
     pub(crate) fn outstanding_at(&self, moment: Moment) -> u32 {
         let step = moment.0 / HISTORY_STEP.0;
         if step > self.history_step {
             return self.outstanding;
         }
-        let oldest = self.history_step.saturating_sub(HISTORY_STEPS as u64 - 1);
-        self.history[step.max(oldest) as usize % HISTORY_STEPS]
+        let oldest_step = self.history_step.saturating_sub(HISTORY_STEPS as u64 - 1);
+        self.history[step.max(oldest_step) as usize % HISTORY_STEPS]
     }
 }
--- a/crates/routing/tests/allocation.rs
+++ b/crates/routing/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Guards the request path against allocations: a choice among 600 upstreams makes none.
+//! Guards against heap allocations on the request path: a choice among 600 upstreams makes none.
 
 use base::{Moment, Span, UpstreamKey, ZoneKey};
 use rand::SeedableRng as _;
@@ -33,18 +33,18 @@
                 min_version: None,
                 avoid: &[],
             };
-            let Some(choice) = picker.pick(now, &table, &upstreams, &request, &mut rng) else {
+            let Some(result) = picker.pick(now, &table, &upstreams, &request, &mut rng) else {
                 break;
             };
             picked += 1;
-            let work = table.start(now, choice.upstream, request.tokens);
+            let in_flight = table.start(now, result.upstream, request.tokens);
             table.finish(
                 now + Span::from_millis(300),
-                work,
+                in_flight,
                 RequestOutcome::Completed { tokens: 300 },
             );
             if number == 10_000 {
-                // What follows takes the path of the full scan.
+                // With one upstream left, sampling mostly fails and the full scan is used.
                 for index in 1..600 {
                     table.set_state(UpstreamKey(index), UpstreamState::Leaving);
                 }
@@ -52,7 +52,7 @@
         }
     });
     assert_eq!((counted.count_total, picked), (0, 20_000));
-    // The counter itself works.
+    // Checks that the counter sees allocations.
     let counted = allocation_counter::measure(|| drop(Box::new(picked)));
     assert_eq!(counted.count_total, 1);
 }
--- a/crates/submissions/src/cache.rs
+++ b/crates/submissions/src/cache.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one partition of submissions.
+//! The part of a partition of submissions that a node holds.
 
 use std::collections::BTreeSet;
 
@@ -7,178 +7,190 @@
 use crate::{SubmissionRecord, SubmissionState, SubmissionTable};
 
 derive_value! {
-    /// The newest records of the keys of one submission.
+    /// The newest records of all keys of one submission, as read from the store.
     pub struct SubmissionSnapshot {
         /// Identifier of the submission.
         pub submission: String,
         /// When the read began.
         pub read_started_at: Moment,
-        /// End of the partition as of the first page. Records from there on may be missing.
+        /// End offset of the partition when the first page was read. Records from there on may be
+        /// missing.
         pub log_end: u64,
-        /// Records, in any order.
+        /// Records of the submission, in any order.
         pub records: Vec<SubmissionRecord>,
     }
 
-    /// Records of the log from an offset on.
+    /// Consecutive records of a partition from an offset on.
     pub struct LogBatch {
         /// When the read began.
         pub read_started_at: Moment,
-        /// Offset from which was read.
+        /// Offset at which the read began.
         pub start_offset: u64,
-        /// Offset up to which was read.
+        /// Offset after the last record that was read.
         pub next_offset: u64,
-        /// End of the partition. One answer holds a bounded number of bytes, so it may lie further.
+        /// End offset of the partition. It may be greater than `next_offset`, since the size of one
+        /// response is bounded.
         pub log_end: u64,
         /// Records with their offsets.
         pub records: Vec<(u64, SubmissionRecord)>,
     }
 }
 
-/// A node's copy of one partition.
+/// A node's cache of one partition.
 ///
-/// It holds the submissions that the node was asked for, and what has been appended since. Up to the
-/// offset [`PartitionCache::next_offset`] it misses nothing of the loaded submissions, so an append at this
-/// offset is decided with full knowledge of them.
+/// It holds the submissions that were loaded on demand, and all records that were appended since.
+/// It has all records of the loaded submissions below [`PartitionCache::next_offset`], so an append
+/// at this offset that concerns only them is decided on their complete state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartitionCache {
     table: SubmissionTable,
-    next: Option<u64>,
-    /// Offset from which on every record was taken.
-    begun: u64,
+    /// Offset of the next record to read, or `None` before anything was read.
+    next_offset: Option<u64>,
+    /// Offset from which on every record was applied.
+    followed_from: u64,
+    /// Submissions of which all records below `next_offset` were applied.
     loaded: BTreeSet<String>,
+    /// Whether all open submissions are loaded.
     scanned: bool,
-    confirmed_at: Option<Moment>,
+    /// Start of the last read after which the cache was complete.
+    complete_at: Option<Moment>,
 }
 
 impl PartitionCache {
-    /// Returns the submissions.
+    /// Returns the submissions of which the cache has records.
     #[must_use]
     pub const fn table(&self) -> &SubmissionTable {
         &self.table
     }
 
-    /// Offset up to which the log is known, once anything was read.
+    /// Returns the offset up to which the partition was read, or `None` before anything was read.
     #[must_use]
     pub const fn next_offset(&self) -> Option<u64> {
-        self.next
+        self.next_offset
     }
 
-    /// Time since the copy was last known to be complete.
+    /// Returns the time since the cache was last known to be complete, or `None` if it never was.
     #[must_use]
     pub fn staleness(&self, now: Moment) -> Option<Span> {
-        self.confirmed_at.map(|at| now.since(at))
+        self.complete_at.map(|at| now.since(at))
     }
 
-    /// Tells whether the copy misses nothing of a submission up to `next`.
+    /// Tells whether the cache has all records of a submission below
+    /// [`PartitionCache::next_offset`].
     #[must_use]
     pub fn is_loaded(&self, submission: &str) -> bool {
         self.loaded.contains(submission)
     }
 
-    /// Returns the offset at which an append that concerns these submissions may be tried: all of
-    /// them must be loaded.
+    /// Returns the offset at which an append that concerns these submissions may be tried, or
+    /// `None` unless all of them are loaded.
     #[must_use]
     pub fn append_offset(&self, submissions: &[&str]) -> Option<u64> {
-        self.next.filter(|_| submissions.iter().all(|submission| self.is_loaded(submission)))
+        self.next_offset.filter(|_| submissions.iter().all(|submission| self.is_loaded(submission)))
     }
 
-    /// What follows `end` is read from the log, unless an earlier offset is known.
+    /// Starts to follow the partition at the offset `end`, unless the cache follows it already.
     pub fn follow_from(&mut self, end: u64, read_started_at: Moment) {
-        if self.next.is_none() {
-            self.next = Some(end);
-            self.begun = end;
-            self.confirmed_at = Some(read_started_at);
+        if self.next_offset.is_none() {
+            self.next_offset = Some(end);
+            self.followed_from = end;
+            self.complete_at = Some(read_started_at);
         }
     }
 
-    /// Takes the records of a submission. Returns `false` when they must be read again: the copy began
-    /// at a later offset while they were read, and what lies between is in neither of the two.
+    /// Applies the records of a submission. Returns `false` when they must be read again: the cache
+    /// has meanwhile started to follow the partition at a later offset, and records between the two
+    /// offsets are in neither the snapshot nor the cache.
     pub fn apply_snapshot(&mut self, read: SubmissionSnapshot) -> bool {
-        if self.next.is_some() && read.log_end < self.begun {
+        if self.next_offset.is_some() && read.log_end < self.followed_from {
             return false;
         }
         self.follow_from(read.log_end, read.read_started_at);
         self.loaded.insert(read.submission);
         for record in read.records {
-            self.take(record);
+            self.apply(record);
         }
         true
     }
 
-    /// Takes a part of the log, and tells whether the copy was complete when the read began.
+    /// Applies consecutive records of the partition. Returns `false` when the batch does not reach
+    /// the end of the partition, so that the next one must be read. A batch that begins after the
+    /// next offset of the cache is ignored, with the result `true`.
     pub fn apply_batch(&mut self, batch: LogBatch) -> bool {
-        let Some(known) = self.next.filter(|known| batch.start_offset <= *known) else {
+        let Some(next_offset) =
+            self.next_offset.filter(|next_offset| batch.start_offset <= *next_offset)
+        else {
             return true;
         };
         for (offset, record) in batch.records {
-            if offset >= known {
-                self.take(record);
+            if offset >= next_offset {
+                self.apply(record);
             }
         }
-        self.next = Some(known.max(batch.next_offset));
+        self.next_offset = Some(next_offset.max(batch.next_offset));
         if batch.next_offset < batch.log_end {
             return false;
         }
-        let at =
-            self.confirmed_at.map_or(batch.read_started_at, |at| at.max(batch.read_started_at));
-        self.confirmed_at = Some(at);
+        let at = self.complete_at.map_or(batch.read_started_at, |at| at.max(batch.read_started_at));
+        self.complete_at = Some(at);
         true
     }
 
-    /// Takes records that this node has appended itself.
+    /// Applies records that this node has appended from `offset` to `end`. They are ignored when
+    /// the cache is not at `offset`; it then reads them from the partition.
     pub fn apply_own_append(&mut self, offset: u64, end: u64, records: Vec<SubmissionRecord>) {
-        if self.next != Some(offset) {
+        if self.next_offset != Some(offset) {
             return;
         }
-        self.next = Some(end);
+        self.next_offset = Some(end);
         for record in records {
-            self.take(record);
+            self.apply(record);
         }
     }
 
-    /// Begins anew, when the log has dropped records that were not read: what is known stays true, but
-    /// newer records may be missing.
+    /// Stops following the partition, when the store has dropped records that were not read. The
+    /// table is kept, since its records stay valid, but newer ones may be missing.
     pub fn reset(&mut self) {
-        self.next = None;
+        self.next_offset = None;
         self.loaded.clear();
         self.scanned = false;
-        self.confirmed_at = None;
+        self.complete_at = None;
     }
 
-    /// Forgets everything, when the partition is no longer needed.
+    /// Drops all state, when the partition is no longer needed.
     pub fn clear(&mut self) {
         self.reset();
         self.table = SubmissionTable::default();
     }
 
-    /// Tells whether this node knows all open submissions and the ends of the others, so that it may run
-    /// items.
+    /// Tells whether all open submissions are loaded, so that this node may run their items.
     #[must_use]
     pub const fn is_scanned(&self) -> bool {
         self.scanned
     }
 
-    /// Has all open submissions looked for anew.
+    /// Requires a new scan for open submissions before items may be run.
     pub const fn invalidate_scan(&mut self) {
         self.scanned = false;
     }
 
-    /// Notes that `open` were all open submissions at the offset `end`. They must be looked for anew when
-    /// the copy has begun anew meanwhile, so that it misses some of them or what came after `end`.
+    /// Records the result of a scan: `open` were all open submissions at the offset `end`. The scan
+    /// does not count, and must be repeated, unless the cache has loaded all of them and has every
+    /// record from `end` on, which a [`PartitionCache::reset`] during the scan can prevent.
     pub fn finish_scan(&mut self, open: &[&str], end: u64) {
-        self.scanned = self.begun <= end && self.append_offset(open).is_some();
+        self.scanned = self.followed_from <= end && self.append_offset(open).is_some();
     }
 
-    /// Iterates over the submissions whose items this node may run. What the copy knew before it began
-    /// anew is left out, since it may have ended.
+    /// Iterates over the submissions whose items this node may run. Submissions known only from
+    /// before a [`PartitionCache::reset`] are left out, since they may have ended meanwhile.
     pub fn open_submissions(&self) -> impl Iterator<Item = &SubmissionState> {
         let open = self.table.iter().filter(|state| state.is_open());
         open.filter(|state| self.scanned && self.is_loaded(&state.metadata().id))
     }
 
-    fn take(&mut self, record: SubmissionRecord) {
+    fn apply(&mut self, record: SubmissionRecord) {
         match &record {
-            // Everything about it comes later in the log.
+            // All other records of the submission come after this one in the partition.
             SubmissionRecord::Opened(metadata) => {
                 self.loaded.insert(metadata.id.clone());
             }
--- a/crates/submissions/src/check.rs
+++ b/crates/submissions/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a submission before it is accepted.
+//! Validation of a submission before it is accepted.
 
 use std::{collections::HashSet, fmt};
 
@@ -6,48 +6,51 @@
 
 use crate::{SubmissionItem, SubmissionState};
 
-/// Longest identifier of a submission in bytes. Keys of the store hold 255 bytes, of which the other
-/// parts of a key take up to 14.
-const MAX_ID: usize = 200;
+/// Longest identifier of a submission in bytes. Keys of the store are limited to 255 bytes, of
+/// which the other parts of a key take up to 14.
+const MAX_ID_BYTES: usize = 200;
 
 derive_value! {
-    /// Why a submission cannot be accepted.
+    /// Why a submission is not accepted.
     pub enum SubmissionError {
         /// The identifier cannot be part of a key and of the path under which results are read.
         UnusableId,
         /// Two items have the same identifier, so their results could not be told apart.
         RepeatedItem(String),
-        /// Another customer's submission has the identifier.
+        /// A submission of another customer has the identifier.
         TakenId,
     }
 }
 
-/// Checks a submission that arrived.
+/// Validates the identifiers of a submission and its items.
 ///
 /// # Errors
 ///
-/// Returns a fault that sending the submission again does not mend.
+/// Returns an error when an identifier is invalid or repeated. The same submission would fail
+/// again.
 pub fn check_submission(id: &str, items: &[SubmissionItem]) -> Result<(), SubmissionError> {
-    let usable = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'?' | b'#' | b'%');
-    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(usable) {
+    let is_usable =
+        |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'/' | b'?' | b'#' | b'%');
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(is_usable) {
         return Err(SubmissionError::UnusableId);
     }
-    let mut seen = HashSet::with_capacity(items.len());
+    let mut item_ids = HashSet::with_capacity(items.len());
     for item in items {
-        if !seen.insert(item.id.as_str()) {
+        if !item_ids.insert(item.id.as_str()) {
             return Err(SubmissionError::RepeatedItem(item.id.clone()));
         }
     }
     Ok(())
 }
 
-/// Checks that a submission which was accepted before belongs to the customer that sends it again.
+/// Checks that a submission which was accepted before belongs to the customer that repeats the
+/// request.
 ///
 /// # Errors
 ///
-/// Returns a fault when it belongs to another customer.
-pub fn check_owner(known: &SubmissionState, customer: &str) -> Result<(), SubmissionError> {
-    if known.metadata().customer == customer { Ok(()) } else { Err(SubmissionError::TakenId) }
+/// Returns an error when it belongs to another customer.
+pub fn check_owner(state: &SubmissionState, customer: &str) -> Result<(), SubmissionError> {
+    if state.metadata().customer == customer { Ok(()) } else { Err(SubmissionError::TakenId) }
 }
 
 impl fmt::Display for SubmissionError {
@@ -55,10 +58,12 @@
         match self {
             Self::UnusableId => write!(
                 f,
-                "the identifier of the submission must have 1 to {MAX_ID} printable ASCII \
+                "the identifier of the submission must have 1 to {MAX_ID_BYTES} printable ASCII \
                  characters other than '/', '?', '#' and '%'"
             ),
-            Self::RepeatedItem(id) => write!(f, "two items have the identifier \"{id}\""),
+            Self::RepeatedItem(id) => {
+                write!(f, "two items of the submission have the identifier \"{id}\"")
+            }
             Self::TakenId => write!(f, "another submission has this identifier"),
         }
     }
--- a/crates/submissions/src/item.rs
+++ b/crates/submissions/src/item.rs
@@ -7,23 +7,23 @@
 derive_copy! {
     /// Final state of an item.
     pub enum ItemState {
-        /// The text is whole.
+        /// The text was generated completely.
         Finished,
-        /// The item was given up.
+        /// The item was abandoned without a text.
         Errored,
     }
 }
 
 derive_value! {
-    /// A call whose answer scores the text of an item.
+    /// Request to a service whose response is the score of an item's text.
     pub struct RewardCall {
-        /// Identifier of the call.
+        /// Identifier of the reward call.
         pub id: String,
-        /// Host of its route.
+        /// Host of the route to which the call is sent.
         pub host: String,
-        /// Path of the call.
+        /// Request path.
         pub path: String,
-        /// Body.
+        /// Request body.
         pub body: Bytes,
     }
 
@@ -31,39 +31,39 @@
     pub struct SubmissionItem {
         /// Identifier of the item.
         pub id: String,
-        /// Path at the engine.
+        /// Path of the request to the engine.
         pub path: String,
-        /// Headers that the engine receives.
+        /// Headers of the request to the engine.
         pub headers: Vec<(String, String)>,
-        /// Body.
+        /// Body of the request to the engine.
         pub body: Bytes,
-        /// Items of one group share their prompt.
+        /// Identifier of the item's group. Items of one group share their prompt.
         pub group: String,
-        /// Estimate of the tokens that the item generates.
+        /// Estimated number of tokens that the item generates.
         pub expected_tokens: u32,
-        /// Identifier of the last part of the prompt that other items share, if there is one.
+        /// Identifier of the last part of the prompt that other items share, if any.
         pub shared_prompt: Option<String>,
-        /// Call that scores the text, if any.
+        /// Reward call that scores the text, if any.
         pub reward: Option<RewardCall>,
     }
 
-    /// What holds for all items of a submission.
+    /// Metadata of a submission, which holds for all of its items.
     pub struct SubmissionMetadata {
         /// Identifier of the submission.
         pub id: String,
-        /// Customer whose key came with it.
+        /// Name of the customer whose key authorized it.
         pub customer: String,
-        /// Host of its route.
+        /// Host of the route by which it was accepted.
         pub host: String,
         /// Path to which it was submitted.
         pub path: String,
         /// Model that generates the items.
         pub model: String,
-        /// Step of the trainer.
+        /// Number of the trainer's step.
         pub step: u64,
         /// Oldest version of the weights that may generate a token.
         pub min_version: WeightVersion,
-        /// Groups that the trainer waits for.
+        /// Number of complete groups that the trainer waits for.
         pub target_groups: u32,
         /// When it was accepted.
         pub accepted_at: WallTime,
@@ -75,19 +75,19 @@
     pub struct ItemResult {
         /// Identifier of the item.
         pub item: String,
-        /// Final state.
+        /// Whether the text is complete.
         pub state: ItemState,
         /// Data of all events in order, separated by line feeds.
         pub output: String,
         /// Versions of the weights that generated the text, lowest first.
         pub versions: SmallVec<[WeightVersion; 2]>,
-        /// Score of the reward call.
+        /// Score from the reward call, if the item has one.
         pub score: Option<String>,
     }
 }
 
 impl ItemResult {
-    /// Builds the result of an item that was given up.
+    /// Builds the result of an item that was abandoned, without a text.
     #[must_use]
     pub fn errored(item: impl Into<String>) -> Self {
         Self {
--- a/crates/submissions/src/lib.rs
+++ b/crates/submissions/src/lib.rs
@@ -1,9 +1,10 @@
-//! Submissions of many items that run later: what was accepted, the results in their order, and which
-//! item runs next.
+//! Submissions of many items that run later: which were accepted, their results in order, and the
+//! order in which items run.
 //!
-//! [`SubmissionTable`] is a function of one partition's records in log order, and [`PartitionCache`] what
-//! a node knows of them. A writer appends only at the end of what it has read, so a position of a
-//! submission is given away once and never changes.
+//! [`SubmissionTable`] is the state materialized from the records of one partition, and
+//! [`PartitionCache`] the part of it that a node holds. A node appends only at the offset up to
+//! which it has read the partition (optimistic concurrency control), so each result position of a
+//! submission is assigned once and never changes.
 
 mod cache;
 mod check;
@@ -18,7 +19,7 @@
     check::{SubmissionError, check_owner, check_submission},
     item::{ItemResult, ItemState, RewardCall, SubmissionItem, SubmissionMetadata},
     plan::{ending_records, opening_records, result_records},
-    queue::{ItemQueue, WaitingItem},
+    queue::{ItemPriority, ItemQueue},
     table::{SubmissionRecord, SubmissionState, SubmissionTable},
     text::{GeneratedText, GenerationEvent, TextError},
 };
--- a/crates/submissions/src/plan.rs
+++ b/crates/submissions/src/plan.rs
@@ -1,14 +1,14 @@
-//! What to append, given all records of the submissions concerned.
+//! Records to be appended to a partition, given all records of the submissions concerned.
 //!
-//! Each function is called again after a failed append, with what is known then, and returns `None` when
-//! nothing is left to append. An append without an answer that has taken effect after all is thereby
-//! not repeated.
+//! After a failed append, the function is called again with the table as updated since. It returns
+//! `None` when nothing is left to append. This makes retries idempotent: an append that took effect
+//! without an acknowledgement is not repeated.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::{ItemResult, SubmissionRecord, SubmissionTable};
 
-/// Returns the records that accept a submission, unless it is accepted already.
+/// Returns the records that accept a submission, or `None` if it was already accepted.
 #[must_use]
 pub fn opening_records(
     table: &SubmissionTable,
@@ -18,7 +18,7 @@
     table.get(submission).is_none().then(|| records.to_vec())
 }
 
-/// Returns the records that end a submission, unless it does not exist or has ended.
+/// Returns the records that end a submission, or `None` if it does not exist or has already ended.
 #[must_use]
 pub fn ending_records(table: &SubmissionTable, submission: &str) -> Option<Vec<SubmissionRecord>> {
     let state = table.get(submission).filter(|state| !state.is_ended())?;
@@ -30,23 +30,24 @@
     ])
 }
 
-/// Gives each result that has no position yet the next one of its submission. Results of ended
-/// submissions are left out.
+/// Returns the records that assign each result the next free position of its submission, or `None`
+/// if there is nothing to append. Results of items that already have one, and of ended or unknown
+/// submissions, are left out.
 #[must_use]
 pub fn result_records(
     table: &SubmissionTable,
     results: &[(String, ItemResult)],
 ) -> Option<Vec<SubmissionRecord>> {
-    let mut positions: HashMap<&str, u32> = HashMap::new();
-    let mut given: HashSet<(&str, &str)> = HashSet::new();
+    let mut next_positions: HashMap<&str, u32> = HashMap::new();
+    let mut assigned: HashSet<(&str, &str)> = HashSet::new();
     let mut records = Vec::new();
     for (submission, result) in results {
         let Some(state) = table.get(submission) else { continue };
-        let again = !given.insert((submission, &result.item));
-        if again || state.is_ended() || state.is_resolved(&result.item) {
+        let is_duplicate = !assigned.insert((submission, &result.item));
+        if is_duplicate || state.is_ended() || state.is_resolved(&result.item) {
             continue;
         }
-        let position = positions.entry(submission).or_insert_with(|| state.result_count());
+        let position = next_positions.entry(submission).or_insert_with(|| state.result_count());
         records.push(SubmissionRecord::Result {
             submission: submission.clone(),
             position: *position,
--- a/crates/submissions/src/table.rs
+++ b/crates/submissions/src/table.rs
@@ -1,4 +1,4 @@
-//! Submissions of one partition as a function of its records.
+//! State of the submissions of one partition, materialized from its records.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -7,51 +7,52 @@
 use crate::{ItemResult, SubmissionItem, SubmissionMetadata};
 
 derive_value! {
-    /// A record of a partition.
+    /// A record of a partition of submissions.
     pub enum SubmissionRecord {
-        /// A submission was accepted. Its items follow in the same append.
+        /// A submission was accepted. Its items are part of the same append.
         Opened(SubmissionMetadata),
-        /// Some items of a submission, starting at an index.
+        /// Consecutive items of a submission, starting at an index.
         Items {
             /// Identifier of the submission.
             submission: String,
             /// Index of the first item.
             first: u32,
-            /// Items.
+            /// The items, in the order in which they were submitted.
             items: Vec<SubmissionItem>,
         },
-        /// The result at one position of a submission.
+        /// The result of one item, at its position among the results of a submission.
         Result {
             /// Identifier of the submission.
             submission: String,
             /// Position, counted from 0.
             position: u32,
-            /// Result.
+            /// Result of the item.
             result: ItemResult,
         },
-        /// The submission was ended by its sender.
+        /// The submission was ended by its sender. Its remaining items do not run.
         Ended {
             /// Identifier of the submission.
             submission: String,
         },
-        /// The submission is open, for nodes that look for work.
+        /// Sets the open marker, by which nodes find submissions with items left to run.
         OpenMarkerSet {
             /// Identifier of the submission.
             submission: String,
         },
-        /// The submission has ended and can be deleted once its time for reading has passed.
+        /// The submission has ended and will be deleted after the time for which its results are
+        /// kept.
         Expiring {
             /// Identifier of the submission.
             submission: String,
             /// When it was accepted.
             accepted_at: WallTime,
         },
-        /// The submission was deleted.
+        /// The submission and its results were deleted.
         Deleted {
             /// Identifier of the submission.
             submission: String,
         },
-        /// The submission is no longer open.
+        /// Removes the open marker.
         OpenMarkerCleared {
             /// Identifier of the submission.
             submission: String,
@@ -59,31 +60,33 @@
     }
 }
 
-/// One submission.
+/// State of one submission.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubmissionState {
     metadata: Option<Arc<SubmissionMetadata>>,
     items: Vec<Option<Arc<SubmissionItem>>>,
+    /// Index of each item by its identifier.
     index: HashMap<String, u32>,
     results: Vec<Option<Arc<ItemResult>>>,
-    /// Length of the results without a gap.
+    /// Number of results before the first missing position.
     result_count: u32,
+    /// Position of the result of each item that has one.
     resolved: HashMap<String, u32>,
     ended: bool,
 }
 
 /// Submissions of one partition.
 ///
-/// Records may be applied more than once and, within a submission, in any order: the first record of
-/// a kind and position wins. Both happen when a node reads the newest records of all keys and then
-/// follows the partition from an earlier offset.
+/// Applying a record is idempotent, and records of one submission may be applied in any order: for
+/// each kind and position, the first one applied wins. Repeats and reordering occur when a node
+/// reads the newest records of all keys and then follows the partition from an earlier offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SubmissionTable {
     submissions: HashMap<String, SubmissionState>,
 }
 
 impl SubmissionTable {
-    /// Takes a record and returns the submission that it changed.
+    /// Applies a record. Returns the identifier of the submission if its state may have changed.
     pub fn apply(&mut self, record: SubmissionRecord) -> Option<String> {
         match record {
             SubmissionRecord::Opened(metadata) => {
@@ -163,18 +166,22 @@
         true
     }
 
+    /// Tells whether the metadata and all items are known.
     fn is_complete(&self) -> bool {
         self.metadata.is_some() && self.items.iter().all(Option::is_some)
     }
 
-    /// Returns what holds for all items.
+    /// Returns the metadata.
     ///
     /// # Panics
     ///
-    /// Panics when the submission is not complete, which [`SubmissionTable::get`] rules out.
+    /// Panics when the submission is incomplete. [`SubmissionTable::get`] and
+    /// [`SubmissionTable::iter`] return only complete ones.
     #[must_use]
     pub fn metadata(&self) -> &Arc<SubmissionMetadata> {
-        self.metadata.as_ref().expect("only complete submissions are handed out")
+        self.metadata.as_ref().expect(
+            "submission without metadata: SubmissionTable must return only complete submissions",
+        )
     }
 
     /// Iterates over the items in the order in which they were submitted.
@@ -182,7 +189,7 @@
         self.items.iter().flatten()
     }
 
-    /// Finds an item.
+    /// Finds an item by its identifier.
     #[must_use]
     pub fn item(&self, id: &str) -> Option<&Arc<SubmissionItem>> {
         self.items.get(*self.index.get(id)? as usize)?.as_ref()
@@ -194,17 +201,17 @@
         self.resolved.contains_key(item)
     }
 
-    /// Number of results, which is the next free position.
+    /// Returns the number of results before the first missing one, which is the next free position.
     #[must_use]
     pub const fn result_count(&self) -> u32 {
         self.result_count
     }
 
-    /// Iterates over the results from a position on.
+    /// Iterates over the results from a position on, up to the first missing one.
     pub fn results(&self, from: u32) -> impl Iterator<Item = &Arc<ItemResult>> {
-        let listed = self.result_count as usize;
-        let from = (from as usize).min(listed);
-        self.results[from..listed].iter().flatten()
+        let result_count = self.result_count as usize;
+        let from = (from as usize).min(result_count);
+        self.results[from..result_count].iter().flatten()
     }
 
     /// Tells whether the sender has ended the submission.
@@ -213,7 +220,8 @@
         self.ended
     }
 
-    /// Tells whether items are left to run.
+    /// Tells whether items are left to run: the submission has not ended, and some item has no
+    /// result.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !self.ended && self.resolved.len() < self.items.len()
--- a/crates/submissions/tests/check.rs
+++ b/crates/submissions/tests/check.rs
@@ -1,4 +1,4 @@
-//! Checks of submissions before they are accepted.
+//! Guards the validation of submissions before they are accepted.
 
 mod common;
 
@@ -8,8 +8,8 @@
     SubmissionError, SubmissionRecord, SubmissionTable, check_owner, check_submission,
 };
 
-/// Guards against an identifier that writes into the keys of another submission, or that no path can
-/// name: a submission "x/i/0" would have added its items to the submission "x".
+/// Guards against an identifier that leads to keys of another submission, or that cannot be part of
+/// a path: a submission "x/i/0" would add its items to the submission "x".
 #[rstest]
 #[case::usual("7c41e09b52d6a3f8", true)]
 #[case::empty("", false)]
@@ -25,20 +25,24 @@
     assert_eq!(check_submission(id, &[item("a"), item("b")]), expected);
 }
 
-/// Guards against a submission that never ends, because one result stands for two items.
+/// Guards against a submission that is never complete, because two items with one identifier get
+/// only one result.
 #[test]
-fn repeated_item_is_refused() {
+fn repeated_item_identifier_is_rejected() {
     let items = [item("a"), item("b"), item("a")];
     let expected = Err(SubmissionError::RepeatedItem(String::from("a")));
     assert_eq!(check_submission("s", &items), expected);
 }
 
-/// Guards against a sender that takes another customer's submission for its own: it was answered 202, and its
-/// items never ran.
+/// Guards against a sender whose submission has the identifier of another customer's: it got a
+/// response with status 202, but its items never ran.
 #[rstest]
 #[case::own("brewer", Ok(()))]
 #[case::other("maltster", Err(SubmissionError::TakenId))]
-fn check_repeated(#[case] customer: &str, #[case] expected: Result<(), SubmissionError>) {
+fn check_owner_of_repeated_submission(
+    #[case] customer: &str,
+    #[case] expected: Result<(), SubmissionError>,
+) {
     let mut table = SubmissionTable::default();
     table.apply(SubmissionRecord::Opened(metadata("s", 1)));
     let items = vec![item("a")];
--- a/crates/submissions/tests/common/mod.rs
+++ b/crates/submissions/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Submissions of tests.
+//! Submissions for tests.
 
 use base::{WallTime, WeightVersion};
 use submissions::{SubmissionItem, SubmissionMetadata};
 
-/// Builds what holds for all items of a submission.
-pub(crate) fn metadata(submission: &str, items: u32) -> SubmissionMetadata {
+/// Builds the metadata of a submission with this number of items.
+pub(crate) fn metadata(submission: &str, count: u32) -> SubmissionMetadata {
     SubmissionMetadata {
         id: String::from(submission),
         customer: String::from("brewer"),
@@ -15,11 +15,11 @@
         min_version: WeightVersion(1),
         target_groups: 1,
         accepted_at: WallTime(0),
-        item_count: items,
+        item_count: count,
     }
 }
 
-/// Builds an item.
+/// Builds an item with this identifier.
 pub(crate) fn item(id: &str) -> SubmissionItem {
     SubmissionItem {
         id: String::from(id),
--- a/crates/submissions/tests/copy.rs
+++ b/crates/submissions/tests/copy.rs
@@ -1,4 +1,4 @@
-//! A node's copy of a partition.
+//! Guards a node's cache of a partition.
 
 mod common;
 
@@ -16,7 +16,7 @@
     vec![SubmissionRecord::Opened(metadata(submission, 1)), items]
 }
 
-fn read(submission: &str, end: u64, records: Vec<SubmissionRecord>) -> SubmissionSnapshot {
+fn snapshot(submission: &str, end: u64, records: Vec<SubmissionRecord>) -> SubmissionSnapshot {
     SubmissionSnapshot {
         submission: String::from(submission),
         read_started_at: NOW,
@@ -25,80 +25,82 @@
     }
 }
 
-/// Pattern: a node that knows nothing yet is asked for two submissions, and the read that began first is
-/// the last to end.
+/// Pattern: a node with an empty cache reads two submissions, and the read that began first ends
+/// last.
 ///
-/// Guards against a copy that hides a submission which was accepted between the two reads: callers got
-/// 404 for it, and its positions were given away again (found by the model check).
+/// Guards against a cache that misses a submission which was accepted between the two reads.
+/// Callers would get 404 for it, and its positions would be assigned twice.
 #[test]
-fn overtaken_read_is_repeated() {
+fn outdated_snapshot_must_be_read_again() {
     let mut cache = PartitionCache::default();
-    assert!(cache.apply_snapshot(read("b", 2, Vec::new())));
-    assert!(!cache.apply_snapshot(read("a", 0, Vec::new())));
+    assert!(cache.apply_snapshot(snapshot("b", 2, Vec::new())));
+    assert!(!cache.apply_snapshot(snapshot("a", 0, Vec::new())));
     assert!(!cache.is_loaded("a"));
-    assert!(cache.apply_snapshot(read("a", 2, opened("a"))));
+    assert!(cache.apply_snapshot(snapshot("a", 2, opened("a"))));
     assert!(cache.table().get("a").is_some());
 }
 
-/// Pattern: the store forgets its history between the reads of two submissions that one append concerns.
+/// Pattern: the store drops older records between the reads of two submissions that one append
+/// concerns.
 ///
-/// Guards against an append that knows one of them as of before the loss: a position that another node
-/// had given away meanwhile was given away again (found by the model check).
+/// Guards against an append that is decided on an outdated state of one of them: a position that
+/// another node has assigned meanwhile would be assigned twice.
 #[test]
-fn append_waits_for_all_of_its_submissions() {
+fn append_requires_all_of_its_submissions_to_be_loaded() {
     let mut cache = PartitionCache::default();
-    cache.apply_snapshot(read("a", 2, opened("a")));
+    cache.apply_snapshot(snapshot("a", 2, opened("a")));
     assert_eq!(cache.append_offset(&["a", "b"]), None);
     cache.reset();
-    cache.apply_snapshot(read("b", 5, opened("b")));
+    cache.apply_snapshot(snapshot("b", 5, opened("b")));
     assert_eq!(cache.append_offset(&["a", "b"]), None);
     let taken = SubmissionRecord::Result {
         submission: String::from("a"),
         position: 0,
         result: result("i"),
     };
-    cache.apply_snapshot(read("a", 5, opened("a").into_iter().chain([taken]).collect()));
+    cache.apply_snapshot(snapshot("a", 5, opened("a").into_iter().chain([taken]).collect()));
     assert_eq!(cache.append_offset(&["a", "b"]), Some(5));
     let results = [(String::from("a"), result("i"))];
     assert_eq!(result_records(cache.table(), &results), None);
 }
 
-/// Pattern: the store forgets its history while a new owner looks for open submissions.
+/// Pattern: the store drops older records while a new owner of the partition scans for open
+/// submissions.
 ///
-/// Guards against an owner that runs the items of a submission which has ended since, and against one that
-/// never runs a submission which was accepted meanwhile.
+/// Guards against an owner that runs items of a submission which has ended since, and against one
+/// that never runs a submission which was accepted meanwhile.
 #[test]
-fn scan_counts_only_without_a_gap() {
-    let open = |cache: &PartitionCache| cache.open_submissions().count();
+fn scan_counts_only_without_missing_records() {
+    let count_open = |cache: &PartitionCache| cache.open_submissions().count();
     let mut cache = PartitionCache::default();
-    cache.apply_snapshot(read("a", 2, opened("a")));
+    cache.apply_snapshot(snapshot("a", 2, opened("a")));
     cache.invalidate_scan();
     cache.reset();
     cache.finish_scan(&[], 4);
-    assert!(!cache.is_scanned(), "nothing is known of the log");
+    assert!(!cache.is_scanned(), "scan must not count: the cache does not follow the partition");
 
     cache.follow_from(9, NOW);
     cache.finish_scan(&[], 4);
-    assert!(!cache.is_scanned(), "records 4 to 8 were seen by nobody");
+    assert!(!cache.is_scanned(), "scan must not count: records 4 to 8 were not read");
 
     cache.finish_scan(&["b"], 9);
-    assert!(!cache.is_scanned(), "an open submission is not loaded");
-    cache.apply_snapshot(read("b", 9, opened("b")));
+    assert!(!cache.is_scanned(), "scan must not count: the open submission \"b\" is not loaded");
+    cache.apply_snapshot(snapshot("b", 9, opened("b")));
     cache.finish_scan(&["b"], 9);
     assert!(cache.is_scanned());
-    // The book still holds the first one as it was before the loss.
+    // The table still holds the first submission as it was before the reset.
     assert!(cache.table().get("a").is_some());
-    assert_eq!(open(&cache), 1);
+    assert_eq!(count_open(&cache), 1);
     cache.invalidate_scan();
-    assert_eq!(open(&cache), 0);
+    assert_eq!(count_open(&cache), 0);
 }
 
-/// Guards against a copy that counts as complete although the answer of the store was cut short, and
-/// against records that are skipped then.
+/// Guards against a cache that counts as complete although the store's response did not reach the
+/// end of the partition, and against skipping the records after it.
 #[test]
-fn part_of_the_log_leaves_the_copy_incomplete() {
+fn partial_batch_leaves_the_cache_incomplete() {
     let mut cache = PartitionCache::default();
-    cache.apply_snapshot(read("a", 0, Vec::new()));
+    cache.apply_snapshot(snapshot("a", 0, Vec::new()));
     let records = (0..).zip(opened("a")).collect::<Vec<_>>();
     let batch = |from: u64, next_offset: u64| LogBatch {
         read_started_at: Moment(5),
