--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -5,13 +5,14 @@
 use crate::{LivenessMessage, VmIdentity};
 
 derive_copy! {
-    /// Liveness of a VM in the eyes of this node.
+    /// Liveness of a VM as this node judges it.
     pub enum PeerState {
         /// The VM sends heartbeats, or is listed and not yet known to be silent.
         Live,
         /// The VM has missed heartbeats.
         Suspect,
-        /// The VM is silent for long, or the platform's list dropped it.
+        /// The VM has been silent for [`PeerSettings::gone_after`], or the platform's list no longer
+        /// contains it.
         Gone,
     }
 
@@ -23,20 +24,21 @@
         Leaving,
     }
 
-    /// Times of failure detection.
+    /// Intervals and limits of failure detection.
     pub struct PeerSettings {
         /// Time between heartbeats.
-        pub period: Span,
-        /// Missed heartbeats after which a peer is suspect.
-        pub missed: u64,
-        /// Silence after which a peer is gone.
+        pub heartbeat_period: Span,
+        /// Number of missed heartbeats after which a peer is suspect.
+        pub missed_heartbeats: u64,
+        /// Time without evidence that the process runs after which a suspect peer is gone.
         pub gone_after: Span,
-        /// Ring successors that get the heartbeats.
-        pub successors: usize,
-        /// Time between summaries to another zone.
+        /// Number of live ring successors that get the heartbeats.
+        pub successor_count: usize,
+        /// Time between two summaries to another zone.
         pub summary_period: Span,
-        /// Heartbeats between two that repeat every notice.
-        pub full_every: u64,
+        /// Every heartbeat whose number is a multiple of this carries all peer updates instead of
+        /// the pending ones only.
+        pub heartbeats_per_full_update: u64,
     }
 }
 
@@ -53,7 +55,7 @@
         pub state: ListState,
     }
 
-    /// What happened.
+    /// Input of [`crate::PeerTable::handle`].
     pub enum PeerEvent {
         /// The time of [`crate::PeerTable::next_deadline`] has come.
         Tick,
@@ -63,9 +65,10 @@
         MessageReceived(LivenessMessage),
     }
 
-    /// What the caller must do.
+    /// Output of [`crate::PeerTable::handle`], which the caller must carry out.
     pub enum PeerAction {
-        /// Send a heartbeat to a VM of the zone, or to a silent one to find out whether it is back.
+        /// Send a heartbeat to a VM. The receiver is usually of the own zone; it may be a gone VM that
+        /// is probed, or a VM of another zone that needs one peer update at once.
         SendHeartbeat {
             /// The receiver.
             to: VmKey,
@@ -86,7 +89,7 @@
             /// Its new state.
             state: PeerState,
         },
-        /// A process is gone for good: another one runs on its VM.
+        /// A process will not return: another one runs on its VM.
         Replaced {
             /// The VM.
             vm: VmKey,
@@ -99,7 +102,7 @@
     pub struct VmRecord {
         /// The VM and its process. Generation and incarnation are zero until `heard`.
         pub vm: VmIdentity,
-        /// Whether a process of the VM was heard of, directly or through a notice.
+        /// Whether a process of the VM is known, from its own message or from a peer update.
         pub heard: bool,
         /// Liveness.
         pub state: PeerState,
@@ -107,12 +110,14 @@
         pub listed: Option<ListState>,
         pub(crate) last_sequence: u64,
         pub(crate) refutation: u64,
-        // Own accusations that were refuted since the process was last heard directly.
-        pub(crate) refuted: u32,
-        // Time of the latest evidence that the process runs.
+        // Times that the VM became live again through a peer update since the last message from the
+        // process itself. Each one lengthens the suspicion timeout.
+        pub(crate) refuted_accusations: u32,
+        // Time of the latest evidence that the process runs, its own message or a peer update.
         pub(crate) evidence_at: Moment,
-        // Time of the latest heartbeat that came from the process itself.
-        pub(crate) direct_at: Option<Moment>,
+        // Time of the latest message from the process itself.
+        pub(crate) last_message_at: Option<Moment>,
+        // Time since which this node has been among the receivers of the VM's heartbeats.
         pub(crate) monitored_since: Option<Moment>,
     }
 }
@@ -120,20 +125,21 @@
 impl Default for PeerSettings {
     fn default() -> Self {
         Self {
-            period: Span::from_secs(1),
-            missed: 3,
+            heartbeat_period: Span::from_secs(1),
+            missed_heartbeats: 3,
             gone_after: Span::from_secs(10),
-            successors: 3,
+            successor_count: 3,
             summary_period: Span::from_secs(2),
-            full_every: 30,
+            heartbeats_per_full_update: 30,
         }
     }
 }
 
 impl PeerSettings {
-    /// Returns the silence after which a peer is suspect. Half a period allows for jitter.
+    /// Returns the silence after which a peer is suspect: the missed heartbeats, and half a period
+    /// for jitter.
     #[must_use]
     pub const fn suspect_after(&self) -> Span {
-        Span(self.period.0 * self.missed + self.period.0 / 2)
+        Span(self.heartbeat_period.0 * self.missed_heartbeats + self.heartbeat_period.0 / 2)
     }
 }
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! Notices: what a node tells its peers about VMs, and what it learns from theirs.
+//! Peer updates: how a node sends its view of VM liveness to peers, and merges theirs.
 
 use std::collections::BTreeMap;
 
@@ -11,46 +11,49 @@
 
 /// Why a message is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Occasion {
-    /// The period has passed.
-    Period,
-    /// There is news that must not wait.
-    News,
+pub(crate) enum SendReason {
+    /// A heartbeat or summary period has passed.
+    Periodic,
+    /// A pending update must not wait for the end of the period.
+    Urgent,
 }
 
-/// Periodic messages that repeat a notice, so that one lost message does not hide a change until the next
-/// full repetition.
+/// Number of periodic messages that carry an update, so that one lost message does not hide a change
+/// until the next full update.
 const UPDATE_REPEATS: u8 = 3;
 
 impl PeerTable {
-    /// Marks a VM's state for the next messages, and asks to send them at once.
-    pub(crate) fn tell(&mut self, vm: VmKey) {
-        self.zone_news.insert(vm, UPDATE_REPEATS);
+    /// Queues the state of a VM for the next messages, and requests that they are sent at once.
+    pub(crate) fn queue_update(&mut self, vm: VmKey) {
+        self.pending_zone_updates.insert(vm, UPDATE_REPEATS);
         if self.is_own_zone(vm) {
-            self.fleet_news.insert(vm, UPDATE_REPEATS);
+            self.pending_fleet_updates.insert(vm, UPDATE_REPEATS);
         }
         self.urgent = true;
     }
 
-    /// Spreads this node's own judgement that a VM is silent.
+    /// Queues this node's own finding that a VM is suspect or gone.
     ///
-    /// A node that hears none of its peers is more likely cut off than right about them. It then
-    /// tells other zones only, because it may also be the last VM of its zone.
-    pub(crate) fn accuse(&mut self, vm: VmKey) {
-        if !self.deaf {
-            self.tell(vm);
+    /// A node that hears none of its peers is more likely cut off than right about them, so it does not
+    /// send the finding within its zone. It still tells other zones of a gone VM, because it may also
+    /// be the last VM of its zone that runs.
+    pub(crate) fn queue_detected_failure(&mut self, vm: VmKey) {
+        if !self.hears_no_peer {
+            self.queue_update(vm);
         } else if self.record(vm).state == PeerState::Gone {
-            self.fleet_news.insert(vm, UPDATE_REPEATS);
+            self.pending_fleet_updates.insert(vm, UPDATE_REPEATS);
         }
     }
 
-    pub(crate) fn update(&self, now: Moment, vm: VmKey) -> PeerUpdate {
+    /// Returns the state of a VM as an update for peers.
+    pub(crate) fn peer_update(&self, now: Moment, vm: VmKey) -> PeerUpdate {
         let record = self.record(vm);
         let age = if vm == self.own { Span::ZERO } else { now.since(record.evidence_at) };
         let (vm, refutation) = (record.vm.clone(), record.refutation);
         PeerUpdate { vm, refutation, age, state: record.state.into() }
     }
 
+    /// Builds a message of this process under the next sequence number.
     pub(crate) fn next_message(
         &mut self,
         now: Moment,
@@ -65,30 +68,32 @@
         LivenessMessage { from, sequence: message, refutation, updates }
     }
 
+    /// Sends a heartbeat to the ring successors, and one to a gone VM as a probe.
     pub(crate) fn send_heartbeats(
         &mut self,
         now: Moment,
-        occasion: Occasion,
+        reason: SendReason,
         actions: &mut Actions,
     ) {
         let mut targets = self.successors();
-        if targets.is_empty() || self.deaf {
-            // A node that hears nobody goes on towards those that monitor it.
-            targets = self.next_on_ring().take(self.settings.successors).collect();
+        if targets.is_empty() || self.hears_no_peer {
+            // A node that hears nobody does not know which successors are live. It keeps sending to the
+            // next ones on the ring, whatever their state, since they may still monitor it.
+            targets = self.next_on_ring().take(self.settings.successor_count).collect();
         }
         let gone = self.gone_listed();
         if !gone.is_empty() {
-            // One silent VM per message finds out when a cut has healed.
-            self.probe = (self.probe + 1) % gone.len();
-            self.inform(now, gone[self.probe], gone[self.probe], actions);
+            // Probing one gone VM with each message detects the end of a network partition.
+            self.probe_index = (self.probe_index + 1) % gone.len();
+            self.send_update(now, gone[self.probe_index], gone[self.probe_index], actions);
         }
-        self.heartbeats += u64::from(occasion == Occasion::Period);
-        let full = self.heartbeats.is_multiple_of(self.settings.full_every);
-        let updates = if full && occasion == Occasion::Period && !self.deaf {
+        self.heartbeat_count += u64::from(reason == SendReason::Periodic);
+        let full = self.heartbeat_count.is_multiple_of(self.settings.heartbeats_per_full_update);
+        let updates = if full && reason == SendReason::Periodic && !self.hears_no_peer {
             self.all_updates(now)
         } else {
-            let told = spend(&mut self.zone_news, occasion);
-            told.into_iter().map(|vm| self.update(now, vm)).collect()
+            let vms = take_pending(&mut self.pending_zone_updates, reason);
+            vms.into_iter().map(|vm| self.peer_update(now, vm)).collect()
         };
         let message = self.next_message(now, updates);
         for to in targets {
@@ -96,33 +101,36 @@
         }
     }
 
+    /// Sends a summary to each other zone when this node is the delegate of its own.
     pub(crate) fn send_summaries(
         &mut self,
         now: Moment,
-        occasion: Occasion,
+        reason: SendReason,
         actions: &mut Actions,
     ) {
         if self.zones.is_empty() || !self.is_delegate() {
             return;
         }
-        self.summaries += u64::from(occasion == Occasion::Period);
-        let full_every = self.settings.full_every * self.settings.period.0
+        self.summary_count += u64::from(reason == SendReason::Periodic);
+        let summaries_per_full_update = self.settings.heartbeats_per_full_update
+            * self.settings.heartbeat_period.0
             / self.settings.summary_period.0.max(1);
-        let full = self.summaries.is_multiple_of(full_every.max(1));
-        let told = if full && occasion == Occasion::Period {
+        let full = self.summary_count.is_multiple_of(summaries_per_full_update.max(1));
+        let vms = if full && reason == SendReason::Periodic {
             self.vms.iter().map(|(vm, _)| vm).filter(|vm| self.is_own_zone(*vm)).collect()
         } else {
-            spend(&mut self.fleet_news, occasion)
+            take_pending(&mut self.pending_fleet_updates, reason)
         };
-        let updates = told.into_iter().map(|vm| self.update(now, vm)).collect();
+        let updates = vms.into_iter().map(|vm| self.peer_update(now, vm)).collect();
         let message = self.next_message(now, updates);
         for to in self.summary_targets(now) {
             actions.push(PeerAction::SendSummary { to, message: message.clone() });
         }
     }
 
-    /// Takes a notice of the peer `from`.
-    pub(crate) fn learn(
+    /// Merges an update that the peer `from` sent. A contradicting update may lead to messages to `from`
+    /// or to the VM concerned.
+    pub(crate) fn apply_update(
         &mut self,
         now: Moment,
         from: VmKey,
@@ -130,7 +138,7 @@
         actions: &mut Actions,
     ) {
         if update.vm.name == self.own_identity().name {
-            self.learn_about_self(&update);
+            self.apply_update_about_self(&update);
             return;
         }
         let state = PeerState::from(update.state);
@@ -141,13 +149,13 @@
             record.heard = true;
             (record.refutation, record.evidence_at) = (update.refutation, evidence_at);
             actions.push(PeerAction::Changed { vm, state });
-            self.tell(vm);
+            self.queue_update(vm);
             return;
         };
         let record = self.record(vm);
         if update.vm.rank() < record.vm.rank() {
             let to = if state == PeerState::Live { vm } else { from };
-            self.inform(now, to, vm, actions);
+            self.send_update(now, to, vm, actions);
             return;
         }
         if update.vm.rank() > record.vm.rank() {
@@ -156,17 +164,18 @@
             let known = (record.refutation, ReportedState::from(record.state));
             if (update.refutation, update.state) <= known {
                 if state == PeerState::Live && known.1 != ReportedState::Live {
-                    self.inform(now, vm, vm, actions);
+                    self.send_update(now, vm, vm, actions);
                 } else if update.refutation < known.0 {
-                    self.inform(now, from, vm, actions);
+                    self.send_update(now, from, vm, actions);
                 }
                 return;
             }
-            let direct = record.direct_at.map(|at| now.since(at));
+            let direct = record.last_message_at.map(|at| now.since(at));
             if state != PeerState::Live
                 && direct.is_some_and(|age| age <= self.settings.suspect_after())
             {
-                // This node hears the process, which has to refute the accusation itself.
+                // This node still hears the process, so it rejects the update and passes it to the
+                // process, which alone can refute it.
                 let message = self.next_message(now, vec![update]);
                 actions.push(PeerAction::SendHeartbeat { to: vm, message });
                 return;
@@ -174,7 +183,7 @@
         }
         let record = self.record_mut(vm);
         if record.state != PeerState::Live && state == PeerState::Live {
-            record.refuted += 1;
+            record.refuted_accusations += 1;
         }
         record.refutation = update.refutation;
         record.evidence_at = match state {
@@ -182,34 +191,35 @@
             PeerState::Suspect | PeerState::Gone => evidence_at,
         };
         self.set_state(vm, state, actions);
-        self.tell(vm);
+        self.queue_update(vm);
     }
 
-    /// Sends what this node knows of a VM to a peer that knows less, or to the process itself where
-    /// others know otherwise: only the process can refute an accusation, or exceed the generation
-    /// of its predecessor.
-    pub(crate) fn inform(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
-        let updates = vec![self.update(now, vm)];
+    /// Sends this node's state of a VM to a peer whose view is older, or to the VM itself when the state
+    /// contradicts it: only the process can refute that it is suspect or gone, or raise its generation
+    /// above that of an older process.
+    pub(crate) fn send_update(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
+        let updates = vec![self.peer_update(now, vm)];
         let message = self.next_message(now, updates);
         actions.push(PeerAction::SendHeartbeat { to, message });
     }
 
-    /// Puts a newer process in the place of the one that ran on the VM.
+    /// Records that a newer process runs on the VM, and reports the replaced one if it was known.
     pub(crate) fn replace(&mut self, vm: VmKey, newer: VmIdentity, actions: &mut Actions) {
         let record = self.record_mut(vm);
         let older = std::mem::replace(&mut record.vm, newer);
         let (was_heard, newer) = (record.heard, record.vm.incarnation);
-        (record.heard, record.last_sequence, record.direct_at) = (true, 0, None);
-        (record.refutation, record.refuted) = (0, 0);
+        (record.heard, record.last_sequence, record.last_message_at) = (true, 0, None);
+        (record.refutation, record.refuted_accusations) = (0, 0);
         if was_heard && older.incarnation != newer {
             actions.push(PeerAction::Replaced { vm, incarnation: older.incarnation });
         }
-        self.tell(vm);
+        self.queue_update(vm);
         self.rebuild_ring();
     }
 
-    /// Answers a peer that takes this process for silent, or an older one of this VM for current.
-    fn learn_about_self(&mut self, update: &PeerUpdate) {
+    /// Refutes an update that calls this process suspect or gone, or that takes an older process of
+    /// this VM for the current one. Does nothing when the update agrees or is outdated.
+    fn apply_update_about_self(&mut self, update: &PeerUpdate) {
         let own = self.own;
         let record = self.record_mut(own);
         if update.vm.incarnation != record.vm.incarnation {
@@ -221,29 +231,30 @@
         } else {
             record.refutation = update.refutation + 1;
         }
-        self.tell(own);
+        self.queue_update(own);
     }
 
     fn all_updates(&self, now: Moment) -> Vec<PeerUpdate> {
         let known = self.vms.iter().filter(|(vm, record)| {
-            // Live VMs of other zones need no notice: their own zone reports a change.
+            // Live VMs of other zones are left out: the delegate of their zone reports changes.
             record.listed.is_some() && (self.is_own_zone(*vm) || record.state != PeerState::Live)
         });
-        known.map(|(vm, _)| self.update(now, vm)).collect()
+        known.map(|(vm, _)| self.peer_update(now, vm)).collect()
     }
 }
 
-/// Returns the VMs to mention and forgets those that periodic messages mentioned often enough.
-fn spend(news: &mut BTreeMap<VmKey, u8>, occasion: Occasion) -> Vec<VmKey> {
-    let told = news.keys().copied().collect();
-    if occasion == Occasion::News {
-        return told;
+/// Returns the VMs with a pending update. A periodic message uses up one repeat of each, and drops
+/// those without any left.
+fn take_pending(pending: &mut BTreeMap<VmKey, u8>, reason: SendReason) -> Vec<VmKey> {
+    let vms = pending.keys().copied().collect();
+    if reason == SendReason::Urgent {
+        return vms;
     }
-    news.retain(|_, repeats| {
+    pending.retain(|_, repeats| {
         *repeats -= 1;
         *repeats > 0
     });
-    told
+    vms
 }
 
 impl From<PeerState> for ReportedState {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Liveness of entry VMs, delegates of zones, watchers of upstreams, and the spread of their state.
+//! Failure detection among the entry VMs, election of a delegate for each zone, assignment of
+//! watchers to upstreams, and dissemination of VM liveness and upstream load between nodes.
 
 mod change;
+mod dissemination;
 mod load_table;
 mod message;
 mod placement;
 mod ring;
-mod spread;
 mod table;
 mod watch;
 
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -1,4 +1,4 @@
-//! State of upstreams with its age, and its spread by deltas.
+//! Latest load report of every upstream, and the deltas by which it is disseminated to peers.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,22 @@
 use crate::{LeavingCause, LoadReport, LoadUpdate, UpstreamPhase};
 
 derive_copy! {
-    /// Limits of what a message carries.
+    /// Limits on the size and the rate of the updates in messages to peers.
     pub struct LoadTableSettings {
-        /// Changed entries in one message. Bounds the cost of a heartbeat.
+        /// Most changed entries in one message, which bounds the size of a heartbeat.
         pub delta_limit: usize,
-        /// Age of its last transmission at which an unchanged report is sent again.
+        /// Time since its last transmission after which a new measurement is sent even when it hardly
+        /// differs.
         pub refresh_after: Span,
-        /// Messages over which a full repetition is spread.
-        pub full_over: usize,
-        /// Time by which a report of another watcher must be newer to replace one.
+        /// Messages in which every entry is repeated once. Each message carries an equal part.
+        pub messages_per_full_update: usize,
+        /// Time by which a report of another watcher must be newer to replace the known one.
         pub watcher_margin: Span,
     }
 }
 
 derive_value! {
-    /// State of an upstream with its age.
+    /// Latest report about an upstream with its age.
     #[derive(Copy)]
     pub struct LoadView {
         /// What the watcher measured.
@@ -37,21 +38,23 @@
     serial: u64,
     measured_at: Moment,
     report: LoadReport,
-    // The report that peers know, and when they got it.
+    // The report that was last sent to peers, and when.
     sent: Option<(LoadReport, Moment)>,
+    // The next delta must contain the entry.
     dirty: bool,
+    // The entry must be sent without waiting for the next delta.
     urgent: bool,
 }
 
-/// What a node knows of the upstreams, from its own watch and from peers.
+/// Latest load report of every upstream, from this node's own measurements and from peers.
 #[derive(Debug, Clone)]
 pub struct LoadTable {
     settings: LoadTableSettings,
     own: Incarnation,
     serial: u64,
     entries: BTreeMap<String, LoadTableEntry>,
-    // Name after which the spread-out repetition goes on.
-    cursor: Option<String>,
+    // Upstream after which the repetition of unchanged entries continues.
+    last_repeated: Option<String>,
 }
 
 impl Default for LoadTableSettings {
@@ -59,20 +62,20 @@
         Self {
             delta_limit: 24,
             refresh_after: Span::from_secs(5),
-            full_over: 30,
+            messages_per_full_update: 30,
             watcher_margin: Span::from_secs(1),
         }
     }
 }
 
 impl LoadTable {
-    /// Creates an empty board of the process `own`.
+    /// Creates an empty table of the process `own`.
     #[must_use]
     pub fn new(settings: LoadTableSettings, own: Incarnation) -> Self {
-        Self { settings, own, serial: 0, entries: BTreeMap::new(), cursor: None }
+        Self { settings, own, serial: 0, entries: BTreeMap::new(), last_repeated: None }
     }
 
-    /// Takes a report that this node measured as the watcher.
+    /// Stores a report that this node measured as the upstream's watcher.
     pub fn update(&mut self, now: Moment, upstream: &str, report: LoadReport) {
         self.serial += 1;
         let entry = LoadUpdate {
@@ -82,28 +85,31 @@
             age: Span::ZERO,
             report,
         };
-        self.store(now, entry);
+        self.insert(now, entry);
     }
 
-    /// Takes an entry from a peer. Returns whether it was newer than the known one.
+    /// Merges an entry from a peer. Returns whether it changed the table: its measurement is newer, or
+    /// it reports for the first time that the upstream is leaving.
     pub fn merge(&mut self, now: Moment, entry: LoadUpdate) -> bool {
         let measured_at = now - entry.age;
         if let Some(known) = self.entries.get(&entry.upstream) {
             let newer = if known.watcher == entry.watcher {
                 entry.serial > known.serial
             } else {
-                // Transit makes copies look younger than they are, and clocks of watchers differ.
+                // The time in transit is missing from the age, so a copy looks newer than it is, and
+                // the clocks of two watchers differ.
                 measured_at > known.measured_at + self.settings.watcher_margin
             };
             if !newer {
-                return self.learn_leaving(&entry);
+                return self.merge_leaving_phase(&entry);
             }
         }
-        self.store(now, entry);
+        self.insert(now, entry);
         true
     }
 
-    /// Marks an upstream as leaving, for the next [`LoadTable::take_urgent`].
+    /// Marks an upstream as leaving, so that the next [`LoadTable::take_urgent`] returns it. Does
+    /// nothing when the upstream is leaving already.
     pub fn mark_leaving(&mut self, now: Moment, upstream: &str, cause: LeavingCause) {
         let phase = UpstreamPhase::Leaving(cause);
         match self.entries.get_mut(upstream) {
@@ -125,12 +131,13 @@
         }
     }
 
-    /// Forgets an upstream that the platform no longer lists. A later one may have its name.
+    /// Removes an upstream that the platform no longer lists. A later upstream may reuse its name, and
+    /// must not inherit the leaving phase.
     pub fn remove(&mut self, upstream: &str) {
         self.entries.remove(upstream);
     }
 
-    /// Returns the state of an upstream.
+    /// Returns the latest report of an upstream with its age, or `None` for an unknown one.
     #[must_use]
     pub fn view(&self, now: Moment, upstream: &str) -> Option<LoadView> {
         let entry = self.entries.get(upstream)?;
@@ -144,19 +151,21 @@
         })
     }
 
-    /// Returns the entries that must be sent at once, without waiting for the heartbeat period.
+    /// Returns the entries that must be sent without waiting for the next heartbeat, and clears their
+    /// mark. Upstreams that have begun to leave are such entries.
     pub fn take_urgent(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut entries = Vec::new();
         for (name, entry) in &mut self.entries {
             if std::mem::take(&mut entry.urgent) {
-                entries.push(entry.message(name, now));
+                entries.push(entry.to_update(name, now));
             }
         }
         entries
     }
 
-    /// Returns the entries for the next heartbeat: changed ones, those unsent for longest first,
-    /// and a part of the full repetition.
+    /// Returns the entries for the next heartbeat: at most `delta_limit` changed ones, leaving
+    /// upstreams first and then those whose last transmission is the oldest, and the next part of
+    /// the repetition of all entries.
     pub fn next_delta(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut changed: Vec<(bool, Option<Moment>, &str)> = self
             .entries
@@ -173,33 +182,34 @@
             .take(self.settings.delta_limit)
             .map(|(_, _, n)| (*n).to_owned())
             .collect();
-        for name in self.next_repeated() {
+        for name in self.next_repeated_names() {
             if !names.contains(&name) {
                 names.push(name);
             }
         }
         let mut entries = Vec::with_capacity(names.len());
         for name in names {
-            let entry = self.entries.get_mut(&name).expect("name was read from the entries");
+            let entry =
+                self.entries.get_mut(&name).expect("names of the delta are keys of the load table");
             entry.sent = Some((entry.report, now));
             entry.dirty = false;
-            entries.push(entry.message(&name, now));
+            entries.push(entry.to_update(&name, now));
         }
         entries
     }
 
-    /// Returns every entry, for a peer that has just started.
+    /// Returns all entries, for a peer that has just started.
     #[must_use]
     pub fn all_updates(&self, now: Moment) -> Vec<LoadUpdate> {
-        self.entries.iter().map(|(name, entry)| entry.message(name, now)).collect()
+        self.entries.iter().map(|(name, entry)| entry.to_update(name, now)).collect()
     }
 
-    fn store(&mut self, now: Moment, entry: LoadUpdate) {
+    fn insert(&mut self, now: Moment, entry: LoadUpdate) {
         let LoadUpdate { upstream, watcher, serial, age, mut report } = entry;
         let known = self.entries.get(&upstream);
         let was_leaving = known.map(|known| known.report.phase).filter(|phase| phase.is_leaving());
-        // An upstream that is leaving stays so until it is removed: its own report lags behind the
-        // order or notice that other nodes know of.
+        // A leaving upstream stays leaving until it is removed: its own report lags behind the order or
+        // reclaim notice that other nodes have seen.
         if let Some(phase) = was_leaving {
             report.phase = phase;
         }
@@ -208,15 +218,17 @@
         let sent = known.and_then(|known| known.sent);
         let refresh_after = self.settings.refresh_after;
         let dirty = known.is_some_and(|known| known.dirty)
-            || sent
-                .is_none_or(|(sent, at)| differs(&sent, &report) || now.since(at) >= refresh_after);
+            || sent.is_none_or(|(sent, at)| {
+                differs_significantly(&sent, &report) || now.since(at) >= refresh_after
+            });
         let measured_at = now - age;
         let entry = LoadTableEntry { watcher, serial, measured_at, report, sent, dirty, urgent };
         self.entries.insert(upstream, entry);
     }
 
-    /// Takes the leaving phase of an entry whose measurement is not newer.
-    fn learn_leaving(&mut self, entry: &LoadUpdate) -> bool {
+    /// Adopts the leaving phase of an entry whose measurement is not newer. Returns whether the phase
+    /// is new here.
+    fn merge_leaving_phase(&mut self, entry: &LoadUpdate) -> bool {
         let Some(known) = self.entries.get_mut(&entry.upstream) else { return false };
         if !entry.report.phase.is_leaving() || known.report.phase.is_leaving() {
             return false;
@@ -226,9 +238,11 @@
         true
     }
 
-    fn next_repeated(&mut self) -> Vec<String> {
-        let count = self.entries.len().div_ceil(self.settings.full_over.max(1));
-        let after = self.cursor.take();
+    /// Returns the next names, in cyclic order, of the repetition that runs through all entries once in
+    /// `messages_per_full_update` messages.
+    fn next_repeated_names(&mut self) -> Vec<String> {
+        let count = self.entries.len().div_ceil(self.settings.messages_per_full_update.max(1));
+        let after = self.last_repeated.take();
         let rest = self.entries.keys().filter(|name| after.as_ref().is_none_or(|at| *name > at));
         let mut names: Vec<String> = rest.take(count).cloned().collect();
         if names.len() < count {
@@ -236,13 +250,13 @@
             let first: Vec<String> = self.entries.keys().take(missing).cloned().collect();
             names.extend(first);
         }
-        self.cursor = names.last().cloned();
+        self.last_repeated = names.last().cloned();
         names
     }
 }
 
 impl LoadTableEntry {
-    fn message(&self, name: &str, now: Moment) -> LoadUpdate {
+    fn to_update(&self, name: &str, now: Moment) -> LoadUpdate {
         LoadUpdate {
             upstream: name.to_owned(),
             watcher: self.watcher,
@@ -253,9 +267,10 @@
     }
 }
 
-/// Tells whether peers would choose differently with the new report. Small changes of load wait
-/// for the refresh, which keeps a steady fleet quiet.
-fn differs(sent: &LoadReport, report: &LoadReport) -> bool {
+/// Returns whether peers could pick another upstream because of the new report: phase or weight
+/// version differ, or load or token rate differ by more than an eighth. Smaller changes wait for
+/// the refresh, so that a fleet under steady load sends few updates.
+fn differs_significantly(sent: &LoadReport, report: &LoadReport) -> bool {
     let load = |report: &LoadReport| u64::from(report.running) + u64::from(report.queued);
     let (old, new) = (load(sent), load(report));
     let (old_rate, new_rate) = (sent.tokens_per_second, report.tokens_per_second);
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -3,7 +3,7 @@
 use base::{Incarnation, Span, WeightVersion, derive_copy, derive_value};
 
 derive_value! {
-    /// Who a process is.
+    /// Identity of a process and of the VM it runs on.
     pub struct VmIdentity {
         /// Name of the VM in the platform's list.
         pub name: String,
@@ -11,19 +11,20 @@
         pub zone: String,
         /// Address for peer messages.
         pub address: String,
-        /// Orders the processes of one VM: UTC milliseconds at start, raised when a peer knows a
-        /// higher one.
+        /// Orders the processes of one VM: UTC milliseconds at start, raised above that of an older
+        /// process of the VM when a peer reports a higher one.
         pub generation: u64,
         /// Identifier of the process.
         pub incarnation: Incarnation,
     }
 
-    /// What a process knows about a VM.
+    /// What one node tells another about the liveness of a VM; a membership update in SWIM.
     pub struct PeerUpdate {
         /// The VM and its process.
         pub vm: VmIdentity,
-        /// Number of times that the process has refuted an accusation. A notice with a higher
-        /// number supersedes the others; with equal numbers the worse state does.
+        /// Number of times that the process has refuted a report that it is suspect or gone, which
+        /// SWIM calls the incarnation number. An update with a higher number supersedes one with a
+        /// lower; among equal numbers the worse state wins.
         pub refutation: u64,
         /// Time since the latest evidence that the process runs.
         pub age: Span,
@@ -31,25 +32,26 @@
         pub state: ReportedState,
     }
 
-    /// The part of a heartbeat that concerns liveness.
+    /// The part of heartbeats and zone summaries that failure detection uses.
     pub struct LivenessMessage {
         /// The sender.
         pub from: VmIdentity,
-        /// Number of the message, rising within an incarnation.
+        /// Number of the message, strictly increasing within an incarnation. A receiver ignores a
+        /// message that is not above the last one.
         pub sequence: u64,
-        /// Number of times that the sender has refuted an accusation.
+        /// Number of times that the sender has refuted a report that it is suspect or gone.
         pub refutation: u64,
-        /// Changes that the receiver should know.
+        /// Liveness of VMs that changed or is repeated.
         pub updates: Vec<PeerUpdate>,
     }
 
-    /// Sent every second to the ring successors in the zone.
+    /// Sent in each heartbeat period to the ring successors in the zone, and at once after a change.
     pub struct Heartbeat {
         /// Liveness.
         pub liveness: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
-        /// Time since the sender heard the platform or another zone.
+        /// Time since the sender last received anything from the platform or another zone.
         pub contact_age: Span,
         /// Changed upstream state.
         pub upstreams: Vec<LoadUpdate>,
@@ -57,7 +59,7 @@
 
     /// Sent between the delegates of zones.
     pub struct ZoneSummary {
-        /// Liveness. The notices concern VMs of the sender's zone.
+        /// Liveness. The peer updates concern VMs of the sender's zone.
         pub liveness: LivenessMessage,
         /// Version of the configuration in force at the sender.
         pub config_version: u64,
@@ -71,47 +73,47 @@
         pub upstream: String,
         /// The process that watched the upstream.
         pub watcher: Incarnation,
-        /// Number of the measurement, rising within a watcher.
+        /// Number of the measurement, strictly increasing within a watcher.
         pub serial: u64,
         /// Time since the measurement.
         pub age: Span,
-        /// What was measured.
+        /// The measurement.
         pub report: LoadReport,
     }
 }
 
 derive_copy! {
-    /// State of a VM in a notice.
+    /// State of a VM in a peer update, from best to worst.
     pub enum ReportedState {
         /// The process sends heartbeats.
         Live,
         /// The process has missed heartbeats.
         Suspect,
-        /// The process is silent, or the platform's list dropped its VM.
+        /// The process has been silent for longer, or the platform's list no longer contains its VM.
         Gone,
     }
 
     /// Why an upstream is about to stop.
     pub enum LeavingCause {
-        /// An order to stop it is intended.
+        /// An intent to order its stop was recorded.
         OrderIntended,
-        /// Its zone's cheap upstreams got a reclaim notice.
+        /// The platform announced that it reclaims the cheap upstreams of the zone.
         ReclaimNotice,
-        /// It says so in its load report.
+        /// Its own load report states it.
         Reported,
     }
 
     /// Whether an upstream takes new work.
     pub enum UpstreamPhase {
-        /// The upstream takes work.
+        /// The upstream takes new work.
         Serving,
-        /// The upstream finishes its work and takes none.
+        /// The upstream completes its running work and takes no more.
         Leaving(LeavingCause),
         /// The upstream does not answer its watcher.
         Unreachable,
     }
 
-    /// Load of an upstream.
+    /// One measurement of an upstream: its load, weight version and phase.
     pub struct LoadReport {
         /// Requests that are running.
         pub running: u32,
@@ -119,7 +121,7 @@
         pub queued: u32,
         /// Generated tokens per second.
         pub tokens_per_second: u32,
-        /// Weight version that the upstream reports.
+        /// Weight version that the upstream has loaded, as it reports.
         pub version: WeightVersion,
         /// Whether the upstream takes new work.
         pub phase: UpstreamPhase,
@@ -127,7 +129,7 @@
 }
 
 impl VmIdentity {
-    /// Returns the rank of the process among those of its VM; the highest is the newest.
+    /// Returns the sort key of the process among those of its VM; the highest is the newest.
     #[must_use]
     pub const fn rank(&self) -> (u64, Incarnation) {
         (self.generation, self.incarnation)
@@ -135,7 +137,7 @@
 }
 
 impl UpstreamPhase {
-    /// Tells whether the upstream is leaving.
+    /// Returns whether the upstream is leaving, for whatever cause.
     #[must_use]
     pub const fn is_leaving(self) -> bool {
         matches!(self, Self::Leaving(_))
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -2,9 +2,8 @@
 
 use base::{rendezvous_weight, stable_hash};
 
-/// Returns the names with the highest rendezvous weight for `item` first.
-///
-/// Names with equal weight are in the order of the names.
+/// Returns the names in descending order of their rendezvous weight for `item`. Names of equal weight
+/// are in alphabetical order.
 #[must_use]
 pub fn rank_by_weight<'name>(
     item: &str,
@@ -17,8 +16,8 @@
     ranked.into_iter().map(|(_, name)| name).collect()
 }
 
-/// Returns the name with the highest rendezvous weight for `item`.
-pub(crate) fn heaviest<'name>(
+/// Returns the first name of [`rank_by_weight`] without sorting the others.
+pub(crate) fn highest_ranked<'name>(
     item: &str,
     names: impl IntoIterator<Item = &'name str>,
 ) -> Option<&'name str> {
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -1,4 +1,5 @@
-//! Ring of the VMs of a zone, in the order of the hashes of their names.
+//! Ring of the VMs of a zone, ordered by the hashes of their names, on which each VM sends heartbeats
+//! to its successors.
 
 use base::VmKey;
 use smallvec::SmallVec;
@@ -12,42 +13,43 @@
     pub(crate) state: PeerState,
 }
 
-/// Direction in which the ring is walked.
+/// Direction of a search on the ring.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Walk {
+pub(crate) enum Direction {
     /// To the VMs that get heartbeats from `own`.
     Successors,
     /// To the VMs that send heartbeats to `own`.
     Predecessors,
 }
 
-/// Returns the neighbours of `own` up to the one that completes `live` live ones.
+/// Returns the nearest neighbours of `own` until `live_count` live ones are among them.
 ///
-/// Suspects on the way are included and not counted. Both directions follow the same rule, so a
-/// VM expects heartbeats from exactly those that send to it when their views agree.
+/// Suspect VMs on the way are included without being counted, gone ones are skipped. Both directions
+/// follow the same rule: where the views of two VMs agree, one expects heartbeats from the other
+/// exactly when the other sends them.
 pub(crate) fn neighbours(
     ring: &[RingSlot],
     own: VmKey,
-    live: usize,
-    walk: Walk,
+    live_count: usize,
+    direction: Direction,
 ) -> SmallVec<[VmKey; 4]> {
     let mut found = SmallVec::new();
     let Some(position) = ring.iter().position(|slot| slot.vm == own) else { return found };
-    let mut counted = 0;
-    for step in 1..ring.len() {
-        if counted == live {
+    let mut live_found = 0;
+    for distance in 1..ring.len() {
+        if live_found == live_count {
             break;
         }
-        let index = match walk {
-            Walk::Successors => (position + step) % ring.len(),
-            Walk::Predecessors => (position + ring.len() - step) % ring.len(),
+        let index = match direction {
+            Direction::Successors => (position + distance) % ring.len(),
+            Direction::Predecessors => (position + ring.len() - distance) % ring.len(),
         };
         let slot = ring[index];
         if slot.state == PeerState::Gone {
             continue;
         }
         found.push(slot.vm);
-        counted += usize::from(slot.state == PeerState::Live);
+        live_found += usize::from(slot.state == PeerState::Live);
     }
     found
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! Liveness of the entry VMs in the eyes of one node.
+//! Liveness of the entry VMs as one node judges it.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,18 @@
 use crate::{
     ListState, ListedVm, LivenessMessage, PeerAction, PeerEvent, PeerSettings, PeerState,
     VmIdentity, VmRecord,
-    placement::{heaviest, rank_by_weight},
-    ring::{RingSlot, Walk, neighbours},
-    spread::Occasion,
+    dissemination::SendReason,
+    placement::{highest_ranked, rank_by_weight},
+    ring::{Direction, RingSlot, neighbours},
 };
 
 pub(crate) type Actions = SmallVec<[PeerAction; 4]>;
 
-/// The entry VMs, their liveness, and what this node tells its peers about it.
+/// The entry VMs with their liveness, and the peer updates that are still to be sent.
 ///
-/// A VM watches its predecessors on the ring of its zone. A change of state is forwarded along the
-/// ring at once, so that all others learn it without heartbeats of their own: the cost of a node
-/// does not depend on the size of the fleet. Failure detection by suspicion and refutation follows
+/// A VM monitors its predecessors on the ring of its zone. A change of state is forwarded along the
+/// ring at once, so the other VMs learn of it without monitoring the VM themselves, and the number of
+/// heartbeats of a node does not depend on the size of the fleet. Suspicion and refutation follow
 /// SWIM (Das, Gupta and Motivala, 2002).
 #[derive(Debug, Clone)]
 pub struct PeerTable {
@@ -28,20 +28,26 @@
     pub(crate) vms: Arena<VmKey, VmRecord>,
     by_name: BTreeMap<String, VmKey>,
     ring: Vec<RingSlot>,
-    // Time of the latest summary of each other zone, or of its first mention.
+    // Time of the latest message from each other zone, or when the zone became known.
     pub(crate) zones: BTreeMap<String, Moment>,
-    pub(crate) next_sequence: Moment,
-    pub(crate) next_summary: Moment,
-    last_handled: Moment,
-    pub(crate) probe: usize,
-    // Notices to send, with the number of messages that still carry each.
-    pub(crate) zone_news: BTreeMap<VmKey, u8>,
-    pub(crate) fleet_news: BTreeMap<VmKey, u8>,
+    pub(crate) next_heartbeat_at: Moment,
+    pub(crate) next_summary_at: Moment,
+    // Time of the latest event, from which a pause of this process is detected.
+    last_event_at: Moment,
+    // Position of the last probed VM in the list of gone ones.
+    pub(crate) probe_index: usize,
+    // Updates to send inside the zone and to other zones, with the number of periodic messages that
+    // still carry each.
+    pub(crate) pending_zone_updates: BTreeMap<VmKey, u8>,
+    pub(crate) pending_fleet_updates: BTreeMap<VmKey, u8>,
+    // A pending update must be sent without waiting for the end of the period.
     pub(crate) urgent: bool,
-    pub(crate) heartbeats: u64,
-    pub(crate) summaries: u64,
-    // No peer that must send heartbeats to this node is heard.
-    pub(crate) deaf: bool,
+    // Periodic heartbeats and summaries sent so far; they decide which carry the full state.
+    pub(crate) heartbeat_count: u64,
+    pub(crate) summary_count: u64,
+    // No message has come from any peer of the zone within the time after which a peer is suspect.
+    // Never set on a ring of fewer than three VMs.
+    pub(crate) hears_no_peer: bool,
 }
 
 impl PeerTable {
@@ -55,70 +61,70 @@
             by_name: BTreeMap::new(),
             ring: Vec::new(),
             zones: BTreeMap::new(),
-            next_sequence: now,
-            next_summary: now,
-            last_handled: now,
-            probe: 0,
-            zone_news: BTreeMap::new(),
-            fleet_news: BTreeMap::new(),
+            next_heartbeat_at: now,
+            next_summary_at: now,
+            last_event_at: now,
+            probe_index: 0,
+            pending_zone_updates: BTreeMap::new(),
+            pending_fleet_updates: BTreeMap::new(),
             urgent: false,
-            heartbeats: 0,
-            summaries: 0,
-            deaf: false,
+            heartbeat_count: 0,
+            summary_count: 0,
+            hears_no_peer: false,
         };
         table.own = table.add(now, own, PeerState::Live);
-        table.vms.get_mut(table.own).expect("own record exists").heard = true;
-        table.tell(table.own);
+        table.vms.get_mut(table.own).expect("the record of the own VM was just added").heard = true;
+        table.queue_update(table.own);
         table
     }
 
-    /// Takes an event and returns what to do.
+    /// Processes an event at `now` and returns the actions that the caller must carry out.
     pub fn handle(&mut self, now: Moment, event: PeerEvent) -> Actions {
         let mut actions = Actions::new();
-        self.excuse_pause(now);
+        self.compensate_for_pause(now);
         match event {
             PeerEvent::Tick => self.tick(now, &mut actions),
             PeerEvent::ListRead(listed) => self.read_list(now, listed, &mut actions),
             PeerEvent::MessageReceived(message) => self.receive(now, message, &mut actions),
         }
         if std::mem::take(&mut self.urgent) {
-            self.send_heartbeats(now, Occasion::News, &mut actions);
-            self.send_summaries(now, Occasion::News, &mut actions);
+            self.send_heartbeats(now, SendReason::Urgent, &mut actions);
+            self.send_summaries(now, SendReason::Urgent, &mut actions);
         }
         actions
     }
 
-    /// Returns when the next [`PeerEvent::Tick`] is due.
+    /// Returns the time at which the caller must deliver the next [`PeerEvent::Tick`].
     #[must_use]
     pub const fn next_deadline(&self) -> Moment {
-        self.next_sequence
+        self.next_heartbeat_at
     }
 
-    /// Returns the key of this node.
+    /// Returns the key of the VM of this node.
     #[must_use]
     pub const fn own(&self) -> VmKey {
         self.own
     }
 
-    /// Returns this process as its messages name it.
+    /// Returns the identity that this process states in its messages.
     #[must_use]
     pub fn own_identity(&self) -> &VmIdentity {
         &self.record(self.own).vm
     }
 
-    /// Returns a VM, or `None` for a key of another table.
+    /// Returns the record of a VM, or `None` for a key of another table.
     #[must_use]
     pub fn vm(&self, key: VmKey) -> Option<&VmRecord> {
         self.vms.get(key)
     }
 
-    /// Returns the key of the VM named `name`.
+    /// Returns the key of the VM named `name`, or `None` if it is unknown.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<VmKey> {
         self.by_name.get(name).copied()
     }
 
-    /// Iterates over every known VM, this node among them.
+    /// Iterates over all known VMs, gone ones and the own one included.
     pub fn iter(&self) -> impl Iterator<Item = (VmKey, &VmRecord)> {
         self.vms.iter()
     }
@@ -133,32 +139,34 @@
             .filter(move |(_, record)| record.vm.zone == zone && record.state == PeerState::Live)
     }
 
-    /// Returns the delegate of a zone: the live VM with the lowest rendezvous weight.
+    /// Returns the delegate of a zone: the live VM with the lowest rendezvous weight, or `None` if none
+    /// is live.
     #[must_use]
     pub fn delegate(&self, zone: &str) -> Option<VmKey> {
         let names = self.live_in_zone(zone).map(|(_, record)| record.vm.name.as_str());
         self.find(rank_by_weight(zone, names).pop()?)
     }
 
-    /// Tells whether this node is the delegate of its zone.
+    /// Returns whether this node is the delegate of its zone.
     #[must_use]
     pub fn is_delegate(&self) -> bool {
         self.delegate(&self.own_identity().zone) == Some(self.own)
     }
 
-    /// Returns the VM that holds replicas for this node: one of another zone, or one of the own
-    /// zone when no other has a live VM. `None` when no other VM is live.
+    /// Returns the VM that holds replicas for this node: one of another zone, or one of the own zone
+    /// when no other zone has a live VM. VMs that are listed as leaving are not chosen. `None` when no
+    /// candidate is left.
     #[must_use]
     pub fn replica_holder(&self) -> Option<VmKey> {
         let own = self.own_identity();
-        let choose = |elsewhere: bool| {
+        let choose = |in_other_zone: bool| {
             let candidates = self.vms.iter().filter(|(key, record)| {
                 *key != self.own
                     && record.state == PeerState::Live
                     && record.listed != Some(ListState::Leaving)
-                    && (record.vm.zone != own.zone) == elsewhere
+                    && (record.vm.zone != own.zone) == in_other_zone
             });
-            heaviest(&own.name, candidates.map(|(_, record)| record.vm.name.as_str()))
+            highest_ranked(&own.name, candidates.map(|(_, record)| record.vm.name.as_str()))
         };
         self.find(choose(true).or_else(|| choose(false))?)
     }
@@ -166,13 +174,14 @@
     /// Returns the VMs that get this node's heartbeats.
     #[must_use]
     pub fn successors(&self) -> SmallVec<[VmKey; 4]> {
-        neighbours(&self.ring, self.own, self.settings.successors, Walk::Successors)
+        neighbours(&self.ring, self.own, self.settings.successor_count, Direction::Successors)
     }
 
     /// Returns the VM of each other zone that gets this node's summaries.
     ///
-    /// It is the delegate as far as known. While the zone stays silent the next one in rank takes
-    /// its place after each period in which a peer counts as gone.
+    /// It is the zone's delegate as far as this node knows. While the zone stays silent, each further
+    /// [`PeerSettings::gone_after`] moves on to the next VM in rank, since the known delegate may have
+    /// failed.
     #[must_use]
     pub fn summary_targets(&self, now: Moment) -> Vec<VmKey> {
         let mut targets = Vec::new();
@@ -195,11 +204,11 @@
     }
 
     pub(crate) fn record(&self, key: VmKey) -> &VmRecord {
-        self.vms.get(key).expect("key is of this table")
+        self.vms.get(key).expect("the VM key was issued by this table")
     }
 
     pub(crate) fn record_mut(&mut self, key: VmKey) -> &mut VmRecord {
-        self.vms.get_mut(key).expect("key is of this table")
+        self.vms.get_mut(key).expect("the VM key was issued by this table")
     }
 
     pub(crate) fn is_own_zone(&self, key: VmKey) -> bool {
@@ -215,9 +224,9 @@
             listed: None,
             last_sequence: 0,
             refutation: 0,
-            refuted: 0,
+            refuted_accusations: 0,
             evidence_at: now,
-            direct_at: None,
+            last_message_at: None,
             monitored_since: None,
         });
         self.by_name.insert(name, key);
@@ -228,7 +237,8 @@
         key
     }
 
-    /// Puts a VM into `state` and reports it. Does nothing when the VM is in that state.
+    /// Puts a VM into `state` and reports the change. Returns `false` and does nothing when the VM is in
+    /// that state already.
     pub(crate) fn set_state(&mut self, vm: VmKey, state: PeerState, actions: &mut Actions) -> bool {
         if self.record(vm).state == state {
             return false;
@@ -239,6 +249,8 @@
         true
     }
 
+    /// Rebuilds the ring of the own zone. Gone VMs stay on it while the platform lists them, so that
+    /// they are probed.
     pub(crate) fn rebuild_ring(&mut self) {
         let zone = &self.own_identity().zone;
         let mut ring: Vec<(u64, &str, RingSlot)> = self
@@ -261,17 +273,19 @@
         gone.map(|slot| slot.vm).collect()
     }
 
-    /// Returns the ring neighbours that follow this node, whatever their state.
+    /// Iterates over the other VMs on the ring, from the next one on and whatever their state.
     pub(crate) fn next_on_ring(&self) -> impl Iterator<Item = VmKey> {
         let position = self.ring.iter().position(|slot| slot.vm == self.own).unwrap_or_default();
         let others = self.ring.iter().cycle().skip(position + 1).take(self.ring.len() - 1);
         others.map(|slot| slot.vm)
     }
 
-    /// A node that was paused has heard nobody for that reason, and must not accuse its peers.
-    fn excuse_pause(&mut self, now: Moment) {
-        let pause = now.since(self.last_handled);
-        self.last_handled = now;
+    /// After a pause of this process that exceeds [`PeerSettings::suspect_after`], moves the evidence of
+    /// all peers forward by its length: the process could not hear its peers, so their silence proves
+    /// nothing.
+    fn compensate_for_pause(&mut self, now: Moment) {
+        let pause = now.since(self.last_event_at);
+        self.last_event_at = now;
         if pause <= self.settings.suspect_after() {
             return;
         }
@@ -281,23 +295,28 @@
     }
 
     fn tick(&mut self, now: Moment, actions: &mut Actions) {
-        if now < self.next_sequence {
+        if now < self.next_heartbeat_at {
             return;
         }
-        self.next_sequence = now + self.settings.period;
-        self.judge(now, actions);
+        self.next_heartbeat_at = now + self.settings.heartbeat_period;
+        self.detect_failures(now, actions);
         self.urgent = false;
-        self.send_heartbeats(now, Occasion::Period, actions);
-        if now >= self.next_summary {
-            self.next_summary = now + self.settings.summary_period;
-            self.send_summaries(now, Occasion::Period, actions);
+        self.send_heartbeats(now, SendReason::Periodic, actions);
+        if now >= self.next_summary_at {
+            self.next_summary_at = now + self.settings.summary_period;
+            self.send_summaries(now, SendReason::Periodic, actions);
         }
     }
 
-    /// Looks for silent peers among those that must send heartbeats to this node.
-    fn judge(&mut self, now: Moment, actions: &mut Actions) {
-        let monitored =
-            neighbours(&self.ring, self.own, self.settings.successors, Walk::Predecessors);
+    /// Marks peers as suspect that must send heartbeats to this node and are silent, and suspect VMs as
+    /// gone after [`PeerSettings::gone_after`].
+    fn detect_failures(&mut self, now: Moment, actions: &mut Actions) {
+        let monitored = neighbours(
+            &self.ring,
+            self.own,
+            self.settings.successor_count,
+            Direction::Predecessors,
+        );
         let suspect_after = self.settings.suspect_after();
         let mut silent = SmallVec::<[VmKey; 4]>::new();
         for (key, record) in self.vms.iter_mut() {
@@ -306,27 +325,29 @@
                 continue;
             }
             let since = *record.monitored_since.get_or_insert(now);
-            // Where only the link to this node is broken, accusations become rarer.
-            let patience = Span(suspect_after.0 << record.refuted.min(4));
-            if now.since(record.evidence_at.max(since)) <= patience {
+            // Exponential backoff, at most 16 times the base: where only the link to this node is
+            // broken, it would otherwise accuse a peer that others hear again and again.
+            let suspicion_timeout = Span(suspect_after.0 << record.refuted_accusations.min(4));
+            if now.since(record.evidence_at.max(since)) <= suspicion_timeout {
                 continue;
             }
             silent.push(key);
         }
         let zone = &self.own_identity().zone;
-        let heard_at = self.vms.iter().filter(|(_, record)| record.vm.zone == *zone);
-        let heard_at = heard_at.filter_map(|(_, record)| record.direct_at).max();
-        self.deaf = self.ring.len() > 2 && heard_at.is_none_or(|at| now.since(at) > suspect_after);
+        let zone_vms = self.vms.iter().filter(|(_, record)| record.vm.zone == *zone);
+        let heard_at = zone_vms.filter_map(|(_, record)| record.last_message_at).max();
+        self.hears_no_peer =
+            self.ring.len() > 2 && heard_at.is_none_or(|at| now.since(at) > suspect_after);
         for vm in silent {
             let record = self.record_mut(vm);
             if record.state != PeerState::Live {
                 continue;
             }
-            // Other nodes learn of the suspicion only now, so the wait until the peer counts as
-            // gone cannot have begun long ago.
+            // Other nodes learn of the suspicion only now, and the process needs time to refute it. So
+            // after a prolonged suspicion timeout the wait until the peer is gone starts later too.
             record.evidence_at = record.evidence_at.max(now - suspect_after);
             self.set_state(vm, PeerState::Suspect, actions);
-            self.accuse(vm);
+            self.queue_detected_failure(vm);
         }
         let gone_after = self.settings.gone_after;
         let suspects: SmallVec<[VmKey; 4]> = self
@@ -338,7 +359,7 @@
             .collect();
         for vm in suspects {
             self.set_state(vm, PeerState::Gone, actions);
-            self.accuse(vm);
+            self.queue_detected_failure(vm);
         }
     }
 
@@ -353,7 +374,8 @@
                 actions.push(PeerAction::Changed { vm, state: PeerState::Live });
                 vm
             });
-            // A listed VM keeps its state: only a heartbeat revives it.
+            // The list does not change the state of a known VM: a gone one becomes live again only by
+            // evidence from its process.
             self.record_mut(vm).listed = Some(state);
             present.push(vm);
         }
@@ -365,7 +387,7 @@
             .collect();
         for vm in dropped {
             self.record_mut(vm).listed = None;
-            // Every node reads the list itself, so the change is not spread.
+            // Every node reads the list itself, so peers need no update about this change.
             if vm != self.own {
                 self.set_state(vm, PeerState::Gone, actions);
             }
@@ -384,8 +406,9 @@
         });
         let record = self.record(vm);
         if record.heard && message.from.rank() < record.vm.rank() {
-            // A new process of a VM whose clock went back learns here which generation to exceed.
-            self.inform(now, vm, vm, actions);
+            // A new process of a VM whose clock was set back starts with a lower generation than the
+            // old one. This update tells it which generation to exceed.
+            self.send_update(now, vm, vm, actions);
             return;
         }
         if message.from.rank() > record.vm.rank() {
@@ -393,21 +416,22 @@
         } else if message.sequence <= record.last_sequence {
             return;
         }
-        let accusation = self.update(now, vm);
+        let accusation = self.peer_update(now, vm);
         let zone = message.from.zone;
         let record = self.record_mut(vm);
-        let news = !record.heard || message.refutation > record.refutation;
+        let changed = !record.heard || message.refutation > record.refutation;
         record.heard = true;
         record.last_sequence = message.sequence;
         record.refutation = record.refutation.max(message.refutation);
-        record.refuted = 0;
+        record.refuted_accusations = 0;
         record.evidence_at = now;
-        record.direct_at = Some(now);
+        record.last_message_at = Some(now);
         let revived = self.set_state(vm, PeerState::Live, actions);
-        if news {
-            self.tell(vm);
+        if changed {
+            self.queue_update(vm);
         } else if revived {
-            // Only the process itself can refute what others have accepted.
+            // Others may still hold the process to be suspect or gone, and only the process itself can
+            // refute that.
             let message = self.next_message(now, vec![accusation]);
             actions.push(PeerAction::SendHeartbeat { to: vm, message });
         }
@@ -415,7 +439,7 @@
             *heard_at = now;
         }
         for update in message.updates {
-            self.learn(now, vm, update, actions);
+            self.apply_update(now, vm, update, actions);
         }
     }
 }
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -1,24 +1,24 @@
-//! Which VM of a zone watches which upstream.
+//! Assignment of the upstreams of a zone to the VMs that watch them, that is, measure their load.
 
 use std::collections::BTreeSet;
 
 use base::derive_value;
 
-use crate::placement::heaviest;
+use crate::placement::highest_ranked;
 
 derive_value! {
-    /// Upstreams that this node starts or stops to watch.
+    /// Upstreams that this node must start or stop to watch.
     #[derive(Default)]
     pub struct WatchChange {
         /// Upstreams to watch from now on.
         pub started: Vec<String>,
-        /// Upstreams that another VM watches now, or that are gone.
+        /// Upstreams that another VM watches now, or that no longer exist.
         pub stopped: Vec<String>,
     }
 }
 
-/// The upstreams that this node watches: one watcher for each upstream of the zone, by rendezvous
-/// hashing over the live VMs. When a VM fails, only the upstreams it watched move.
+/// The upstreams that this node watches. Rendezvous hashing over the live VMs of the zone gives each
+/// upstream one watcher; when a VM fails, only the upstreams that it watched move.
 #[derive(Debug, Clone)]
 pub struct WatchAssignment {
     own: String,
@@ -26,22 +26,23 @@
 }
 
 impl WatchAssignment {
-    /// Creates the plan of the VM `own`, which watches nothing yet.
+    /// Creates the assignment of the VM named `own`, which watches nothing yet.
     #[must_use]
     pub fn new(own: String) -> Self {
         Self { own, watched: BTreeSet::new() }
     }
 
-    /// Returns the watcher of an upstream among `live` VMs of its zone.
+    /// Returns the watcher of an upstream among the `live` VMs of its zone, or `None` without any.
     #[must_use]
     pub fn watcher<'name>(
         upstream: &str,
         live: impl IntoIterator<Item = &'name str>,
     ) -> Option<&'name str> {
-        heaviest(upstream, live)
+        highest_ranked(upstream, live)
     }
 
-    /// Recomputes the plan for the live VMs of the zone, this node among them, and its upstreams.
+    /// Recomputes the assignment from the live VMs of the zone, which include this node, and its
+    /// upstreams. Returns the difference from the previous assignment.
     pub fn update(&mut self, live: &[&str], upstreams: &[&str]) -> WatchChange {
         let mut watched = BTreeSet::new();
         for upstream in upstreams {
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -1,4 +1,5 @@
-//! Peer tables joined by a network in virtual time, with cuts, pauses and restarts.
+//! Peer tables connected by a simulated network in virtual time, with broken links, paused processes
+//! and restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,8 +16,8 @@
     pub(crate) table: PeerTable,
     pub(crate) up: bool,
     pub(crate) paused: bool,
-    pub(crate) sent: u64,
-    pub(crate) notices: u64,
+    pub(crate) sent_messages: u64,
+    pub(crate) sent_updates: u64,
     pub(crate) changes: Vec<(String, PeerState)>,
     pub(crate) replaced: Vec<Incarnation>,
     inbox: Vec<LivenessMessage>,
@@ -25,21 +26,21 @@
 pub(crate) struct Network {
     pub(crate) now: Moment,
     pub(crate) nodes: Vec<Node>,
-    pub(crate) cuts: BTreeSet<(usize, usize)>,
+    pub(crate) broken_links: BTreeSet<(usize, usize)>,
     pub(crate) rng: ChaCha8Rng,
-    flight: BTreeMap<(Moment, u64), (usize, String, LivenessMessage)>,
+    in_flight: BTreeMap<(Moment, u64), (usize, String, LivenessMessage)>,
     sequence: u64,
 }
 
 impl Network {
-    /// Starts `zones.len()` zones with the given numbers of VMs, and lets them hear each other.
+    /// Starts one zone for each number of VMs in `zones`, and runs until all VMs know each other.
     pub(crate) fn start(seed: u64, zones: &[usize]) -> Self {
         let mut network = Self {
             now: Moment(1_000_000),
             nodes: Vec::new(),
-            cuts: BTreeSet::new(),
+            broken_links: BTreeSet::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            flight: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
         };
         for (zone, count) in zones.iter().enumerate() {
@@ -54,8 +55,8 @@
                     identity: vm,
                     up: true,
                     paused: false,
-                    sent: 0,
-                    notices: 0,
+                    sent_messages: 0,
+                    sent_updates: 0,
                     changes: Vec::new(),
                     replaced: Vec::new(),
                     inbox: Vec::new(),
@@ -64,7 +65,7 @@
         }
         network.read_lists(|_| true);
         network.run(5);
-        network.forget();
+        network.reset_records();
         network
     }
 
@@ -81,21 +82,21 @@
         }
     }
 
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn reset_records(&mut self) {
         for node in &mut self.nodes {
             node.changes.clear();
             node.replaced.clear();
-            (node.sent, node.notices) = (0, 0);
+            (node.sent_messages, node.sent_updates) = (0, 0);
         }
     }
 
-    pub(crate) fn cut(&mut self, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
+    pub(crate) fn break_links(&mut self, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
         for a in (0..self.nodes.len()).filter(|a| from(*a)) {
-            self.cuts.extend((0..self.nodes.len()).filter(|b| to(*b)).map(|b| (a, b)));
+            self.broken_links.extend((0..self.nodes.len()).filter(|b| to(*b)).map(|b| (a, b)));
         }
     }
 
-    /// Loses what a paused process has not read.
+    /// Discards the messages that a paused process has not read.
     pub(crate) fn lose_inbox(&mut self, index: usize) {
         self.nodes[index].inbox.clear();
     }
@@ -121,16 +122,16 @@
     pub(crate) fn run(&mut self, seconds: u64) {
         let end = self.now + Span::from_secs(seconds);
         loop {
-            let arrival = self.flight.keys().next().map(|(at, _)| *at);
+            let arrival = self.in_flight.keys().next().map(|(at, _)| *at);
             let running = self.nodes.iter().enumerate().filter(|(_, node)| node.up && !node.paused);
             let tick = running.map(|(index, node)| (node.table.next_deadline(), index)).min();
             let next = [arrival, tick.map(|(at, _)| at)].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
             if arrival == Some(next) {
-                let (_, (from, to, message)) = self.flight.pop_first().unwrap();
+                let (_, (from, to, message)) = self.in_flight.pop_first().unwrap();
                 let to = self.nodes.iter().position(|node| node.identity.name == to).unwrap();
-                if self.cuts.contains(&(from, to)) {
+                if self.broken_links.contains(&(from, to)) {
                     continue;
                 }
                 if self.nodes[to].paused {
@@ -191,11 +192,11 @@
                     continue;
                 }
             };
-            node.sent += 1;
-            node.notices += message.updates.len() as u64;
+            node.sent_messages += 1;
+            node.sent_updates += message.updates.len() as u64;
             let delay = Span(self.rng.random_range(300..3_000));
             self.sequence += 1;
-            self.flight.insert((self.now + delay, self.sequence), (index, to, message));
+            self.in_flight.insert((self.now + delay, self.sequence), (index, to, message));
         }
     }
 }
--- a/crates/membership/tests/upstreams.rs
+++ b/crates/membership/tests/upstreams.rs
@@ -1,4 +1,4 @@
-//! Watchers of upstreams and the spread of their state.
+//! Assignment of watchers to upstreams, and dissemination of upstream load.
 
 use base::{Incarnation, Moment, Span, WeightVersion};
 use membership::{
@@ -28,7 +28,8 @@
     entries.iter().map(|entry| entry.upstream.as_str()).collect()
 }
 
-/// Guards against an upstream without a watcher or with two, and against moves without need.
+/// Guards against an upstream without a watcher or with two, and against a failed VM that moves
+/// upstreams other than its own.
 #[test]
 fn each_upstream_has_one_watcher() {
     let upstreams: Vec<String> = (0..55).map(|number| format!("engine-{number}")).collect();
@@ -41,17 +42,18 @@
     let watched: usize = assignments.iter().map(|assignment| assignment.watched().count()).sum();
     assert_eq!(watched, 55);
     let orphans: Vec<String> = assignments[3].watched().map(str::to_owned).collect();
-    let mut taken = Vec::new();
+    let mut reassigned = Vec::new();
     for assignment in &mut assignments[..3] {
         let change = assignment.update(&all[..3], &upstreams);
         assert!(change.stopped.is_empty());
-        taken.extend(change.started);
+        reassigned.extend(change.started);
     }
-    taken.sort();
-    assert_eq!(taken, orphans);
+    reassigned.sort();
+    assert_eq!(reassigned, orphans);
 }
 
-/// Guards against an old copy that comes back younger, and against a loss of age on the way.
+/// Guards against an old measurement that replaces a newer one when it comes back through a peer, and
+/// against an age that restarts at zero in transit.
 #[test]
 fn newest_measurement_wins_and_keeps_its_age() {
     let (mut watcher, mut peer) = (load_table(1), load_table(2));
@@ -60,13 +62,14 @@
     assert_eq!(copy[0].age, Span::from_secs(2));
     assert!(peer.merge(secs(100), copy[0].clone()));
     assert_eq!(peer.view(secs(101), "engine").unwrap().age, Span::from_secs(3));
-    assert!(!peer.merge(secs(120), copy[0].clone()), "the same measurement again");
+    assert!(!peer.merge(secs(120), copy[0].clone()), "the same measurement was merged twice");
     let late = LoadUpdate { watcher: Incarnation(9), age: Span::from_secs(30), ..copy[0].clone() };
     assert!(!peer.merge(secs(120), late.clone()));
     assert!(peer.merge(secs(120), LoadUpdate { age: Span::ZERO, ..late }));
 }
 
-/// Guards against a heartbeat that grows with the number of upstreams, and an entry never sent.
+/// Guards against a heartbeat whose size has no bound when many upstreams change at once, and against
+/// an entry that is never sent.
 #[test]
 fn deltas_are_bounded_and_reach_every_entry() {
     let settings = LoadTableSettings::default();
@@ -77,20 +80,24 @@
     let mut sent = std::collections::BTreeSet::new();
     for second in 0..30 {
         let delta = load_table.next_delta(secs(second));
-        assert!(delta.len() <= settings.delta_limit + 600 / settings.full_over);
+        assert!(delta.len() <= settings.delta_limit + 600 / settings.messages_per_full_update);
         sent.extend(delta.into_iter().map(|entry| entry.upstream));
     }
     assert_eq!(sent.len(), 600);
     let steady = load_table.next_delta(secs(31));
-    assert_eq!(steady.len(), 600 / settings.full_over, "only the repetition is left");
+    assert_eq!(
+        steady.len(),
+        600 / settings.messages_per_full_update,
+        "a table without changes sends more than the repetition"
+    );
     assert_eq!(load_table.all_updates(secs(31)).len(), 600);
 }
 
-/// Guards against a small change that is sent at once, and a large one that waits.
+/// Guards against a small change that is sent before the refresh, and a large one that waits for it.
 #[test]
-fn only_changes_that_matter_are_sent() {
+fn only_significant_changes_are_sent_before_the_refresh() {
     let mut load_table = load_table(1);
-    // The repetition of one entry out of two goes to "a" at even calls and to "b" at odd ones.
+    // With two entries each message repeats one: "a" in calls with an even number, "b" in odd ones.
     load_table.update(secs(0), "a", report(1));
     load_table.update(secs(0), "b", report(80));
     assert_eq!(names(&load_table.next_delta(secs(0))), ["a", "b"]);
@@ -113,9 +120,10 @@
     check(12, 103, &["b"]);
 }
 
-/// Guards against a leaving upstream that waits for a heartbeat, or that an older report revives.
+/// Guards against a leaving phase that waits for the next heartbeat, or that an upstream's own report,
+/// which does not show it yet, resets.
 #[test]
-fn leaving_is_urgent_and_stays() {
+fn leaving_phase_is_sent_at_once_and_kept() {
     let (mut watcher, mut peer) = (load_table(1), load_table(2));
     watcher.update(secs(1), "engine", report(5));
     assert!(watcher.take_urgent(secs(1)).is_empty());
@@ -125,7 +133,10 @@
     assert_eq!(names(&urgent), ["engine"]);
     assert!(peer.take_urgent(secs(2)).is_empty());
     watcher.update(secs(3), "engine", report(4));
-    assert!(watcher.merge(secs(3), urgent[0].clone()), "an older measurement with news");
+    assert!(
+        watcher.merge(secs(3), urgent[0].clone()),
+        "the leaving phase of an older measurement was not merged"
+    );
     assert_eq!(names(&watcher.take_urgent(secs(3))), ["engine"]);
     watcher.update(secs(4), "engine", report(3));
     let phase = watcher.view(secs(4), "engine").unwrap().report.phase;
