--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,21 +1,21 @@
-//! MessagePack encoding with a bound on size.
+//! Encoding in MessagePack, and decoding with a limit on the size of a message.
 
 use std::fmt;
 
 use base::{Incarnation, RecordId};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// Largest accepted message in bytes. A configuration document is the largest one in practice.
+/// Largest message that is decoded. The largest messages in practice hold a configuration document.
 pub const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A message could not be decoded.
+/// Error of a message or record that could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MalformedMessage {
     reason: String,
 }
 
 impl MalformedMessage {
-    /// Builds the error for a message whose content is outside its allowed range.
+    /// Creates the error from the reason, which is shown after `malformed message: `.
     #[must_use]
     pub fn new(reason: impl Into<String>) -> Self {
         Self { reason: reason.into() }
@@ -30,21 +30,23 @@
 
 impl std::error::Error for MalformedMessage {}
 
-/// Encodes a message. Fields are named, so that daemons of two releases can exchange messages.
+/// Encodes a message. Field names are part of the encoding, so that a daemon can skip fields that a
+/// later release added.
 ///
 /// # Panics
 ///
-/// Panics when a wire type cannot be represented, which its definition rules out.
+/// Panics if `message` has no MessagePack representation, which cannot happen for wire types.
 #[must_use]
 pub fn encode_message<T: Serialize>(message: &T) -> Vec<u8> {
-    rmp_serde::to_vec_named(message).expect("wire types consist of text, integers and lists")
+    rmp_serde::to_vec_named(message).expect("a wire type has a MessagePack representation")
 }
 
 /// Decodes a message.
 ///
 /// # Errors
 ///
-/// Returns [`MalformedMessage`] for a message that is too long or does not have the expected shape.
+/// Returns [`MalformedMessage`] for a message that is longer than [`MAX_MESSAGE_BYTES`] or does not match
+/// the type.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MalformedMessage> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         let reason = format!("{} bytes exceed the limit of {MAX_MESSAGE_BYTES}", bytes.len());
@@ -58,20 +60,20 @@
 pub struct WireId {
     /// Incarnation of the writer.
     pub writer: u64,
-    /// Number among those of the writer.
+    /// Sequence number within the writer.
     pub sequence: u64,
 }
 
-/// A domain type that is a record of one log stream.
+/// A domain type whose values are records of one log stream.
 pub trait StreamRecord: Sized {
-    /// The form of the record on the wire.
+    /// Wire type of the record.
     type Wire: Serialize + DeserializeOwned + for<'a> From<&'a Self>;
 
-    /// Converts a decoded record.
+    /// Converts a decoded record to the domain type.
     ///
     /// # Errors
     ///
-    /// Returns [`MalformedMessage`] when a field is outside its range.
+    /// Returns [`MalformedMessage`] when a field has a value that the domain type does not allow.
     fn from_wire(wire: Self::Wire) -> Result<Self, MalformedMessage>;
 }
 
@@ -81,7 +83,8 @@
     record: T,
 }
 
-/// Encodes a record with the id by which readers drop repeats.
+/// Encodes a record with its id. A retried append can store a record twice; readers recognize the
+/// repeat by the id.
 #[must_use]
 pub fn encode_record<T: StreamRecord>(id: RecordId, record: &T) -> Vec<u8> {
     encode_message(&WireEnvelope { id: id.into(), record: T::Wire::from(record) })
@@ -91,7 +94,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`MalformedMessage`] for bytes that are not a record of this stream.
+/// Returns [`MalformedMessage`] when the bytes are not a record of this stream.
 pub fn decode_record<T: StreamRecord>(bytes: &[u8]) -> Result<(RecordId, T), MalformedMessage> {
     let envelope = decode_message::<WireEnvelope<T::Wire>>(bytes)?;
     Ok((envelope.id.into(), T::from_wire(envelope.record)?))
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire types of the system's own protocol: records in the platform's log and messages between
-//! daemons, both in MessagePack.
+//! Wire types for records in the platform's log and store and for messages between daemons, all encoded
+//! in MessagePack.
 //!
-//! Wire types hold only text and integers. The domain crates' types convert to and from them, so a
-//! change of a domain type never changes what is on the wire by accident.
+//! Wire types are separate from the types of the domain crates and converted to and from them, so that
+//! a change of a domain type cannot change the encoding unnoticed.
 
 mod codec;
 mod peer;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,4 +1,5 @@
-//! Messages between daemons. Times are in microseconds, ages are as of sending.
+//! Messages between daemons. Durations are in microseconds (`_us`) and ages are those at the time of
+//! sending, so that the clocks of two daemons need not agree.
 
 use base::{Incarnation, Span, WallTime, WeightVersion};
 use delivery::Fingerprint;
@@ -13,80 +14,81 @@
 };
 
 wire! {
-    /// A request or an answer between two daemons.
+    /// A request or a response between two daemons.
     pub enum PeerMessage {
-        /// Sign of life inside a zone.
+        /// Liveness and upstream load, sent within a zone.
         Heartbeat(WireHeartbeat),
-        /// Exchange between the delegates of two zones.
+        /// Liveness and upstream load, sent between the delegates of two zones.
         Summary(WireZoneSummary),
-        /// Upstream states that must not wait for the next heartbeat.
+        /// Load updates that must not wait for the next heartbeat.
         Upstreams(Vec<WireUpstream>),
-        /// Asks for the documents that the receiver holds.
+        /// Requests the documents that the receiver holds; the response is `ConfigCopy`.
         ConfigFetch,
-        /// Answers with documents.
+        /// Response to `ConfigFetch`.
         ConfigCopy(WireConfigCopy),
-        /// Asks to hold a usage batch.
+        /// Requests that the receiver keeps a replica of a usage batch.
         BatchHold(WireBatchHold),
-        /// Asks to hold the bytes of a sample, or answers with them.
+        /// Requests that the receiver keeps a copy of a sample, or responds to `SampleFetch` with one.
         SampleCopy(WireSampleCopy),
-        /// Asks for the bytes of a sample.
+        /// Requests a sample; the response is `SampleCopy` or `Missing`.
         SampleFetch(WireId),
-        /// Asks the zone's delegate for shares of customers' limits.
+        /// Grant requests for shares of customers' limits, sent to the delegate of the zone.
         LimitAsk(Vec<WireLimitAsk>),
-        /// Answers with shares.
+        /// Response to `LimitAsk` with the grants.
         LimitGrant(Vec<WireLimitGrant>),
-        /// Spreads suspicions, convictions and isolated upstreams at once.
+        /// Broadcast of suspicions, convictions and upstreams reserved for isolated runs, sent as soon as
+        /// they are known.
         Suspicions {
             /// Suspected fingerprints.
             notes: Vec<WireSuspicion>,
-            /// Convictions.
+            /// Convictions: blocks of fingerprints.
             verdicts: Vec<WireConviction>,
-            /// Upstreams kept free from now on.
+            /// Upstreams that receive no other requests from now on.
             reserved: Vec<WireIsolation>,
-            /// Upstreams no longer kept free.
+            /// Upstreams that receive other requests again.
             released: Vec<WireIsolation>,
         },
-        /// The message was taken by this incarnation.
+        /// Response of a receiver that has processed the message, with its incarnation.
         Done(u64),
-        /// The receiver does not have what was asked for, or has no room.
+        /// Response of a receiver that lacks what was requested, or has no space to store it.
         Missing,
     }
 
-    /// Sign of life inside a zone.
+    /// Liveness and upstream load, sent within a zone.
     pub struct WireHeartbeat {
         /// Liveness.
         pub beat: WireLiveness,
         /// Configuration in force at the sender.
         pub config_version: u64,
-        /// Time since the sender heard the platform or another zone.
+        /// Time since the sender last received anything from the platform or another zone.
         pub contact_age_us: u64,
-        /// Changed upstream states.
+        /// Load updates.
         pub upstreams: Vec<WireUpstream>,
     }
 
-    /// Exchange between the delegates of two zones.
+    /// Liveness and upstream load, sent between the delegates of two zones.
     pub struct WireZoneSummary {
         /// Liveness.
         pub beat: WireLiveness,
         /// Configuration in force at the sender.
         pub config_version: u64,
-        /// States of the zone's upstreams.
+        /// Load updates of the zone's upstreams.
         pub upstreams: Vec<WireUpstream>,
     }
 
-    /// Liveness part of a message.
+    /// Liveness message, the part of heartbeats and summaries that failure detection uses.
     pub struct WireLiveness {
         /// The sender.
         pub from: WireIdentity,
-        /// Number of the heartbeat.
+        /// Sequence number of the message, increasing within an incarnation.
         pub beat: u64,
-        /// Number of accusations that the sender has refuted.
+        /// Number of times that the sender has refuted a report that it is suspect or gone.
         pub refutation: u64,
-        /// Changes that the receiver should know.
+        /// Peer updates: liveness of VMs that changed or is repeated.
         pub notices: Vec<WirePeerUpdate>,
     }
 
-    /// A process and its VM.
+    /// Identity of a process and of the VM it runs on.
     pub struct WireIdentity {
         /// Name of the VM.
         pub name: String,
@@ -94,21 +96,21 @@
         pub zone: String,
         /// Address for peer messages.
         pub address: String,
-        /// Order among the processes of the VM.
+        /// Orders the processes of one VM; the highest is the newest.
         pub generation: u64,
         /// Identifier of the process.
         pub incarnation: u64,
     }
 
-    /// What a process knows about a VM.
+    /// What one node tells another about the liveness of a VM.
     pub struct WirePeerUpdate {
         /// The VM.
         pub vm: WireIdentity,
-        /// Number of accusations that the process has refuted.
+        /// Number of times that the process has refuted a report that it is suspect or gone.
         pub refutation: u64,
         /// Age of the latest evidence that the process runs.
         pub age_us: u64,
-        /// 0 live, 1 suspect, 2 gone.
+        /// 0 live, 1 suspect, 2 gone. Readers take other values for gone.
         pub state: u8,
     }
 
@@ -116,41 +118,43 @@
     pub struct WireUpstream {
         /// Name of the upstream.
         pub upstream: String,
-        /// Watching process.
+        /// Incarnation of the watcher.
         pub watcher: u64,
-        /// Number of the measurement.
+        /// Number of the measurement, increasing within a watcher.
         pub serial: u64,
         /// Age of the measurement.
         pub age_us: u64,
-        /// Requests running.
+        /// Requests that are running.
         pub running: u32,
-        /// Requests waiting.
+        /// Requests that wait at the upstream.
         pub queued: u32,
         /// Generated tokens per second.
         pub tokens_per_second: u32,
-        /// Weight version.
+        /// Weight version that the upstream has loaded.
         pub version: u64,
-        /// 0 serving, 1 unreachable, 2 to 4 leaving by order, by reclaim, by its own report.
+        /// 0 serving, 1 unreachable; leaving because of 2 an order, 3 a reclaim notice, 4 its own report.
+        /// Readers take other values for 4.
         pub phase: u8,
     }
 
     /// Documents that the sender holds.
     pub struct WireConfigCopy {
-        /// State of the log as the sender read it, unless it waits for a snapshot.
+        /// Documents as of the log prefix that the sender has read; `None` while the sender itself waits
+        /// for a snapshot.
         pub snapshot: Option<WireSnapshot>,
-        /// Documents in force at the sender.
+        /// Documents in force at the sender, which may be newer than its log prefix.
         pub in_force: WireSnapshot,
     }
 
-    /// Asks to hold a usage batch.
+    /// Request to keep a replica of a usage batch.
     pub struct WireBatchHold {
-        /// Process that metered the batch.
+        /// Process that counted the usage.
         pub from: WireIdentity,
         /// The batch.
         pub batch: WireBatch,
     }
 
-    /// Bytes of a sample.
+    /// A sample with its text.
     pub struct WireSampleCopy {
         /// Id of the sample.
         pub sample: WireId,
@@ -158,53 +162,53 @@
         pub text: String,
     }
 
-    /// A suspected fingerprint.
+    /// Suspicion of a request fingerprint that was in flight when an upstream crashed.
     pub struct WireSuspicion {
         /// The fingerprint.
         pub fingerprint: [u8; 16],
-        /// Names of the upstreams that crashed with it.
+        /// Names of the upstreams that crashed while a request with this fingerprint was in flight.
         pub crashed: Vec<String>,
         /// When the suspicion ends, in UTC milliseconds.
         pub expires_at_ms: i64,
     }
 
-    /// Asks for a share of a customer's limit.
+    /// Grant request: asks for a share of a customer's limit.
     pub struct WireLimitAsk {
-        /// The node that asks.
+        /// Incarnation of the requesting node.
         pub node: u64,
         /// Name of the customer.
         pub customer: String,
-        /// Tokens per second that its callers ask for.
+        /// Demand of its callers in tokens per second.
         pub demand: u32,
-        /// Number of the ask.
+        /// Number among the requests of the node for this customer, starting at 1.
         pub sequence: u64,
-        /// Delegate and number of the grant in use.
+        /// Delegate and number of the grant that the node uses, if it has one.
         pub held: Option<(u64, u64)>,
     }
 
     /// Grants a share of a customer's limit.
     pub struct WireLimitGrant {
-        /// The node that asked.
+        /// Incarnation of the requesting node.
         pub node: u64,
         /// Name of the customer.
         pub customer: String,
-        /// Number of the ask that this answers.
+        /// Number of the request to which this is the response.
         pub sequence: u64,
         /// Delegate and number of the grant.
         pub id: (u64, u64),
-        /// Tokens per second.
+        /// Granted rate in tokens per second.
         pub rate: u32,
-        /// How long the grant lasts.
+        /// Validity of the grant, counted from just before its request was sent.
         pub period_us: u64,
     }
 
-    /// An upstream kept free for a suspect.
+    /// An upstream that is reserved for the isolated run of a suspect fingerprint.
     pub struct WireIsolation {
-        /// The node that keeps it free.
+        /// Incarnation of the node that reserved it.
         pub node: u64,
         /// Name of the upstream.
         pub upstream: String,
-        /// The suspect.
+        /// The suspect fingerprint.
         pub fingerprint: [u8; 16],
     }
 }
@@ -346,7 +350,8 @@
             1 => UpstreamPhase::Unreachable,
             2 => UpstreamPhase::Leaving(LeavingCause::OrderIntended),
             3 => UpstreamPhase::Leaving(LeavingCause::ReclaimNotice),
-            // A cause that a later release adds still means that no new work may go there.
+            // A value that a later release adds is taken for a cause of leaving, so that no new work
+            // is sent there.
             _ => UpstreamPhase::Leaving(LeavingCause::Reported),
         };
         Self {
--- a/crates/protocol/src/record.rs
+++ b/crates/protocol/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's log, one module for each stream.
+//! Records in the platform's log and store, one module for each stream or topic.
 
 mod authority;
 mod claims;
--- a/crates/protocol/src/record/authority.rs
+++ b/crates/protocol/src/record/authority.rs
@@ -1,6 +1,6 @@
 //! Records of the streams `authority.<scope>`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use authority::{
@@ -12,9 +12,9 @@
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
 wire! {
-    /// A record of a scope.
+    /// A record of a lease scope.
     pub enum WireAuthority {
-        /// A process asks for the lease. Times are in microseconds.
+        /// A process claims the lease.
         Claim {
             scope: WireLeaseScope,
             holder: u64,
@@ -22,22 +22,23 @@
             term_us: u64,
             clear_from: u64,
         },
-        /// The holder extends its lease.
+        /// The holder renews its lease.
         Renewal { scope: WireLeaseScope, holder: u64, attempt: u32, claim: u64, term_us: u64 },
-        /// The holder gives its lease up.
+        /// The holder releases its lease.
         Release { scope: WireLeaseScope, holder: u64, claim: u64 },
-        /// The holder announces an order.
+        /// The holder is going to submit an order to the platform.
         Intent {
             id: WireId,
             scope: WireLeaseScope,
             service: String,
             kind: WireOrderKind,
-            /// Price class of the upstreams to start. Records without it are of regular ones.
+            /// Price class of the upstreams to start. Records of earlier releases lack it and order
+            /// regular upstreams.
             #[serde(default)]
             price: WirePriceClass,
             fencing: u64,
         },
-        /// The holder states what became of an order.
+        /// The holder records the outcome of an order.
         Outcome {
             id: WireId,
             scope: WireLeaseScope,
@@ -187,9 +188,9 @@
 
 fn order_kind(kind: WireOrderKind, price: WirePriceClass) -> Result<OrderKind, MalformedMessage> {
     match kind {
-        WireOrderKind::Start(0) => {
-            Err(MalformedMessage::new("an order to start upstreams has the count 0"))
-        }
+        WireOrderKind::Start(0) => Err(MalformedMessage::new(
+            "an order to start upstreams has count 0, expected at least 1",
+        )),
         WireOrderKind::Start(count) => Ok(OrderKind::Start { count, price: price.into() }),
         WireOrderKind::Stop(upstream) => Ok(OrderKind::Stop { upstream }),
     }
--- a/crates/protocol/src/record/claims.rs
+++ b/crates/protocol/src/record/claims.rs
@@ -1,6 +1,6 @@
 //! Records of the streams `claims` and `verdicts`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use base::{Incarnation, WallTime};
@@ -13,7 +13,7 @@
 wire! {
     /// A record of the stream `claims`.
     pub enum WireClaim {
-        /// A request claims its idempotency key. Times are UTC milliseconds.
+        /// A request claims its idempotency key. Times are in UTC milliseconds.
         Taken {
             claim: [u8; 16],
             fingerprint: [u8; 16],
@@ -32,7 +32,7 @@
         NotRun,
     }
 
-    /// A record of the stream `verdicts`.
+    /// A record of the stream `verdicts`, which holds convictions.
     #[derive(Copy)]
     pub struct WireConviction {
         /// The blocked fingerprint.
@@ -42,7 +42,7 @@
     }
 }
 
-/// A claim record is the event by which the claim table learns of it.
+/// Claim records are decoded directly to the events of the claim table.
 impl StreamRecord for ClaimEvent {
     type Wire = WireClaim;
 
@@ -69,7 +69,8 @@
 impl From<&ClaimEvent> for WireClaim {
     /// # Panics
     ///
-    /// Panics for events other than the two that are records.
+    /// Panics for events other than [`ClaimEvent::TakenRead`] and [`ClaimEvent::DoneRead`], the only ones
+    /// that are records.
     fn from(event: &ClaimEvent) -> Self {
         match event {
             ClaimEvent::TakenRead(taken) => Self::Taken {
@@ -84,7 +85,7 @@
                 holder: wire_request_id(done.holder),
                 outcome: (&done.outcome).into(),
             },
-            other => unreachable!("{other:?} is not a record"),
+            other => unreachable!("the event {other:?} has no record in the stream `claims`"),
         }
     }
 }
--- a/crates/protocol/src/record/config.rs
+++ b/crates/protocol/src/record/config.rs
@@ -1,6 +1,6 @@
 //! Records of the stream `config`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use base::{LogOffset, RecordId};
@@ -24,15 +24,15 @@
             target: String,
             target_base: u64,
         },
-        /// Snapshot of all documents.
+        /// Snapshot of the current documents of all environments.
         Carry(WireSnapshot),
     }
 
-    /// Accepted documents of a log prefix.
+    /// The current documents after all records of a log prefix.
     pub struct WireSnapshot {
-        /// First offset that the state does not contain.
+        /// Offset of the first record after that prefix.
         pub next: u64,
-        /// Current documents.
+        /// Current document of each environment.
         pub documents: Vec<WireDocument>,
     }
 
--- a/crates/protocol/src/record/demand.rs
+++ b/crates/protocol/src/record/demand.rs
@@ -1,6 +1,6 @@
 //! Records of the stream `demand`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use fleet::{DemandKey, DemandSnapshot, SLOTS_PER_WEEK, WorkClass};
@@ -8,9 +8,11 @@
 use crate::codec::{MalformedMessage, StreamRecord, wire};
 
 wire! {
-    /// A record of the stream `demand`: what was learned about one series.
+    /// A record of the stream `demand`: the learned weekly demand of one service, zone and class of
+    /// work.
     pub enum WireDemand {
-        /// A snapshot by the holder of the fleet scope. Means are in thousandths.
+        /// A snapshot, written by the lease holder of the scope `fleet`. `means` has one mean for each
+        /// slot of the week, in thousandths, or `u32::MAX` for a slot without observations.
         Carry {
             service: String,
             zone: String,
@@ -34,7 +36,9 @@
         let WireDemand::Carry { service, zone, class, time_zone, means } = wire;
         if means.len() != usize::from(SLOTS_PER_WEEK) {
             let slots = means.len();
-            return Err(MalformedMessage::new(format!("a demand snapshot has {slots} slots")));
+            return Err(MalformedMessage::new(format!(
+                "a demand snapshot has {slots} slots instead of {SLOTS_PER_WEEK}"
+            )));
         }
         let class = match class {
             WireWorkClass::Live => WorkClass::Live,
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -1,6 +1,6 @@
 //! Records of the stream `samples`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 mod snapshot;
@@ -14,13 +14,14 @@
 use self::snapshot::WireTrainerSnapshot;
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
-/// Largest number of slots in a step. A larger one is refused before memory is spent on it.
+/// Largest number of slots in a step. A step with more is rejected before memory is allocated for its
+/// slots.
 const MAX_SLOTS: u64 = 1 << 20;
 
 wire! {
     /// A record of the stream `samples`.
     pub enum WireSample {
-        /// A trainer's statement.
+        /// An open or fetch request of a trainer.
         Stated {
             trainer: u64,
             name: String,
@@ -30,13 +31,13 @@
             acknowledged: u64,
             opened: Option<WireStep>,
         },
-        /// A finished sample.
+        /// A slot was filled with a generated sample.
         Filled(WireFilled),
-        /// A delivery number.
+        /// A sample got its delivery number.
         Bound { slot: WireSlot, sample: WireId, score: Option<i64> },
-        /// A sample that is not delivered.
+        /// A sample was withdrawn and is generated again.
         Voided { slot: WireSlot, sample: WireId, reason: WireVoidReason },
-        /// Everything that the book knows of one trainer.
+        /// Snapshot of the state of one trainer.
         Carry(WireTrainerSnapshot),
     }
 
@@ -71,19 +72,19 @@
         Lost,
     }
 
-    /// What the nodes need to generate the samples of a step.
+    /// Input from which the nodes generate the samples of a step.
     pub struct StepPrompts {
         /// One prompt for each group.
         pub prompts: Vec<String>,
-        /// Bound on the tokens of a sample.
+        /// Largest number of tokens of a sample.
         pub max_tokens: u32,
     }
 }
 
-/// An entry of the stream.
+/// An entry of the stream `samples`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SampleEntry {
-    /// A record with the prompts of the step that it opens.
+    /// A record, with the prompts of the step if it opens one.
     Record {
         /// The record.
         record: SampleRecord,
@@ -229,7 +230,7 @@
         let groups = wire.prompts.len() as u64;
         let slots = groups.saturating_mul(u64::from(wire.samples_per_group));
         if slots == 0 || slots > MAX_SLOTS {
-            let reason = format!("a step has {slots} slots, allowed are 1 to {MAX_SLOTS}");
+            let reason = format!("a step has {slots} slots, expected 1 to {MAX_SLOTS}");
             return Err(MalformedMessage::new(reason));
         }
         let groups = u32::try_from(groups).map_err(|e| MalformedMessage::new(e.to_string()))?;
--- a/crates/protocol/src/record/samples/snapshot.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshot of one trainer in the stream `samples`.
+//! Wire types of the snapshot of one trainer in the stream `samples`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use base::{LogOffset, WeightVersion};
@@ -46,7 +46,7 @@
         slots: Vec<WireStepSlot>,
         completed: bool,
         max_tokens: u32,
-        /// Empty for a completed step, of which nothing is generated any more.
+        /// Empty for a completed step, for which no more samples are generated.
         prompts: Vec<String>,
     }
 
@@ -129,7 +129,10 @@
         for step in wire.steps {
             let slots = u64::from(step.groups) * u64::from(step.samples_per_group);
             if slots == 0 || slots > MAX_SLOTS || step.slots.len() as u64 != slots {
-                let reason = format!("a step of {slots} slots has {}", step.slots.len());
+                let reason = format!(
+                    "a step has {} slots in its list and {slots} by its shape, expected equal counts from 1 to {MAX_SLOTS}",
+                    step.slots.len()
+                );
                 return Err(MalformedMessage::new(reason));
             }
             if !step.prompts.is_empty() {
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -1,11 +1,12 @@
 //! Records of submissions in keyed topics of the platform's store.
 //!
-//! A key names the submission and what the record holds. No key is written twice with different
-//! content, so the newest record of a key is also its first. All keys of a submission share a prefix,
-//! so that a node can read one submission without its partition; markers of open submissions share
-//! another, so that a new owner finds its work.
+//! A key consists of the id of the submission and the kind of the record. No key is written twice with
+//! different content, so compaction, which keeps the newest record of a key, loses nothing. All keys
+//! of a submission share a prefix, so that a node can read one submission without reading its whole
+//! partition. The markers of open submissions share another prefix, by which the new owner of a
+//! partition finds the submissions with items left to run.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use base::{WallTime, WeightVersion};
@@ -61,19 +62,20 @@
     }
 }
 
-/// Prefix of the markers of open submissions.
+/// Key prefix of the markers of open submissions, followed by the id of the submission.
 pub const OPEN_SUBMISSIONS_PREFIX: &str = "a/";
 
-/// Prefix of the markers of submissions that can be deleted later.
+/// Key prefix of the markers of ended submissions, which are deleted once the time for reading their
+/// results has passed. Followed by the id of the submission.
 pub const EXPIRING_SUBMISSIONS_PREFIX: &str = "z/";
 
-/// Returns the prefix of all keys of a submission but its markers.
+/// Returns the prefix of all keys of a submission except its two markers.
 #[must_use]
 pub fn submission_prefix(submission: &str) -> String {
     format!("s/{submission}/")
 }
 
-/// Key and value of a record. Without a value the key is dropped.
+/// Encodes a record as key and value. A record without a value is a tombstone, which deletes the key.
 #[must_use]
 pub fn encode_submission_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
@@ -120,12 +122,13 @@
     }
 }
 
-/// Decodes a record from its key and value. Only markers are dropped on their own; another record
-/// without a value yields `None`.
+/// Decodes a record from its key and value. A tombstone of a marker is a record of its own; one of any
+/// other key yields `None`, since those are deleted together with their submission.
 ///
 /// # Errors
 ///
-/// Returns [`MalformedMessage`] when the key or the value does not have the expected shape.
+/// Returns [`MalformedMessage`] when the key or the value cannot be decoded, or they do not belong
+/// together.
 pub fn decode_submission_record(
     key: &str,
     value: Option<&[u8]>,
@@ -150,14 +153,19 @@
     let mut parts = key.split('/').skip(1);
     let (submission, kind) = (parts.next(), parts.next());
     let number = parts.next().map(str::parse::<u32>).transpose();
-    let number =
-        number.map_err(|_| MalformedMessage::new(format!("key \"{key}\" has no number")))?;
+    let number = number.map_err(|_| {
+        MalformedMessage::new(format!("key \"{key}\" has an invalid number"))
+    })?;
     let (Some(submission), Some(kind)) = (submission, kind) else {
-        return Err(MalformedMessage::new(format!("key \"{key}\" names no submission")));
+        return Err(MalformedMessage::new(format!(
+            "key \"{key}\" has no submission or no kind of record"
+        )));
     };
     let submission = String::from(submission);
     let record = match (kind, number, decode_message(value)?) {
-        ("o", None, opened @ WireSubmissionRecord::Opened { .. }) => head(submission, opened)?,
+        ("o", None, opened @ WireSubmissionRecord::Opened { .. }) => {
+            opened_record(submission, opened)?
+        }
         ("i", Some(first), WireSubmissionRecord::Items { items }) => {
             let items = items.into_iter().map(SubmissionItem::from).collect();
             SubmissionRecord::Items { submission, first, items }
@@ -171,7 +179,10 @@
     Ok(Some(record))
 }
 
-fn head(id: String, wire: WireSubmissionRecord) -> Result<SubmissionRecord, MalformedMessage> {
+fn opened_record(
+    id: String,
+    wire: WireSubmissionRecord,
+) -> Result<SubmissionRecord, MalformedMessage> {
     let WireSubmissionRecord::Opened {
         customer,
         host,
@@ -184,7 +195,7 @@
         items,
     } = wire
     else {
-        return Err(MalformedMessage::new("the record does not open a submission"));
+        return Err(MalformedMessage::new("the record is not the opening record of a submission"));
     };
     Ok(SubmissionRecord::Opened(SubmissionMetadata {
         id,
@@ -217,7 +228,7 @@
 
     fn try_from(wire: WireSubmissionRecord) -> Result<Self, MalformedMessage> {
         let WireSubmissionRecord::Result { item, finished, output, versions, score } = wire else {
-            return Err(MalformedMessage::new("the record is no result"));
+            return Err(MalformedMessage::new("the record is not the result of an item"));
         };
         let state = if finished { ItemState::Finished } else { ItemState::Errored };
         let versions = versions.into_iter().map(WeightVersion).collect();
--- a/crates/protocol/src/record/totals.rs
+++ b/crates/protocol/src/record/totals.rs
@@ -1,4 +1,5 @@
-//! Usage totals of nodes and reports of windows, in a keyed topic of the platform's store.
+//! Records of usage in a keyed topic of the platform's store: totals of each process in a window, and
+//! reports over all processes.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +9,20 @@
 use crate::codec::{MalformedMessage, decode_message, encode_message, wire};
 
 derive_copy! {
-    /// What a record of the usage topic holds.
+    /// Meaning of a record of the usage topic, decoded from its key and value.
     pub enum UsageKey {
-        /// Running totals of one process.
+        /// Totals of one process in a window.
         Totals {
-            /// Window.
+            /// The window.
             window: WindowNumber,
-            /// Process that counted.
+            /// Process that counted the usage.
             writer: Incarnation,
-            /// Whether the process may still count in the window.
+            /// Whether the process may still count requests in the window.
             phase: TotalsPhase,
         },
-        /// The fixed figures of a window.
+        /// Reported usage of all processes in a window.
         Report {
-            /// Window.
+            /// The window.
             window: WindowNumber,
         },
     }
@@ -32,12 +33,12 @@
         counts: BTreeMap<String, u64>,
         /// Whether the window had ended when the totals were written.
         closed: bool,
-        /// Whether the process ended with them.
+        /// Whether these are the last totals that the process writes.
         last: bool,
     }
 }
 
-/// Encodes the totals of a process.
+/// Encodes the totals of a process in a window as key and value.
 #[must_use]
 pub fn encode_usage_totals(
     window: WindowNumber,
@@ -50,19 +51,19 @@
     (usage_totals_key(window, writer), encode_message(&totals))
 }
 
-/// Returns the key of the totals of a process.
+/// Returns the key of the totals of a process in a window.
 #[must_use]
 pub fn usage_totals_key(window: WindowNumber, writer: Incarnation) -> String {
     format!("t/{}/{:x}", window.0, writer.0)
 }
 
-/// Returns the key of the fixed figures of a window.
+/// Returns the key of the report of a window.
 #[must_use]
 pub fn usage_report_key(window: WindowNumber) -> String {
     format!("r/{}", window.0)
 }
 
-/// Encodes the fixed figures of a window.
+/// Encodes the report of a window as key and value. Once written, it does not change.
 #[must_use]
 pub fn encode_usage_report(window: WindowNumber, counts: &CustomerCounts) -> (String, Vec<u8>) {
     (usage_report_key(window), encode_message(counts))
@@ -72,12 +73,16 @@
 ///
 /// # Errors
 ///
-/// Returns [`MalformedMessage`] when the key or the value does not have the expected shape.
+/// Returns [`MalformedMessage`] when the key or the value cannot be decoded.
 pub fn decode_usage_record(
     key: &str,
     value: &[u8],
 ) -> Result<(UsageKey, CustomerCounts), MalformedMessage> {
-    let malformed = || MalformedMessage::new(format!("key \"{key}\" names no usage record"));
+    let malformed = || {
+        MalformedMessage::new(format!(
+            "key \"{key}\" is not the key of usage totals or of a usage report"
+        ))
+    };
     let mut parts = key.split('/');
     let kind = parts.next().ok_or_else(malformed)?;
     let window = parts.next().and_then(|text| text.parse().ok()).ok_or_else(malformed)?;
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -1,6 +1,6 @@
 //! Records of the stream `usage`.
 
-// Wire fields mirror the fields of the domain types, which document them.
+// The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
 
 use authority::AuthorityRecord;
@@ -16,33 +16,33 @@
 };
 
 wire! {
-    /// A record of the stream `usage` or of its scope.
+    /// A usage record or a lease record of the scope `usage`, which share the stream.
     pub enum WireUsageEntry {
         Lease(WireAuthority),
         Usage(WireUsage),
     }
 
-    /// Usage, the end of a window, a report, or a snapshot.
+    /// A usage record.
     pub enum WireUsage {
-        /// Usage of one process.
+        /// Usage that one process counted.
         Batch(WireBatch),
-        /// The end of a window.
+        /// The lease holder of the scope `usage` closes a window.
         Close { window: u64, fencing: u64 },
-        /// An accepted report.
+        /// The platform accepted the report of a window.
         Reported { window: u64, fencing: u64 },
-        /// Snapshot of the ledger.
+        /// Snapshot of the usage ledger.
         Carry { snapshot: Box<WireLedger>, fencing: u64 },
     }
 
-    /// Usage of one process.
+    /// Usage that one process counted.
     pub struct WireBatch {
-        /// Id that the process chose.
+        /// Id that the process assigned. Readers recognize repeats by it.
         pub id: WireId,
         /// Usage by customer.
-        pub figures: Vec<WireFigure>,
+        pub figures: Vec<WireCustomerUsage>,
     }
 
-    pub struct WireFigure {
+    pub struct WireCustomerUsage {
         pub customer: String,
         pub requests: u64,
         pub prompt_tokens: u64,
@@ -51,7 +51,7 @@
 
     pub struct WireLedger {
         next: u64,
-        open: Vec<WireFigure>,
+        open: Vec<WireCustomerUsage>,
         last_closed: Option<u64>,
         closes: u64,
         fencing: Option<u64>,
@@ -62,7 +62,7 @@
     pub(crate) struct WireWindow {
         window: u64,
         closed_at: u64,
-        figures: Vec<WireFigure>,
+        figures: Vec<WireCustomerUsage>,
         reported: bool,
     }
 
@@ -75,8 +75,8 @@
 
 /// A record of the stream `usage`.
 ///
-/// The lease records of the scope `usage` share the stream, so that every reader finds the same lease
-/// in force at the offset of a close record.
+/// The lease records of the scope `usage` are in the same stream, so that all readers agree on which
+/// lease was in force at the offset of a close record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UsageEntry {
     /// A lease record of the scope `usage`.
@@ -146,13 +146,13 @@
 
 impl From<WireBatch> for UsageBatch {
     fn from(wire: WireBatch) -> Self {
-        Self { id: wire.id.into(), usage: figures(wire.figures) }
+        Self { id: wire.id.into(), usage: usage_by_customer(wire.figures) }
     }
 }
 
 impl From<&UsageBatch> for WireBatch {
     fn from(batch: &UsageBatch) -> Self {
-        Self { id: batch.id.into(), figures: wire_figures(&batch.usage) }
+        Self { id: batch.id.into(), figures: wire_usage(&batch.usage) }
     }
 }
 
@@ -165,7 +165,9 @@
             let mut ranges = Vec::with_capacity(entry.ranges.len());
             for (first, last) in entry.ranges {
                 if first > last {
-                    return Err(MalformedMessage::new(format!("range {first} to {last} is empty")));
+                    return Err(MalformedMessage::new(format!(
+                        "range of sequence numbers from {first} to {last} is empty"
+                    )));
                 }
                 ranges.push(SequenceRange { first, last });
             }
@@ -174,14 +176,14 @@
         let closed = wire.closed.into_iter().map(|window| {
             let closed = ClosedWindow {
                 closed_at: LogOffset(window.closed_at),
-                usage: figures(window.figures),
+                usage: usage_by_customer(window.figures),
                 reported: window.reported,
             };
             (WindowNumber(window.window), closed)
         });
         Ok(Self {
             next: LogOffset(wire.next),
-            open: figures(wire.open),
+            open: usage_by_customer(wire.open),
             last_closed: wire.last_closed.map(WindowNumber),
             closes: wire.closes,
             fencing: wire.fencing.map(FencingToken),
@@ -196,7 +198,7 @@
         let closed = snapshot.closed.iter().map(|(window, closed)| WireWindow {
             window: window.0,
             closed_at: closed.closed_at.0,
-            figures: wire_figures(&closed.usage),
+            figures: wire_usage(&closed.usage),
             reported: closed.reported,
         });
         let seen = snapshot.seen.iter().map(|(writer, epoch, ranges)| WireSeen {
@@ -206,7 +208,7 @@
         });
         Self {
             next: snapshot.next.0,
-            open: wire_figures(&snapshot.open),
+            open: wire_usage(&snapshot.open),
             last_closed: snapshot.last_closed.map(|window| window.0),
             closes: snapshot.closes,
             fencing: snapshot.fencing.map(|fencing| fencing.0),
@@ -216,20 +218,20 @@
     }
 }
 
-fn figures(wire: Vec<WireFigure>) -> UsageByCustomer {
-    let entries = wire.into_iter().map(|figure| {
+fn usage_by_customer(wire: Vec<WireCustomerUsage>) -> UsageByCustomer {
+    let entries = wire.into_iter().map(|usage| {
         let amount = UsageAmount {
-            requests: figure.requests,
-            prompt_tokens: figure.prompt_tokens,
-            generated_tokens: figure.generated_tokens,
+            requests: usage.requests,
+            prompt_tokens: usage.prompt_tokens,
+            generated_tokens: usage.generated_tokens,
         };
-        (figure.customer, amount)
+        (usage.customer, amount)
     });
     UsageByCustomer(entries.collect())
 }
 
-fn wire_figures(usage: &UsageByCustomer) -> Vec<WireFigure> {
-    let entries = usage.0.iter().map(|(customer, amount)| WireFigure {
+fn wire_usage(usage: &UsageByCustomer) -> Vec<WireCustomerUsage> {
+    let entries = usage.0.iter().map(|(customer, amount)| WireCustomerUsage {
         customer: customer.clone(),
         requests: amount.requests,
         prompt_tokens: amount.prompt_tokens,
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Guards against records that do not survive the wire, and against malformed input that stops a
-//! reader.
+//! Guards against records that change when they are encoded and decoded, and against malformed input that
+//! makes a reader panic.
 
 use authority::{
     AuthorityRecord, LeaseClaim, LeaseScope, OrderId, OrderIntent, OrderKind, PriceClass,
@@ -26,15 +26,16 @@
 const ID: RecordId = RecordId { writer: Incarnation(u64::MAX), sequence: 7 };
 
 #[track_caller]
-fn check<T: StreamRecord + PartialEq + std::fmt::Debug>(record: &T) {
-    let (id, decoded) = decode_record::<T>(&encode_record(ID, record)).expect("it decodes");
+fn check_round_trip<T: StreamRecord + PartialEq + std::fmt::Debug>(record: &T) {
+    let (id, decoded) =
+        decode_record::<T>(&encode_record(ID, record)).expect("an encoded record can be decoded");
     assert_eq!(id, ID);
     assert_eq!(&decoded, record);
 }
 
 #[test]
-fn authority_records_survive_the_wire() {
-    check(&AuthorityRecord::Claim(LeaseClaim {
+fn authority_records_are_unchanged_by_encoding_and_decoding() {
+    check_round_trip(&AuthorityRecord::Claim(LeaseClaim {
         scope: LeaseScope::Zone(String::from("kingston-c")),
         holder: Incarnation(4),
         attempt: 2,
@@ -42,15 +43,17 @@
         clear_from: LogOffset(90),
     }));
     for price in [PriceClass::Regular, PriceClass::Cheap] {
-        check(&AuthorityRecord::Intent(intent(OrderKind::Start { count: 2, price })));
+        check_round_trip(&AuthorityRecord::Intent(intent(OrderKind::Start { count: 2, price })));
     }
-    check(&AuthorityRecord::Intent(intent(OrderKind::Stop { upstream: String::from("e-1") })));
+    check_round_trip(&AuthorityRecord::Intent(intent(OrderKind::Stop {
+        upstream: String::from("e-1"),
+    })));
 }
 
-/// Guards against intents of earlier releases, which have no price class, that a successor skips and
-/// so never settles.
+/// Guards against an order intent of an earlier release, which has no price class, that cannot be decoded.
+/// A new lease holder would skip it and never learn the outcome of the order.
 #[test]
-fn intent_without_price_class_is_of_regular_upstreams() {
+fn intent_without_price_class_orders_regular_upstreams() {
     let record = json!({
         "id": { "writer": 3, "sequence": 9 },
         "record": { "Intent": {
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn order_without_upstreams_is_refused() {
+fn start_order_with_count_zero_is_refused() {
     let record =
         AuthorityRecord::Intent(intent(OrderKind::Start { count: 0, price: PriceClass::Regular }));
     let error = decode_record::<AuthorityRecord>(&encode_record(ID, &record));
@@ -75,8 +78,8 @@
 }
 
 #[test]
-fn other_records_survive_the_wire() {
-    check(&ConfigRecord::Edit(ConfigEdit {
+fn other_records_are_unchanged_by_encoding_and_decoding() {
+    check_round_trip(&ConfigRecord::Edit(ConfigEdit {
         id: ID,
         environment: EnvironmentName::from("trial"),
         base: ConfigVersion(7),
@@ -84,19 +87,19 @@
     }));
     let mut usage = UsageByCustomer::default();
     let amount = UsageAmount { requests: 1, prompt_tokens: u64::MAX, generated_tokens: 0 };
-    usage.add("cordial", amount).expect("it fits");
-    check(&UsageRecord::Batch(UsageBatch { id: ID, usage }));
-    check(&Conviction { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
-    check(&ClaimEvent::DoneRead(ClaimDone {
+    usage.add("cordial", amount).expect("the usage does not overflow");
+    check_round_trip(&UsageRecord::Batch(UsageBatch { id: ID, usage }));
+    check_round_trip(&Conviction { fingerprint: Fingerprint([7; 16]), expires_at: WallTime(-1) });
+    check_round_trip(&ClaimEvent::DoneRead(ClaimDone {
         claim: ClaimKey([9; 16]),
         holder: RequestId { node: Incarnation(1), sequence: 2 },
         outcome: ClaimOutcome::Answered { status: 200, body: vec![0, 255] },
     }));
 }
 
-/// Guards against a snapshot that is restored into the wrong slots.
+/// Guards against a snapshot with missing slots, whose means would be restored into the wrong ones.
 #[test]
-fn demand_snapshot_has_all_slots_of_the_week() {
+fn demand_snapshot_without_all_slots_of_the_week_is_refused() {
     let key = DemandKey {
         service: String::from("draft-models"),
         zone: String::from("hobart-a"),
@@ -105,7 +108,7 @@
     let time_zone = String::from("Australia/Hobart");
     let means = vec![u32::MAX; usize::from(SLOTS_PER_WEEK)];
     let mut snapshot = DemandSnapshot { key, time_zone, means };
-    check(&snapshot);
+    check_round_trip(&snapshot);
     snapshot.means.pop();
     let error = decode_record::<DemandSnapshot>(&encode_record(ID, &snapshot));
     assert!(error.is_err(), "{error:?}");
@@ -123,14 +126,14 @@
     let config = Config { rng_seed: RngSeed::Fixed(11), ..Config::default() };
     let bytes = prop::collection::vec(any::<u8>(), 0..256);
     let outcome = TestRunner::new(config).run(&bytes, |bytes| {
-        // Bytes that decode by chance encode to something that decodes to the same record.
+        // Where random bytes happen to be a valid record, it must encode and decode to itself.
         if let Ok((id, record)) = decode_record::<AuthorityRecord>(&bytes) {
-            let again = decode_record::<AuthorityRecord>(&encode_record(id, &record));
-            prop_assert_eq!(again, Ok((id, record)));
+            let decoded_again = decode_record::<AuthorityRecord>(&encode_record(id, &record));
+            prop_assert_eq!(decoded_again, Ok((id, record)));
         }
         Ok(())
     });
-    outcome.expect("no input breaks the decoder");
+    outcome.expect("arbitrary bytes decode to an error or to a record that can be encoded again");
 }
 
 fn intent(kind: OrderKind) -> OrderIntent {
@@ -143,9 +146,10 @@
     }
 }
 
-/// Guards against a snapshot from which a late node builds another book than the others have.
+/// Guards against a snapshot from which a node that starts late builds another sample table than the nodes
+/// that applied all records.
 #[test]
-fn sample_entries_survive_the_wire() {
+fn sample_entries_are_unchanged_by_encoding_and_decoding() {
     let trainer = TrainerId::from_name("layouts");
     let slot = |index| SlotKey { trainer, step: 3, group: 0, index };
     let filled = |index| SampleFilled {
@@ -181,11 +185,11 @@
     for record in records {
         table.apply(&record);
         let step_prompts = matches!(record, SampleRecord::Stated(_)).then(|| step_prompts.clone());
-        check(&SampleEntry::Record { record, step_prompts });
+        check_round_trip(&SampleEntry::Record { record, step_prompts });
     }
     table.apply(&SampleRecord::Filled(filled(2)));
     let snapshot = table.snapshot(trainer, LogOffset(6)).expect("the trainer is known");
-    check(&SampleEntry::Snapshot(Box::new(SampleSnapshot {
+    check_round_trip(&SampleEntry::Snapshot(Box::new(SampleSnapshot {
         snapshot,
         step_prompts: vec![(3, step_prompts)],
     })));
