--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -11,8 +11,8 @@
         Live,
         /// The VM has missed heartbeats.
         Suspect,
-        /// The VM has been silent for [`PeerSettings::gone_after`], or the platform's list no longer
-        /// contains it.
+        /// The VM has been silent for [`PeerSettings::gone_after`], or the platform's list no
+        /// longer contains it.
         Gone,
     }
 
@@ -67,8 +67,8 @@
 
     /// Output of [`crate::PeerTable::handle`], which the caller must carry out.
     pub enum PeerAction {
-        /// Send a heartbeat to a VM. The receiver is usually of the own zone; it may be a gone VM that
-        /// is probed, or a VM of another zone that needs one peer update at once.
+        /// Send a heartbeat to a VM. The receiver is usually of the own zone; it may be a gone VM
+        /// that is probed, or a VM of another zone that needs one peer update at once.
         SendHeartbeat {
             /// The receiver.
             to: VmKey,
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -18,8 +18,8 @@
     Urgent,
 }
 
-/// Number of periodic messages that carry an update, so that one lost message does not hide a change
-/// until the next full update.
+/// Number of periodic messages that carry an update, so that one lost message does not hide a
+/// change until the next full update.
 const UPDATE_REPEATS: u8 = 3;
 
 impl PeerTable {
@@ -34,9 +34,9 @@
 
     /// Queues this node's own finding that a VM is suspect or gone.
     ///
-    /// A node that hears none of its peers is more likely cut off than right about them, so it does not
-    /// send the finding within its zone. It still tells other zones of a gone VM, because it may also
-    /// be the last VM of its zone that runs.
+    /// A node that hears none of its peers is more likely cut off than right about them, so it does
+    /// not send the finding within its zone. It still tells other zones of a gone VM, because it
+    /// may also be the last VM of its zone that runs.
     pub(crate) fn queue_detected_failure(&mut self, vm: VmKey) {
         if !self.hears_no_peer {
             self.queue_update(vm);
@@ -63,9 +63,9 @@
         let record = self.record_mut(own);
         record.last_sequence += 1;
         record.evidence_at = now;
-        let (from, message, refutation) =
+        let (from, sequence_number, refutation) =
             (record.vm.clone(), record.last_sequence, record.refutation);
-        LivenessMessage { from, sequence: message, refutation, updates }
+        LivenessMessage { from, sequence: sequence_number, refutation, updates }
     }
 
     /// Sends a heartbeat to the ring successors, and one to a gone VM as a probe.
@@ -77,8 +77,8 @@
     ) {
         let mut targets = self.successors();
         if targets.is_empty() || self.hears_no_peer {
-            // A node that hears nobody does not know which successors are live. It keeps sending to the
-            // next ones on the ring, whatever their state, since they may still monitor it.
+            // A node that hears nobody does not know which successors are live. It keeps sending to
+            // the next ones on the ring, whatever their state, since they may still monitor it.
             targets = self.next_on_ring().take(self.settings.successor_count).collect();
         }
         let gone = self.gone_listed();
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Merges an update that the peer `from` sent. A contradicting update may lead to messages to `from`
-    /// or to the VM concerned.
+    /// Merges an update that the peer `from` sent. A contradicting update may lead to messages to
+    /// `from` or to the VM concerned.
     pub(crate) fn apply_update(
         &mut self,
         now: Moment,
@@ -170,9 +170,9 @@
                 }
                 return;
             }
-            let direct = record.last_message_at.map(|at| now.since(at));
+            let message_age = record.last_message_at.map(|at| now.since(at));
             if state != PeerState::Live
-                && direct.is_some_and(|age| age <= self.settings.suspect_after())
+                && message_age.is_some_and(|age| age <= self.settings.suspect_after())
             {
                 // This node still hears the process, so it rejects the update and passes it to the
                 // process, which alone can refute it.
@@ -194,9 +194,9 @@
         self.queue_update(vm);
     }
 
-    /// Sends this node's state of a VM to a peer whose view is older, or to the VM itself when the state
-    /// contradicts it: only the process can refute that it is suspect or gone, or raise its generation
-    /// above that of an older process.
+    /// Sends this node's state of a VM to a peer whose view is older, or to the VM itself when the
+    /// state contradicts it: only the process can refute that it is suspect or gone, or raise its
+    /// generation above that of an older process.
     pub(crate) fn send_update(&mut self, now: Moment, to: VmKey, vm: VmKey, actions: &mut Actions) {
         let updates = vec![self.peer_update(now, vm)];
         let message = self.next_message(now, updates);
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -11,8 +11,8 @@
     pub struct LoadTableSettings {
         /// Most changed entries in one message, which bounds the size of a heartbeat.
         pub delta_limit: usize,
-        /// Time since its last transmission after which a new measurement is sent even when it hardly
-        /// differs.
+        /// Time since its last transmission after which a new measurement is sent even when it
+        /// hardly differs.
         pub refresh_after: Span,
         /// Messages in which every entry is repeated once. Each message carries an equal part.
         pub messages_per_full_update: usize,
@@ -78,33 +78,33 @@
     /// Stores a report that this node measured as the upstream's watcher.
     pub fn update(&mut self, now: Moment, upstream: &str, report: LoadReport) {
         self.serial += 1;
-        let entry = LoadUpdate {
+        let update = LoadUpdate {
             upstream: upstream.to_owned(),
             watcher: self.own,
             serial: self.serial,
             age: Span::ZERO,
             report,
         };
-        self.insert(now, entry);
+        self.insert(now, update);
     }
 
-    /// Merges an entry from a peer. Returns whether it changed the table: its measurement is newer, or
-    /// it reports for the first time that the upstream is leaving.
-    pub fn merge(&mut self, now: Moment, entry: LoadUpdate) -> bool {
-        let measured_at = now - entry.age;
-        if let Some(known) = self.entries.get(&entry.upstream) {
-            let newer = if known.watcher == entry.watcher {
-                entry.serial > known.serial
+    /// Merges an update from a peer. Returns whether it changed the table: its measurement is newer,
+    /// or it reports for the first time that the upstream is leaving.
+    pub fn merge(&mut self, now: Moment, update: LoadUpdate) -> bool {
+        let measured_at = now - update.age;
+        if let Some(known) = self.entries.get(&update.upstream) {
+            let newer = if known.watcher == update.watcher {
+                update.serial > known.serial
             } else {
-                // The time in transit is missing from the age, so a copy looks newer than it is, and
-                // the clocks of two watchers differ.
+                // The time in transit is missing from the age, so a copy looks newer than it is,
+                // and the clocks of two watchers differ.
                 measured_at > known.measured_at + self.settings.watcher_margin
             };
             if !newer {
-                return self.merge_leaving_phase(&entry);
+                return self.merge_leaving_phase(&update);
             }
         }
-        self.insert(now, entry);
+        self.insert(now, update);
         true
     }
 
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Removes an upstream that the platform no longer lists. A later upstream may reuse its name, and
-    /// must not inherit the leaving phase.
+    /// Removes an upstream that the platform no longer lists. A later upstream may reuse its name,
+    /// and must not inherit the leaving phase.
     pub fn remove(&mut self, upstream: &str) {
         self.entries.remove(upstream);
     }
@@ -151,8 +151,8 @@
         })
     }
 
-    /// Returns the entries that must be sent without waiting for the next heartbeat, and clears their
-    /// mark. Upstreams that have begun to leave are such entries.
+    /// Returns the entries that must be sent without waiting for the next heartbeat, and clears
+    /// their mark. Upstreams that have begun to leave are such entries.
     pub fn take_urgent(&mut self, now: Moment) -> Vec<LoadUpdate> {
         let mut entries = Vec::new();
         for (name, entry) in &mut self.entries {
@@ -204,12 +204,12 @@
         self.entries.iter().map(|(name, entry)| entry.to_update(name, now)).collect()
     }
 
-    fn insert(&mut self, now: Moment, entry: LoadUpdate) {
-        let LoadUpdate { upstream, watcher, serial, age, mut report } = entry;
+    fn insert(&mut self, now: Moment, update: LoadUpdate) {
+        let LoadUpdate { upstream, watcher, serial, age, mut report } = update;
         let known = self.entries.get(&upstream);
         let was_leaving = known.map(|known| known.report.phase).filter(|phase| phase.is_leaving());
-        // A leaving upstream stays leaving until it is removed: its own report lags behind the order or
-        // reclaim notice that other nodes have seen.
+        // A leaving upstream stays leaving until it is removed: its own report lags behind the
+        // order or reclaim notice that other nodes have seen.
         if let Some(phase) = was_leaving {
             report.phase = phase;
         }
@@ -226,20 +226,20 @@
         self.entries.insert(upstream, entry);
     }
 
-    /// Adopts the leaving phase of an entry whose measurement is not newer. Returns whether the phase
-    /// is new here.
-    fn merge_leaving_phase(&mut self, entry: &LoadUpdate) -> bool {
-        let Some(known) = self.entries.get_mut(&entry.upstream) else { return false };
-        if !entry.report.phase.is_leaving() || known.report.phase.is_leaving() {
+    /// Adopts the leaving phase of an update whose measurement is not newer. Returns whether the
+    /// phase is new here.
+    fn merge_leaving_phase(&mut self, update: &LoadUpdate) -> bool {
+        let Some(known) = self.entries.get_mut(&update.upstream) else { return false };
+        if !update.report.phase.is_leaving() || known.report.phase.is_leaving() {
             return false;
         }
-        known.report.phase = entry.report.phase;
+        known.report.phase = update.report.phase;
         (known.dirty, known.urgent) = (true, true);
         true
     }
 
-    /// Returns the next names, in cyclic order, of the repetition that runs through all entries once in
-    /// `messages_per_full_update` messages.
+    /// Returns the next names, in cyclic order, of the repetition that runs through all entries
+    /// once in `messages_per_full_update` messages.
     fn next_repeated_names(&mut self) -> Vec<String> {
         let count = self.entries.len().div_ceil(self.settings.messages_per_full_update.max(1));
         let after = self.last_repeated.take();
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -45,7 +45,8 @@
         pub updates: Vec<PeerUpdate>,
     }
 
-    /// Sent in each heartbeat period to the ring successors in the zone, and at once after a change.
+    /// Sent in each heartbeat period to the ring successors in the zone, and at once after a
+    /// change.
     pub struct Heartbeat {
         /// Liveness.
         pub liveness: LivenessMessage,
@@ -89,7 +90,8 @@
         Live,
         /// The process has missed heartbeats.
         Suspect,
-        /// The process has been silent for longer, or the platform's list no longer contains its VM.
+        /// The process has been silent for longer, or the platform's list no longer contains its
+        /// VM.
         Gone,
     }
 
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -2,8 +2,8 @@
 
 use base::{rendezvous_weight, stable_hash};
 
-/// Returns the names in descending order of their rendezvous weight for `item`. Names of equal weight
-/// are in alphabetical order.
+/// Returns the names in descending order of their rendezvous weight for `item`. Names of equal
+/// weight are in alphabetical order.
 #[must_use]
 pub fn rank_by_weight<'name>(
     item: &str,
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -1,5 +1,5 @@
-//! Ring of the VMs of a zone, ordered by the hashes of their names, on which each VM sends heartbeats
-//! to its successors.
+//! Ring of the VMs of a zone, ordered by the hashes of their names, on which each VM sends
+//! heartbeats to its successors.
 
 use base::VmKey;
 use smallvec::SmallVec;
@@ -24,9 +24,9 @@
 
 /// Returns the nearest neighbours of `own` until `live_count` live ones are among them.
 ///
-/// Suspect VMs on the way are included without being counted, gone ones are skipped. Both directions
-/// follow the same rule: where the views of two VMs agree, one expects heartbeats from the other
-/// exactly when the other sends them.
+/// Suspect VMs on the way are included without being counted, gone ones are skipped. Both
+/// directions follow the same rule: where the views of two VMs agree, one expects heartbeats from
+/// the other exactly when the other sends them.
 pub(crate) fn neighbours(
     ring: &[RingSlot],
     own: VmKey,
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -18,9 +18,9 @@
 /// The entry VMs with their liveness, and the peer updates that are still to be sent.
 ///
 /// A VM monitors its predecessors on the ring of its zone. A change of state is forwarded along the
-/// ring at once, so the other VMs learn of it without monitoring the VM themselves, and the number of
-/// heartbeats of a node does not depend on the size of the fleet. Suspicion and refutation follow
-/// SWIM (Das, Gupta and Motivala, 2002).
+/// ring at once, so the other VMs learn of it without monitoring the VM themselves, and the number
+/// of heartbeats of a node does not depend on the size of the fleet. Suspicion and refutation
+/// follow SWIM (Das, Gupta and Motivala, 2002).
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     pub(crate) settings: PeerSettings,
@@ -139,8 +139,8 @@
             .filter(move |(_, record)| record.vm.zone == zone && record.state == PeerState::Live)
     }
 
-    /// Returns the delegate of a zone: the live VM with the lowest rendezvous weight, or `None` if none
-    /// is live.
+    /// Returns the delegate of a zone: the live VM with the lowest rendezvous weight, or `None` if
+    /// none is live.
     #[must_use]
     pub fn delegate(&self, zone: &str) -> Option<VmKey> {
         let names = self.live_in_zone(zone).map(|(_, record)| record.vm.name.as_str());
@@ -153,9 +153,9 @@
         self.delegate(&self.own_identity().zone) == Some(self.own)
     }
 
-    /// Returns the VM that holds replicas for this node: one of another zone, or one of the own zone
-    /// when no other zone has a live VM. VMs that are listed as leaving are not chosen. `None` when no
-    /// candidate is left.
+    /// Returns the VM that holds replicas for this node: one of another zone, or one of the own
+    /// zone when no other zone has a live VM. VMs that are listed as leaving are not chosen. `None`
+    /// when no candidate is left.
     #[must_use]
     pub fn replica_holder(&self) -> Option<VmKey> {
         let own = self.own_identity();
@@ -179,9 +179,9 @@
 
     /// Returns the VM of each other zone that gets this node's summaries.
     ///
-    /// It is the zone's delegate as far as this node knows. While the zone stays silent, each further
-    /// [`PeerSettings::gone_after`] moves on to the next VM in rank, since the known delegate may have
-    /// failed.
+    /// It is the zone's delegate as far as this node knows. While the zone stays silent, each
+    /// further [`PeerSettings::gone_after`] moves on to the next VM in rank, since the known
+    /// delegate may have failed.
     #[must_use]
     pub fn summary_targets(&self, now: Moment) -> Vec<VmKey> {
         let mut targets = Vec::new();
@@ -237,8 +237,8 @@
         key
     }
 
-    /// Puts a VM into `state` and reports the change. Returns `false` and does nothing when the VM is in
-    /// that state already.
+    /// Puts a VM into `state` and reports the change. Returns `false` and does nothing when the VM
+    /// is in that state already.
     pub(crate) fn set_state(&mut self, vm: VmKey, state: PeerState, actions: &mut Actions) -> bool {
         if self.record(vm).state == state {
             return false;
@@ -249,8 +249,8 @@
         true
     }
 
-    /// Rebuilds the ring of the own zone. Gone VMs stay on it while the platform lists them, so that
-    /// they are probed.
+    /// Rebuilds the ring of the own zone. Gone VMs stay on it while the platform lists them, so
+    /// that they are probed.
     pub(crate) fn rebuild_ring(&mut self) {
         let zone = &self.own_identity().zone;
         let mut ring: Vec<(u64, &str, RingSlot)> = self
@@ -280,9 +280,9 @@
         others.map(|slot| slot.vm)
     }
 
-    /// After a pause of this process that exceeds [`PeerSettings::suspect_after`], moves the evidence of
-    /// all peers forward by its length: the process could not hear its peers, so their silence proves
-    /// nothing.
+    /// After a pause of this process that exceeds [`PeerSettings::suspect_after`], moves the
+    /// evidence of all peers forward by its length: the process could not hear its peers, so their
+    /// silence proves nothing.
     fn compensate_for_pause(&mut self, now: Moment) {
         let pause = now.since(self.last_event_at);
         self.last_event_at = now;
@@ -308,8 +308,8 @@
         }
     }
 
-    /// Marks peers as suspect that must send heartbeats to this node and are silent, and suspect VMs as
-    /// gone after [`PeerSettings::gone_after`].
+    /// Marks peers as suspect that must send heartbeats to this node and are silent, and suspect
+    /// VMs as gone after [`PeerSettings::gone_after`].
     fn detect_failures(&mut self, now: Moment, actions: &mut Actions) {
         let monitored = neighbours(
             &self.ring,
@@ -343,8 +343,9 @@
             if record.state != PeerState::Live {
                 continue;
             }
-            // Other nodes learn of the suspicion only now, and the process needs time to refute it. So
-            // after a prolonged suspicion timeout the wait until the peer is gone starts later too.
+            // Other nodes learn of the suspicion only now, and the process needs time to refute it.
+            // So after a prolonged suspicion timeout the wait until the peer is gone starts later
+            // too.
             record.evidence_at = record.evidence_at.max(now - suspect_after);
             self.set_state(vm, PeerState::Suspect, actions);
             self.queue_detected_failure(vm);
@@ -374,8 +375,8 @@
                 actions.push(PeerAction::Changed { vm, state: PeerState::Live });
                 vm
             });
-            // The list does not change the state of a known VM: a gone one becomes live again only by
-            // evidence from its process.
+            // The list does not change the state of a known VM: a gone one becomes live again only
+            // by evidence from its process.
             self.record_mut(vm).listed = Some(state);
             present.push(vm);
         }
@@ -406,8 +407,8 @@
         });
         let record = self.record(vm);
         if record.heard && message.from.rank() < record.vm.rank() {
-            // A new process of a VM whose clock was set back starts with a lower generation than the
-            // old one. This update tells it which generation to exceed.
+            // A new process of a VM whose clock was set back starts with a lower generation than
+            // the old one. This update tells it which generation to exceed.
             self.send_update(now, vm, vm, actions);
             return;
         }
@@ -430,8 +431,8 @@
         if changed {
             self.queue_update(vm);
         } else if revived {
-            // Others may still hold the process to be suspect or gone, and only the process itself can
-            // refute that.
+            // Others may still hold the process to be suspect or gone, and only the process itself
+            // can refute that.
             let message = self.next_message(now, vec![accusation]);
             actions.push(PeerAction::SendHeartbeat { to: vm, message });
         }
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// The upstreams that this node watches. Rendezvous hashing over the live VMs of the zone gives each
-/// upstream one watcher; when a VM fails, only the upstreams that it watched move.
+/// The upstreams that this node watches. Rendezvous hashing over the live VMs of the zone gives
+/// each upstream one watcher; when a VM fails, only the upstreams that it watched move.
 #[derive(Debug, Clone)]
 pub struct WatchAssignment {
     own: String,
--- a/crates/membership/tests/cluster/main.rs
+++ b/crates/membership/tests/cluster/main.rs
@@ -29,8 +29,8 @@
     assert!(updates <= 2 * 30 * 3, "a node sent {updates} peer updates");
 }
 
-/// Guards against a crashed VM that some node still takes for live, or that becomes live again because
-/// the platform lists it.
+/// Guards against a crashed VM that some node still takes for live, or that becomes live again
+/// because the platform lists it.
 #[rstest]
 #[case(&[4], 1)]
 #[case(&[10, 4, 3], 2)]
@@ -50,8 +50,8 @@
     network.check_agreement("listed again");
 }
 
-/// Guards against a resumed process that suspects the peers it could not hear while it was paused, and
-/// against peers for which it stays gone.
+/// Guards against a resumed process that suspects the peers it could not hear while it was paused,
+/// and against peers for which it stays gone.
 #[rstest]
 fn resumed_process_is_live_again_and_suspects_nobody(
     #[values(1, 2, 3)] seed: u64,
@@ -74,9 +74,9 @@
     }
 }
 
-/// Guards against a link broken in one direction that makes a VM gone, that makes it suspect for a node
-/// which still hears it, or that causes a new suspicion again and again. More than 5 in 60 s are too
-/// many.
+/// Guards against a link broken in one direction that makes a VM gone, that makes it suspect for a
+/// node which still hears it, or that causes a new suspicion again and again. More than 5 in 60 s
+/// are too many.
 #[rstest]
 fn link_broken_in_one_direction_makes_no_vm_gone(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::start(seed, &[8]);
@@ -104,8 +104,8 @@
     }
 }
 
-/// Guards against a node that receives nothing and makes all peers of its zone suspect, or that peers
-/// mark as gone although they hear it.
+/// Guards against a node that receives nothing and makes all peers of its zone suspect, or that
+/// peers mark as gone although they hear it.
 #[rstest]
 fn node_that_receives_nothing_changes_no_state_at_its_peers(#[values(1, 2, 3)] seed: u64) {
     let mut network = Network::start(seed, &[9]);
@@ -119,8 +119,8 @@
     network.check_agreement("heard again");
 }
 
-/// Guards against a crash that other zones never learn of because the delegate, which reports to them,
-/// crashed at the same time.
+/// Guards against a crash that other zones never learn of because the delegate, which reports to
+/// them, crashed at the same time.
 #[rstest]
 fn crash_together_with_the_delegate_is_known_in_other_zones(#[values(1, 2, 3, 4)] seed: u64) {
     let mut network = Network::start(seed, &[6, 4]);
@@ -133,8 +133,8 @@
     network.check_agreement(&format!("seed {seed}"));
 }
 
-/// Guards against parts of a zone, or whole zones, that still take each other for gone after a network
-/// partition has ended.
+/// Guards against parts of a zone, or whole zones, that still take each other for gone after a
+/// network partition has ended.
 #[rstest]
 #[case(&[8], 4)]
 #[case(&[9], 1)]
@@ -153,8 +153,8 @@
     network.check_agreement("healed");
 }
 
-/// Guards against a restarted process that peers take for the old one or ignore, also when the clock of
-/// its VM was set back.
+/// Guards against a restarted process that peers take for the old one or ignore, also when the
+/// clock of its VM was set back.
 #[rstest]
 #[case(2_000)]
 #[case(1_000)]
--- a/crates/membership/tests/cluster/network.rs
+++ b/crates/membership/tests/cluster/network.rs
@@ -1,5 +1,5 @@
-//! Peer tables connected by a simulated network in virtual time, with broken links, paused processes
-//! and restarts.
+//! Peer tables connected by a simulated network in virtual time, with broken links, paused
+//! processes and restarts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/membership/tests/upstreams.rs
+++ b/crates/membership/tests/upstreams.rs
@@ -52,8 +52,8 @@
     assert_eq!(reassigned, orphans);
 }
 
-/// Guards against an old measurement that replaces a newer one when it comes back through a peer, and
-/// against an age that restarts at zero in transit.
+/// Guards against an old measurement that replaces a newer one when it comes back through a peer,
+/// and against an age that restarts at zero in transit.
 #[test]
 fn newest_measurement_wins_and_keeps_its_age() {
     let (mut watcher, mut peer) = (load_table(1), load_table(2));
@@ -68,8 +68,8 @@
     assert!(peer.merge(secs(120), LoadUpdate { age: Span::ZERO, ..late }));
 }
 
-/// Guards against a heartbeat whose size has no bound when many upstreams change at once, and against
-/// an entry that is never sent.
+/// Guards against a heartbeat whose size has no bound when many upstreams change at once, and
+/// against an entry that is never sent.
 #[test]
 fn deltas_are_bounded_and_reach_every_entry() {
     let settings = LoadTableSettings::default();
@@ -93,7 +93,8 @@
     assert_eq!(load_table.all_updates(secs(31)).len(), 600);
 }
 
-/// Guards against a small change that is sent before the refresh, and a large one that waits for it.
+/// Guards against a small change that is sent before the refresh, and a large one that waits for
+/// it.
 #[test]
 fn only_significant_changes_are_sent_before_the_refresh() {
     let mut load_table = load_table(1);
@@ -120,8 +121,8 @@
     check(12, 103, &["b"]);
 }
 
-/// Guards against a leaving phase that waits for the next heartbeat, or that an upstream's own report,
-/// which does not show it yet, resets.
+/// Guards against a leaving phase that waits for the next heartbeat, or that an upstream's own
+/// report, which does not show it yet, resets.
 #[test]
 fn leaving_phase_is_sent_at_once_and_kept() {
     let (mut watcher, mut peer) = (load_table(1), load_table(2));
