--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -45,8 +45,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`MalformedMessage`] for a message that is longer than [`MAX_MESSAGE_BYTES`] or does not match
-/// the type.
+/// Returns [`MalformedMessage`] for a message that is longer than [`MAX_MESSAGE_BYTES`] or does not
+/// match the type.
 pub fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MalformedMessage> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         let reason = format!("{} bytes exceed the limit of {MAX_MESSAGE_BYTES}", bytes.len());
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire types for records in the platform's log and store and for messages between daemons, all encoded
-//! in MessagePack.
+//! Wire types for records in the platform's log and store and for messages between daemons, all
+//! encoded in MessagePack.
 //!
-//! Wire types are separate from the types of the domain crates and converted to and from them, so that
-//! a change of a domain type cannot change the encoding unnoticed.
+//! Wire types are separate from the types of the domain crates and converted to and from them, so
+//! that a change of a domain type cannot change the encoding unnoticed.
 
 mod codec;
 mod peer;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,5 +1,5 @@
-//! Messages between daemons. Durations are in microseconds (`_us`) and ages are those at the time of
-//! sending, so that the clocks of two daemons need not agree.
+//! Messages between daemons. Durations are in microseconds (`_us`) and ages are those at the time
+//! of sending, so that the clocks of two daemons need not agree.
 
 use base::{Incarnation, Span, WallTime, WeightVersion};
 use delivery::Fingerprint;
@@ -28,7 +28,8 @@
         ConfigCopy(WireConfigCopy),
         /// Requests that the receiver keeps a replica of a usage batch.
         BatchHold(WireBatchHold),
-        /// Requests that the receiver keeps a copy of a sample, or responds to `SampleFetch` with one.
+        /// Requests that the receiver keeps a copy of a sample, or responds to `SampleFetch` with
+        /// one.
         SampleCopy(WireSampleCopy),
         /// Requests a sample; the response is `SampleCopy` or `Missing`.
         SampleFetch(WireId),
@@ -36,8 +37,8 @@
         LimitAsk(Vec<WireLimitAsk>),
         /// Response to `LimitAsk` with the grants.
         LimitGrant(Vec<WireLimitGrant>),
-        /// Broadcast of suspicions, convictions and upstreams reserved for isolated runs, sent as soon as
-        /// they are known.
+        /// Broadcast of suspicions, convictions and upstreams reserved for isolated runs, sent as
+        /// soon as they are known.
         Suspicions {
             /// Suspected fingerprints.
             notes: Vec<WireSuspicion>,
@@ -132,15 +133,15 @@
         pub tokens_per_second: u32,
         /// Weight version that the upstream has loaded.
         pub version: u64,
-        /// 0 serving, 1 unreachable; leaving because of 2 an order, 3 a reclaim notice, 4 its own report.
-        /// Readers take other values for 4.
+        /// 0 serving, 1 unreachable; leaving because of 2 an order, 3 a reclaim notice, 4 its own
+        /// report. Readers take other values for 4.
         pub phase: u8,
     }
 
     /// Documents that the sender holds.
     pub struct WireConfigCopy {
-        /// Documents as of the log prefix that the sender has read; `None` while the sender itself waits
-        /// for a snapshot.
+        /// Documents as of the log prefix that the sender has read; `None` while the sender itself
+        /// waits for a snapshot.
         pub snapshot: Option<WireSnapshot>,
         /// Documents in force at the sender, which may be newer than its log prefix.
         pub in_force: WireSnapshot,
@@ -322,17 +323,17 @@
 }
 
 impl From<&LoadUpdate> for WireUpstream {
-    fn from(entry: &LoadUpdate) -> Self {
+    fn from(update: &LoadUpdate) -> Self {
         Self {
-            upstream: entry.upstream.clone(),
-            watcher: entry.watcher.0,
-            serial: entry.serial,
-            age_us: entry.age.0,
-            running: entry.report.running,
-            queued: entry.report.queued,
-            tokens_per_second: entry.report.tokens_per_second,
-            version: entry.report.version.0,
-            phase: match entry.report.phase {
+            upstream: update.upstream.clone(),
+            watcher: update.watcher.0,
+            serial: update.serial,
+            age_us: update.age.0,
+            running: update.report.running,
+            queued: update.report.queued,
+            tokens_per_second: update.report.tokens_per_second,
+            version: update.report.version.0,
+            phase: match update.report.phase {
                 UpstreamPhase::Serving => 0,
                 UpstreamPhase::Unreachable => 1,
                 UpstreamPhase::Leaving(LeavingCause::OrderIntended) => 2,
@@ -350,8 +351,8 @@
             1 => UpstreamPhase::Unreachable,
             2 => UpstreamPhase::Leaving(LeavingCause::OrderIntended),
             3 => UpstreamPhase::Leaving(LeavingCause::ReclaimNotice),
-            // A value that a later release adds is taken for a cause of leaving, so that no new work
-            // is sent there.
+            // A value that a later release adds is taken for a cause of leaving, so that no new
+            // work is sent there.
             _ => UpstreamPhase::Leaving(LeavingCause::Reported),
         };
         Self {
--- a/crates/protocol/src/record/claims.rs
+++ b/crates/protocol/src/record/claims.rs
@@ -69,8 +69,8 @@
 impl From<&ClaimEvent> for WireClaim {
     /// # Panics
     ///
-    /// Panics for events other than [`ClaimEvent::TakenRead`] and [`ClaimEvent::DoneRead`], the only ones
-    /// that are records.
+    /// Panics for events other than [`ClaimEvent::TakenRead`] and [`ClaimEvent::DoneRead`], the
+    /// only ones that are records.
     fn from(event: &ClaimEvent) -> Self {
         match event {
             ClaimEvent::TakenRead(taken) => Self::Taken {
--- a/crates/protocol/src/record/demand.rs
+++ b/crates/protocol/src/record/demand.rs
@@ -11,8 +11,8 @@
     /// A record of the stream `demand`: the learned weekly demand of one service, zone and class of
     /// work.
     pub enum WireDemand {
-        /// A snapshot, written by the lease holder of the scope `fleet`. `means` has one mean for each
-        /// slot of the week, in thousandths, or `u32::MAX` for a slot without observations.
+        /// A snapshot, written by the lease holder of the scope `fleet`. `means` has one mean for
+        /// each slot of the week, in thousandths, or `u32::MAX` for a slot without observations.
         Carry {
             service: String,
             zone: String,
--- a/crates/protocol/src/record/samples.rs
+++ b/crates/protocol/src/record/samples.rs
@@ -14,8 +14,8 @@
 use self::snapshot::WireTrainerSnapshot;
 use crate::codec::{MalformedMessage, StreamRecord, WireId, wire};
 
-/// Largest number of slots in a step. A step with more is rejected before memory is allocated for its
-/// slots.
+/// Largest number of slots in a step. A step with more is rejected before memory is allocated for
+/// its slots.
 const MAX_SLOTS: u64 = 1 << 20;
 
 wire! {
--- a/crates/protocol/src/record/samples/snapshot.rs
+++ b/crates/protocol/src/record/samples/snapshot.rs
@@ -130,7 +130,7 @@
             let slots = u64::from(step.groups) * u64::from(step.samples_per_group);
             if slots == 0 || slots > MAX_SLOTS || step.slots.len() as u64 != slots {
                 let reason = format!(
-                    "a step has {} slots in its list and {slots} by its shape, expected equal counts from 1 to {MAX_SLOTS}",
+                    "a step lists {} slots, its shape has {slots}; both must be 1 to {MAX_SLOTS}",
                     step.slots.len()
                 );
                 return Err(MalformedMessage::new(reason));
--- a/crates/protocol/src/record/submissions.rs
+++ b/crates/protocol/src/record/submissions.rs
@@ -1,10 +1,10 @@
 //! Records of submissions in keyed topics of the platform's store.
 //!
-//! A key consists of the id of the submission and the kind of the record. No key is written twice with
-//! different content, so compaction, which keeps the newest record of a key, loses nothing. All keys
-//! of a submission share a prefix, so that a node can read one submission without reading its whole
-//! partition. The markers of open submissions share another prefix, by which the new owner of a
-//! partition finds the submissions with items left to run.
+//! A key consists of the id of the submission and the kind of the record. No key is written twice
+//! with different content, so compaction, which keeps the newest record of a key, loses nothing.
+//! All keys of a submission share a prefix, so that a node can read one submission without reading
+//! its whole partition. The markers of open submissions share another prefix, by which the new
+//! owner of a partition finds the submissions with items left to run.
 
 // The wire fields correspond to those of the domain types, which are documented there.
 #![allow(missing_docs)]
@@ -65,8 +65,8 @@
 /// Key prefix of the markers of open submissions, followed by the id of the submission.
 pub const OPEN_SUBMISSIONS_PREFIX: &str = "a/";
 
-/// Key prefix of the markers of ended submissions, which are deleted once the time for reading their
-/// results has passed. Followed by the id of the submission.
+/// Key prefix of the markers of ended submissions, which are deleted once the time for reading
+/// their results has passed. Followed by the id of the submission.
 pub const EXPIRING_SUBMISSIONS_PREFIX: &str = "z/";
 
 /// Returns the prefix of all keys of a submission except its two markers.
@@ -75,7 +75,8 @@
     format!("s/{submission}/")
 }
 
-/// Encodes a record as key and value. A record without a value is a tombstone, which deletes the key.
+/// Encodes a record as key and value. A record without a value is a tombstone, which deletes the
+/// key.
 #[must_use]
 pub fn encode_submission_record(record: &SubmissionRecord) -> (String, Option<Vec<u8>>) {
     match record {
@@ -122,8 +123,8 @@
     }
 }
 
-/// Decodes a record from its key and value. A tombstone of a marker is a record of its own; one of any
-/// other key yields `None`, since those are deleted together with their submission.
+/// Decodes a record from its key and value. A tombstone of a marker is a record of its own; one of
+/// any other key yields `None`, since those are deleted together with their submission.
 ///
 /// # Errors
 ///
@@ -153,9 +154,8 @@
     let mut parts = key.split('/').skip(1);
     let (submission, kind) = (parts.next(), parts.next());
     let number = parts.next().map(str::parse::<u32>).transpose();
-    let number = number.map_err(|_| {
-        MalformedMessage::new(format!("key \"{key}\" has an invalid number"))
-    })?;
+    let number = number
+        .map_err(|_| MalformedMessage::new(format!("key \"{key}\" has an invalid number")))?;
     let (Some(submission), Some(kind)) = (submission, kind) else {
         return Err(MalformedMessage::new(format!(
             "key \"{key}\" has no submission or no kind of record"
--- a/crates/protocol/src/record/totals.rs
+++ b/crates/protocol/src/record/totals.rs
@@ -1,5 +1,5 @@
-//! Records of usage in a keyed topic of the platform's store: totals of each process in a window, and
-//! reports over all processes.
+//! Records of usage in a keyed topic of the platform's store: totals of each process in a window,
+//! and reports over all processes.
 
 use std::collections::BTreeMap;
 
--- a/crates/protocol/src/record/usage.rs
+++ b/crates/protocol/src/record/usage.rs
@@ -75,8 +75,8 @@
 
 /// A record of the stream `usage`.
 ///
-/// The lease records of the scope `usage` are in the same stream, so that all readers agree on which
-/// lease was in force at the offset of a close record.
+/// The lease records of the scope `usage` are in the same stream, so that all readers agree on
+/// which lease was in force at the offset of a close record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UsageEntry {
     /// A lease record of the scope `usage`.
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Guards against records that change when they are encoded and decoded, and against malformed input that
-//! makes a reader panic.
+//! Guards against records that change when they are encoded and decoded, and against malformed
+//! input that makes a reader panic.
 
 use authority::{
     AuthorityRecord, LeaseClaim, LeaseScope, OrderId, OrderIntent, OrderKind, PriceClass,
@@ -50,8 +50,8 @@
     })));
 }
 
-/// Guards against an order intent of an earlier release, which has no price class, that cannot be decoded.
-/// A new lease holder would skip it and never learn the outcome of the order.
+/// Guards against an order intent of an earlier release, which has no price class, that cannot be
+/// decoded. A new lease holder would skip it and never learn the outcome of the order.
 #[test]
 fn intent_without_price_class_orders_regular_upstreams() {
     let record = json!({
@@ -146,8 +146,8 @@
     }
 }
 
-/// Guards against a snapshot from which a node that starts late builds another sample table than the nodes
-/// that applied all records.
+/// Guards against a snapshot from which a node that starts late builds another sample table than
+/// the nodes that applied all records.
 #[test]
 fn sample_entries_are_unchanged_by_encoding_and_decoding() {
     let trainer = TrainerId::from_name("layouts");
