--- a/crates/document/src/gateway.rs
+++ b/crates/document/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon that serves on a platform whose store keeps all lasting state.
+//! Settings of a gateway daemon, which keeps all persistent state in the platform's store.
 
 use std::net::SocketAddr;
 
@@ -14,55 +14,59 @@
         pub vm_name: String,
         /// Availability zone of the VM.
         pub zone: String,
-        /// Whether the whole system starts for the first time.
+        /// Whether the whole system starts for the first time. Otherwise this process may be the
+        /// restart of a lease holder, and waits before it claims the lease.
         pub first_start: bool,
-        /// Processor time in thousandths of a core.
+        /// CPU limit of the process in thousandths of a core.
         pub millicores: u32,
         /// Address that serves callers and trainers.
         pub listen: SocketAddr,
-        /// Address of the balancer's readiness check.
+        /// Address that serves the readiness check of the load balancer.
         pub ready: SocketAddr,
         /// Address that serves metrics.
         pub metrics: SocketAddr,
         /// The platform's store.
         pub store: StoreSettings,
-        /// Address that takes usage reports and orders of upstreams, if this site has them.
+        /// Address of the platform that receives usage reports and orders for upstreams, if the
+        /// deployment has one.
         pub duties: Option<SocketAddr>,
-        /// Times that the platform promises its users.
+        /// Time limits that the deployment guarantees to its users.
         pub promises: PromiseSettings,
     }
 
     /// The platform's store.
     pub struct StoreSettings {
-        /// Address.
+        /// Address of the store.
         pub address: SocketAddr,
-        /// Partitions of a topic.
+        /// Number of partitions of a topic.
         pub partitions: u32,
-        /// Reading calls that the store takes a second from all nodes together.
+        /// Rate limit of read calls per second, shared by all nodes.
         pub reads_per_second: u32,
-        /// Longest record in bytes.
+        /// Largest record in bytes.
         pub record_bytes: u32,
-        /// Longest append in bytes.
+        /// Largest append call in bytes.
         pub call_bytes: u32,
-        /// Shortest time for which a member of a group may be silent.
+        /// Shortest session timeout that the store accepts for a member of a consumer group.
         pub least_member_life: Span,
     }
 
-    /// Times that the platform promises its users.
+    /// Time limits that the deployment guarantees to its users.
     pub struct PromiseSettings {
-        /// A leaving upstream gets no new request after this time.
+        /// Time after which a leaving upstream gets no new requests.
         pub drain: Span,
-        /// Time from SIGTERM until the process is killed.
+        /// Grace period from SIGTERM until the process is killed.
         pub grace: Span,
-        /// Two holders of a duty may not take turns within this time.
+        /// Time within which the lease must not change back and forth between two nodes. A former
+        /// holder does not claim it again sooner.
         pub lease: Span,
         /// Length of a usage window.
         pub window: Span,
-        /// A window's report is due this long after its end.
+        /// Time after the end of a usage window at which its report is due.
         pub usage_due: Span,
-        /// Time for which results can be read after a submission was accepted.
+        /// Time after the acceptance of a submission during which its results can be read.
         pub results: Span,
-        /// Time within which all nodes must agree on what was accepted or read.
+        /// Time after which every node must know what another node has accepted or shown to a
+        /// reader.
         pub settle: Span,
     }
 }
@@ -104,16 +108,16 @@
 }
 
 impl GatewaySettings {
-    /// Reads and checks the settings. `file` is the name that problems show. Unknown keys are
-    /// ignored, since a platform may add some.
+    /// Parses and validates the settings. `file` is the file name shown in problems. Unknown keys
+    /// are ignored, since the platform that writes the file may add some.
     ///
     /// # Errors
     ///
-    /// Returns the problems of the text.
+    /// Returns the first problem of syntax or type, or else all values that are out of range.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<DocumentProblem>> {
         let wire: WireGateway = toml::from_str(text).map_err(|error| {
-            let at = error.span().map_or(0, |span| span.start);
-            let line = 1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count();
+            let offset = error.span().map_or(0, |span| span.start);
+            let line = 1 + text.bytes().take(offset).filter(|byte| *byte == b'\n').count();
             let key = text.lines().nth(line - 1).and_then(|text| text.split('=').next());
             let key = String::from(key.unwrap_or_default().trim());
             let allowed = String::from(error.message());
@@ -125,7 +129,7 @@
                 allowed,
             }]
         })?;
-        let problems = problems(file, &wire);
+        let problems = check_values(file, &wire);
         if !problems.is_empty() {
             return Err(problems);
         }
@@ -133,8 +137,8 @@
     }
 }
 
-fn problems(file: &str, wire: &WireGateway) -> Vec<DocumentProblem> {
-    let above_zero = [
+fn check_values(file: &str, wire: &WireGateway) -> Vec<DocumentProblem> {
+    let must_be_positive = [
         ("cores", wire.cores),
         ("store.partitions", f64::from(wire.store.partitions)),
         ("store.reads_per_s", wire.store.reads_per_s),
@@ -149,7 +153,7 @@
         ("promises.settle_ms", wire.promises.settle_ms),
     ];
     let mut problems = Vec::new();
-    for (key, value) in above_zero {
+    for (key, value) in must_be_positive {
         if value > 0.0 && value.is_finite() {
             continue;
         }
@@ -180,22 +184,22 @@
                 reads_per_second: wire.store.reads_per_s as u32,
                 record_bytes: wire.store.record_bytes,
                 call_bytes: wire.store.call_bytes,
-                least_member_life: millis(wire.store.least_member_life_ms),
+                least_member_life: span_from_millis(wire.store.least_member_life_ms),
             },
             duties: wire.duties,
             promises: PromiseSettings {
-                drain: millis(wire.promises.drain_ms),
-                grace: millis(wire.promises.grace_s * 1e3),
-                lease: millis(wire.promises.lease_ms),
-                window: millis(wire.promises.window_s * 1e3),
-                usage_due: millis(wire.promises.usage_due_s * 1e3),
-                results: millis(wire.promises.results_s * 1e3),
-                settle: millis(wire.promises.settle_ms),
+                drain: span_from_millis(wire.promises.drain_ms),
+                grace: span_from_millis(wire.promises.grace_s * 1e3),
+                lease: span_from_millis(wire.promises.lease_ms),
+                window: span_from_millis(wire.promises.window_s * 1e3),
+                usage_due: span_from_millis(wire.promises.usage_due_s * 1e3),
+                results: span_from_millis(wire.promises.results_s * 1e3),
+                settle: span_from_millis(wire.promises.settle_ms),
             },
         }
     }
 }
 
-fn millis(value: f64) -> Span {
+fn span_from_millis(value: f64) -> Span {
     Span::from_micros((value * 1e3).max(0.0) as u64)
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,7 +1,7 @@
-//! The environment document and the daemon's settings, both in TOML.
+//! Parsing and validation of the environment document and of the daemon's settings, both in TOML.
 //!
-//! Loading checks everything and reports all problems at once, each with its file, line, key, value
-//! and what is allowed. This crate reads no file: the caller passes the text.
+//! Loading reports all problems of a text at once, each with its file, line, key, value and the
+//! allowed values. This crate reads no files: the caller passes the text.
 
 mod duration;
 mod environment;
@@ -24,26 +24,28 @@
 
 use crate::{problem::ProblemList, section::Section};
 
-/// Parses `text` and reads its root table with `read`.
+/// Parses `text`, reads its root table with `read`, and returns the value only when no problem was
+/// found.
 fn load<T>(
     file: &str,
     text: &str,
     read: impl FnOnce(&Section<'_>) -> T,
 ) -> Result<T, Vec<DocumentProblem>> {
-    let list = ProblemList::new(file, text);
+    let problem_list = ProblemList::new(file, text);
     let (root, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
         let span = error.span().unwrap_or_default();
-        list.add_value(&span, "(syntax)", format!("valid TOML: {}", error.message()));
+        problem_list.add_value(&span, "(syntax)", format!("valid TOML: {}", error.message()));
     }
-    // Checks of a table that was only partly understood would report follow-on problems.
+    // Checks of a table that was parsed only in part would report problems that follow from the
+    // syntax errors.
     if !errors.is_empty() {
-        return Err(list.into_sorted());
+        return Err(problem_list.into_sorted());
     }
-    let section = Section::root(&list, root.get_ref());
+    let section = Section::root(&problem_list, root.get_ref());
     let value = read(&section);
     section.finish();
     drop(section);
-    let problems = list.into_sorted();
+    let problems = problem_list.into_sorted();
     if problems.is_empty() { Ok(value) } else { Err(problems) }
 }
--- a/crates/document/src/problem.rs
+++ b/crates/document/src/problem.rs
@@ -1,11 +1,11 @@
-//! Problems found while a document is checked.
+//! Problems found when a document or settings file is loaded.
 
 use std::{cell::RefCell, fmt, ops::Range};
 
 use base::derive_value;
 
 derive_value! {
-    /// One fault in a document, with what the operator needs to correct it.
+    /// One problem in a text, with what an operator needs to correct it.
     pub struct DocumentProblem {
         /// Name of the file as the caller gave it.
         pub file: String,
@@ -15,7 +15,7 @@
         pub key: String,
         /// The value as written, or empty when the key is missing.
         pub value: String,
-        /// What the key accepts.
+        /// Description of the values that the key accepts.
         pub allowed: String,
     }
 }
@@ -32,7 +32,7 @@
 
 impl std::error::Error for DocumentProblem {}
 
-/// Collects the problems of one document.
+/// Collects the problems of one text.
 #[derive(Debug)]
 pub(crate) struct ProblemList<'t> {
     file: &'t str,
@@ -45,16 +45,16 @@
         Self { file, text, problems: RefCell::new(Vec::new()) }
     }
 
-    /// Adds a problem of the value at `span`, quoted from the text.
+    /// Adds a problem with the value at the byte range `span`, of which it quotes the first line.
     pub(crate) fn add_value(&self, span: &Range<usize>, key: &str, allowed: impl Into<String>) {
         let value = self.text.get(span.clone()).unwrap_or_default();
         let value = value.lines().next().unwrap_or_default();
         self.add(span.start, key, value, allowed);
     }
 
-    /// Adds a problem that has no value of its own, such as a missing key.
-    pub(crate) fn add(&self, at: usize, key: &str, value: &str, allowed: impl Into<String>) {
-        let before = self.text.as_bytes().iter().take(at);
+    /// Adds a problem at the byte `offset`. `value` is empty for a missing key.
+    pub(crate) fn add(&self, offset: usize, key: &str, value: &str, allowed: impl Into<String>) {
+        let before = self.text.as_bytes().iter().take(offset);
         let line = 1 + before.filter(|byte| **byte == b'\n').count();
         self.problems.borrow_mut().push(DocumentProblem {
             file: String::from(self.file),
@@ -65,7 +65,7 @@
         });
     }
 
-    /// Returns the problems in order of their lines.
+    /// Returns the problems sorted by line and key.
     pub(crate) fn into_sorted(self) -> Vec<DocumentProblem> {
         let mut problems = self.problems.into_inner();
         problems.sort_by(|a, b| (a.line, &a.key).cmp(&(b.line, &b.key)));
--- a/crates/document/src/section.rs
+++ b/crates/document/src/section.rs
@@ -1,7 +1,7 @@
-//! Typed reading of TOML tables that records every problem and goes on.
+//! Typed reading of TOML tables that records every problem and continues.
 //!
-//! A faulty value yields the default of its type. The caller discards the result when any problem
-//! was recorded, so such a value never leaves the crate.
+//! An invalid value is replaced by a default. The caller discards the result when any problem was
+//! recorded, so such a value never leaves the crate.
 
 use std::{cell::RefCell, fmt::Display, ops::RangeInclusive, str::FromStr};
 
@@ -13,26 +13,29 @@
 
 use crate::{duration, problem::ProblemList};
 
-const KEY_RULE: &str = "64 hexadecimal digits, the SHA-256 of a key";
+const DIGEST_RULE: &str = "64 hexadecimal digits, the SHA-256 of a key";
 
-/// Stands in problems for a value that may be a key.
-const HIDDEN: &str = "(not shown)";
+/// Replaces a value in problems that may be a key, so that no log or terminal shows it.
+const HIDDEN_VALUE: &str = "(not shown)";
 
-/// One table of a document. Keys that were never asked for are unknown.
+/// One table of a document. Keys that no reader requested are reported as unknown by
+/// [`Section::finish`].
 #[derive(Debug)]
 pub(crate) struct Section<'d> {
-    list: &'d ProblemList<'d>,
+    problem_list: &'d ProblemList<'d>,
     table: &'d DeTable<'d>,
     path: String,
+    // Byte offset of the table, where the problem of a missing key is reported.
     start: usize,
+    // Keys that were requested, present or not.
     known: RefCell<Vec<&'static str>>,
 }
 
-type Found<'d> = &'d Spanned<DeValue<'d>>;
+type SpannedValue<'d> = &'d Spanned<DeValue<'d>>;
 
 impl<'d> Section<'d> {
-    pub(crate) const fn root(list: &'d ProblemList<'d>, table: &'d DeTable<'d>) -> Self {
-        Self { list, table, path: String::new(), start: 0, known: RefCell::new(Vec::new()) }
+    pub(crate) const fn root(problem_list: &'d ProblemList<'d>, table: &'d DeTable<'d>) -> Self {
+        Self { problem_list, table, path: String::new(), start: 0, known: RefCell::new(Vec::new()) }
     }
 
     /// Reads a required name: lower-case letters, digits and hyphens.
@@ -42,11 +45,11 @@
         })
     }
 
-    /// Reads a required name that must differ from the ones in `taken`, and adds it to them.
-    pub(crate) fn new_name(&self, key: &'static str, taken: &mut Vec<String>) -> String {
+    /// Reads a required name that must not be in `taken`, and adds it there.
+    pub(crate) fn unique_name(&self, key: &'static str, taken: &mut Vec<String>) -> String {
         let name = self.name(key);
         if !name.is_empty() && taken.contains(&name) {
-            self.refuse(key, "a name that no other entry of this list has");
+            self.report(key, "a name that no other entry of this list has");
         }
         taken.push(name.clone());
         name
@@ -59,12 +62,12 @@
         })
     }
 
-    /// Reads a name that must be one of `names` when it is given.
+    /// Reads an optional name that must be one of `names`.
     pub(crate) fn optional_reference(&self, key: &'static str, names: &[String]) -> Option<String> {
         self.has(key).then(|| self.reference(key, names))
     }
 
-    /// Reads a required text that `parse` turns into a value.
+    /// Reads a required string with `parse`. `allowed` describes the accepted values.
     pub(crate) fn parsed<T: Default>(
         &self,
         key: &'static str,
@@ -75,19 +78,19 @@
             return T::default();
         };
         found.get_ref().as_str().and_then(parse).unwrap_or_else(|| {
-            self.refuse(key, allowed);
+            self.report(key, allowed);
             T::default()
         })
     }
 
-    /// Reads a required text in the notation of `T`, such as an address.
+    /// Reads a required string with the [`FromStr`] implementation of `T`, for example an address.
     pub(crate) fn required_as<T: FromStr>(&self, key: &'static str, allowed: &str) -> Option<T> {
         self.parsed(key, allowed, |text| text.parse().ok().map(Some))
     }
 
-    /// Reads a required digest of a key.
+    /// Reads the required digest of a key.
     pub(crate) fn digest(&self, key: &'static str) -> Option<KeyDigest> {
-        let found = self.required(key, KEY_RULE)?;
+        let found = self.required(key, DIGEST_RULE)?;
         self.parse_digest(found, &self.path_of(key))
     }
 
@@ -97,8 +100,8 @@
             return Vec::new();
         };
         let Some(array) = found.get_ref().as_array() else {
-            let allowed = format!("a list, each item {KEY_RULE}");
-            self.list.add(found.span().start, &self.path_of(key), HIDDEN, allowed);
+            let allowed = format!("a list, each item {DIGEST_RULE}");
+            self.problem_list.add(found.span().start, &self.path_of(key), HIDDEN_VALUE, allowed);
             return Vec::new();
         };
         let items = array.iter().enumerate();
@@ -108,16 +111,17 @@
         digests.collect()
     }
 
-    /// A value that is no digest is not quoted, since it may be the key itself.
-    fn parse_digest(&self, found: Found<'d>, path: &str) -> Option<KeyDigest> {
+    /// Parses a digest. The problem does not quote an invalid value, since an operator may have
+    /// written the key itself.
+    fn parse_digest(&self, found: SpannedValue<'d>, path: &str) -> Option<KeyDigest> {
         let digest = found.get_ref().as_str().and_then(|text| KeyDigest::parse(text).ok());
         if digest.is_none() {
-            self.list.add(found.span().start, path, HIDDEN, KEY_RULE);
+            self.problem_list.add(found.span().start, path, HIDDEN_VALUE, DIGEST_RULE);
         }
         digest
     }
 
-    /// Reads a list of texts. A missing key is an empty list.
+    /// Reads a list of strings with `parse`. A missing key is an empty list.
     pub(crate) fn list_of<T>(
         &self,
         key: &'static str,
@@ -128,7 +132,7 @@
             return Vec::new();
         };
         let Some(array) = found.get_ref().as_array() else {
-            self.refuse(key, format!("a list, each item {allowed}"));
+            self.report(key, format!("a list, each item {allowed}"));
             return Vec::new();
         };
         let mut values = Vec::new();
@@ -137,7 +141,7 @@
                 Some(value) => values.push(value),
                 None => {
                     let path = format!("{}[{index}]", self.path_of(key));
-                    self.list.add_value(&item.span(), &path, allowed);
+                    self.problem_list.add_value(&item.span(), &path, allowed);
                 }
             }
         }
@@ -156,7 +160,7 @@
                 .filter(|number| range.contains(number))
         });
         number.unwrap_or_else(|| {
-            self.refuse(key, allowed);
+            self.report(key, allowed);
             0
         })
     }
@@ -171,13 +175,14 @@
         if self.has(key) { self.integer(key, range) } else { default }
     }
 
-    /// Reads an integer within `range` that fits 32 bits.
-    pub(crate) fn small_integer(&self, key: &'static str, range: RangeInclusive<u32>) -> u32 {
+    /// Reads a required integer within `range`, as 32 bits.
+    pub(crate) fn integer_u32(&self, key: &'static str, range: RangeInclusive<u32>) -> u32 {
         let range = u64::from(*range.start())..=u64::from(*range.end());
         u32::try_from(self.integer(key, range)).unwrap_or_default()
     }
 
-    /// Reads a number with a fraction within `range`, or `default` when the key is missing.
+    /// Reads a floating-point number or an integer within `range`, or `default` when the key is
+    /// missing.
     pub(crate) fn number_or(
         &self,
         key: &'static str,
@@ -192,23 +197,23 @@
         let text = text.or_else(|| value.as_integer().map(DeInteger::as_str));
         let number = text.and_then(|text| text.parse::<f64>().ok());
         number.filter(|number| range.contains(number)).unwrap_or_else(|| {
-            self.refuse(key, format!("a number from {} to {}", range.start(), range.end()));
+            self.report(key, format!("a number from {} to {}", range.start(), range.end()));
             default
         })
     }
 
     /// Reads `true` or `false`, or `default` when the key is missing.
-    pub(crate) fn flag_or(&self, key: &'static str, default: bool) -> bool {
+    pub(crate) fn bool_or(&self, key: &'static str, default: bool) -> bool {
         let Some(found) = self.optional(key) else {
             return default;
         };
         found.get_ref().as_bool().unwrap_or_else(|| {
-            self.refuse(key, "true or false");
+            self.report(key, "true or false");
             default
         })
     }
 
-    /// Reads a required length of time within `range`.
+    /// Reads a required duration within `range`.
     pub(crate) fn duration(&self, key: &'static str, range: RangeInclusive<Span>) -> Span {
         let allowed = format!(
             "a length of time from \"{}\" to \"{}\" with one of the units us, ms, s, m, h",
@@ -216,12 +221,12 @@
             duration::render(*range.end()),
         );
         self.parsed(key, &allowed, |text| {
-            duration::parse(text).filter(|span| range.contains(span)).map(Length)
+            duration::parse(text).filter(|span| range.contains(span)).map(ParsedSpan)
         })
         .0
     }
 
-    /// Reads a length of time within `range`, or `default` when the key is missing.
+    /// Reads a duration within `range`, or `default` when the key is missing.
     pub(crate) fn duration_or(
         &self,
         key: &'static str,
@@ -231,7 +236,8 @@
         if self.has(key) { self.duration(key, range) } else { default }
     }
 
-    /// Reads a required text that must be one of the names in `choices`.
+    /// Reads a required string that must be one of the names in `choices`. An invalid one yields
+    /// the first choice.
     pub(crate) fn choice<T: Copy>(&self, key: &'static str, choices: &[(&str, T)]) -> T {
         let names = choices.iter().map(|(name, _)| String::from(*name)).collect::<Vec<_>>();
         let index = self.parsed(key, &one_of(&names), |text| {
@@ -240,7 +246,8 @@
         choices[index].1
     }
 
-    /// Reads a text that must be one of the names in `choices`, or `default` when it is missing.
+    /// Reads a string that must be one of the names in `choices`, or `default` when the key is
+    /// missing.
     pub(crate) fn choice_or<T: Copy>(
         &self,
         key: &'static str,
@@ -250,7 +257,8 @@
         if self.has(key) { self.choice(key, choices) } else { default }
     }
 
-    /// Reads a table with `read`, or an empty one when the key is missing.
+    /// Reads a table with `read`. A missing key is an empty table, of which required keys are
+    /// reported.
     pub(crate) fn table<T>(&self, key: &'static str, read: impl FnOnce(&Section<'_>) -> T) -> T {
         let empty = DeTable::new();
         let mut table = &empty;
@@ -259,11 +267,11 @@
             start = found.span().start;
             match found.get_ref().as_table() {
                 Some(inner) => table = inner,
-                None => self.refuse(key, "a table"),
+                None => self.report(key, "a table"),
             }
         }
         let section = Section {
-            list: self.list,
+            problem_list: self.problem_list,
             table,
             path: self.path_of(key),
             start,
@@ -284,39 +292,40 @@
             return Vec::new();
         };
         let Some(array) = found.get_ref().as_array() else {
-            self.refuse(key, format!("a list of tables, written as [[{}]]", self.path_of(key)));
+            self.report(key, format!("a list of tables, written as [[{}]]", self.path_of(key)));
             return Vec::new();
         };
         let mut values = Vec::new();
         for (index, item) in array.iter().enumerate() {
             let path = format!("{}[{index}]", self.path_of(key));
             let Some(table) = item.get_ref().as_table() else {
-                self.list.add_value(&item.span(), &path, "a table");
+                self.problem_list.add_value(&item.span(), &path, "a table");
                 continue;
             };
             let start = item.span().start;
-            let list = self.list;
-            let section = Section { list, table, path, start, known: RefCell::default() };
+            let problem_list = self.problem_list;
+            let section = Section { problem_list, table, path, start, known: RefCell::default() };
             values.push(read(&section));
             section.finish();
         }
         values
     }
 
-    /// Records a problem of a key that is present, or of the section when it is missing.
-    pub(crate) fn refuse(&self, key: &'static str, allowed: impl Into<String>) {
+    /// Records a problem with a key: at its value, or at the start of the table when the key is
+    /// missing.
+    pub(crate) fn report(&self, key: &'static str, allowed: impl Into<String>) {
         match self.table.get(key) {
-            Some(found) => self.list.add_value(&found.span(), &self.path_of(key), allowed),
-            None => self.list.add(self.start, &self.path_of(key), "", allowed),
+            Some(found) => self.problem_list.add_value(&found.span(), &self.path_of(key), allowed),
+            None => self.problem_list.add(self.start, &self.path_of(key), "", allowed),
         }
     }
 
-    /// Tells whether the key is present.
+    /// Returns whether the key is present.
     pub(crate) fn has(&self, key: &'static str) -> bool {
         self.optional(key).is_some()
     }
 
-    /// Records every key that no reader asked for.
+    /// Reports the keys of the table that no reader requested. Called after all of them were read.
     pub(crate) fn finish(&self) {
         let known = self.known.borrow();
         for (key, _) in self.table {
@@ -325,20 +334,20 @@
             }
             let allowed = format!("one of the keys {}", known.join(", "));
             let path = self.path_of(key.get_ref());
-            self.list.add(key.span().start, &path, "(unknown key)", allowed);
+            self.problem_list.add(key.span().start, &path, "(unknown key)", allowed);
         }
     }
 
-    fn required(&self, key: &'static str, allowed: &str) -> Option<Found<'d>> {
+    fn required(&self, key: &'static str, allowed: &str) -> Option<SpannedValue<'d>> {
         let found = self.optional(key);
         if found.is_none() {
             let allowed = format!("{allowed}; the key is required");
-            self.list.add(self.start, &self.path_of(key), "", allowed);
+            self.problem_list.add(self.start, &self.path_of(key), "", allowed);
         }
         found
     }
 
-    fn optional(&self, key: &'static str) -> Option<Found<'d>> {
+    fn optional(&self, key: &'static str) -> Option<SpannedValue<'d>> {
         let mut known = self.known.borrow_mut();
         if !known.contains(&key) {
             known.push(key);
@@ -352,9 +361,10 @@
 }
 
 /// A span whose default is zero.
-struct Length(Span);
+/// A duration with a default, which [`Section::parsed`] requires and [`Span`] lacks.
+struct ParsedSpan(Span);
 
-impl Default for Length {
+impl Default for ParsedSpan {
     fn default() -> Self {
         Self(Span::ZERO)
     }
--- a/crates/document/src/settings.rs
+++ b/crates/document/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of one daemon, read once at its start.
+//! Settings of one daemon, which are read once when it starts.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use base::{Span, derive_value};
 
-use crate::{DocumentProblem, FencingCheck, environment::FENCING, load, section::Section};
+use crate::{DocumentProblem, FencingCheck, environment::FENCING_CHOICES, load, section::Section};
 
 derive_value! {
     /// Settings of one daemon.
@@ -13,7 +13,7 @@
         pub vm_name: String,
         /// Availability zone of the VM.
         pub zone: String,
-        /// Environment whose document is in force on this VM.
+        /// Environment whose document this daemon uses.
         pub environment: String,
         /// Address that serves callers and trainers.
         pub listen: SocketAddr,
@@ -21,92 +21,97 @@
         pub peer: SocketAddr,
         /// Address at which other daemons reach this one, if it differs from `peer`.
         pub peer_advertised: Option<SocketAddr>,
-        /// Address that serves operators and the balancer's readiness check.
+        /// Address that serves operators and the readiness check of the load balancer.
         pub admin: SocketAddr,
         /// Address of the platform.
         pub platform: SocketAddr,
-        /// Whether the platform refuses orders with old fencing numbers.
+        /// Whether the platform rejects orders with outdated fencing tokens.
         pub platform_fencing: FencingCheck,
-        /// Receiver of metrics in the StatsD format over UDP, if any.
+        /// Address that receives metrics in the StatsD format over UDP, or `None` to send none.
         pub metrics: Option<SocketAddr>,
         /// Number of traffic threads.
         pub traffic_threads: u32,
-        /// Seed of the random number generators, or `None` to draw one at the start.
+        /// Seed of the random number generators, or `None` to choose a random one at the start.
         pub seed: Option<u64>,
         /// Peer addresses to contact before the platform's list is known.
         pub initial_peers: Vec<SocketAddr>,
-        /// Bounds of buffers and queues.
+        /// Limits of buffers and queues.
         pub bounds: BufferBounds,
-        /// Timeouts of calls.
+        /// Timeouts of calls and validity of limit grants.
         pub timeouts: TimeoutSettings,
-        /// Lease settings, the same on every node of an environment.
+        /// Lease settings, which must be the same on all nodes of an environment.
         pub lease: LeaseSettings,
     }
 
-    /// Bounds of buffers and queues.
+    /// Limits of buffers and queues.
     pub struct BufferBounds {
-        /// Log records kept while the log is down.
+        /// Number of log records buffered while the log is unavailable.
         pub log_records: u32,
-        /// Bytes of log records kept while the log is down.
+        /// Bytes of log records buffered while the log is unavailable.
         pub log_bytes: u32,
-        /// Records in one append.
+        /// Number of records in one append.
         pub batch_records: u32,
         /// Bytes in one append.
         pub batch_bytes: u32,
-        /// Requests waiting in the fair queues of this node.
+        /// Number of requests in the fair queues of this node.
         pub queued_requests: u32,
         /// Bytes of one request body.
         pub request_bytes: u32,
-        /// Bytes of one answer of a plain service, which is checked whole before it is passed on.
+        /// Bytes of one response of a plain service, which is buffered and validated as a whole
+        /// before it is forwarded.
         pub answer_bytes: u32,
-        /// Messages in a channel between a traffic thread and the control thread.
+        /// Number of messages in a channel between a traffic thread and the control thread.
         pub channel_messages: u32,
-        /// Bytes of sample answers held by this node, own and for others.
+        /// Bytes of sample texts that this node stores, its own ones and copies for other nodes.
         pub sample_bytes: u32,
     }
 
-    /// Timeouts of calls.
+    /// Timeouts of calls, and the validity of limit grants.
     pub struct TimeoutSettings {
-        /// Connecting to any address.
+        /// Timeout of establishing a connection.
         pub connect: Span,
-        /// One call to the platform's log.
+        /// Timeout of a call to the platform's log.
         pub log: Span,
-        /// One other call to the platform, orders excepted.
+        /// Timeout of any other call to the platform except orders, which have
+        /// [`LeaseSettings::order_timeout`].
         pub platform: Span,
-        /// One call to a peer.
+        /// Timeout of a call to a peer.
         pub peer: Span,
-        /// Control calls to an engine, such as its load report.
+        /// Timeout of a control call to an engine, for example for its load report.
         pub engine_control: Span,
-        /// Longest silence of an engine within a stream.
+        /// Idle timeout of an engine's token stream.
         pub stream_idle: Span,
-        /// Longest wait for running requests at a planned stop.
+        /// Longest wait for requests in flight when the daemon is stopped as planned.
         pub drain: Span,
-        /// How long a share of a customer's limit lasts. A new delegate of a zone waits as long
-        /// before it grants any, so all nodes of an environment must agree.
+        /// Validity of a grant for a share of a customer's limit. A new delegate of a zone waits
+        /// this long before its first grant, until those of its predecessor have expired, so the
+        /// value must be the same on all nodes of an environment.
         pub limit_grant: Span,
     }
 
     /// Lease settings.
     pub struct LeaseSettings {
-        /// Length of a lease.
+        /// Term of a lease.
         pub term: Span,
-        /// Time between renewals.
+        /// Time between two renewals.
         pub renewal: Span,
-        /// Time before the end of the lease at which its holder stops.
+        /// Safety margin: the holder stops using the lease this long before the end of its term,
+        /// and a successor waits this long after it.
         pub margin: Span,
-        /// Longest in-flight order.
+        /// Timeout of an order: the longest time from the clock check before it until the receiver
+        /// has carried it out.
         pub order_timeout: Span,
-        /// Further wait of a successor towards receivers that ignore fencing numbers.
+        /// Wait of a new holder before its first order to a receiver that ignores fencing tokens.
         pub extra_wait: Span,
     }
 }
 
 impl DaemonSettings {
-    /// Reads and checks the settings. `file` is the name that problems show.
+    /// Parses and validates the settings. `file` is the file name shown in problems.
     ///
     /// # Errors
     ///
-    /// Returns every problem of the text, in order of lines.
+    /// Returns all problems of the text in the order of their lines.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<DocumentProblem>> {
         load(file, text, read)
     }
@@ -165,10 +170,15 @@
         peer_advertised: root.has("peer_advertised").then(|| address(root, "peer_advertised")),
         admin: address(root, "admin"),
         platform: address(root, "platform"),
-        // The safe assumption costs a new holder the extra wait before its first order.
-        platform_fencing: root.choice_or("platform_fencing", &FENCING, FencingCheck::Ignored),
+        // `Ignored` is the safe default: a new lease holder then waits `extra_wait` before its
+        // first order.
+        platform_fencing: root.choice_or(
+            "platform_fencing",
+            &FENCING_CHOICES,
+            FencingCheck::Ignored,
+        ),
         metrics: root.has("metrics").then(|| address(root, "metrics")),
-        traffic_threads: root.small_integer("traffic_threads", 1..=256),
+        traffic_threads: root.integer_u32("traffic_threads", 1..=256),
         seed: root.has("seed").then(|| root.integer("seed", 0..=i64::MAX as u64)),
         initial_peers: root.list_of("initial_peers", ADDRESS_RULE, |text| text.parse().ok()),
         bounds: root.table("bounds", read_bounds),
@@ -180,8 +190,8 @@
 const ADDRESS_RULE: &str = "an IP address with port, such as \"10.0.0.5:8080\"";
 
 fn address(section: &Section<'_>, key: &'static str) -> SocketAddr {
-    let none = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-    section.required_as(key, ADDRESS_RULE).unwrap_or(none)
+    let placeholder = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+    section.required_as(key, ADDRESS_RULE).unwrap_or(placeholder)
 }
 
 fn read_bounds(section: &Section<'_>) -> BufferBounds {
@@ -205,34 +215,34 @@
 
 fn read_timeouts(section: &Section<'_>) -> TimeoutSettings {
     let range = Span::from_millis(1)..=Span::from_secs(24 * 3_600);
-    let length = |key, default| section.duration_or(key, range.clone(), default);
+    let duration = |key, default| section.duration_or(key, range.clone(), default);
     let default = TimeoutSettings::default();
     TimeoutSettings {
-        connect: length("connect", default.connect),
-        log: length("log", default.log),
-        platform: length("platform", default.platform),
-        peer: length("peer", default.peer),
-        engine_control: length("engine_control", default.engine_control),
-        stream_idle: length("stream_idle", default.stream_idle),
-        drain: length("drain", default.drain),
-        limit_grant: length("limit_grant", default.limit_grant),
+        connect: duration("connect", default.connect),
+        log: duration("log", default.log),
+        platform: duration("platform", default.platform),
+        peer: duration("peer", default.peer),
+        engine_control: duration("engine_control", default.engine_control),
+        stream_idle: duration("stream_idle", default.stream_idle),
+        drain: duration("drain", default.drain),
+        limit_grant: duration("limit_grant", default.limit_grant),
     }
 }
 
 fn read_lease(section: &Section<'_>) -> LeaseSettings {
     let range = Span::from_millis(1)..=Span::from_secs(3_600);
-    let length = |key, default| section.duration_or(key, range.clone(), default);
+    let duration = |key, default| section.duration_or(key, range.clone(), default);
     let default = LeaseSettings::default();
     let lease = LeaseSettings {
-        term: length("term", default.term),
-        renewal: length("renewal", default.renewal),
-        margin: length("margin", default.margin),
-        order_timeout: length("order_timeout", default.order_timeout),
-        extra_wait: length("extra_wait", default.extra_wait),
+        term: duration("term", default.term),
+        renewal: duration("renewal", default.renewal),
+        margin: duration("margin", default.margin),
+        order_timeout: duration("order_timeout", default.order_timeout),
+        extra_wait: duration("extra_wait", default.extra_wait),
     };
-    // A holder that renews after term minus margin has already stopped.
+    // A holder stops using its lease at term minus margin, so its renewal must come before that.
     if lease.renewal + lease.margin >= lease.term {
-        section.refuse("term", "a length of time above renewal plus margin");
+        section.report("term", "a length of time above renewal plus margin");
     }
     lease
 }
--- a/crates/document/tests/checks.rs
+++ b/crates/document/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of documents and settings at load.
+//! Validation of documents and settings when they are loaded.
 
 use base::Span;
 use document::{
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-const SMALL: &str = r#"
+const SMALL_DOCUMENT: &str = r#"
 environment = "trial"
 time_zone = "Australia/Hobart"
 
@@ -67,23 +67,24 @@
 traffic_threads = 2
 "#;
 
-/// Replaces `from` by `to` in the small document and compares the start and end of each problem.
-fn check(from: &str, to: &str, expected: &[(&str, &str)]) {
-    assert!(SMALL.contains(from), "the document has no text {from:?}");
-    let text = SMALL.replacen(from, to, 1);
+/// Replaces `from` by `to` in the small document, and checks that the problems begin and end as
+/// expected.
+fn check_problems(from: &str, to: &str, expected: &[(&str, &str)]) {
+    assert!(SMALL_DOCUMENT.contains(from), "the small document does not contain {from:?}");
+    let text = SMALL_DOCUMENT.replacen(from, to, 1);
     let problems = EnvironmentDocument::parse("trial.toml", &text).unwrap_err();
     let found = problems.iter().map(ToString::to_string).collect::<Vec<_>>();
     assert_eq!(found.len(), expected.len(), "{found:#?}");
-    for (line, (place, allowed)) in found.iter().zip(expected) {
-        assert!(line.starts_with(&format!("trial.toml:{place}")), "{line}");
+    for (line, (location, allowed)) in found.iter().zip(expected) {
+        assert!(line.starts_with(&format!("trial.toml:{location}")), "{line}");
         assert!(line.ends_with(allowed), "{line}");
     }
 }
 
-/// Guards against defaults that differ from the ones in the design.
+/// Guards against defaults of optional keys that change unnoticed.
 #[test]
 fn small_document_and_settings_load_with_defaults() {
-    let document = EnvironmentDocument::parse("trial.toml", SMALL).unwrap();
+    let document = EnvironmentDocument::parse("trial.toml", SMALL_DOCUMENT).unwrap();
     assert_eq!(document.keys_when_isolated, IsolatedKeyPolicy::ServeFor(Span::from_secs(300)));
     assert_eq!(document.max_swapping_share, 0.34);
     assert_eq!(document.pools[0].startup, Span::from_secs(90));
@@ -97,7 +98,8 @@
     assert_eq!(settings.platform_fencing, FencingCheck::Checked);
 }
 
-/// Guards against a faulty value that is accepted, or reported without its place and its rule.
+/// Guards against an invalid value that is accepted, or whose problem lacks the line, the key or
+/// the allowed values.
 #[rstest]
 #[case::unknown_key("entry_vms = 4", "entry_vms = 4\nentry_vm = 5",
     &[("9: key `zones[0].entry_vm`: value (unknown key)", "one of the keys name, region, entry_vms")])]
@@ -105,36 +107,36 @@
     &[("24: key `pools[0].startup`: value \"90\"", "units us, ms, s, m, h")])]
 #[case::unit_wrong("\"90s\"", "\"90 sec\"",
     &[("24: key `pools[0].startup`: value \"90 sec\"", "units us, ms, s, m, h")])]
-#[case::unit_absent_number("\"90s\"", "90",
+#[case::number_without_unit("\"90s\"", "90",
     &[("24: key `pools[0].startup`: value 90", "units us, ms, s, m, h")])]
-#[case::range("entry_vms = 4", "entry_vms = 0",
+#[case::out_of_range("entry_vms = 4", "entry_vms = 0",
     &[("8: key `zones[0].entry_vms`: value 0", "an integer from 1 to 10000")])]
-#[case::order_of_bounds("min_count = 1", "min_count = 9",
+#[case::max_below_min("min_count = 1", "min_count = 9",
     &[("22: key `pools[0].max_count`: value 4", "not below min_count, which is 9")])]
-#[case::reference("zone = \"hobart-a\"", "zone = \"hobart-b\"",
+#[case::unknown_reference("zone = \"hobart-a\"", "zone = \"hobart-b\"",
     &[("20: key `pools[0].zone`: value \"hobart-b\"", "one of \"hobart-a\"")])]
 #[case::scorer_must_be_plain("scorer = \"scorer\"", "scorer = \"drafts\"",
     &[("47: key `trainers[0].scorer`: value \"drafts\"", "one of \"scorer\"")])]
-#[case::digest("0123456789abcdef0", "my-secret-key",
+#[case::key_instead_of_digest("0123456789abcdef0", "my-secret-key",
     &[("35: key `customers[0].keys[0]`: value (not shown)", "64 hexadecimal digits, the SHA-256 of a key")])]
-#[case::time_zone("Australia/Hobart", "Australia/Hobert",
+#[case::unknown_time_zone("Australia/Hobart", "Australia/Hobert",
     &[("3: key `time_zone`: value \"Australia/Hobert\"", "such as \"Europe/Oslo\"")])]
-#[case::missing("weight = 1", "",
+#[case::missing_key("weight = 1", "",
     &[("33: key `customers[0].weight`", "from 1 to 1000; the key is required")])]
 #[case::duplicate_name("\"scorer\"\nkind", "\"drafts\"\nkind", &[
     ("15: key `services[1].name`", "a name that no other entry of this list has"),
     ("47: key `trainers[0].scorer`", "one of \"drafts\""),
 ])]
 #[case::syntax("[[zones]]", "[[zones]", &[("5: key `(syntax)`", "")])]
-fn faulty_document_is_refused(
+fn invalid_document_is_refused(
     #[case] from: &str,
     #[case] to: &str,
     #[case] expected: &[(&str, &str)],
 ) {
-    check(from, to, expected);
+    check_problems(from, to, expected);
 }
 
-/// Guards against an example that no longer loads.
+/// Guards against an example document that no longer loads.
 #[rstest]
 #[case::derwent("derwent.toml", include_str!("../../../examples/derwent.toml"), 11)]
 #[case::hmla("hmla.toml", include_str!("../../../examples/hmla.toml"), 10)]
@@ -144,7 +146,7 @@
     assert_eq!(document.customers.len(), 8);
 }
 
-/// Guards against an example that shows other values than the defaults it claims to show.
+/// Guards against an example whose values differ from the defaults that it claims to show.
 #[test]
 fn example_settings_show_the_defaults() {
     let text = include_str!("../../../examples/daemon.toml");
@@ -154,10 +156,10 @@
     assert_eq!(settings.lease, LeaseSettings::default());
 }
 
-/// Guards against a load that stops at the first problem.
+/// Guards against validation that stops at the first problem.
 #[test]
 fn all_problems_are_reported_at_once() {
-    let text = SMALL.replace("\"90s\"", "\"soon\"").replace("weight = 1", "weight = -1");
+    let text = SMALL_DOCUMENT.replace("\"90s\"", "\"soon\"").replace("weight = 1", "weight = -1");
     let text = text.replace("kind = \"plain\"", "kind = \"odd\"");
     let problems = EnvironmentDocument::parse("trial.toml", &text).unwrap_err();
     let keys = problems.iter().map(|problem| problem.key.as_str()).collect::<Vec<_>>();
@@ -166,28 +168,29 @@
     }
 }
 
-/// Guards against a lease that ends before its holder can renew it.
+/// Guards against a lease whose holder stops using it before it would renew it.
 #[test]
-fn renewal_that_comes_too_late_is_refused() {
+fn lease_term_not_above_renewal_plus_margin_is_refused() {
     let text = format!("{SETTINGS}[lease]\nterm = \"5s\"\n");
     let problems = DaemonSettings::parse("daemon.toml", &text).unwrap_err();
     assert_eq!(problems.len(), 1, "{problems:?}");
     assert_eq!(problems[0].key, "lease.term");
 }
 
-/// Guards against a panic, or an unreported gap, on a document that lacks any one line.
+/// Guards against a panic, or a problem without line, key or allowed values, when any one line is
+/// missing.
 #[test]
-fn document_without_one_line_loads_or_is_refused_with_a_place() {
-    for left_out in 0..SMALL.lines().count() {
-        let lines = SMALL.lines().enumerate().filter(|(index, _)| *index != left_out);
+fn document_without_one_line_loads_or_is_refused_with_a_location() {
+    for omitted in 0..SMALL_DOCUMENT.lines().count() {
+        let lines = SMALL_DOCUMENT.lines().enumerate().filter(|(index, _)| *index != omitted);
         let text = lines.map(|(_, line)| format!("{line}\n")).collect::<String>();
         let Err(problems) = EnvironmentDocument::parse("trial.toml", &text) else {
             continue;
         };
         let lines = text.lines().count();
-        assert!(!problems.is_empty(), "line {left_out}");
+        assert!(!problems.is_empty(), "line {omitted}");
         for problem in problems {
-            assert!((1..=lines + 1).contains(&problem.line), "line {left_out}: {problem}");
+            assert!((1..=lines + 1).contains(&problem.line), "line {omitted}: {problem}");
             assert!(!problem.key.is_empty() && !problem.allowed.is_empty(), "{problem}");
         }
     }
