--- a/crates/clients/src/base16.rs
+++ b/crates/clients/src/base16.rs
@@ -1,10 +1,10 @@
-//! Hexadecimal text for bytes in JSON.
+//! Base16 (hexadecimal) encoding of bytes in JSON.
 
 use bytes::Bytes;
 
 const DIGITS: &[u8; 16] = b"0123456789abcdef";
 
-/// Writes two lower-case digits per byte.
+/// Encodes bytes with two lower-case digits each.
 #[must_use]
 pub fn encode(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
@@ -15,7 +15,7 @@
     text
 }
 
-/// Reads two digits per byte, or returns `None` for any other text.
+/// Decodes digits of either case. Returns `None` for an odd length or another character.
 #[must_use]
 pub fn decode(text: &str) -> Option<Bytes> {
     let digits = text.as_bytes();
--- a/crates/clients/src/engine.rs
+++ b/crates/clients/src/engine.rs
@@ -1,4 +1,4 @@
-//! HTTP client of model engines.
+//! HTTP client for model engines.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,12 @@
 use crate::{
     CallError, EngineControl, EngineReport, GenerateRequest, HttpClient, HttpRequest, HttpResponse,
     KvCache, SendPermit, TokenStream, WeightLoadOrder,
-    http_client::{MAX_ANSWER, bounded, status_error},
+    http_client::{MAX_RESPONSE_LEN, bounded, status_error},
     platform::{decode, encode},
     wire,
 };
 
-/// Client of all engines.
+/// Client for all engines; each call names the address of its engine.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: HttpClient,
@@ -22,15 +22,15 @@
 }
 
 impl EngineClient {
-    /// Builds a client. Control calls end after `control_timeout`, and a stream fails after
-    /// `idle_timeout` without a line.
+    /// Builds a client. Calls other than generations fail after `control_timeout`. A generation
+    /// fails when its response or the next line of it does not arrive within `idle_timeout`.
     #[must_use]
     pub const fn new(http: HttpClient, control_timeout: Span, idle_timeout: Span) -> Self {
         Self { http, control_timeout, idle_timeout }
     }
 
-    /// Returns a client whose requests are written only when `check` grants it, as
-    /// [`HttpClient::guarded`] describes. Orders that carry a fencing number are sent through it.
+    /// Returns a client that writes a request only when `check` grants it; see
+    /// [`HttpClient::guarded`]. Orders with a fencing token are sent with such a client.
     #[must_use]
     pub fn guarded(&self, check: impl Fn() -> SendPermit + 'static) -> Self {
         Self { http: self.http.guarded(check), ..self.clone() }
@@ -43,7 +43,10 @@
         body: &T,
     ) -> Result<HttpResponse, CallError> {
         let request = HttpRequest::post(engine, path, encode(body)?);
-        self.http.exchange(request, self.control_timeout, MAX_ANSWER).await?.error_for_status()
+        self.http
+            .exchange(request, self.control_timeout, MAX_RESPONSE_LEN)
+            .await?
+            .error_for_status()
     }
 }
 
@@ -58,7 +61,8 @@
         let body = encode(&wire::Generate::from(request))?;
         let http_request = HttpRequest::post(engine, "/generate", body);
         let response = bounded(self.idle_timeout, self.http.open(http_request)).await?;
-        // The engine has received the request, so no status proves that it did not run.
+        // The engine has received the request, so even a 4xx status does not prove that it did not
+        // run.
         if !response.status().is_success() {
             return Err(status_error(response.status(), response.headers()));
         }
@@ -72,7 +76,7 @@
 
     async fn report(&self, engine: SocketAddr) -> Result<EngineReport, CallError> {
         let request = HttpRequest::get(engine, "/load");
-        let response = self.http.exchange(request, self.control_timeout, MAX_ANSWER).await?;
+        let response = self.http.exchange(request, self.control_timeout, MAX_RESPONSE_LEN).await?;
         decode::<wire::EngineLoadReport>(&response.error_for_status()?.body).map(EngineReport::from)
     }
 
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of calls.
+//! Errors of calls to the platform and to engines.
 
 use std::fmt;
 
@@ -8,39 +8,39 @@
 derive_copy! {
     /// Why a call failed.
     pub enum CallFailure {
-        /// No connection was made.
+        /// No connection could be established.
         Connect,
         /// The call took longer than its timeout.
         Timeout,
-        /// The connection ended before the whole answer arrived.
+        /// The connection ended before the complete response arrived.
         Disconnected,
-        /// The other side answered with this HTTP status.
+        /// The response has this HTTP status, which is not a success.
         Status(u16),
-        /// The answer is not what the interface describes, or belongs to another request.
+        /// The response does not have the specified format, or belongs to another request.
         Malformed,
-        /// The answer is longer than the caller accepts.
+        /// The response body exceeds the caller's limit.
         TooLong,
-        /// The check of a guarded client failed, and the request was not sent as a whole.
+        /// The check of a guarded client denied the request, which was not sent completely.
         Denied,
     }
 }
 
 derive_value! {
-    /// A call that did not yield its answer.
+    /// A failed call.
     pub struct CallError {
         /// Why the call failed.
         pub failure: CallFailure,
         /// Whether the request may have taken effect.
         pub execution: Execution,
-        /// When the other side asks to be called again.
+        /// Delay before the next attempt that the receiver asks for in `Retry-After`.
         pub retry_after: Option<Span>,
-        /// Explanation for people.
+        /// Explanation for operators.
         pub message: String,
     }
 }
 
 impl CallError {
-    /// Builds an error of a request of which no byte was sent.
+    /// Builds an error of a request that cannot have taken effect.
     pub(crate) fn not_sent(failure: CallFailure, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { failure, execution: Execution::NotRun, retry_after: None, message }
@@ -51,7 +51,8 @@
         Self { execution: Execution::MayHaveRun, ..Self::not_sent(failure, message) }
     }
 
-    /// Builds an error of a message that does not have the described format.
+    /// Builds an error of a response that does not have the specified format. Its request may have
+    /// taken effect.
     #[must_use]
     pub fn malformed(reason: impl fmt::Display) -> Self {
         Self::maybe_run(CallFailure::Malformed, reason.to_string())
@@ -68,7 +69,8 @@
     fn from(error: SendRequestError) -> Self {
         let message = error.to_string();
         match error {
-            // awc reports a peer that closed after the request was written as `Disconnected`.
+            // awc also returns `Disconnected` when the peer closes the connection after the request
+            // was written.
             SendRequestError::Connect(ConnectError::Disconnected) => {
                 Self::maybe_run(CallFailure::Disconnected, message)
             }
@@ -83,7 +85,8 @@
                 | ConnectError::SslIsNotSupported,
             )
             | SendRequestError::Url(_) => Self::not_sent(CallFailure::Connect, message),
-            // Only the body of a guarded request fails. No receiver got the whole request.
+            // Only the body of a guarded request can fail. The receiver did not get the complete
+            // request.
             SendRequestError::Body(_) => Self::not_sent(CallFailure::Denied, message),
             SendRequestError::Timeout => Self::maybe_run(CallFailure::Timeout, message),
             SendRequestError::Response(_) => Self::maybe_run(CallFailure::Malformed, message),
--- a/crates/clients/src/guard.rs
+++ b/crates/clients/src/guard.rs
@@ -1,4 +1,4 @@
-//! Requests that are written only while a check permits it.
+//! Request bodies that are written only while a check permits it.
 
 use std::{
     fmt,
@@ -11,9 +11,9 @@
 use base::derive_copy;
 use bytes::Bytes;
 
-/// Bytes handed out after one check. Orders fit into one piece; a long usage report is checked again
-/// before each of its pieces.
-const PIECE: usize = 4 << 10;
+/// Largest number of bytes that are written after one check. An order fits into one chunk; for a
+/// long usage report the check is repeated before each chunk.
+const MAX_CHUNK_LEN: usize = 4 << 10;
 
 derive_copy! {
     /// Whether a request may be written now.
@@ -25,17 +25,18 @@
     }
 }
 
-/// Check made when a connection is ready, as the last step before the bytes of a request.
+/// Check that is made once the connection is established, as the last step before a request is
+/// written.
 #[derive(Clone)]
 pub(crate) struct SendGuard(Rc<dyn Fn() -> SendPermit>);
 
-/// Body that asks its guard before it yields bytes.
+/// Body that runs the check of its guard before it yields each chunk.
 pub(crate) struct GuardedBody {
     guard: SendGuard,
-    rest: Bytes,
+    remaining: Bytes,
 }
 
-/// The guard denied the request.
+/// The check denied the request.
 #[derive(Debug)]
 pub(crate) struct SendDenied;
 
@@ -45,7 +46,7 @@
     }
 
     pub(crate) fn body(&self, body: Bytes) -> GuardedBody {
-        GuardedBody { guard: self.clone(), rest: body }
+        GuardedBody { guard: self.clone(), remaining: body }
     }
 }
 
@@ -57,7 +58,7 @@
 
 impl fmt::Display for SendDenied {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the request was not written because its check failed")
+        f.write_str("the request was not sent completely because the sender's check denied it")
     }
 }
 
@@ -67,22 +68,22 @@
     type Error = SendDenied;
 
     fn size(&self) -> BodySize {
-        // A stated length lets awc poll the body only after it has a connection. It polls a body of
-        // unknown length once before.
-        BodySize::Sized(self.rest.len() as u64)
+        // awc polls a body of known length only once it has a connection, but polls a body of
+        // unknown length once before that.
+        BodySize::Sized(self.remaining.len() as u64)
     }
 
     fn poll_next(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, SendDenied>>> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
         match (self.guard.0)() {
             SendPermit::Granted => {
-                let length = self.rest.len().min(PIECE);
-                Poll::Ready(Some(Ok(self.rest.split_to(length))))
+                let length = self.remaining.len().min(MAX_CHUNK_LEN);
+                Poll::Ready(Some(Ok(self.remaining.split_to(length))))
             }
             SendPermit::Denied => Poll::Ready(Some(Err(SendDenied))),
         }
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 exchanges with time and length bounds.
+//! HTTP/1.1 exchanges with timeouts and bounds on the length of responses.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -20,17 +20,18 @@
     transfer::{HTTP_DATE_LEN, TransferCounter, head_len, header_len},
 };
 
-/// Longest answer accepted from the platform and from control calls of engines.
-pub(crate) const MAX_ANSWER: usize = 16 << 20;
+/// Longest response body in bytes that is accepted from the platform and from control calls to
+/// engines.
+pub(crate) const MAX_RESPONSE_LEN: usize = 16 << 20;
 
-/// Idle time after which a connection is not used again. Many servers close theirs after 5 s, and a
-/// request that meets the close may have run.
-const KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is not used again. Many servers close idle connections after
+/// 5 s. If a request is sent while the server closes, the client cannot tell whether it has run.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A pool of connections that belongs to one thread. Clones share the pool.
+/// HTTP client with a connection pool that belongs to one thread. Clones share the pool.
 ///
-/// Redirects are not followed, since that would send a request a second time. A connection returns to
-/// the pool only when its exchange is complete; dropping a call closes its connection.
+/// Redirects are not followed, since that would send the request twice. A connection returns to the
+/// pool only after a complete exchange; dropping a call closes its connection.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client,
@@ -38,29 +39,30 @@
     transfer: Option<TransferCounter>,
 }
 
-/// A request to be sent. It carries the headers given here and no others of the caller.
+/// A request to send. Headers that the daemon received from its own caller are sent only if they
+/// are listed here.
 #[derive(Debug, Clone)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Address of the receiver.
+    /// Address of the server.
     pub address: SocketAddr,
     /// Path with query, starting with a slash.
     pub path: String,
-    /// Headers beside `host` and `content-length`.
+    /// Headers other than `host` and `content-length`.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// Body.
+    /// Body, empty for none.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body, as long as its `content-length` says.
+    /// Complete body, whose length equals `content-length`.
     pub body: Bytes,
 }
 
@@ -71,69 +73,72 @@
 }
 
 impl HttpClient {
-    /// Builds a client whose connection attempts end after `connect_timeout`.
+    /// Builds a client whose connection attempts fail after `connect_timeout`.
     #[must_use]
     pub fn new(connect_timeout: Span) -> Self {
-        // The pool has no limit of its own: a request that waits in it could not be told from one
-        // that was sent. The daemon bounds its requests before they get here.
+        // The number of connections is unlimited: on a timeout, a request that waits for a
+        // connection could not be distinguished from one that was sent. The daemon limits its
+        // concurrent requests before they get here.
         let connector = Connector::new()
             .timeout(duration(connect_timeout))
-            .conn_keep_alive(KEEP_ALIVE)
+            .conn_keep_alive(KEEP_ALIVE_TIMEOUT)
             .limit(0);
-        Self::finish(Client::builder().connector(connector))
+        Self::from_builder(Client::builder().connector(connector))
     }
 
-    /// Builds a client whose connections end with a reset, and are used again until they were idle for
-    /// `idle`. Receivers must keep them open for longer.
+    /// Builds a client whose connections are closed by a TCP reset. They are used again until they
+    /// have been idle for `idle_timeout`; servers must keep idle connections open for longer.
     #[must_use]
-    pub fn with_reset_on_close(connect_timeout: Span, idle: Span) -> Self {
+    pub fn with_reset_on_close(connect_timeout: Span, idle_timeout: Span) -> Self {
         let connector = Connector::new()
             .connector(reset_on_close_connector())
             .timeout(duration(connect_timeout))
-            .conn_keep_alive(duration(idle))
+            .conn_keep_alive(duration(idle_timeout))
             .limit(0);
-        Self::finish(Client::builder().connector(connector))
+        Self::from_builder(Client::builder().connector(connector))
     }
 
-    fn finish<S>(builder: ClientBuilder<S>) -> Self
+    fn from_builder<S>(builder: ClientBuilder<S>) -> Self
     where
         S: Service<ConnectInfo<Uri>, Response = Connection<Uri, TcpStream>, Error = ConnectError>
             + Clone
             + 'static,
     {
-        // Timeouts are applied around whole exchanges below. awc's own would also end long streams.
+        // `bounded` applies timeouts to complete exchanges. awc's own timeout would also end long
+        // streams.
         let client = builder.disable_redirects().disable_timeout().finish();
         Self { client, guard: None, transfer: None }
     }
 
-    /// Returns a client of the same pool that writes a request with a body only when `check` grants
-    /// it. Requests without a body are not checked.
+    /// Returns a client with the same pool that writes a request with a body only when `check`
+    /// grants it. Requests without a body are not checked.
     ///
-    /// The check is made when the connection is ready, and again for every 4 KiB of the body, as
-    /// the last step before the bytes go to the connection's buffer and from there to the kernel.
-    /// After [`SendPermit::Denied`] the connection is closed and the receiver does not get the whole
-    /// request; the error is [`CallFailure::Denied`] and `not-run`.
+    /// The check is made once the connection is established, and again for every 4 KiB of the body,
+    /// as the last step before the bytes go to the connection's buffer and from there to the
+    /// kernel. After [`SendPermit::Denied`] the connection is closed and the receiver does not get
+    /// the complete request; the error is [`CallFailure::Denied`] and `not-run`.
     ///
-    /// A process that is paused between a granted check and the kernel's copy of the bytes, or whose
-    /// kernel holds the bytes because the receiver takes none, still sends the request late. Only
-    /// the receiver's check of the fencing number, or the extra wait of a successor, covers that.
+    /// The request can still be sent late when the process is paused between a granted check and
+    /// the kernel's copy of the bytes, or when the kernel buffers the bytes because the receiver
+    /// reads none. Only the receiver's check of the fencing token, or an additional wait of the
+    /// next lease holder, protects against that.
     #[must_use]
     pub fn guarded(&self, check: impl Fn() -> SendPermit + 'static) -> Self {
         Self { guard: Some(SendGuard::new(check)), ..self.clone() }
     }
 
-    /// Returns a client of the same pool whose exchanges count in `counter`.
+    /// Returns a client with the same pool whose exchanges are counted by `counter`.
     #[must_use]
     pub fn counted(&self, counter: TransferCounter) -> Self {
         Self { transfer: Some(counter), ..self.clone() }
     }
 
-    /// Sends a request and reads the whole answer, of any status.
+    /// Sends a request and reads the complete response, whatever its status.
     ///
     /// # Errors
     ///
-    /// Returns an error when the exchange fails or exceeds `timeout`, and when the body is longer than
-    /// `max_body` or has no `content-length` that confirms it.
+    /// Returns an error when the exchange fails or exceeds `timeout`, when the body is longer than
+    /// `max_body` bytes, or when its length is not confirmed by a `content-length`.
     pub async fn exchange(
         &self,
         request: HttpRequest,
@@ -146,8 +151,8 @@
             let headers = response.headers().clone();
             let body = read_body(response, max_body).await?;
             if let Some(counter) = &self.transfer {
-                let reason = status.canonical_reason().unwrap_or_default().len();
-                let head = head_len("HTTP/1.1 200 ".len() + reason, &headers);
+                let reason_len = status.canonical_reason().unwrap_or_default().len();
+                let head = head_len("HTTP/1.1 200 ".len() + reason_len, &headers);
                 counter.count_bytes(0, head + body.len());
             }
             Ok(HttpResponse { status, headers, body })
@@ -155,11 +160,13 @@
         .await
     }
 
-    /// Sends a request and reads the answer until its stream ends, also one without a length.
+    /// Sends a request and reads the response until its stream ends, also without a
+    /// `content-length`. Returns the status and the body, whose length is not limited.
     ///
     /// # Errors
     ///
-    /// Returns an error when the exchange fails or exceeds `timeout`, or the stream breaks off.
+    /// Returns an error when the exchange fails or exceeds `timeout`, or when reading the stream
+    /// fails.
     pub async fn stream_all(
         &self,
         request: HttpRequest,
@@ -179,7 +186,8 @@
         .await
     }
 
-    /// Sends a request and returns the answer as soon as its head has arrived.
+    /// Sends a request and returns the response once its head has arrived. The caller bounds the
+    /// time.
     pub(crate) async fn open(
         &self,
         http_request: HttpRequest,
@@ -192,14 +200,14 @@
         }
         if let Some(counter) = &self.transfer {
             // awc adds these headers when it writes the head.
-            let body = http_request.body.len();
-            let added = header_len("host", host.len())
-                + header_len("content-length", body.to_string().len())
+            let body_len = http_request.body.len();
+            let added_len = header_len("host", host.len())
+                + header_len("content-length", body_len.to_string().len())
                 + header_len("accept-encoding", "identity".len())
                 + header_len("date", HTTP_DATE_LEN);
-            let first_line = request.get_method().as_str().len() + http_request.path.len();
-            let head = head_len(first_line + "  HTTP/1.1".len(), request.headers());
-            counter.count_exchange(head + added + body, 0);
+            let first_line_len = request.get_method().as_str().len() + http_request.path.len();
+            let head = head_len(first_line_len + "  HTTP/1.1".len(), request.headers());
+            counter.count_exchange(head + added_len + body_len, 0);
         }
         let sent = match &self.guard {
             Some(guard) => request.send_body(guard.body(http_request.body)),
@@ -210,14 +218,14 @@
 }
 
 impl HttpRequest {
-    /// Builds a request without body.
+    /// Builds a `GET` request without a body.
     #[must_use]
     pub fn get(address: SocketAddr, path: impl Into<String>) -> Self {
         let path = path.into();
         Self { method: Method::GET, address, path, headers: Vec::new(), body: Bytes::new() }
     }
 
-    /// Builds a request with a body.
+    /// Builds a `POST` request.
     #[must_use]
     pub fn post(address: SocketAddr, path: impl Into<String>, body: Bytes) -> Self {
         Self { method: Method::POST, body, ..Self::get(address, path) }
@@ -232,13 +240,14 @@
 }
 
 impl HttpResponse {
-    /// Turns a status other than success into an error.
+    /// Returns the response if its status is a success, and an error otherwise.
     ///
-    /// A 4xx status is a definite refusal. After any other status the request may have taken effect.
+    /// A 4xx status means that the request had no effect. With any other status it may have had
+    /// one.
     ///
     /// # Errors
     ///
-    /// Returns [`CallFailure::Status`] for any status but 2xx.
+    /// Returns [`CallFailure::Status`] for any status other than 2xx.
     pub fn error_for_status(self) -> Result<Self, CallError> {
         if self.status.is_success() {
             return Ok(self);
@@ -253,9 +262,10 @@
     }
 }
 
-/// Connects so that a connection which is given up ends with a reset. The network then discards what it
-/// still holds up. After a close, an order that timed out would arrive once the path is free again, when
-/// a successor of its sender may have acted.
+/// Returns a connector whose connections are closed by a TCP reset (`SO_LINGER` of 0), so that
+/// bytes of an abandoned call that are still in transit are discarded. After an orderly close they
+/// would be delivered once the network recovers: an order that has timed out would arrive although
+/// the next lease holder may have acted already.
 fn reset_on_close_connector() -> impl Service<
     ConnectInfo<Uri>,
     Response = Connection<Uri, TcpStream>,
@@ -273,24 +283,25 @@
     })
 }
 
-/// Describes an answer with a status other than success.
+/// Builds the error of a response whose status is not a success. The request may have taken effect.
 pub(crate) fn status_error(status: StatusCode, headers: &HeaderMap) -> CallError {
-    let retry = headers.get(RETRY_AFTER).and_then(|value| value.to_str().ok()?.parse().ok());
+    let retry_after_secs =
+        headers.get(RETRY_AFTER).and_then(|value| value.to_str().ok()?.parse().ok());
     let failure = CallFailure::Status(status.as_u16());
-    let mut error = CallError::maybe_run(failure, format!("the answer is {status}"));
-    error.retry_after = retry.map(Span::from_secs);
+    let mut error = CallError::maybe_run(failure, format!("the response has status {status}"));
+    error.retry_after = retry_after_secs.map(Span::from_secs);
     error
 }
 
-/// Ends `work` after `timeout`. The request may have been sent by then.
+/// Fails `operation` after `timeout`. The request may have been sent by then.
 pub(crate) async fn bounded<T>(
     timeout: Span,
-    work: impl Future<Output = Result<T, CallError>>,
+    operation: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    match actix_rt::time::timeout(duration(timeout), work).await {
+    match actix_rt::time::timeout(duration(timeout), operation).await {
         Ok(result) => result,
         Err(_) => {
-            let message = format!("no answer within {} ms", timeout.as_millis());
+            let message = format!("no response within {} ms", timeout.as_millis());
             Err(CallError::maybe_run(CallFailure::Timeout, message))
         }
     }
@@ -301,33 +312,39 @@
 }
 
 async fn read_body(mut response: ClientResponse, max_body: usize) -> Result<Bytes, CallError> {
-    let stated = response.headers().get(CONTENT_LENGTH);
-    let stated = stated.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
+    let content_length = response.headers().get(CONTENT_LENGTH);
+    let content_length =
+        content_length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
     let status = response.status();
-    if stated.is_some_and(|length| length > max_body) {
-        return Err(too_long(max_body));
+    if content_length.is_some_and(|length| length > max_body) {
+        return Err(response_too_long(max_body));
     }
     let mut body = BytesMut::new();
     while let Some(chunk) = response.next().await {
         let chunk = chunk
             .map_err(|error| CallError::maybe_run(CallFailure::Disconnected, error.to_string()))?;
         if body.len() + chunk.len() > max_body {
-            return Err(too_long(max_body));
+            return Err(response_too_long(max_body));
         }
         body.extend_from_slice(&chunk);
     }
-    // awc ends the body without an error when the connection closes early, so the length decides.
-    let whole = match stated {
+    // awc ends the body without an error when the connection closes early, so only the length tells
+    // whether it is complete.
+    let is_complete = match content_length {
         Some(length) => length == body.len(),
         None => body.is_empty() && matches!(status.as_u16(), 204 | 304),
     };
-    if whole {
+    if is_complete {
         return Ok(body.freeze());
     }
-    let message = format!("{} bytes of {stated:?} stated arrived", body.len());
+    let message =
+        format!("the response body has {} bytes, content-length is {content_length:?}", body.len());
     Err(CallError::maybe_run(CallFailure::Disconnected, message))
 }
 
-fn too_long(max_body: usize) -> CallError {
-    CallError::maybe_run(CallFailure::TooLong, format!("the answer exceeds {max_body} bytes"))
+fn response_too_long(max_body: usize) -> CallError {
+    CallError::maybe_run(
+        CallFailure::TooLong,
+        format!("the response body exceeds the limit of {max_body} bytes"),
+    )
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,8 +1,9 @@
 //! Interfaces to the platform and to model engines, and the HTTP clients that implement them.
 //!
-//! Every call has a timeout, and every error tells whether the request may have taken effect.
+//! Every call has a timeout, and every error tells whether the request may have taken effect, so
+//! that a request that is not idempotent is not repeated by mistake.
 
-// The futures stay on the thread that created them, because awc's client belongs to one thread.
+// The futures need no `Send` bound, because awc's client is confined to one thread.
 #![allow(async_fn_in_trait)]
 
 pub mod base16;
--- a/crates/clients/src/platform.rs
+++ b/crates/clients/src/platform.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the platform.
+//! HTTP client for the platform.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,27 @@
     CallError, CallFailure, HttpClient, HttpRequest, HttpResponse, LogPage, NewRecord, OrderInfo,
     PlatformLog, ReclaimNotice, ReportOutcome, SendPermit, UpstreamInfo, UpstreamOrder,
     UpstreamOrders, UsageReport, UsageSink, VmInfo, VmList, WeightFetch, WeightStore,
-    http_client::MAX_ANSWER, wire,
+    http_client::MAX_RESPONSE_LEN, wire,
 };
 
-/// Pause before the next attempt when the weight store states none.
-const WEIGHT_PAUSE: Span = Span::from_secs(1);
+/// Delay before the next attempt when the weight store's 429 response has no `Retry-After`.
+const DEFAULT_WEIGHT_RETRY_DELAY: Span = Span::from_secs(1);
 
 derive_copy! {
     /// Timeouts of calls to the platform.
     pub struct PlatformTimeouts {
-        /// One append or read.
+        /// One append to or read from the log.
         pub log: Span,
-        /// One order.
+        /// Placing one order for upstreams.
         pub order: Span,
-        /// One read of weights.
+        /// One fetch of weights.
         pub weights: Span,
         /// Any other call.
         pub other: Span,
     }
 }
 
-/// Client of the platform.
+/// Client for the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     http: HttpClient,
@@ -50,21 +50,21 @@
 }
 
 impl PlatformClient {
-    /// Builds a client of the platform at `address`.
+    /// Builds a client for the platform at `address`.
     #[must_use]
     pub const fn new(http: HttpClient, address: SocketAddr, timeouts: PlatformTimeouts) -> Self {
         Self { http, address, timeouts }
     }
 
-    /// Returns a client whose orders, reports and appends are written only when `check` grants it,
-    /// as [`HttpClient::guarded`] describes.
+    /// Returns a client that writes orders, usage reports and appends only when `check` grants it;
+    /// see [`HttpClient::guarded`].
     #[must_use]
     pub fn guarded(&self, check: impl Fn() -> SendPermit + 'static) -> Self {
         Self { http: self.http.guarded(check), ..self.clone() }
     }
 
     async fn get(&self, path: impl Into<String>, timeout: Span) -> Result<HttpResponse, CallError> {
-        self.http.exchange(HttpRequest::get(self.address, path), timeout, MAX_ANSWER).await
+        self.http.exchange(HttpRequest::get(self.address, path), timeout, MAX_RESPONSE_LEN).await
     }
 
     async fn post<T: Serialize>(
@@ -74,7 +74,7 @@
         timeout: Span,
     ) -> Result<HttpResponse, CallError> {
         let request = HttpRequest::post(self.address, path, encode(body)?);
-        self.http.exchange(request, timeout, MAX_ANSWER).await
+        self.http.exchange(request, timeout, MAX_RESPONSE_LEN).await
     }
 
     async fn list<T: DeserializeOwned, U: From<T>>(&self, path: &str) -> Result<Vec<U>, CallError> {
@@ -148,15 +148,15 @@
         let response = self.get(path, self.timeouts.weights).await?;
         match response.error_for_status() {
             Ok(response) => Ok(WeightFetch::Fetched(response.body.len() as u64)),
-            Err(error) if error.failure == CallFailure::Status(429) => {
-                Ok(WeightFetch::RateLimited(error.retry_after.unwrap_or(WEIGHT_PAUSE)))
-            }
+            Err(error) if error.failure == CallFailure::Status(429) => Ok(
+                WeightFetch::RateLimited(error.retry_after.unwrap_or(DEFAULT_WEIGHT_RETRY_DELAY)),
+            ),
             Err(error) => Err(error),
         }
     }
 }
 
-/// Writes a JSON body. Failure means that nothing was sent.
+/// Serializes the JSON body of a request. The error tells that nothing was sent.
 pub(crate) fn encode<T: Serialize>(body: &T) -> Result<Bytes, CallError> {
     let bytes = serde_json::to_vec(body);
     bytes
@@ -164,7 +164,7 @@
         .map_err(|error| CallError::not_sent(CallFailure::Malformed, error.to_string()))
 }
 
-/// Reads a JSON answer to a request that has run.
+/// Deserializes a JSON response. The error tells that the request may have run.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     serde_json::from_slice(body)
         .map_err(|error| CallError::maybe_run(CallFailure::Malformed, error.to_string()))
--- a/crates/clients/src/token_stream.rs
+++ b/crates/clients/src/token_stream.rs
@@ -1,4 +1,4 @@
-//! Reading of a generation line by line.
+//! Line-by-line reading of a streamed generation.
 
 use awc::ClientResponse;
 use base::Span;
@@ -9,10 +9,11 @@
     CallError, CallFailure, GenerateRequest, TokenEvent, TokenSource, http_client::bounded, wire,
 };
 
-/// Longest line accepted from an engine.
-const MAX_LINE: usize = 256 << 10;
+/// Longest line in bytes that is accepted from an engine.
+const MAX_LINE_LEN: usize = 256 << 10;
 
-/// A generation that an engine is running. Dropping it before the end closes its connection.
+/// Response stream of a generation that an engine is running. Dropping it before its end line
+/// closes the connection.
 #[derive(Debug)]
 pub struct TokenStream {
     response: ClientResponse,
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Returns the index of the token that comes next, which is the offset for a resumption.
+    /// Returns the index of the next token, which is also the offset at which to resume the
+    /// generation.
     #[must_use]
     pub const fn next_index(&self) -> u32 {
         self.next_index
@@ -50,19 +52,21 @@
     async fn read_line(&mut self) -> Result<Bytes, CallError> {
         let mut searched = 0;
         loop {
-            if let Some(at) = self.buffer[searched..].iter().position(|byte| *byte == b'\n') {
-                let mut line = self.buffer.split_to(searched + at + 1);
-                line.truncate(searched + at);
+            if let Some(newline) = self.buffer[searched..].iter().position(|byte| *byte == b'\n') {
+                let mut line = self.buffer.split_to(searched + newline + 1);
+                line.truncate(searched + newline);
                 return Ok(line.freeze());
             }
             searched = self.buffer.len();
-            if searched > MAX_LINE {
-                return Err(malformed(format!("a line exceeds {MAX_LINE} bytes")));
+            if searched > MAX_LINE_LEN {
+                return Err(malformed(format!(
+                    "a line of the token stream exceeds {MAX_LINE_LEN} bytes"
+                )));
             }
             match self.response.next().await {
                 Some(Ok(chunk)) => self.buffer.extend_from_slice(&chunk),
-                Some(Err(error)) => return Err(broken(error.to_string())),
-                None => return Err(broken(String::from("the stream has no end line"))),
+                Some(Err(error)) => return Err(disconnected(error.to_string())),
+                None => return Err(disconnected(String::from("the stream has no end line"))),
             }
         }
     }
@@ -71,27 +75,33 @@
         let line = serde_json::from_slice::<wire::TokenLine>(line)
             .map_err(|error| malformed(error.to_string()))?;
         if line.id() != self.id {
-            return Err(malformed(format!("a line of request {:?} arrived", line.id())));
+            return Err(malformed(format!(
+                "the token stream has a line of request {:?}",
+                line.id()
+            )));
         }
         let event = TokenEvent::try_from(line).map_err(|error| malformed(error.to_string()))?;
         match &event {
-            TokenEvent::Token { index, .. } if *index != self.next_index => {
-                Err(malformed(format!("token {index} arrived, expected {}", self.next_index)))
-            }
+            TokenEvent::Token { index, .. } if *index != self.next_index => Err(malformed(
+                format!("received token {index} instead of token {}", self.next_index),
+            )),
             TokenEvent::Token { index, .. } if *index >= self.max_tokens => {
-                Err(malformed(format!("token {index} exceeds the {} asked for", self.max_tokens)))
-            }
-            TokenEvent::End { tokens, .. } if *tokens != self.next_index => {
-                Err(malformed(format!("{tokens} tokens stated, {} arrived", self.next_index)))
+                Err(malformed(format!(
+                    "received token {index} of a generation of at most {} tokens",
+                    self.max_tokens
+                )))
             }
+            TokenEvent::End { tokens, .. } if *tokens != self.next_index => Err(malformed(
+                format!("the end line states {tokens} tokens instead of {}", self.next_index),
+            )),
             TokenEvent::Token { .. } => {
                 self.next_index += 1;
                 Ok(event)
             }
             TokenEvent::End { .. } => {
                 self.ended = true;
-                // Reading the end of the body returns the connection to the pool. When the end has
-                // not arrived yet, the connection is closed instead of delaying the caller.
+                // Reading the end of the body returns the connection to the pool. If the end has
+                // not arrived yet, the connection is closed rather than delaying the caller.
                 let _ = self.response.next().now_or_never();
                 Ok(event)
             }
@@ -106,7 +116,7 @@
         }
         let line = bounded(self.idle_timeout, self.read_line()).await;
         let event = line.and_then(|line| self.accept(&line));
-        // A stream that failed once has no position to go on from.
+        // After an error the position in the stream is unknown, so nothing more is read.
         self.ended |= event.is_err();
         event.map(Some)
     }
@@ -116,6 +126,6 @@
     CallError::maybe_run(CallFailure::Malformed, message)
 }
 
-fn broken(message: String) -> CallError {
+fn disconnected(message: String) -> CallError {
     CallError::maybe_run(CallFailure::Disconnected, message)
 }
--- a/crates/clients/src/types.rs
+++ b/crates/clients/src/types.rs
@@ -1,4 +1,4 @@
-//! Values that the interfaces take and return.
+//! Parameters and results of the interfaces in `traits`.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -10,7 +10,7 @@
 derive_value! {
     /// A record to append to the log.
     pub struct NewRecord {
-        /// Id chosen by the writer.
+        /// Id chosen by the writer, by which readers drop repeats.
         pub id: RecordId,
         /// Encoded record.
         pub data: Bytes,
@@ -18,17 +18,17 @@
 
     /// A record read from the log.
     pub struct StoredRecord {
-        /// Position of the record.
+        /// Position of the record in its stream.
         pub offset: LogOffset,
-        /// Encoded record, or empty when the platform's text for it is malformed.
+        /// Encoded record, or empty when the platform's base16 text of it is malformed.
         pub data: Bytes,
     }
 
-    /// Part of a log stream.
+    /// Consecutive records of a log stream.
     pub struct LogPage {
-        /// Oldest offset that the log still holds.
+        /// Oldest offset that the log retains.
         pub first: LogOffset,
-        /// Offset that the next record will get.
+        /// Offset of the next record to be appended.
         pub next: LogOffset,
         /// Records in order of their offsets.
         pub records: Vec<StoredRecord>,
@@ -42,19 +42,19 @@
         pub zone: String,
         /// Service of the upstreams.
         pub service: String,
-        /// What is ordered.
+        /// Whether to start or stop upstreams.
         pub kind: OrderKind,
-        /// Offset of the claim that gives the right to order.
+        /// Fencing token of the zone's lease.
         pub fencing: FencingToken,
     }
 
-    /// What an order asks for.
+    /// Action of an order.
     pub enum OrderKind {
         /// Start upstreams.
         Start {
             /// Number of upstreams.
             count: u32,
-            /// Whether the platform may reclaim them.
+            /// Whether the upstreams are cheap, so that the platform may reclaim them.
             cheap: bool,
         },
         /// Stop one upstream.
@@ -64,7 +64,7 @@
         },
     }
 
-    /// The platform's answer to an order.
+    /// State of an order in the platform's response.
     pub struct OrderInfo {
         /// State of the order.
         pub state: OrderState,
@@ -80,19 +80,19 @@
         pub zone: String,
         /// Service.
         pub service: String,
-        /// Address that serves requests.
+        /// Address to which requests are sent.
         pub address: SocketAddr,
         /// State.
         pub state: UpstreamState,
-        /// Whether the platform may reclaim it.
+        /// Whether the upstream is cheap, so that the platform may reclaim it.
         pub cheap: bool,
     }
 
-    /// Announcement that the cheap upstreams of a zone will be taken away.
+    /// Notice that the platform will reclaim the cheap upstreams of a zone.
     pub struct ReclaimNotice {
         /// Zone.
         pub zone: String,
-        /// When the upstreams go.
+        /// When the upstreams are reclaimed.
         pub at: WallTime,
     }
 
@@ -100,9 +100,9 @@
     pub struct UsageReport {
         /// Number of the window.
         pub window: u64,
-        /// Offset of the claim that gives the right to report.
+        /// Fencing token of the `usage` lease.
         pub fencing: FencingToken,
-        /// Figures by customer name.
+        /// Usage by customer name.
         pub figures: BTreeMap<String, CustomerUsage>,
     }
 
@@ -112,7 +112,7 @@
         pub name: String,
         /// Zone.
         pub zone: String,
-        /// Address that serves other daemons.
+        /// Address to which other daemons send messages.
         pub address: SocketAddr,
         /// State.
         pub state: VmState,
@@ -120,55 +120,55 @@
 
     /// A generation to run on an engine.
     pub struct GenerateRequest {
-        /// Id assigned by the system. Every line of the answer repeats it.
+        /// Id assigned by the daemon. Every line of the response repeats it.
         pub id: String,
         /// Prompt.
         pub prompt: String,
-        /// Number of tokens in the whole generation, those before `offset` included.
+        /// Largest number of tokens of the whole generation, including those before `offset`.
         pub max_tokens: u32,
-        /// Index of the first token wanted.
+        /// Index of the first token to return; above 0 when a generation is resumed.
         pub offset: u32,
-        /// Seed of the generation.
+        /// Random seed of the generation.
         pub seed: u64,
-        /// Priority on the engine.
+        /// Scheduling priority on the engine.
         pub priority: EnginePriority,
     }
 
-    /// One line of a generation.
+    /// Content of one line of a generation's response.
     pub enum TokenEvent {
         /// A token.
         Token {
-            /// Position in the generation, starting at 0.
+            /// Index in the whole generation, starting at 0.
             index: u32,
             /// Text.
             text: String,
-            /// Weight version that produced it.
+            /// Weight version that generated the token.
             version: WeightVersion,
         },
         /// The generation is complete.
         End {
-            /// Number of tokens in the whole generation, those before the offset included.
+            /// Number of tokens of the whole generation, including those before the offset.
             tokens: u32,
             /// Number of tokens in the prompt.
             prompt_tokens: u32,
         },
     }
 
-    /// What an engine says about itself.
+    /// Load and state that an engine reports about itself.
     pub struct EngineReport {
-        /// Generations running.
+        /// Number of running generations.
         pub running: u32,
-        /// Generations waiting.
+        /// Number of queued generations.
         pub queued: u32,
-        /// Tokens per second over all running generations.
+        /// Tokens per second, summed over all running generations.
         pub tokens_per_second: u32,
         /// Weight version in use.
         pub version: WeightVersion,
         /// Whether the engine is about to stop.
         pub leaving: bool,
-        /// Digests of the prompt prefixes in its cache.
+        /// Digests of the prompt prefixes in the engine's KV cache.
         pub cached_prefixes: Vec<u64>,
-        /// When the figures were taken, on the engine's clock.
+        /// When the values were measured, by the engine's clock.
         pub measured_at: WallTime,
     }
 
@@ -178,15 +178,15 @@
         pub model: String,
         /// Version to load.
         pub version: WeightVersion,
-        /// Offset of the claim that gives the right to order.
+        /// Fencing token of the zone's lease.
         pub fencing: FencingToken,
     }
 
-    /// KV cache of one stream.
+    /// KV cache of one generation, to move it to another engine.
     pub struct KvCache {
-        /// Id of the stream.
+        /// Id of the generation.
         pub id: String,
-        /// Contents, opaque to the system.
+        /// Contents, which only engines interpret.
         pub data: Bytes,
     }
 }
@@ -204,53 +204,53 @@
 
     /// State of an order.
     pub enum OrderState {
-        /// The platform carries the order out.
+        /// The platform has accepted the order and is carrying it out.
         Accepted,
         /// The order has taken effect.
         Done,
-        /// The order has no effect and never will.
+        /// The platform refused the order, which has no effect.
         Refused,
     }
 
     /// State of an upstream.
     pub enum UpstreamState {
-        /// Ordered, takes no work yet.
+        /// Ordered, but does not accept requests yet.
         Starting,
-        /// Takes work.
+        /// Accepts requests.
         Running,
-        /// About to stop.
+        /// Is about to stop.
         Leaving,
     }
 
     /// State of a VM.
     pub enum VmState {
-        /// The VM runs.
+        /// The VM is running.
         Live,
         /// The VM is about to stop.
         Leaving,
     }
 
-    /// Answer to a usage report.
+    /// Response to a usage report.
     pub enum ReportOutcome {
-        /// The window has these figures, from this report or an equal one.
+        /// The platform has stored this usage for the window, from this report or an equal one.
         Accepted,
-        /// The window was reported with other figures, or by a newer holder.
+        /// The platform has other usage for the window, or a report with a higher fencing token.
         Conflict,
     }
 
-    /// Answer of the weight store.
+    /// Response of the weight store.
     pub enum WeightFetch {
-        /// The weights were read; the number of bytes.
+        /// The weights were fetched; their length in bytes.
         Fetched(u64),
-        /// The store is at its rate limit and asks for this pause.
+        /// The rate limit of the store is reached. The value is the delay before the next attempt.
         RateLimited(Span),
     }
 
     /// Priority of a generation on an engine.
     pub enum EnginePriority {
-        /// A caller waits.
+        /// Live request, whose caller waits.
         Live,
-        /// Sample for a trainer.
+        /// Sample of a trainer.
         Sample,
     }
 }
--- a/crates/clients/src/wire/convert.rs
+++ b/crates/clients/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the JSON shapes and the values of the interfaces.
+//! Conversions between the JSON messages and the types of the interfaces.
 
 use base::{FencingToken, Incarnation, LogOffset, RecordId, WallTime, WeightVersion};
 
@@ -31,9 +31,15 @@
             let writer = Incarnation(u64::from_str_radix(writer, 16).ok()?);
             Some(RecordId { writer, sequence: u64::from_str_radix(sequence, 16).ok()? })
         });
-        let id = id.ok_or_else(|| WireError(format!("record id {:?} is malformed", record.id)))?;
+        let id = id.ok_or_else(|| {
+            WireError(format!(
+                "record id {:?} is not two hexadecimal numbers joined by a hyphen",
+                record.id
+            ))
+        })?;
         let data = base16::decode(&record.data);
-        let data = data.ok_or_else(|| WireError(String::from("the data is not base16")))?;
+        let data =
+            data.ok_or_else(|| WireError(String::from("the record data is not valid base16")))?;
         Ok(Self { id, data })
     }
 }
@@ -42,7 +48,7 @@
     fn from(page: Page) -> Self {
         let records = page.records.into_iter().map(|record| StoredRecord {
             offset: LogOffset(record.offset),
-            // An empty record is malformed to every reader, so the ones after it are still read.
+            // Readers skip an empty record as malformed, and still get the records after it.
             data: base16::decode(&record.data).unwrap_or_default(),
         });
         let records = records.collect();
@@ -117,14 +123,14 @@
 impl From<&UsageReport> for Report {
     fn from(report: &UsageReport) -> Self {
         let figures = report.figures.iter();
-        let figures = figures.map(|(name, figures)| (name.clone(), (*figures).into())).collect();
+        let figures = figures.map(|(name, usage)| (name.clone(), (*usage).into())).collect();
         Self { window: report.window, fencing: report.fencing.0, figures }
     }
 }
 
 impl From<CustomerUsage> for UsageAmount {
-    fn from(figures: CustomerUsage) -> Self {
-        let CustomerUsage { requests, prompt_tokens, generated_tokens } = figures;
+    fn from(usage: CustomerUsage) -> Self {
+        let CustomerUsage { requests, prompt_tokens, generated_tokens } = usage;
         Self { requests, prompt_tokens, generated_tokens }
     }
 }
@@ -167,7 +173,7 @@
                 Ok(Self::End { tokens, prompt_tokens })
             }
             TokenLine::End { end: false, .. } => {
-                Err(WireError(String::from("an end line says that it is none")))
+                Err(WireError(String::from("the end line has the value false for \"end\"")))
             }
         }
     }
@@ -205,7 +211,8 @@
 
     fn try_from(kv: Kv) -> Result<Self, WireError> {
         let data = base16::decode(&kv.data);
-        let data = data.ok_or_else(|| WireError(String::from("the data is not base16")))?;
+        let data =
+            data.ok_or_else(|| WireError(String::from("the KV cache data is not valid base16")))?;
         Ok(Self { id: kv.id, data })
     }
 }
--- a/crates/clients/src/wire/mod.rs
+++ b/crates/clients/src/wire/mod.rs
@@ -1,6 +1,6 @@
-//! JSON shapes of the platform's and the engines' interfaces.
+//! JSON messages of the platform's and the engines' interfaces.
 //!
-//! The fields are those of the design page, sections 6.1 and 6.2.
+//! Sections 6.1 and 6.2 of the design page specify the fields.
 
 mod convert;
 
@@ -14,7 +14,8 @@
     };
 }
 
-/// The value lies outside what the interface describes.
+/// A JSON message is well-formed but has a value that the interface does not allow. Holds the
+/// reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError(pub String);
 
@@ -29,19 +30,19 @@
 wire! {
     /// One record of `POST /log/<stream>`.
     pub struct AppendRecord {
-        /// Writer and sequence, both in hexadecimal, with a hyphen between them.
+        /// Writer and sequence number in hexadecimal, separated by a hyphen.
         pub id: String,
         /// Encoded record in base16.
         pub data: String,
     }
 
-    /// Answer to `POST /log/<stream>`.
+    /// Response to `POST /log/<stream>`.
     pub struct Appended {
-        /// Offset of the first record.
+        /// Offset of the first record that was appended.
         pub first: u64,
     }
 
-    /// Answer to `GET /log/<stream>`.
+    /// Response to `GET /log/<stream>`.
     pub struct Page {
         /// Oldest offset retained.
         pub first: u64,
@@ -53,7 +54,7 @@
 
     /// One record of a [`Page`].
     pub struct PageRecord {
-        /// Position of the record.
+        /// Position of the record in its stream.
         pub offset: u64,
         /// Encoded record in base16.
         pub data: String,
@@ -67,7 +68,7 @@
         pub zone: String,
         /// Service of the upstreams.
         pub service: String,
-        /// What is ordered.
+        /// Whether to start or stop upstreams.
         pub kind: OrderVerb,
         /// Number of upstreams to start.
         #[serde(default)]
@@ -78,7 +79,7 @@
         /// Name of the upstream to stop.
         #[serde(default)]
         pub upstream: Option<String>,
-        /// Fencing number of the zone's lease.
+        /// Fencing token of the zone's lease.
         pub fencing: u64,
     }
 
@@ -92,7 +93,7 @@
         Stop,
     }
 
-    /// Answer to `POST /orders` and `GET /orders/<id>`.
+    /// Response to `POST /orders` and `GET /orders/<id>`.
     pub struct OrderReply {
         /// State of the order.
         pub state: OrderStatus,
@@ -104,11 +105,11 @@
     #[derive(Copy)]
     #[serde(rename_all = "lowercase")]
     pub enum OrderStatus {
-        /// The order is being carried out.
+        /// The platform has accepted the order and is carrying it out.
         Accepted,
         /// The order has taken effect.
         Done,
-        /// The order has no effect.
+        /// The platform refused the order, which has no effect.
         Refused,
     }
 
@@ -120,11 +121,11 @@
         pub zone: String,
         /// Service.
         pub service: String,
-        /// Address that serves requests.
+        /// Address to which requests are sent.
         pub address: SocketAddr,
         /// State.
         pub state: UpstreamStatus,
-        /// Whether the platform may reclaim it.
+        /// Whether the upstream is cheap, so that the platform may reclaim it.
         pub cheap: bool,
     }
 
@@ -132,19 +133,19 @@
     #[derive(Copy)]
     #[serde(rename_all = "lowercase")]
     pub enum UpstreamStatus {
-        /// Ordered, takes no work yet.
+        /// Ordered, but does not accept requests yet.
         Starting,
-        /// Takes work.
+        /// Accepts requests.
         Running,
-        /// About to stop.
+        /// Is about to stop.
         Leaving,
     }
 
     /// One entry of `GET /reclaims`.
     pub struct Reclaim {
-        /// Zone whose cheap upstreams go.
+        /// Zone whose cheap upstreams are reclaimed.
         pub zone: String,
-        /// When they go, in milliseconds since 1970.
+        /// When they are reclaimed, in milliseconds since 1970.
         pub at_ms: i64,
     }
 
@@ -152,9 +153,9 @@
     pub struct Report {
         /// Number of the window.
         pub window: u64,
-        /// Fencing number of the usage lease.
+        /// Fencing token of the `usage` lease.
         pub fencing: u64,
-        /// Figures by customer name.
+        /// Usage by customer name.
         pub figures: BTreeMap<String, UsageAmount>,
     }
 
@@ -175,7 +176,7 @@
         pub name: String,
         /// Zone.
         pub zone: String,
-        /// Address that serves other daemons.
+        /// Address to which other daemons send messages.
         pub address: SocketAddr,
         /// State.
         pub state: VmStatus,
@@ -185,7 +186,7 @@
     #[derive(Copy)]
     #[serde(rename_all = "lowercase")]
     pub enum VmStatus {
-        /// The VM runs.
+        /// The VM is running.
         Live,
         /// The VM is about to stop.
         Leaving,
@@ -193,19 +194,19 @@
 
     /// Body of `POST /generate`.
     pub struct Generate {
-        /// Id that every line of the answer repeats.
+        /// Id that every line of the response repeats.
         pub id: String,
         /// Prompt.
         pub prompt: String,
-        /// Number of tokens in the whole generation.
+        /// Largest number of tokens of the whole generation, including those before `offset`.
         pub max_tokens: u32,
-        /// Index of the first token wanted.
+        /// Index of the first token to return; above 0 when a generation is resumed.
         #[serde(default)]
         pub offset: u32,
-        /// Seed of the generation.
+        /// Random seed of the generation.
         #[serde(default)]
         pub seed: u64,
-        /// Priority.
+        /// Scheduling priority on the engine.
         pub priority: Priority,
     }
 
@@ -213,54 +214,54 @@
     #[derive(Copy)]
     #[serde(rename_all = "lowercase")]
     pub enum Priority {
-        /// A caller waits.
+        /// Live request, whose caller waits.
         Live,
-        /// Sample for a trainer.
+        /// Sample of a trainer.
         Sample,
     }
 
-    /// One line of the answer to `POST /generate`.
+    /// One line of the response to `POST /generate`.
     #[serde(untagged)]
     pub enum TokenLine {
         /// A token.
         Token {
             /// Id of the request.
             id: String,
-            /// Position in the generation.
+            /// Index in the whole generation, starting at 0.
             index: u32,
             /// Text.
             token: String,
-            /// Weight version that produced it.
+            /// Weight version that generated the token.
             version: u64,
         },
-        /// The end marker.
+        /// The last line, which confirms that the generation is complete.
         End {
             /// Id of the request.
             id: String,
             /// Always true.
             end: bool,
-            /// Number of tokens in the whole generation.
+            /// Number of tokens of the whole generation.
             tokens: u32,
             /// Number of tokens in the prompt.
             prompt_tokens: u32,
         },
     }
 
-    /// Answer to `GET /load`.
+    /// Response to `GET /load`.
     pub struct EngineLoadReport {
-        /// Generations running.
+        /// Number of running generations.
         pub running: u32,
-        /// Generations waiting.
+        /// Number of queued generations.
         pub queued: u32,
-        /// Tokens per second over all running generations.
+        /// Tokens per second, summed over all running generations.
         pub tokens_per_second: u32,
         /// Weight version in use.
         pub version: u64,
         /// Whether the engine is about to stop.
         pub leaving: bool,
-        /// Digests of the prompt prefixes in the cache.
+        /// Digests of the prompt prefixes in the KV cache.
         pub cached_prefixes: Vec<u64>,
-        /// When the figures were taken, in milliseconds since 1970.
+        /// When the values were measured, in milliseconds since 1970.
         pub measured_at_ms: i64,
     }
 
@@ -270,7 +271,7 @@
         pub model: String,
         /// Version to load.
         pub version: u64,
-        /// Fencing number of the zone's lease.
+        /// Fencing token of the zone's lease.
         pub fencing: u64,
     }
 
@@ -280,7 +281,7 @@
         pub id: String,
     }
 
-    /// Answer to `POST /kv/export` and body of `POST /kv/import`.
+    /// Response to `POST /kv/export`, and body of `POST /kv/import`.
     pub struct Kv {
         /// Id of the generation.
         pub id: String,
@@ -290,7 +291,7 @@
 }
 
 impl TokenLine {
-    /// Returns the id of the request that the line answers.
+    /// Returns the id of the generation to which the line belongs.
     #[must_use]
     pub fn id(&self) -> &str {
         match self {
--- a/crates/clients/tests/failures.rs
+++ b/crates/clients/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What the clients report when the other side misbehaves.
+//! Tests of the errors that the clients return when the server fails or misbehaves.
 
 use std::{
     cell::Cell,
@@ -17,7 +17,7 @@
     net::{TcpListener, TcpSocket},
 };
 
-/// What the scripted server does after it has read a request.
+/// What the test server does after it has read a request.
 #[derive(Clone)]
 enum Script {
     /// Writes these bytes and closes the connection.
@@ -37,7 +37,7 @@
     actix_rt::spawn(async move {
         while let Ok((mut socket, _)) = listener.accept().await {
             counter.set(counter.get() + 1);
-            let number = counter.get();
+            let connection_number = counter.get();
             let script = script.clone();
             actix_rt::spawn(async move {
                 let mut buffer = vec![0; 4_096];
@@ -45,7 +45,7 @@
                     let (text, close) = match &script {
                         Script::Close(text) => (text, true),
                         Script::Keep(text) => (text, false),
-                        Script::StallFirst(_) if number == 1 => continue,
+                        Script::StallFirst(_) if connection_number == 1 => continue,
                         Script::StallFirst(text) => (text, false),
                     };
                     let _ = socket.write_all(text.as_bytes()).await;
@@ -81,7 +81,7 @@
 const PAGE: &str =
     "HTTP/1.1 200 OK\r\ncontent-length: 33\r\n\r\n{\"first\":0,\"next\":0,\"records\":[]}\n";
 
-/// Guards against a failure whose effect on the other side is stated wrongly.
+/// Guards against an error that states wrongly whether the request may have run.
 #[rstest]
 #[case::closed_after_request("", CallFailure::Disconnected, Execution::MayHaveRun)]
 #[case::body_cut_short(
@@ -116,20 +116,20 @@
     Execution::MayHaveRun
 )]
 #[actix_rt::test]
-async fn failure_tells_whether_the_request_may_have_run(
-    #[case] answer: &'static str,
+async fn error_tells_whether_the_request_may_have_run(
+    #[case] response: &'static str,
     #[case] failure: CallFailure,
     #[case] execution: Execution,
 ) {
-    let (address, _) = start(Script::Close(String::from(answer))).await;
+    let (address, _) = start(Script::Close(String::from(response))).await;
     let error = platform(address, Span::from_secs(30)).append("usage", &[]).await.unwrap_err();
     assert_eq!((error.failure, error.execution), (failure, execution), "{error}");
 }
 
-/// Guards against a `may-have-run` for a request that had no connection.
+/// Guards against the error `may-have-run` for a request that never had a connection.
 #[actix_rt::test]
-async fn refused_connection_is_not_run() {
-    // The socket holds the port without listening, so that nothing else can take it.
+async fn request_on_a_refused_connection_is_not_run() {
+    // The bound socket reserves the port but does not listen, so connections to it are refused.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
     let client = platform(socket.local_addr().unwrap(), Span::from_secs(30));
@@ -140,34 +140,36 @@
     assert_eq!((error.failure, error.execution), (CallFailure::Connect, Execution::NotRun));
 }
 
-/// Guards against a generation that is run a second time after a refusal by the engine itself.
+/// Guards against a generation that is repeated after the engine itself has responded with an error
+/// status.
 #[rstest]
 #[case::client_error("HTTP/1.1 429 Too Many Requests\r\ncontent-length: 0\r\n\r\n")]
 #[case::server_error("HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n")]
 #[case::closed("")]
 #[actix_rt::test]
-async fn generation_that_reached_an_engine_may_have_run(#[case] answer: &str) {
-    let (address, _) = start(Script::Close(String::from(answer))).await;
+async fn generation_that_reached_an_engine_may_have_run(#[case] response: &str) {
+    let (address, _) = start(Script::Close(String::from(response))).await;
     let engine = EngineClient::new(http(), Span::from_secs(30), Span::from_secs(30));
     let error = engine.generate(address, &request()).await.unwrap_err();
     assert_eq!(error.execution, Execution::MayHaveRun, "{error}");
 }
 
-/// Guards against a late answer that reaches the next request on the same connection.
+/// Guards against a late response that is taken for the response to the next request on the same
+/// connection.
 #[actix_rt::test]
 async fn connection_of_an_abandoned_call_is_not_reused() {
     let (address, accepted) = start(Script::StallFirst(String::from(PAGE))).await;
     let http = http();
     let timeouts = PlatformTimeouts { log: Span::from_millis(50), ..PlatformTimeouts::default() };
-    let hasty = PlatformClient::new(http.clone(), address, timeouts);
-    let error = hasty.read("usage", LogOffset(0), 1).await.unwrap_err();
+    let impatient_client = PlatformClient::new(http.clone(), address, timeouts);
+    let error = impatient_client.read("usage", LogOffset(0), 1).await.unwrap_err();
     assert_eq!((error.failure, error.execution), (CallFailure::Timeout, Execution::MayHaveRun));
-    let patient = PlatformClient::new(http, address, PlatformTimeouts::default());
-    patient.read("usage", LogOffset(0), 1).await.unwrap();
+    let patient_client = PlatformClient::new(http, address, PlatformTimeouts::default());
+    patient_client.read("usage", LogOffset(0), 1).await.unwrap();
     assert_eq!(accepted.get(), 2);
 }
 
-/// Guards against a connection that is opened anew for each complete exchange.
+/// Guards against a new connection for each exchange.
 #[actix_rt::test]
 async fn connection_of_a_complete_call_is_reused() {
     let (address, accepted) = start(Script::Keep(String::from(PAGE))).await;
@@ -181,52 +183,54 @@
 /// Guards against a redirect that sends a request a second time.
 #[actix_rt::test]
 async fn redirect_is_not_followed() {
-    let answer = "HTTP/1.1 307 Temporary Redirect\r\nlocation: /again\r\ncontent-length: 0\r\n\r\n";
-    let (address, accepted) = start(Script::Keep(String::from(answer))).await;
+    let response =
+        "HTTP/1.1 307 Temporary Redirect\r\nlocation: /again\r\ncontent-length: 0\r\n\r\n";
+    let (address, accepted) = start(Script::Keep(String::from(response))).await;
     let request = HttpRequest::post(address, "/print", "sheet".into());
-    let answer = http().exchange(request, Span::from_secs(30), 1_024).await.unwrap();
-    assert_eq!((answer.status.as_u16(), accepted.get()), (307, 1));
+    let response = http().exchange(request, Span::from_secs(30), 1_024).await.unwrap();
+    assert_eq!((response.status.as_u16(), accepted.get()), (307, 1));
 }
 
-const TWO: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
+const NO_END: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
     {\"id\":\"g1\",\"index\":1,\"token\":\"b\",\"version\":5}\n";
-const END: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
+const COMPLETE: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
     {\"id\":\"g1\",\"end\":true,\"tokens\":1,\"prompt_tokens\":5}\n";
-const SHORT_END: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
+const END_COUNTS_TOO_MANY: &str = "{\"id\":\"g1\",\"index\":0,\"token\":\"a\",\"version\":4}\n\
     {\"id\":\"g1\",\"end\":true,\"tokens\":2,\"prompt_tokens\":5}\n";
-const FOREIGN: &str = "{\"id\":\"g2\",\"index\":0,\"token\":\"a\",\"version\":4}\n";
-const GAP: &str = "{\"id\":\"g1\",\"index\":1,\"token\":\"a\",\"version\":4}\n";
+const OTHER_REQUEST: &str = "{\"id\":\"g2\",\"index\":0,\"token\":\"a\",\"version\":4}\n";
+const TOKEN_MISSING: &str = "{\"id\":\"g1\",\"index\":1,\"token\":\"a\",\"version\":4}\n";
 
-/// Guards against an incomplete, foreign or misplaced line that passes for an answer.
+/// Guards against token streams that are accepted although lines are missing, out of sequence or of
+/// another request.
 #[rstest]
-#[case::whole(END, 1, None)]
-#[case::no_end_line(TWO, 2, Some(CallFailure::Disconnected))]
-#[case::end_counts_missing_tokens(SHORT_END, 1, Some(CallFailure::Malformed))]
-#[case::line_of_another_request(FOREIGN, 0, Some(CallFailure::Malformed))]
-#[case::token_left_out(GAP, 0, Some(CallFailure::Malformed))]
+#[case::complete(COMPLETE, 1, None)]
+#[case::no_end_line(NO_END, 2, Some(CallFailure::Disconnected))]
+#[case::end_counts_missing_tokens(END_COUNTS_TOO_MANY, 1, Some(CallFailure::Malformed))]
+#[case::line_of_another_request(OTHER_REQUEST, 0, Some(CallFailure::Malformed))]
+#[case::token_left_out(TOKEN_MISSING, 0, Some(CallFailure::Malformed))]
 #[actix_rt::test]
-async fn generation_is_checked_line_by_line(
-    #[case] answer: &str,
+async fn generation_is_validated_line_by_line(
+    #[case] response: &str,
     #[case] tokens: u32,
     #[case] failure: Option<CallFailure>,
 ) {
-    let length = answer.len();
-    let answer = format!(
-        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{length:x}\r\n{answer}\r\n0\r\n\r\n"
+    let length = response.len();
+    let response = format!(
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{length:x}\r\n{response}\r\n0\r\n\r\n"
     );
-    let (address, _) = start(Script::Close(answer)).await;
+    let (address, _) = start(Script::Close(response)).await;
     let engine = EngineClient::new(http(), Span::from_secs(30), Span::from_secs(30));
     let mut stream = engine.generate(address, &request()).await.unwrap();
-    let mut seen = 0;
-    let found = loop {
+    let mut received = 0;
+    let error = loop {
         match stream.next().await {
-            Ok(Some(TokenEvent::Token { .. })) => seen += 1,
+            Ok(Some(TokenEvent::Token { .. })) => received += 1,
             Ok(Some(TokenEvent::End { .. })) => continue,
             Ok(None) => break None,
             Err(error) => break Some(error.failure),
         }
     };
-    assert_eq!((seen, found), (tokens, failure));
+    assert_eq!((received, error), (tokens, failure));
     assert_eq!(stream.next().await, Ok(None));
     assert_eq!(stream.next_index(), tokens);
 }
--- a/crates/clients/tests/guard.rs
+++ b/crates/clients/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Guards against an order that is written after its check has failed.
+//! Tests of guarded clients: a request that the check denies must not be written.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,11 +20,11 @@
     sync::oneshot,
 };
 
-const LIMIT: Span = Span::from_secs(30);
+const TIMEOUT: Span = Span::from_secs(30);
 
-/// Accepts one connection, answers once `whole` bytes of body have come, and returns all that came
-/// until the client closed.
-async fn receive(whole: usize) -> (SocketAddr, oneshot::Receiver<Vec<u8>>) {
+/// Accepts one connection, responds once `body_len` bytes of body have arrived, and returns all
+/// bytes that arrived until then or until the client closed the connection.
+async fn receive(body_len: usize) -> (SocketAddr, oneshot::Receiver<Vec<u8>>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     let (done, received) = oneshot::channel();
@@ -32,9 +32,10 @@
         let (mut socket, _) = listener.accept().await.unwrap();
         let mut bytes = Vec::new();
         while socket.read_buf(&mut bytes).await.is_ok_and(|count| count > 0) {
-            if body_of(&bytes).len() == whole {
-                let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
-                socket.write_all(answer.as_bytes()).await.unwrap();
+            if body_of(&bytes).len() == body_len {
+                let response =
+                    "HTTP/1.1 200 OK\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
+                socket.write_all(response.as_bytes()).await.unwrap();
                 break;
             }
         }
@@ -49,10 +50,10 @@
 }
 
 fn platform(address: SocketAddr) -> PlatformClient {
-    PlatformClient::new(HttpClient::new(LIMIT), address, PlatformTimeouts::default())
+    PlatformClient::new(HttpClient::new(TIMEOUT), address, PlatformTimeouts::default())
 }
 
-async fn order(address: SocketAddr) -> Result<(), CallError> {
+async fn denied_order(address: SocketAddr) -> Result<(), CallError> {
     let order = UpstreamOrder {
         id: String::from("1-1"),
         zone: String::from("hobart-a"),
@@ -63,23 +64,23 @@
     platform(address).guarded(|| SendPermit::Denied).place_order(&order).await.map(drop)
 }
 
-async fn report(address: SocketAddr) -> Result<(), CallError> {
+async fn denied_report(address: SocketAddr) -> Result<(), CallError> {
     let report = UsageReport { window: 3, fencing: FencingToken(7), figures: [].into() };
     platform(address).guarded(|| SendPermit::Denied).report_usage(&report).await.map(drop)
 }
 
-async fn load(address: SocketAddr) -> Result<(), CallError> {
+async fn denied_load(address: SocketAddr) -> Result<(), CallError> {
     let model = String::from("draft-models");
     let order = WeightLoadOrder { model, version: WeightVersion(4), fencing: FencingToken(7) };
-    let engines = EngineClient::new(HttpClient::new(LIMIT), LIMIT, LIMIT);
+    let engines = EngineClient::new(HttpClient::new(TIMEOUT), TIMEOUT, TIMEOUT);
     engines.guarded(|| SendPermit::Denied).load_version(address, &order).await
 }
 
-/// Guards against a guarded call whose body is written without its check.
+/// Guards against a call of a guarded client whose body is written although the check denies it.
 #[rstest]
-#[case::order(order)]
-#[case::usage_report(report)]
-#[case::engine_order(load)]
+#[case::order(denied_order)]
+#[case::usage_report(denied_report)]
+#[case::weight_load_order(denied_load)]
 #[actix_rt::test]
 async fn denied_request_does_not_arrive(
     #[case] send: impl AsyncFn(SocketAddr) -> Result<(), CallError>,
@@ -91,42 +92,45 @@
     assert_eq!(body_of(&bytes), b"", "{}", String::from_utf8_lossy(&bytes));
 }
 
-/// Guards against a check that is made before the connection, which may take long.
+/// Guards against a check that is made before the connection is established. That may take long,
+/// and the result would be outdated.
 #[actix_rt::test]
 async fn check_comes_after_the_connection() {
-    // The socket holds the port without listening, so that nothing else can take it.
+    // The bound socket reserves the port but does not listen, so connections to it are refused.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
     let checks = Rc::new(Cell::new(0));
     let counter = Rc::clone(&checks);
-    let client = HttpClient::new(LIMIT).guarded(move || {
+    let client = HttpClient::new(TIMEOUT).guarded(move || {
         counter.set(counter.get() + 1);
         SendPermit::Granted
     });
     let request = HttpRequest::post(socket.local_addr().unwrap(), "/orders", "order".into());
-    let error = client.exchange(request, LIMIT, 1_024).await.unwrap_err();
+    let error = client.exchange(request, TIMEOUT, 1_024).await.unwrap_err();
     assert_eq!((error.failure, checks.get()), (CallFailure::Connect, 0));
 }
 
-/// Guards against a long report of which the rest is written after a check that failed meanwhile.
+/// Guards against a long report whose later chunks are written after the check has begun to deny
+/// it.
 #[rstest]
 #[case::granted(vec![SendPermit::Granted; 5], None)]
-#[case::denied_in_between(
+#[case::denied_at_the_third_chunk(
     vec![SendPermit::Denied, SendPermit::Granted, SendPermit::Granted],
     Some(CallFailure::Denied)
 )]
 #[actix_rt::test]
-async fn long_body_is_checked_in_pieces(
+async fn long_body_is_checked_before_each_chunk(
     #[case] permits: Vec<SendPermit>,
     #[case] failure: Option<CallFailure>,
 ) {
-    const LENGTH: usize = 17 << 10;
-    let (address, received) = receive(LENGTH).await;
+    const BODY_LEN: usize = 17 << 10;
+    let (address, received) = receive(BODY_LEN).await;
     let permits = RefCell::new(permits);
-    let check = move || permits.borrow_mut().pop().expect("the body has five pieces");
-    let request = HttpRequest::post(address, "/usage-reports", Bytes::from(vec![b'x'; LENGTH]));
-    let result = HttpClient::new(LIMIT).guarded(check).exchange(request, LIMIT, 1_024).await;
+    let check =
+        move || permits.borrow_mut().pop().expect("at most 5 checks for a body of 5 chunks");
+    let request = HttpRequest::post(address, "/usage-reports", Bytes::from(vec![b'x'; BODY_LEN]));
+    let result = HttpClient::new(TIMEOUT).guarded(check).exchange(request, TIMEOUT, 1_024).await;
     assert_eq!(result.err().map(|error| error.failure), failure);
-    let arrived = body_of(&received.await.unwrap()).len();
-    assert_eq!(arrived == LENGTH, failure.is_none(), "{arrived} bytes arrived");
+    let arrived_len = body_of(&received.await.unwrap()).len();
+    assert_eq!(arrived_len == BODY_LEN, failure.is_none(), "{arrived_len} bytes arrived");
 }
--- a/crates/fleet/src/civil.rs
+++ b/crates/fleet/src/civil.rs
@@ -1,4 +1,4 @@
-//! Local civil time as slots of the week.
+//! Local civil time, divided into slots of a week.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
     tz::{TimeZone, TimeZoneDatabase},
 };
 
-/// Length of a slot. All current offsets from UTC are multiples of it.
+/// Length of a slot in minutes. All current offsets from UTC are multiples of it.
 pub const SLOT_MINUTES: u16 = 15;
 
 /// Number of slots in a week.
@@ -17,14 +17,14 @@
 pub(crate) const SLOTS_PER_DAY: u16 = 24 * 60 / SLOT_MINUTES;
 
 derive_copy! {
-    /// A quarter of an hour of the local week, from Monday 00:00.
+    /// Index of a quarter of an hour in the local week. Slot 0 starts on Monday at 00:00.
     pub struct CivilSlot(pub u16);
 }
 
 derive_value! {
-    /// The time zone database has no such zone.
+    /// The time zone database has no time zone of this name.
     pub struct UnknownTimeZone {
-        /// The name that was asked for.
+        /// The requested name.
         pub name: String,
     }
 }
@@ -39,8 +39,9 @@
 
 /// Converts times to local civil time.
 ///
-/// Rules come from the database compiled into the program. The VM's own database may differ or be
-/// missing, and all nodes must learn the same slots.
+/// The rules come from the time zone database that is compiled into the program. The VM's own
+/// database may be missing or differ from other VMs', and all nodes must assign a time to the same
+/// slot.
 #[derive(Debug, Clone)]
 pub struct CivilClock {
     name: String,
@@ -48,7 +49,7 @@
 }
 
 impl CivilClock {
-    /// Creates the clock of the named time zone, such as `Europe/Bratislava`.
+    /// Creates a clock of the named time zone, such as `Europe/Bratislava`.
     ///
     /// # Errors
     ///
@@ -59,8 +60,8 @@
         Ok(Self { name: String::from(name), zone })
     }
 
-    /// Returns a clock that keeps the offset of `at` for ever. It is a baseline that ignores clock
-    /// changes.
+    /// Returns a clock that always uses the time zone's offset from UTC at `at`. Experiments
+    /// compare with it as a baseline that ignores daylight saving time.
     #[must_use]
     pub fn with_fixed_offset(&self, at: WallTime) -> Self {
         let offset = self.zone.to_offset(timestamp(at));
@@ -85,13 +86,13 @@
 }
 
 impl CivilSlot {
-    /// Returns the same time on another day, counted in days after this one.
+    /// Returns the slot of the same time of day, `days` days later in the week.
     pub(crate) const fn days_later(self, days: u16) -> Self {
         Self((self.0 + days * SLOTS_PER_DAY) % SLOTS_PER_WEEK)
     }
 }
 
-/// Converts to the calendar's range, which ends in the year 9999.
+/// Converts to a timestamp, clamped to the range of jiff, whose last year is 9999.
 fn timestamp(at: WallTime) -> Timestamp {
     Timestamp::from_millisecond(at.0).unwrap_or(if at.0 < 0 {
         Timestamp::MIN
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,9 @@
-//! Fleet: demand by local civil time, and the number of upstreams wanted in each availability zone.
+//! Fleet planning: forecasts of demand by local civil time, and the desired number of upstreams per
+//! service and availability zone.
 //!
-//! Both types are state machines; times and observations are passed in. Nothing here sends an order:
-//! the holder of a zone's lease passes the actions to its order desk.
+//! [`DemandModel`] and [`FleetPlanner`] are state machines without I/O; times and observations are
+//! passed in. The holder of a zone's lease passes the planned [`FleetAction`]s to its order
+//! manager, which sends the orders to the platform.
 
 mod civil;
 mod demand;
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,4 +1,4 @@
-//! Number of upstreams wanted per service and zone, regular and cheap.
+//! Desired number of regular and cheap upstreams per service and zone.
 
 mod mix;
 
@@ -9,38 +9,40 @@
 
 use crate::planner::mix::{Bounds, ZonePools, apportion, choose_mix};
 
-/// How long a zone's cheap upstreams are left alone after a reclaim or a refused order.
+/// How long no cheap upstreams are planned in a zone after a reclaim or a refused order.
 const CHEAP_PAUSE: Span = Span::from_secs(600);
 
-/// Bounds the search for a mix, whatever the settings and the demand say.
-const MAX_POOL: u32 = 10_000;
+/// Upper bound on the upstreams of a pool, which bounds the search for a mix whatever the settings
+/// and the demand are.
+const MAX_POOL_SIZE: u32 = 10_000;
 
 derive_copy! {
-    /// How an upstream is paid for.
+    /// Whether an upstream is regular or cheap (reclaimable).
     pub enum PriceClass {
-        /// Runs until it is stopped.
+        /// Runs until it is ordered to stop.
         Regular,
-        /// Costs less, but can be reclaimed with seconds of notice and is sometimes unavailable.
+        /// Costs less, but the platform can reclaim it with seconds of notice, and sometimes has
+        /// none.
         Cheap,
     }
 
-    /// Upstreams of one service, zone and kind that can be ordered.
+    /// Upstreams of one service, zone and price class that can be ordered.
     pub struct PoolSettings {
         /// The zone.
         pub zone: ZoneKey,
-        /// The kind.
+        /// The price class.
         pub price_class: PriceClass,
-        /// Upstreams that always run.
+        /// Lowest number of upstreams, which always run.
         pub min: u32,
         /// Largest number of upstreams.
         pub max: u32,
-        /// Price of an upstream for an hour, in any unit.
+        /// Price of an upstream per hour, in a unit that is the same for all pools.
         pub price: u32,
-        /// Time from an order to the first request served.
+        /// Time from an order until the upstream serves requests.
         pub startup: Span,
     }
 
-    /// Upstreams wanted in one zone.
+    /// Desired number of upstreams of one service in one zone.
     pub struct DesiredCounts {
         /// Regular upstreams.
         pub regular: u32,
@@ -50,19 +52,20 @@
 }
 
 derive_value! {
-    /// Upstreams of one service, zone and kind, as the platform lists them.
+    /// Number of upstreams of one service, zone and price class in the platform's list.
     pub struct UpstreamCount {
         /// Name of the service.
         pub service: String,
         /// The zone.
         pub zone: ZoneKey,
-        /// The kind.
+        /// The price class.
         pub price_class: PriceClass,
-        /// Upstreams that run or start, with those of unsettled orders, without leaving ones.
+        /// Upstreams that are running or starting, including those of unfinished orders and
+        /// excluding those that are leaving.
         pub count: u32,
     }
 
-    /// What the caller must order.
+    /// An order that the caller must give to the platform.
     pub enum FleetAction {
         /// Start upstreams.
         Start {
@@ -70,9 +73,9 @@
             service: String,
             /// The zone.
             zone: ZoneKey,
-            /// The kind.
+            /// The price class.
             price_class: PriceClass,
-            /// How many.
+            /// Number of upstreams.
             count: u32,
         },
         /// Drain and stop upstreams.
@@ -81,9 +84,9 @@
             service: String,
             /// The zone.
             zone: ZoneKey,
-            /// The kind.
+            /// The price class.
             price_class: PriceClass,
-            /// How many.
+            /// Number of upstreams.
             count: u32,
         },
     }
@@ -96,9 +99,9 @@
     pub service: String,
     /// The zone.
     pub zone: ZoneKey,
-    /// Demand of callers who wait.
+    /// Demand of live requests, whose callers wait.
     pub live: f64,
-    /// Demand of samples and other resumable work.
+    /// Demand of samples and other work that can be resumed.
     pub samples: f64,
 }
 
@@ -109,20 +112,20 @@
     pub service: String,
     /// Demand that one upstream can serve.
     pub capacity: f64,
-    /// Share of the capacity that is planned for.
+    /// Planned utilization of the capacity, from 0 to 1.
     pub utilization: f64,
-    /// Share of the capacity that live callers may take after a zone lost its cheap upstreams.
+    /// Utilization by live requests that is allowed after one zone has lost its cheap upstreams.
     pub utilization_after_loss: f64,
-    /// Smallest share of the live need that regular upstreams cover.
+    /// Smallest share of the upstreams for live requests that must be regular, from 0 to 1.
     pub min_regular_share: f64,
-    /// How long fewer upstreams must be wanted before any is stopped.
+    /// How long fewer upstreams must be desired before any is stopped.
     pub stop_hold: Span,
-    /// Pools from which upstreams can be ordered, at most one of each zone and kind.
+    /// Pools from which upstreams can be ordered, at most one per zone and price class.
     pub pools: Vec<PoolSettings>,
 }
 
 impl ServiceSettings {
-    /// Returns settings with the usual shares for upstreams of the given capacity.
+    /// Returns settings with default utilizations, regular share and stop hold.
     #[must_use]
     pub fn new(
         service: impl Into<String>,
@@ -144,8 +147,8 @@
         let pool =
             self.pools.iter().find(|pool| pool.zone == zone && pool.price_class == price_class);
         pool.map_or(Bounds::NONE, |pool| Bounds {
-            min: pool.min.min(MAX_POOL),
-            max: pool.max.min(MAX_POOL),
+            min: pool.min.min(MAX_POOL_SIZE),
+            max: pool.max.min(MAX_POOL_SIZE),
             price: pool.price,
         })
     }
@@ -154,13 +157,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Surplus {
     since: Moment,
-    /// Highest number wanted since then.
-    wanted: u32,
+    /// Highest number desired since then.
+    desired: u32,
 }
 
 type CountKey = (String, ZoneKey, PriceClass);
 
-/// Plans the fleet of all services over the zones that this node can see.
+/// Computes desired counts and orders of all services, over the zones that this node can reach.
 #[derive(Debug, Clone, Default)]
 pub struct FleetPlanner {
     services: BTreeMap<String, ServiceSettings>,
@@ -171,13 +174,14 @@
 }
 
 impl FleetPlanner {
-    /// Creates a plan over `zones`.
+    /// Creates a planner over `zones` without services.
     #[must_use]
     pub fn new(zones: impl IntoIterator<Item = ZoneKey>) -> Self {
         Self { zones: zones.into_iter().collect(), ..Self::default() }
     }
 
-    /// Replaces the zones. Pauses of cheap upstreams and hold times of the zones that stay go on.
+    /// Replaces the zones. For zones that remain, pauses of cheap upstreams and stop holds
+    /// continue.
     pub fn set_zones(&mut self, zones: impl IntoIterator<Item = ZoneKey>) {
         self.zones = zones.into_iter().collect();
         let zones = &self.zones;
@@ -185,20 +189,21 @@
         self.surplus.retain(|(_, zone, _), _| zones.contains(zone));
     }
 
-    /// Sets a service.
+    /// Adds a service or replaces its settings.
     pub fn set_service(&mut self, settings: ServiceSettings) {
         self.services.insert(settings.service.clone(), settings);
     }
 
-    /// Removes a service. Its upstreams are left to the caller.
+    /// Removes a service. Its running upstreams are left to the caller.
     pub fn remove_service(&mut self, service: &str) {
         self.services.remove(service);
         self.desired.retain(|(name, _), _| name != service);
         self.surplus.retain(|(name, _, _), _| name != service);
     }
 
-    /// Returns how far ahead the forecast passed to [`FleetPlanner::plan`] must look. An upstream
-    /// that is needed again before a stop would pay off is not stopped.
+    /// Returns the horizon of the forecasts to pass to [`FleetPlanner::plan`]: the longest startup
+    /// time of the service plus the stop hold. An upstream that will be needed again within this
+    /// time is not stopped.
     #[must_use]
     pub fn lookahead(&self, service: &str) -> Span {
         let Some(settings) = self.services.get(service) else { return Span::ZERO };
@@ -206,19 +211,21 @@
         startup.unwrap_or(Span::ZERO) + settings.stop_hold
     }
 
-    /// Notes that the platform reclaims the cheap upstreams of `zone`. The caller stops placing work
-    /// on them, leaves them out of the counts and calls [`FleetPlanner::plan`] at once for replacements.
+    /// Notes that the platform reclaims the cheap upstreams of `zone`. The caller sends them no
+    /// more work, leaves them out of the counts and calls [`FleetPlanner::plan`] at once for
+    /// replacements.
     pub fn record_reclaim(&mut self, now: Moment, zone: ZoneKey) {
         self.cheap_paused.insert(zone, now + CHEAP_PAUSE);
     }
 
-    /// Notes that no cheap upstream could be had in `zone`.
+    /// Notes that the platform refused an order of cheap upstreams in `zone`.
     pub fn record_cheap_refusal(&mut self, now: Moment, zone: ZoneKey) {
         self.record_reclaim(now, zone);
     }
 
-    /// Compares what is wanted with `counts` and returns the orders. Starts come at once; stops
-    /// only after fewer were wanted for the whole hold time.
+    /// Compares the desired counts with `counts` and returns the orders that make up the
+    /// difference. Starts are ordered at once, stops only after fewer upstreams were desired for
+    /// the whole stop hold.
     pub fn plan(
         &mut self,
         now: Moment,
@@ -228,32 +235,32 @@
         let mut actions = SmallVec::new();
         self.cheap_paused.retain(|_, until| *until > now);
         for settings in self.services.values() {
-            let wanted = self.desired_of(settings, forecasts);
-            for (&zone, wanted) in self.zones.iter().zip(wanted) {
-                self.desired.insert((settings.service.clone(), zone), wanted);
-                for (price_class, wanted) in
-                    [(PriceClass::Regular, wanted.regular), (PriceClass::Cheap, wanted.cheap)]
+            let desired = self.desired_counts(settings, forecasts);
+            for (&zone, desired) in self.zones.iter().zip(desired) {
+                self.desired.insert((settings.service.clone(), zone), desired);
+                for (price_class, desired) in
+                    [(PriceClass::Regular, desired.regular), (PriceClass::Cheap, desired.cheap)]
                 {
                     let key = (settings.service.clone(), zone, price_class);
-                    let have = count_of(counts, &key);
-                    if wanted >= have {
+                    let current = current_count(counts, &key);
+                    if desired >= current {
                         self.surplus.remove(&key);
                     }
-                    if wanted > have {
-                        let (service, count) = (key.0, wanted - have);
+                    if desired > current {
+                        let (service, count) = (key.0, desired - current);
                         actions.push(FleetAction::Start { service, zone, price_class, count });
                         continue;
                     }
-                    if wanted == have {
+                    if desired == current {
                         continue;
                     }
-                    let fresh = Surplus { since: now, wanted };
-                    let surplus = self.surplus.entry(key.clone()).or_insert(fresh);
-                    surplus.wanted = surplus.wanted.max(wanted);
+                    let new_surplus = Surplus { since: now, desired };
+                    let surplus = self.surplus.entry(key.clone()).or_insert(new_surplus);
+                    surplus.desired = surplus.desired.max(desired);
                     if now.since(surplus.since) < settings.stop_hold {
                         continue;
                     }
-                    let count = have.saturating_sub(surplus.wanted);
+                    let count = current.saturating_sub(surplus.desired);
                     self.surplus.remove(&key);
                     if count > 0 {
                         actions.push(FleetAction::Stop {
@@ -269,14 +276,14 @@
         actions
     }
 
-    /// Returns what the last [`FleetPlanner::plan`] wanted in a zone.
+    /// Returns the desired counts of a zone that the last call to [`FleetPlanner::plan`] computed.
     #[must_use]
     pub fn desired(&self, service: &str, zone: ZoneKey) -> Option<DesiredCounts> {
         self.desired.get(&(String::from(service), zone)).copied()
     }
 
-    /// Returns the wanted numbers in the order of the zones.
-    fn desired_of(
+    /// Computes the desired counts of a service, in the order of the zones.
+    fn desired_counts(
         &self,
         settings: &ServiceSettings,
         forecasts: &[ZoneForecast],
@@ -293,8 +300,8 @@
         let pools: Vec<_> = self.zones.iter().map(|&zone| self.pools_of(settings, zone)).collect();
         let mix = choose_mix(settings, live.iter().sum(), total, &pools);
         let regular = apportion(mix.regular, &live, &pools);
-        let wanted = regular.into_iter().zip(mix.cheap);
-        wanted.map(|(regular, cheap)| DesiredCounts { regular, cheap }).collect()
+        let desired = regular.into_iter().zip(mix.cheap);
+        desired.map(|(regular, cheap)| DesiredCounts { regular, cheap }).collect()
     }
 
     fn pools_of(&self, settings: &ServiceSettings, zone: ZoneKey) -> ZonePools {
@@ -307,7 +314,7 @@
     }
 }
 
-fn count_of(counts: &[UpstreamCount], key: &CountKey) -> u32 {
+fn current_count(counts: &[UpstreamCount], key: &CountKey) -> u32 {
     let (service, zone, price_class) = key;
     let matching = counts
         .iter()
--- a/crates/fleet/src/planner/mix.rs
+++ b/crates/fleet/src/planner/mix.rs
@@ -1,8 +1,9 @@
-//! The cheapest mix of regular and cheap upstreams that survives the loss of one zone's cheap ones.
+//! Search for the cheapest mix of regular and cheap upstreams that still serves live requests after
+//! the loss of all cheap upstreams of one zone.
 
 use crate::planner::ServiceSettings;
 
-/// Bounds and price of one pool.
+/// Bounds and price of one pool of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Bounds {
     pub(crate) min: u32,
@@ -23,38 +24,44 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Mix {
-    /// Regular upstreams in all zones together.
+    /// Number of regular upstreams in all zones together.
     pub(crate) regular: u32,
-    /// Cheap upstreams in each zone.
+    /// Number of cheap upstreams in each zone, in the order of the pools.
     pub(crate) cheap: Vec<u32>,
 }
 
-/// Chooses the mix for a demand of `live` out of `total`.
+/// Chooses the cheapest mix for a demand of `total`, of which `live` is the demand of live
+/// requests.
 ///
-/// Every mix considered serves `total` at the planned utilization, and `live` at the utilization
-/// after a loss when any one zone's cheap upstreams are gone. When the pools are too small for
-/// that, the mix that lacks least is chosen.
+/// Each mix in the search serves `total` at `utilization`, and `live` at `utilization_after_loss`
+/// when the cheap upstreams of any one zone are lost. When the pools are too small for that, the
+/// mix that lacks the fewest regular upstreams is chosen. All zones have the same number of cheap
+/// upstreams, within the bounds of their pools.
 pub(crate) fn choose_mix(
     settings: &ServiceSettings,
     live: f64,
     total: f64,
     pools: &[ZonePools],
 ) -> Mix {
-    let all = upstreams(total, settings.capacity * settings.utilization);
-    let kept = upstreams(live, settings.capacity * settings.utilization_after_loss);
-    let floor = (f64::from(kept) * settings.min_regular_share).ceil() as u32;
-    let regular_min = pools.iter().map(|pool| pool.regular.min).sum();
-    let regular_max = pools.iter().map(|pool| pool.regular.max).fold(0, u32::saturating_add);
-    let highest_level = pools.iter().map(|pool| pool.cheap.max).max().unwrap_or(0).min(all);
+    let total_needed = upstreams(total, settings.capacity * settings.utilization);
+    let live_needed = upstreams(live, settings.capacity * settings.utilization_after_loss);
+    let min_regular_for_live = (f64::from(live_needed) * settings.min_regular_share).ceil() as u32;
+    let regular_pool_min = pools.iter().map(|pool| pool.regular.min).sum();
+    let regular_pool_max = pools.iter().map(|pool| pool.regular.max).fold(0, u32::saturating_add);
+    let max_cheap_per_zone =
+        pools.iter().map(|pool| pool.cheap.max).max().unwrap_or(0).min(total_needed);
     let mut best: Option<((u32, u64), Mix)> = None;
-    for level in 0..=highest_level {
-        let clamped = |pool: &ZonePools| level.min(pool.cheap.max).max(pool.cheap.min);
+    for cheap_per_zone in 0..=max_cheap_per_zone {
+        let clamped = |pool: &ZonePools| cheap_per_zone.min(pool.cheap.max).max(pool.cheap.min);
         let cheap: Vec<u32> = pools.iter().map(clamped).collect();
-        let sum: u32 = cheap.iter().sum();
+        let cheap_total: u32 = cheap.iter().sum();
         let largest = cheap.iter().copied().max().unwrap_or(0);
-        let for_loss = kept.saturating_sub(sum - largest);
-        let needed = floor.max(for_loss).max(all.saturating_sub(sum)).max(regular_min);
-        let regular = needed.min(regular_max);
+        let needed_after_loss = live_needed.saturating_sub(cheap_total - largest);
+        let needed = min_regular_for_live
+            .max(needed_after_loss)
+            .max(total_needed.saturating_sub(cheap_total))
+            .max(regular_pool_min);
+        let regular = needed.min(regular_pool_max);
         let mix = Mix { regular, cheap };
         let rank = (needed - regular, price(&mix, pools));
         if best.as_ref().is_none_or(|(best_rank, _)| rank < *best_rank) {
@@ -75,22 +82,22 @@
     (demand / capacity.max(1e-9)).ceil() as u32
 }
 
-/// Spreads `count` regular upstreams over zones in proportion to `weights`, within the bounds of
-/// the pools.
+/// Distributes `count` regular upstreams over the zones in proportion to `weights`, within the
+/// bounds of the pools. Zones have equal parts when all weights are 0.
 pub(crate) fn apportion(count: u32, weights: &[f64], pools: &[ZonePools]) -> Vec<u32> {
     let sum: f64 = weights.iter().sum();
     let even = 1.0 / weights.len().max(1) as f64;
     let share = |weight: f64| if sum > 0.0 { weight / sum } else { even };
-    let exact: Vec<f64> = weights.iter().map(|&w| f64::from(count) * share(w)).collect();
-    let start = exact.iter().zip(pools).map(|(_, pool)| pool.regular.min);
-    let mut parts: Vec<u32> = start.collect();
-    let lacks = |parts: &[u32], index: usize| exact[index] - f64::from(parts[index]);
-    while parts.iter().sum::<u32>() < count {
-        let open = (0..parts.len()).filter(|&index| parts[index] < pools[index].regular.max);
-        let most =
-            open.max_by(|&a, &b| lacks(&parts, a).total_cmp(&lacks(&parts, b)).then(b.cmp(&a)));
-        let Some(index) = most else { break };
-        parts[index] += 1;
+    let quotas: Vec<f64> = weights.iter().map(|&w| f64::from(count) * share(w)).collect();
+    let start = quotas.iter().zip(pools).map(|(_, pool)| pool.regular.min);
+    let mut counts: Vec<u32> = start.collect();
+    let deficit = |counts: &[u32], index: usize| quotas[index] - f64::from(counts[index]);
+    while counts.iter().sum::<u32>() < count {
+        let below_max = (0..counts.len()).filter(|&index| counts[index] < pools[index].regular.max);
+        let largest_deficit = below_max
+            .max_by(|&a, &b| deficit(&counts, a).total_cmp(&deficit(&counts, b)).then(b.cmp(&a)));
+        let Some(index) = largest_deficit else { break };
+        counts[index] += 1;
     }
-    parts
+    counts
 }
--- a/crates/fleet/tests/demand.rs
+++ b/crates/fleet/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Tests of the demand model across clock changes.
+//! Tests of the demand model: daylight saving time, correction by recent demand, and snapshots.
 
 use base::{Span, WallTime};
 use fleet::{CivilClock, DemandKey, DemandModel, SLOTS_PER_WEEK, WorkClass};
@@ -16,9 +16,9 @@
     DemandKey { service, zone, class: WorkClass::Live }
 }
 
-/// Teaches the four weeks up to the day after `last_peak`, a weekly peak of an hour: demand 100 in
-/// the peak, 10 otherwise.
-fn learn(model: &mut DemandModel, last_peak: WallTime) {
+/// Feeds the model with observations from four weeks before `last_peak` until a day after it:
+/// demand 100 in a weekly peak of one hour, and 10 otherwise.
+fn observe_weekly_peak(model: &mut DemandModel, last_peak: WallTime) {
     let minute = 60_000;
     let mut now = last_peak.0 - 4 * WEEK;
     while now < last_peak.0 + 24 * HOUR {
@@ -28,8 +28,8 @@
     }
 }
 
-/// The peak is at 10:00 local time on Mondays. The times are those of 10:00 in UTC on the Mondays
-/// before and after the change, with the offsets written out by hand.
+/// The peak is at 10:00 local time on Mondays. The times are 10:00 local time, written in UTC, on
+/// the Mondays before and after the change of daylight saving time.
 #[rstest]
 #[case("Australia/Hobart", "2026-09-28T00:00:00Z", "2026-10-04T23:00:00Z")]
 #[case("Europe/Bratislava", "2026-10-19T08:00:00Z", "2026-10-26T09:00:00Z")]
@@ -39,18 +39,18 @@
     let clock = CivilClock::named(zone).unwrap();
     let (before, after) = (at(before), at(after));
     let mut model = DemandModel::new(clock.clone());
-    let mut frozen = DemandModel::new(clock.with_fixed_offset(before));
-    learn(&mut model, before);
-    learn(&mut frozen, before);
-    let half = HOUR / 2;
+    let mut fixed_offset = DemandModel::new(clock.with_fixed_offset(before));
+    observe_weekly_peak(&mut model, before);
+    observe_weekly_peak(&mut fixed_offset, before);
+    let half_hour = HOUR / 2;
     let shift = after.0 - before.0 - WEEK;
     assert_eq!(shift.abs(), HOUR);
     let expected = |model: &DemandModel, time: i64| model.expected(WallTime(time), &key()).unwrap();
-    assert!(expected(&model, after.0 + half) > 99.0);
-    assert!(expected(&model, before.0 + WEEK + half) < 11.0);
-    // The same check must be able to fail: a model without the rule has the peak at the old hour.
-    assert!(expected(&frozen, after.0 + half) < 11.0);
-    assert!(expected(&frozen, before.0 + WEEK + half) > 99.0);
+    assert!(expected(&model, after.0 + half_hour) > 99.0);
+    assert!(expected(&model, before.0 + WEEK + half_hour) < 11.0);
+    // A model with a fixed offset has the peak an hour off, which proves that the check can fail.
+    assert!(expected(&fixed_offset, after.0 + half_hour) < 11.0);
+    assert!(expected(&fixed_offset, before.0 + WEEK + half_hour) > 99.0);
 }
 
 #[rstest]
@@ -58,7 +58,11 @@
 #[case("Europe/Bratislava", "2026-10-25T01:00:00Z", -60)]
 #[case("Europe/Bratislava", "2027-03-28T01:00:00Z", 60)]
 #[case("Australia/Hobart", "2027-04-03T16:00:00Z", -60)]
-fn civil_time_jumps_at_the_change(#[case] zone: &str, #[case] change: &str, #[case] minutes: i32) {
+fn civil_time_jumps_at_a_clock_change(
+    #[case] zone: &str,
+    #[case] change: &str,
+    #[case] minutes: i32,
+) {
     let clock = CivilClock::named(zone).unwrap();
     let change = at(change).0;
     let slot = |time: i64| i32::from(clock.slot(WallTime(time)).0);
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn forecast_follows_what_is_seen_now_and_returns() {
+fn forecast_follows_recent_demand_and_decays_to_the_learned_demand() {
     let mut model = DemandModel::new(CivilClock::named("Europe/Bratislava").unwrap());
     let start = at("2026-09-07T00:00:00Z");
     let mut now = start;
@@ -93,16 +97,16 @@
 }
 
 #[test]
-fn broken_report_neither_multiplies_the_fleet_nor_spoils_the_mean() {
+fn wrong_report_neither_multiplies_the_fleet_nor_distorts_the_mean() {
     let mut model = DemandModel::new(CivilClock::named("Europe/Bratislava").unwrap());
     let start = at("2026-09-07T00:00:00Z");
     let mut now = start;
     while now.0 < start.0 + 3 * WEEK {
-        let is_broken = now.0 == start.0 + 2 * WEEK + HOUR;
-        model.observe(now, &key(), if is_broken { 1e12 } else { 40.0 });
-        if is_broken {
-            let next = model.forecast(now, now, &key());
-            assert!(next < 80.0, "forecast {next} after one broken report");
+        let is_wrong = now.0 == start.0 + 2 * WEEK + HOUR;
+        model.observe(now, &key(), if is_wrong { 1e12 } else { 40.0 });
+        if is_wrong {
+            let forecast = model.forecast(now, now, &key());
+            assert!(forecast < 80.0, "forecast {forecast} after one wrong report");
         }
         now.0 += HOUR / 60;
     }
@@ -111,7 +115,7 @@
 }
 
 #[test]
-fn demand_at_a_time_that_was_always_quiet_is_followed() {
+fn forecast_follows_demand_at_a_time_that_was_always_quiet() {
     let mut model = DemandModel::new(CivilClock::named("Europe/Bratislava").unwrap());
     let start = at("2026-09-07T00:00:00Z");
     let mut now = start;
@@ -126,15 +130,15 @@
 }
 
 #[test]
-fn snapshot_carries_what_was_learned_and_refuses_another_time_zone() {
+fn snapshot_restores_the_learned_means_and_needs_the_same_time_zone() {
     let mut model = DemandModel::new(CivilClock::named("Australia/Hobart").unwrap());
     let peak = at("2026-09-28T00:00:00Z");
-    learn(&mut model, peak);
+    observe_weekly_peak(&mut model, peak);
     let snapshots = model.snapshots();
     assert_eq!(snapshots[0].means.len(), usize::from(SLOTS_PER_WEEK));
-    let mut copy = DemandModel::new(CivilClock::named("Australia/Hobart").unwrap());
-    copy.restore(&snapshots[0]).unwrap();
-    assert_eq!(copy.snapshots(), snapshots);
+    let mut restored = DemandModel::new(CivilClock::named("Australia/Hobart").unwrap());
+    restored.restore(&snapshots[0]).unwrap();
+    assert_eq!(restored.snapshots(), snapshots);
     let mut other = DemandModel::new(CivilClock::named("Europe/Bratislava").unwrap());
     assert!(other.restore(&snapshots[0]).is_err());
 }
--- a/crates/fleet/tests/plan.rs
+++ b/crates/fleet/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Tests of the fleet plan: cheap upstreams, reclaims and hysteresis.
+//! Tests of the fleet planner: cheap upstreams, reclaims and hysteresis.
 
 use base::{Moment, Span, ZoneKey};
 use fleet::{
@@ -40,7 +40,7 @@
     ZONES.into_iter().map(forecast).collect()
 }
 
-/// A platform that carries out every order at once.
+/// A simulated platform that carries out every order at once.
 struct Platform {
     planner: FleetPlanner,
     counts: Vec<UpstreamCount>,
@@ -71,7 +71,8 @@
                 self.counts.len() - 1
             });
             let count = &mut self.counts[index].count;
-            *count = u32::try_from(i64::from(*count) + change).expect("no more stops than run");
+            *count = u32::try_from(i64::from(*count) + change)
+                .expect("more upstreams are stopped than are running");
         }
     }
 
@@ -95,7 +96,7 @@
     })]
 
     #[test]
-    fn losing_the_cheap_upstreams_of_any_zone_leaves_live_callers_served(
+    fn live_requests_are_served_after_the_loss_of_any_zones_cheap_upstreams(
         live in 0.0..2_000.0_f64,
         samples in 0.0..2_000.0_f64,
         cheap_price in 1..120_u32,
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn cheap_upstreams_are_used_only_where_they_save() {
+fn cheap_upstreams_are_used_only_if_they_cost_less() {
     fn check(cheap_price: u32, expect_cheap: bool) {
         let mut platform = Platform::new(settings(cheap_price, 500, 500));
         platform.step(at(0), 300.0, 300.0);
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn reclaim_is_replaced_at_once_and_the_zone_is_left_alone() {
+fn reclaim_is_replaced_at_once_and_pauses_cheap_upstreams_of_the_zone() {
     let mut platform = Platform::new(settings(30, 500, 500));
     platform.step(at(0), 300.0, 300.0);
     platform.lose_cheap(at(60), ZONES[1]);
@@ -133,11 +134,14 @@
     let all = platform.count(PriceClass::Regular, None) + platform.count(PriceClass::Cheap, None);
     assert!(f64::from(all) * 7.5 >= 600.0, "{all} upstreams");
     platform.step(at(660), 300.0, 300.0);
-    assert!(platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0, "the pause must end");
+    assert!(
+        platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0,
+        "no cheap upstreams after the pause"
+    );
 }
 
 #[test]
-fn regular_upstreams_take_over_when_no_cheap_one_can_be_had() {
+fn regular_upstreams_replace_refused_cheap_ones() {
     let mut platform = Platform::new(settings(30, 500, 500));
     for zone in ZONES {
         platform.planner.record_cheap_refusal(at(0), zone);
@@ -147,7 +151,7 @@
     assert_eq!(platform.count(PriceClass::Regular, None), 80);
 }
 
-/// Guards against a change of the document that ends the pause of cheap upstreams or starts it anew.
+/// Guards against a change of the document that ends or restarts the pause of cheap upstreams.
 #[test]
 fn pause_of_cheap_upstreams_outlasts_a_change_of_the_document() {
     let mut platform = Platform::new(settings(30, 500, 500));
@@ -159,36 +163,39 @@
         assert_eq!(platform.count(PriceClass::Cheap, Some(ZONES[1])), 0, "after {secs} s");
     }
     platform.step(at(601), 300.0, 600.0);
-    assert!(platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0, "the pause must end");
+    assert!(
+        platform.count(PriceClass::Cheap, Some(ZONES[1])) > 0,
+        "no cheap upstreams after the pause"
+    );
 }
 
 #[test]
-fn plan_does_not_flap_when_demand_swings_around_a_boundary() {
+fn plan_is_stable_while_demand_oscillates_around_a_boundary() {
     let mut platform = Platform::new(settings(30, 500, 500));
     platform.step(at(0), 300.0, 0.0);
-    let before = platform.orders;
+    let orders_before = platform.orders;
     for minute in 1..600 {
         platform.step(at(60 * minute), if minute % 4 < 2 { 290.0 } else { 300.0 }, 0.0);
     }
-    assert_eq!(platform.orders, before);
+    assert_eq!(platform.orders, orders_before);
 }
 
 #[test]
-fn surplus_is_stopped_after_the_hold_time_only() {
+fn surplus_is_stopped_only_after_the_stop_hold() {
     let mut platform = Platform::new(settings(30, 500, 500));
     platform.step(at(0), 300.0, 300.0);
-    let full = platform.counts.clone();
+    let counts_before = platform.counts.clone();
     platform.step(at(60), 30.0, 0.0);
     platform.step(at(900), 30.0, 0.0);
-    assert_eq!(platform.counts, full);
+    assert_eq!(platform.counts, counts_before);
     platform.step(at(961), 30.0, 0.0);
     assert!(platform.counts.iter().map(|c| c.count).sum::<u32>() <= 9);
     let each_zone = |zone| platform.count(PriceClass::Regular, Some(zone)) >= 1;
-    assert!(ZONES.into_iter().all(each_zone), "every zone keeps one");
+    assert!(ZONES.into_iter().all(each_zone), "every zone must keep a regular upstream");
 }
 
 #[test]
-fn bounds_of_the_pools_hold() {
+fn counts_stay_within_the_bounds_of_the_pools() {
     fn check(cheap_max: u32, regular_max: u32, expected: (u32, u32)) {
         let mut platform = Platform::new(settings(30, cheap_max, regular_max));
         platform.step(at(0), 300.0, 300.0);
@@ -198,6 +205,6 @@
     }
     check(0, 100, (80, 0));
     check(5, 100, (65, 15));
-    // Too small for the demand: everything runs.
+    // The pools are too small for the demand, so all their upstreams run.
     check(5, 10, (30, 15));
 }
--- a/crates/usage/src/amount.rs
+++ b/crates/usage/src/amount.rs
@@ -1,11 +1,12 @@
-//! Exact usage counters.
+//! Usage counters and their checked sums.
 
 use std::{collections::BTreeMap, fmt};
 
 use base::derive_value;
 
 derive_value! {
-    /// What a customer used. Counters are exact; a sum that does not fit is refused.
+    /// Usage of one customer. Counters are exact: a sum that does not fit in 64 bits is an error,
+    /// it neither wraps nor saturates.
     #[derive(Copy, Default, Hash)]
     pub struct UsageAmount {
         /// Completed requests.
@@ -38,7 +39,7 @@
 }
 
 impl UsageByCustomer {
-    /// Adds `amount` to the customer's figures.
+    /// Adds `amount` to the usage of `customer`.
     ///
     /// # Errors
     ///
@@ -52,7 +53,7 @@
         Ok(())
     }
 
-    /// Adds the figures of every customer of `other`.
+    /// Adds the usage of every customer in `other`.
     ///
     /// # Errors
     ///
@@ -69,13 +70,13 @@
         Ok(())
     }
 
-    /// Returns the customer's figures, which are zero when it used nothing.
+    /// Returns the usage of a customer, which is zero when none was recorded.
     #[must_use]
     pub fn get(&self, customer: &str) -> UsageAmount {
         self.0.get(customer).copied().unwrap_or_default()
     }
 
-    /// Tells whether no customer used anything.
+    /// Tells whether there is no entry for any customer.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -84,7 +85,7 @@
 
 impl fmt::Display for UsageOverflow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a usage counter does not fit in 64 bits")
+        f.write_str("the sum of usage counters does not fit in 64 bits, so nothing was added")
     }
 }
 
--- a/crates/usage/src/batch.rs
+++ b/crates/usage/src/batch.rs
@@ -5,14 +5,14 @@
 use crate::{LedgerSnapshot, UsageByCustomer};
 
 derive_copy! {
-    /// Number of a usage window: the index of its period since 1970.
+    /// Number of a usage window: windows have a fixed length and are counted from 1970 (UTC).
     pub struct WindowNumber(pub u64);
 
-    /// Fixes the figures of a window at the record's position in the log.
+    /// Closes a window: batches after this record's offset count in a later window.
     pub struct WindowClose {
-        /// The window that ends here.
+        /// The window that is closed.
         pub window: WindowNumber,
-        /// Fencing number of the writer's `usage` lease.
+        /// Fencing token of the writer's `usage` lease.
         pub fencing: FencingToken,
     }
 
@@ -20,15 +20,16 @@
     pub struct WindowReported {
         /// The window whose report was accepted.
         pub window: WindowNumber,
-        /// Fencing number of the writer's `usage` lease.
+        /// Fencing token of the writer's `usage` lease.
         pub fencing: FencingToken,
     }
 }
 
 derive_value! {
-    /// Usage that one process metered. Readers count each id once.
+    /// Usage that one process metered. Readers count each id once, so appends are idempotent.
     pub struct UsageBatch {
-        /// Id that the metering process chose. A replica holder appends the batch under the same id.
+        /// Id that the metering process chose. The holder of a replica appends the batch under the
+        /// same id.
         pub id: RecordId,
         /// Usage of each customer.
         pub usage: UsageByCustomer,
@@ -38,15 +39,15 @@
     pub enum UsageRecord {
         /// Usage of one process.
         Batch(UsageBatch),
-        /// The end of a window.
+        /// Closes a window.
         Close(WindowClose),
-        /// An accepted report.
+        /// The platform accepted the report of a window.
         Reported(WindowReported),
         /// State of the ledger, re-appended so that retention can drop the records before it.
         Snapshot {
             /// State of the log prefix that ends before `snapshot.next`.
             snapshot: Box<LedgerSnapshot>,
-            /// Fencing number of the writer's `usage` lease.
+            /// Fencing token of the writer's `usage` lease.
             fencing: FencingToken,
         },
     }
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Window figures as a pure function of the prefix of the log stream `usage`.
+//! Usage per window, computed as a pure function of a prefix of the log stream `usage`.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +9,16 @@
     WindowReported,
 };
 
-/// Closed windows after which a silent writer's ids are forgotten, to bound the snapshot. With
-/// hourly windows and 160 restarts a day it then lists about 2,200 writers.
-const WRITER_MEMORY_WINDOWS: u64 = 336;
+/// Number of window closes without a new batch of a writer after which its record ids are dropped
+/// from the duplicate filter. This bounds the snapshot: with hourly windows and 160 restarts a day,
+/// it lists about 2,200 writers.
+const WRITER_RETENTION_WINDOWS: u64 = 336;
 
-/// Reported windows that stay readable for operators.
-const REPORTED_WINDOWS_KEPT: usize = 48;
+/// Number of reported windows that are kept for operators to read.
+const MAX_REPORTED_WINDOWS: usize = 48;
 
 derive_value! {
-    /// A window whose figures are fixed.
+    /// A closed window, whose usage no longer changes.
     pub struct ClosedWindow {
         /// Position of the record that closed the window.
         pub closed_at: LogOffset,
@@ -27,78 +28,83 @@
         pub reported: bool,
     }
 
-    /// Whole state of a ledger after the log prefix that ends before `next`.
+    /// Complete state of a ledger that has applied the log prefix before `next`.
     pub struct LedgerSnapshot {
-        /// Offset of the first record that the state does not contain.
+        /// Offset of the first record that has not been applied.
         pub next: LogOffset,
-        /// Usage that belongs to the window still open.
+        /// Usage of the open window.
         pub open: UsageByCustomer,
-        /// The window closed last.
+        /// The window that was closed last, or `None` before the first close.
         pub last_closed: Option<WindowNumber>,
         /// Number of windows closed since the stream began.
         pub closes: u64,
-        /// Highest fencing number that closed, reported or carried.
+        /// Highest fencing token of a lease holder's record that was accepted.
         pub fencing: Option<FencingToken>,
-        /// Closed windows, among them all that are not reported.
+        /// Closed windows: all that are not reported, and the latest reported ones.
         pub closed: BTreeMap<WindowNumber, ClosedWindow>,
-        /// Ids of the counted batches.
+        /// Ids of the counted batches, to detect repeats.
         pub seen: SeenRecords,
     }
 
     /// Why a record has no effect.
     #[derive(Copy)]
     pub enum IgnoredReason {
-        /// The ledger has read this offset.
+        /// A record at this or a later offset was applied before.
         AlreadyRead,
-        /// A batch with the same id was counted.
+        /// A batch with the same id was counted before.
         Repeated,
         /// A counter would not fit in 64 bits.
         Overflow,
-        /// The writer did not hold the `usage` lease at this offset.
+        /// The writer did not hold the `usage` lease at this offset, or its snapshot claims to
+        /// contain records after its own offset.
         NotHolder,
-        /// The window is closed, or is not the one that follows the last closed.
+        /// The window does not directly follow the one closed last.
         WrongWindow,
-        /// The window is not closed, or its report is known.
+        /// The window is not among the closed ones, or is already marked as reported.
         NotPending,
-        /// The ledger already contains the state that the snapshot holds.
+        /// The ledger has applied the log without a gap and needs no snapshot.
         NotNeeded,
-        /// Retention dropped records that the ledger needs, and no usable snapshot has come yet.
+        /// Retention dropped records that the ledger has not read, and no usable snapshot has been
+        /// read yet.
         AwaitsSnapshot,
     }
 
-    /// What a record changed.
+    /// Effect of a record on the ledger.
     #[derive(Copy)]
     pub enum LedgerOutcome {
-        /// The batch counts in the open window.
+        /// The batch was added to the open window.
         Counted,
-        /// The figures of the window are fixed.
+        /// The window was closed; its usage no longer changes.
         Closed(WindowNumber),
-        /// The window needs no further report.
+        /// The window was marked as reported and needs no further report.
         Reported(WindowNumber),
-        /// The state was taken from a snapshot. The caller reads again from this offset.
+        /// The state was replaced by a snapshot. The caller continues to read the log at this
+        /// offset.
         Restored(LogOffset),
         /// The record has no effect.
         Ignored(IgnoredReason),
     }
 }
 
-/// Window figures of the log prefix that was applied.
+/// Usage per window according to the log prefix that was applied.
 ///
-/// Two ledgers that applied the same prefix are equal, so a successor reports the same figures.
+/// Two ledgers that applied the same prefix have the same state, so a new holder of the `usage`
+/// lease reports the same usage as its predecessor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageLedger {
     state: LedgerSnapshot,
-    // Oldest retained offset after a gap, until a snapshot that reaches it is found.
-    awaits_from: Option<LogOffset>,
+    // Oldest retained offset, while records before it are missing and a snapshot that covers them
+    // is awaited.
+    awaiting_snapshot_from: Option<LogOffset>,
     last_snapshot: Option<LogOffset>,
     last_close: Option<LogOffset>,
 }
 
 impl LedgerSnapshot {
-    /// Returns a state without windows from which a ledger reads on at `next`.
+    /// Returns a state without windows, for a ledger that continues to read the log at `next`.
     ///
-    /// The lease holder appends it when retention dropped records and no node holds a state that
-    /// reaches the oldest retained one. Windows that were not reported are then lost.
+    /// The lease holder appends it when retention dropped records and no node has a state that
+    /// covers them. The windows that were not reported are lost then.
     #[must_use]
     pub fn empty(next: LogOffset) -> Self {
         Self {
@@ -114,83 +120,93 @@
 }
 
 impl UsageLedger {
-    /// Creates the ledger of the empty prefix.
+    /// Creates a ledger that has applied no record.
     #[must_use]
     pub fn new() -> Self {
         Self::from_snapshot(LedgerSnapshot::empty(LogOffset(0)))
     }
 
-    /// Continues from a snapshot of a peer. The caller reads the log from `snapshot.next`.
+    /// Creates a ledger from the snapshot of a peer. The caller continues to read the log at
+    /// `snapshot.next`.
     #[must_use]
     pub fn from_snapshot(snapshot: LedgerSnapshot) -> Self {
-        Self { state: snapshot, awaits_from: None, last_snapshot: None, last_close: None }
+        Self {
+            state: snapshot,
+            awaiting_snapshot_from: None,
+            last_snapshot: None,
+            last_close: None,
+        }
     }
 
-    /// Applies the record at `offset`. `valid` is the fencing number of the `usage` lease that the
-    /// log establishes before `offset`; every reader must pass the same one.
+    /// Applies the record at `offset`. `lease_fencing` is the fencing token of the `usage` lease
+    /// according to the log before `offset`; every reader must pass the same one.
     pub fn apply(
         &mut self,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> LedgerOutcome {
-        if let Some(oldest) = self.awaits_from {
-            return self.apply_awaiting(oldest, offset, record, valid);
+        if let Some(oldest) = self.awaiting_snapshot_from {
+            return self.apply_while_awaiting_snapshot(oldest, offset, record, lease_fencing);
         }
         if offset < self.state.next {
             return LedgerOutcome::Ignored(IgnoredReason::AlreadyRead);
         }
         self.state.next = offset.next();
         let outcome = match record {
-            UsageRecord::Batch(batch) => self.count(batch),
-            UsageRecord::Close(close) => self.close(offset, *close, valid),
-            UsageRecord::Reported(reported) => self.reported(*reported, valid),
-            UsageRecord::Snapshot { fencing, .. } => self.apply_snapshot(offset, *fencing, valid),
+            UsageRecord::Batch(batch) => self.count_batch(batch),
+            UsageRecord::Close(close) => self.close_window(offset, *close, lease_fencing),
+            UsageRecord::Reported(reported) => self.mark_reported(*reported, lease_fencing),
+            UsageRecord::Snapshot { fencing, .. } => {
+                self.apply_snapshot(offset, *fencing, lease_fencing)
+            }
         };
         outcome.unwrap_or_else(LedgerOutcome::Ignored)
     }
 
-    /// States that the log retains no record below `oldest`. Records that the ledger has not read
-    /// are lost to it when `oldest` is above its next offset; it then waits for a snapshot.
+    /// Notes that the log retains no record before `oldest`. If the ledger has not read all records
+    /// before `oldest`, it ignores further records until it reads a snapshot that covers them.
     pub fn note_retention(&mut self, oldest: LogOffset) {
         if oldest > self.state.next {
-            self.awaits_from = Some(oldest);
+            self.awaiting_snapshot_from = Some(oldest);
         }
     }
 
     /// Returns the offset of the next record to read, or `None` while a snapshot is awaited.
     #[must_use]
     pub fn next_offset(&self) -> Option<LogOffset> {
-        match self.awaits_from {
+        match self.awaiting_snapshot_from {
             None => Some(self.state.next),
             Some(_) => None,
         }
     }
 
-    /// Returns the oldest retained offset while a snapshot is awaited.
+    /// Returns the oldest retained offset while a snapshot is awaited, and otherwise `None`.
     #[must_use]
     pub const fn oldest_retained_offset(&self) -> Option<LogOffset> {
-        self.awaits_from
+        self.awaiting_snapshot_from
     }
 
     /// Returns the state for a peer or a [`UsageRecord::Snapshot`], or `None` while a snapshot is
     /// awaited.
     #[must_use]
     pub fn snapshot(&self) -> Option<LedgerSnapshot> {
-        self.awaits_from.is_none().then(|| self.state.clone())
+        self.awaiting_snapshot_from.is_none().then(|| self.state.clone())
     }
 
-    /// Tells the holder of the `usage` lease to append a snapshot: a window was closed and none
-    /// followed. Log retention must exceed two windows.
+    /// Tells whether the holder of the `usage` lease must append a snapshot, which is once after
+    /// each close of a window. The retention time of the log must therefore exceed two windows.
     #[must_use]
     pub fn snapshot_due(&self) -> bool {
-        self.awaits_from.is_none() && self.last_close > self.last_snapshot
+        self.awaiting_snapshot_from.is_none() && self.last_close > self.last_snapshot
     }
 
-    /// Returns the window to close next, given the one that the current time lies in.
+    /// Returns the window to close next, or `None` when it has not ended yet or a snapshot is
+    /// awaited. `current` is the window that contains the present time. The first window that is
+    /// ever closed is the one before it.
     #[must_use]
     pub fn window_to_close(&self, current: WindowNumber) -> Option<WindowNumber> {
-        if self.awaits_from.is_some() {
+        if self.awaiting_snapshot_from.is_some() {
             return None;
         }
         let Some(last) = self.state.last_closed else {
@@ -199,13 +215,13 @@
         (last.next() < current).then(|| last.next())
     }
 
-    /// Returns usage of the open window.
+    /// Returns the usage of the open window.
     #[must_use]
     pub fn open_usage(&self) -> &UsageByCustomer {
         &self.state.open
     }
 
-    /// Returns a closed window, while it is kept.
+    /// Returns a closed window, or `None` when it is not closed or no longer kept.
     #[must_use]
     pub fn window(&self, window: WindowNumber) -> Option<&ClosedWindow> {
         self.state.closed.get(&window)
@@ -216,30 +232,31 @@
         self.state.closed.iter().map(|(window, closed)| (*window, closed))
     }
 
-    /// Builds the report of the oldest closed window that is not reported.
+    /// Builds the report of the oldest closed window that is not reported, or returns `None` when
+    /// there is none or a snapshot is awaited.
     #[must_use]
     pub fn pending_report(&self, fencing: FencingToken) -> Option<WindowReport> {
-        if self.awaits_from.is_some() {
+        if self.awaiting_snapshot_from.is_some() {
             return None;
         }
         let (window, closed) = self.windows().find(|(_, closed)| !closed.reported)?;
         Some(WindowReport { window, fencing, usage: closed.usage.clone() })
     }
 
-    fn apply_awaiting(
+    fn apply_while_awaiting_snapshot(
         &mut self,
         oldest: LogOffset,
         offset: LogOffset,
         record: &UsageRecord,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> LedgerOutcome {
         let UsageRecord::Snapshot { snapshot, fencing } = record else {
             return LedgerOutcome::Ignored(IgnoredReason::AwaitsSnapshot);
         };
-        if valid != Some(*fencing) || snapshot.next > offset {
+        if lease_fencing != Some(*fencing) || snapshot.next > offset {
             return LedgerOutcome::Ignored(IgnoredReason::NotHolder);
         }
-        // Records between an earlier snapshot and the oldest retained one are lost.
+        // An older snapshot does not cover the records that retention dropped.
         if snapshot.next < oldest || snapshot.next < self.state.next {
             return LedgerOutcome::Ignored(IgnoredReason::AwaitsSnapshot);
         }
@@ -247,7 +264,7 @@
         LedgerOutcome::Restored(self.state.next)
     }
 
-    fn count(&mut self, batch: &UsageBatch) -> Result<LedgerOutcome, IgnoredReason> {
+    fn count_batch(&mut self, batch: &UsageBatch) -> Result<LedgerOutcome, IgnoredReason> {
         if self.state.seen.contains(batch.id) {
             return Err(IgnoredReason::Repeated);
         }
@@ -256,13 +273,13 @@
         Ok(LedgerOutcome::Counted)
     }
 
-    fn close(
+    fn close_window(
         &mut self,
         offset: LogOffset,
         close: WindowClose,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
-        self.check_holder(close.fencing, valid)?;
+        self.check_holder(close.fencing, lease_fencing)?;
         if self.state.last_closed.is_some_and(|last| close.window != last.next()) {
             return Err(IgnoredReason::WrongWindow);
         }
@@ -272,28 +289,28 @@
         state.closed.insert(close.window, closed);
         state.last_closed = Some(close.window);
         state.closes += 1;
-        state.seen.forget_before(state.closes.saturating_sub(WRITER_MEMORY_WINDOWS));
+        state.seen.forget_before(state.closes.saturating_sub(WRITER_RETENTION_WINDOWS));
         self.last_close = Some(offset);
         Ok(LedgerOutcome::Closed(close.window))
     }
 
-    fn reported(
+    fn mark_reported(
         &mut self,
         reported: WindowReported,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
-        self.check_holder(reported.fencing, valid)?;
+        self.check_holder(reported.fencing, lease_fencing)?;
         match self.state.closed.get_mut(&reported.window) {
             Some(closed) if !closed.reported => closed.reported = true,
             _ => return Err(IgnoredReason::NotPending),
         }
-        let done = self.windows().filter(|(_, closed)| closed.reported).count();
-        let surplus = done.saturating_sub(REPORTED_WINDOWS_KEPT);
+        let reported_count = self.windows().filter(|(_, closed)| closed.reported).count();
+        let excess = reported_count.saturating_sub(MAX_REPORTED_WINDOWS);
         let oldest: Vec<WindowNumber> = self
             .windows()
             .filter(|(_, closed)| closed.reported)
             .map(|(window, _)| window)
-            .take(surplus)
+            .take(excess)
             .collect();
         for window in oldest {
             self.state.closed.remove(&window);
@@ -305,20 +322,23 @@
         &mut self,
         offset: LogOffset,
         fencing: FencingToken,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> Result<LedgerOutcome, IgnoredReason> {
-        self.check_holder(fencing, valid)?;
+        self.check_holder(fencing, lease_fencing)?;
         self.last_snapshot = Some(offset);
         Err(IgnoredReason::NotNeeded)
     }
 
-    /// Refuses a writer that does not hold the lease, and one below the highest number seen here.
+    /// Checks that the writer of a record held the lease and that no higher fencing token was
+    /// accepted before. Remembers the token.
     fn check_holder(
         &mut self,
         fencing: FencingToken,
-        valid: Option<FencingToken>,
+        lease_fencing: Option<FencingToken>,
     ) -> Result<(), IgnoredReason> {
-        if valid != Some(fencing) || self.state.fencing.is_some_and(|highest| fencing < highest) {
+        if lease_fencing != Some(fencing)
+            || self.state.fencing.is_some_and(|highest| fencing < highest)
+        {
             return Err(IgnoredReason::NotHolder);
         }
         self.state.fencing = Some(fencing);
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -1,4 +1,5 @@
-//! Customers' usage: metering, replicas of batches, and window figures as a function of the log.
+//! Usage accounting: metering per customer, replicas of usage batches until they are committed to
+//! the log, and totals per window as a function of the log.
 
 mod amount;
 mod batch;
--- a/crates/usage/src/meter.rs
+++ b/crates/usage/src/meter.rs
@@ -1,10 +1,10 @@
-//! Metering on the node that serves.
+//! Metering on the node that serves the requests.
 
 use base::{Moment, RecordId, Span};
 
 use crate::{UsageAmount, UsageBatch, UsageByCustomer, UsageOverflow};
 
-/// Sums usage per customer between batches.
+/// Sums usage per customer until the next batch.
 #[derive(Debug, Clone)]
 pub struct UsageMeter {
     period: Span,
@@ -13,16 +13,17 @@
 }
 
 impl UsageMeter {
-    /// Default time between batches. A crash loses at most this much usage.
+    /// Default time from the first usage in a batch to its end. A crash loses at most the usage of
+    /// this time.
     pub const DEFAULT_PERIOD: Span = Span::from_secs(5);
 
-    /// Creates a meter that cuts a batch `period` after the first usage in it.
+    /// Creates a meter whose batch is due `period` after the first usage in it.
     #[must_use]
     pub fn new(period: Span) -> Self {
         Self { period, usage: UsageByCustomer::default(), first_recorded: None }
     }
 
-    /// Adds usage of a customer.
+    /// Adds usage of a customer to the current batch.
     ///
     /// # Errors
     ///
@@ -44,7 +45,7 @@
         self.first_recorded.map(|first| first + self.period)
     }
 
-    /// Returns the batch that is due at `now`. `next_id` is called only when there is one.
+    /// Returns the batch if it is due at `now`. `next_id` is called only when there is one.
     pub fn poll(&mut self, now: Moment, next_id: impl FnOnce() -> RecordId) -> Option<UsageBatch> {
         if self.next_deadline()? > now {
             return None;
@@ -52,7 +53,7 @@
         self.flush(next_id)
     }
 
-    /// Returns everything recorded as a batch at once, as a planned stop requires.
+    /// Returns everything recorded as a batch, whether due or not. A planned stop calls this.
     pub fn flush(&mut self, next_id: impl FnOnce() -> RecordId) -> Option<UsageBatch> {
         self.first_recorded.take()?;
         Some(UsageBatch { id: next_id(), usage: std::mem::take(&mut self.usage) })
--- a/crates/usage/src/pending.rs
+++ b/crates/usage/src/pending.rs
@@ -1,4 +1,5 @@
-//! A node's own batches until they are in the log.
+//! A node's own usage batches that are not committed yet, that is, have not been read back from the
+//! log.
 
 use std::collections::BTreeMap;
 
@@ -13,39 +14,43 @@
     send_at: Moment,
 }
 
-/// The node's own batches that the log does not show yet, with the replica holder of each.
+/// The node's own batches that are not committed yet, with the replica holder of each.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingBatches {
-    retry: Span,
+    retry_interval: Span,
     pending: BTreeMap<RecordId, PendingBatch>,
 }
 
 impl PendingBatches {
-    /// Creates an empty list that repeats an unanswered hold request every `retry`.
+    /// Creates an empty list. The request to hold a replica of a batch is repeated every
+    /// `retry_interval` until a holder confirms it or the batch is committed.
     #[must_use]
-    pub fn new(retry: Span) -> Self {
-        Self { retry, pending: BTreeMap::new() }
+    pub fn new(retry_interval: Span) -> Self {
+        Self { retry_interval, pending: BTreeMap::new() }
     }
 
-    /// Adds a batch that was given to the log writer.
+    /// Adds a batch that was handed to the log writer. A request to hold its replica is due at
+    /// once.
     pub fn add(&mut self, now: Moment, batch: UsageBatch) {
         let pending = PendingBatch { batch, holder: None, send_at: now };
         self.pending.insert(pending.batch.id, pending);
     }
 
-    /// Notes that the process `holder` holds the batch. A restarted process holds nothing.
+    /// Notes that the process `holder` confirmed that it holds a replica of the batch. Replicas are
+    /// lost when the process restarts.
     pub fn mark_held(&mut self, id: RecordId, holder: Incarnation) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.holder = Some(holder);
         }
     }
 
-    /// Drops a batch that the log shows.
+    /// Removes a batch that was read back from the log.
     pub fn mark_committed(&mut self, id: RecordId) {
         self.pending.remove(&id);
     }
 
-    /// Sends the batches of a holder that is gone, or that refused, to another one.
+    /// Makes the batches of a holder that has ended, or that refused, due to be sent to another
+    /// holder.
     pub fn holder_lost(&mut self, now: Moment, holder: Incarnation) {
         for pending in self.pending.values_mut() {
             if pending.holder == Some(holder) {
@@ -55,33 +60,34 @@
         }
     }
 
-    /// Returns when the next hold request is due.
+    /// Returns when the next hold request is due, or `None` when every batch has a holder.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let unheld = self.pending.values().filter(|pending| pending.holder.is_none());
         unheld.map(|pending| pending.send_at).min()
     }
 
-    /// Returns the batches to send to the current replica holder at `now`.
+    /// Returns the batches whose hold request is due at `now`, and schedules its repetition.
     pub fn poll(&mut self, now: Moment) -> Vec<UsageBatch> {
         let mut due = Vec::new();
         for pending in self.pending.values_mut() {
             if pending.holder.is_some() || pending.send_at > now {
                 continue;
             }
-            pending.send_at = now + self.retry;
+            pending.send_at = now + self.retry_interval;
             due.push(pending.batch.clone());
         }
         due
     }
 
-    /// Returns the number of batches that the log does not show. A planned stop waits for zero.
+    /// Returns the number of batches that are not committed. A planned stop waits until there
+    /// are none.
     #[must_use]
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Tells whether the log shows every batch.
+    /// Tells whether every batch is committed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -1,4 +1,4 @@
-//! Batches held for another node until they are in the log.
+//! Replicas of other nodes' usage batches, held until the batches are committed to the log.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,18 @@
 use crate::UsageBatch;
 
 derive_copy! {
-    /// Whether the process that metered a batch is known to be gone.
+    /// Whether the process that metered a batch is known to have ended.
     pub enum OriginState {
-        /// The process appends its batches itself, unless it takes too long.
+        /// The process appends its batches itself. The replica holder appends them only when that
+        /// takes longer than the takeover timeout.
         Live,
-        /// The replica holder appends the process's batches.
+        /// The process has ended; the replica holder appends its batches.
         Gone,
     }
 
-    /// Answer to a request to hold a batch.
+    /// Response to a request to hold a replica of a batch.
     pub enum HoldOutcome {
-        /// The batch is held.
+        /// The replica is held.
         Held,
         /// The store is full. The origin chooses another holder.
         Full,
@@ -30,31 +31,31 @@
     append_at: Moment,
 }
 
-/// Batches that this node holds for nodes of other zones.
+/// Replicas of batches that this node holds for nodes of other zones.
 ///
-/// A batch is dropped only when the log shows its id. Readers count an id once, so an append by
-/// both the origin and the holder is harmless.
+/// A replica is dropped only when the batch's id was read back from the log. Readers count an id
+/// once, so an append by both the origin and the holder counts once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaStore {
     capacity: usize,
-    retry: Span,
-    takeover: Span,
+    retry_interval: Span,
+    takeover_timeout: Span,
     held: BTreeMap<RecordId, HeldBatch>,
 }
 
 impl ReplicaStore {
-    /// Creates a store of at most `capacity` batches that repeats an append every `retry` until
-    /// the log shows the batch.
+    /// Creates a store of at most `capacity` batches that repeats an append every `retry_interval`
+    /// until the batch is committed.
     ///
-    /// A batch that the log does not show after `takeover` is appended even if its process counts
-    /// as live: a zone that fails as a whole is known to be gone only when the platform's list
-    /// drops its VMs.
+    /// A batch that is not committed after `takeover_timeout` is appended even if its process
+    /// counts as live: the failure of a whole zone is known only when the platform's list drops the
+    /// zone's VMs.
     #[must_use]
-    pub fn new(capacity: usize, retry: Span, takeover: Span) -> Self {
-        Self { capacity, retry, takeover, held: BTreeMap::new() }
+    pub fn new(capacity: usize, retry_interval: Span, takeover_timeout: Span) -> Self {
+        Self { capacity, retry_interval, takeover_timeout, held: BTreeMap::new() }
     }
 
-    /// Holds a batch. Holding it again is harmless.
+    /// Holds a replica of a batch. The call is idempotent.
     pub fn hold(&mut self, now: Moment, batch: UsageBatch, origin: OriginState) -> HoldOutcome {
         if self.held.contains_key(&batch.id) {
             return HoldOutcome::Held;
@@ -63,19 +64,19 @@
             return HoldOutcome::Full;
         }
         let append_at = match origin {
-            OriginState::Live => now + self.takeover,
+            OriginState::Live => now + self.takeover_timeout,
             OriginState::Gone => now,
         };
         self.held.insert(batch.id, HeldBatch { batch, append_at });
         HoldOutcome::Held
     }
 
-    /// Drops a batch that the log shows.
+    /// Drops the replica of a batch that was read back from the log.
     pub fn mark_committed(&mut self, id: RecordId) {
         self.held.remove(&id);
     }
 
-    /// Makes the batches of a process that is gone due for append.
+    /// Makes the batches of a process that has ended due for append.
     pub fn origin_gone(&mut self, now: Moment, origin: Incarnation) {
         for held in self.held.values_mut() {
             if held.batch.id.writer == origin {
@@ -84,20 +85,21 @@
         }
     }
 
-    /// Returns when the next append is due.
+    /// Returns when the next append is due, or `None` when no batch is held.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         self.held.values().map(|held| held.append_at).min()
     }
 
-    /// Returns the batches to append at `now`. They stay held until the log shows them.
+    /// Returns the batches to append at `now`, and schedules the repetition. They stay held until
+    /// they are committed.
     pub fn poll(&mut self, now: Moment) -> Vec<UsageBatch> {
         let mut due = Vec::new();
         for held in self.held.values_mut() {
             if held.append_at > now {
                 continue;
             }
-            held.append_at = now + self.retry;
+            held.append_at = now + self.retry_interval;
             due.push(held.batch.clone());
         }
         due
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -5,11 +5,12 @@
 use crate::{UsageByCustomer, UsageLedger, WindowNumber, WindowReported};
 
 derive_value! {
-    /// Figures of a closed window for the platform, which accepts a repeat with equal figures.
+    /// Usage of a closed window for the platform. Reports are idempotent: the platform accepts a
+    /// repeat with equal usage.
     pub struct WindowReport {
-        /// The window. Reports are idempotent by it.
+        /// The window, by which the platform recognizes a repeat.
         pub window: WindowNumber,
-        /// Fencing number of the sender's `usage` lease.
+        /// Fencing token of the sender's `usage` lease.
         pub fencing: FencingToken,
         /// Usage of each customer.
         pub usage: UsageByCustomer,
@@ -17,34 +18,35 @@
 }
 
 derive_copy! {
-    /// Answer of the platform to a report.
+    /// Response of the platform to a report.
     pub enum ReportAnswer {
-        /// The platform has the figures.
+        /// The platform has stored this usage for the window.
         Accepted,
-        /// The platform has other figures for the window.
+        /// The platform has stored other usage for the window.
         Conflict,
-        /// No answer came. The report may have been accepted and is sent again.
+        /// No response arrived. The report may have been accepted and is sent again.
         Lost,
     }
 }
 
-/// Sends one report at a time while this node holds the `usage` lease.
+/// Chooses the reports to send while this node holds the `usage` lease, one at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WindowReporter {
-    retry: Span,
+    retry_delay: Span,
     in_flight: Option<WindowReported>,
     not_before: Option<Moment>,
 }
 
 impl WindowReporter {
-    /// Creates a desk that waits `retry` after a failed report.
+    /// Creates a reporter that waits `retry_delay` after each response before it sends the next
+    /// report.
     #[must_use]
-    pub fn new(retry: Span) -> Self {
-        Self { retry, in_flight: None, not_before: None }
+    pub fn new(retry_delay: Span) -> Self {
+        Self { retry_delay, in_flight: None, not_before: None }
     }
 
-    /// Returns the report to send at `now`. The caller checks its lease as the last step before
-    /// it writes the report.
+    /// Returns the report to send at `now`, if any. The caller checks that it holds the lease as
+    /// the last step before it writes the report.
     pub fn poll(
         &mut self,
         now: Moment,
@@ -59,21 +61,23 @@
         Some(report)
     }
 
-    /// Takes the platform's answer, which is [`ReportAnswer::Lost`] after a timeout. Returns the
-    /// record to append for an accepted report.
+    /// Handles the platform's response, which is [`ReportAnswer::Lost`] after a timeout. Returns
+    /// the record to append to the log for an accepted report.
     ///
-    /// The window stays pending until the log shows that record, so the wait also follows an
-    /// acceptance. A conflict is retried, because only people can settle it.
+    /// The window stays pending until that record is read back from the log, so the delay applies
+    /// after an acceptance too. A conflicting report is sent again until an operator has resolved
+    /// the conflict.
     pub fn answer(&mut self, now: Moment, answer: ReportAnswer) -> Option<WindowReported> {
         let reported = self.in_flight.take()?;
-        self.not_before = Some(now + self.retry);
+        self.not_before = Some(now + self.retry_delay);
         match answer {
             ReportAnswer::Accepted => Some(reported),
             ReportAnswer::Conflict | ReportAnswer::Lost => None,
         }
     }
 
-    /// Returns when a failed report is sent again.
+    /// Returns when the next report may be sent, or `None` while one is in flight or none was sent
+    /// yet.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         self.not_before.filter(|_| self.in_flight.is_none())
--- a/crates/usage/src/seen.rs
+++ b/crates/usage/src/seen.rs
@@ -1,4 +1,4 @@
-//! Compact sets of record ids.
+//! Compact sets of record ids, to detect repeated records.
 
 use std::collections::BTreeMap;
 
@@ -16,21 +16,23 @@
 }
 
 derive_value! {
-    /// Ids of records that were counted, as ranges per writer.
+    /// Ids of the records that were counted, stored as ranges of sequence numbers per writer.
     #[derive(Default)]
     pub struct SeenRecords {
         writers: BTreeMap<Incarnation, WriterRecords>,
     }
 
     struct WriterRecords {
-        // Sorted and not adjacent. One range is usual: a writer numbers its records upwards.
+        // Sorted, disjoint and not adjacent. There is usually one range, since a writer numbers its
+        // records consecutively.
         ranges: SmallVec<[SequenceRange; 1]>,
         last_epoch: u64,
     }
 }
 
 impl SeenRecords {
-    /// Adds `id` and returns whether it was absent. `epoch` dates the writer's latest record.
+    /// Adds `id` and returns whether it was absent. `epoch` is kept as the date of the writer's
+    /// latest record, for [`SeenRecords::forget_before`].
     pub fn insert(&mut self, id: RecordId, epoch: u64) -> bool {
         let records = self
             .writers
@@ -50,12 +52,12 @@
         records.ranges.iter().any(|range| (range.first..=range.last).contains(&id.sequence))
     }
 
-    /// Forgets the writers whose latest record is dated before `epoch`.
+    /// Removes all ids of the writers whose latest record is dated before `epoch`.
     pub fn forget_before(&mut self, epoch: u64) {
         self.writers.retain(|_, records| records.last_epoch >= epoch);
     }
 
-    /// Iterates over writers, the date of their latest record and their ranges.
+    /// Iterates over the writers, each with the date (epoch) of its latest record and its ranges.
     pub fn iter(&self) -> impl Iterator<Item = (Incarnation, u64, &[SequenceRange])> {
         self.writers
             .iter()
@@ -63,7 +65,7 @@
     }
 }
 
-/// Rebuilds a set from what [`SeenRecords::iter`] returned.
+/// Builds a set from the items that [`SeenRecords::iter`] yields.
 impl FromIterator<(Incarnation, u64, Vec<SequenceRange>)> for SeenRecords {
     fn from_iter<I: IntoIterator<Item = (Incarnation, u64, Vec<SequenceRange>)>>(items: I) -> Self {
         let mut writers = BTreeMap::new();
@@ -75,20 +77,20 @@
 }
 
 fn insert_sequence(ranges: &mut SmallVec<[SequenceRange; 1]>, sequence: u64) -> bool {
-    let after = ranges.partition_point(|range| range.first <= sequence);
-    if after > 0 && sequence <= ranges[after - 1].last {
+    let next = ranges.partition_point(|range| range.first <= sequence);
+    if next > 0 && sequence <= ranges[next - 1].last {
         return false;
     }
-    let joins_previous = after > 0 && ranges[after - 1].last + 1 == sequence;
-    let joins_next = after < ranges.len() && sequence + 1 == ranges[after].first;
+    let joins_previous = next > 0 && ranges[next - 1].last + 1 == sequence;
+    let joins_next = next < ranges.len() && sequence + 1 == ranges[next].first;
     match (joins_previous, joins_next) {
         (true, true) => {
-            ranges[after - 1].last = ranges[after].last;
-            ranges.remove(after);
+            ranges[next - 1].last = ranges[next].last;
+            ranges.remove(next);
         }
-        (true, false) => ranges[after - 1].last = sequence,
-        (false, true) => ranges[after].first = sequence,
-        (false, false) => ranges.insert(after, SequenceRange { first: sequence, last: sequence }),
+        (true, false) => ranges[next - 1].last = sequence,
+        (false, true) => ranges[next].first = sequence,
+        (false, false) => ranges.insert(next, SequenceRange { first: sequence, last: sequence }),
     }
     true
 }
--- a/crates/usage/src/totals.rs
+++ b/crates/usage/src/totals.rs
@@ -1,4 +1,5 @@
-//! Counts of requests by usage window, as running totals of one process.
+//! Requests per customer and usage window: running totals of one process, and their sum over all
+//! processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,11 +7,11 @@
 
 use crate::WindowNumber;
 
-/// Requests by customer.
+/// Number of requests by customer name.
 pub type CustomerCounts = BTreeMap<String, u64>;
 
-/// Running totals of one process. Each change marks its window for the next write, which replaces
-/// the totals written before, so a repeated write changes nothing.
+/// Running totals of one process. A change marks its window to be written again. A write replaces
+/// the totals written before, so it is idempotent.
 #[derive(Debug, Default)]
 pub struct WindowTotals {
     windows: BTreeMap<WindowNumber, CustomerCounts>,
@@ -18,7 +19,7 @@
 }
 
 impl WindowTotals {
-    /// Counts a request that began to run.
+    /// Counts a request that has started.
     pub fn add(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(customer) {
@@ -30,7 +31,7 @@
         self.changed.insert(window);
     }
 
-    /// Takes back a request that turned out not to have run.
+    /// Reverts the count of a request that did not run after all.
     pub fn remove(&mut self, window: WindowNumber, customer: &str) {
         let counts = self.windows.entry(window).or_default();
         if let Some(count) = counts.get_mut(customer) {
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Returns the windows whose totals changed since the last call, with their totals.
+    /// Returns the windows whose totals changed since the last call, with their totals, and clears
+    /// their marks.
     pub fn take_changed(&mut self) -> Vec<(WindowNumber, CustomerCounts)> {
         let changed = std::mem::take(&mut self.changed);
         changed
@@ -48,41 +50,41 @@
             .collect()
     }
 
-    /// Marks a window again, after its totals could not be written.
+    /// Marks a window as changed again after its totals could not be written.
     pub fn mark_changed(&mut self, window: WindowNumber) {
         if self.windows.contains_key(&window) {
             self.changed.insert(window);
         }
     }
 
-    /// Returns the totals of a window, which may be empty.
+    /// Returns the totals of a window, which are empty when nothing was counted.
     #[must_use]
     pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
         self.windows.get(&window).cloned().unwrap_or_default()
     }
 
-    /// Forgets windows before `oldest`.
+    /// Drops the windows before `oldest`.
     pub fn forget_before(&mut self, oldest: WindowNumber) {
         self.windows = self.windows.split_off(&oldest);
         self.changed = self.changed.split_off(&oldest);
     }
 }
 
-/// Returns the window of a point in time, counted from 1970.
+/// Returns the number of the window that contains `at`. Times before 1970 are in window 0.
 #[must_use]
 pub fn window_of(at: WallTime, length: Span) -> WindowNumber {
     let millis = u64::try_from(at.0).unwrap_or(0);
     WindowNumber(millis / length.as_millis().max(1))
 }
 
-/// Returns the end of a window.
+/// Returns the time at which a window ends, which is the start of the next one.
 #[must_use]
 pub fn window_end(window: WindowNumber, length: Span) -> WallTime {
     let millis = (window.0 + 1).saturating_mul(length.as_millis());
     WallTime(i64::try_from(millis).unwrap_or(i64::MAX))
 }
 
-/// Adds the totals of all processes. Customers without requests are left out.
+/// Sums the totals of several processes. Customers without requests are left out.
 #[must_use]
 pub fn sum_counts<'a>(totals: impl IntoIterator<Item = &'a CustomerCounts>) -> CustomerCounts {
     let mut sum = CustomerCounts::new();
@@ -97,18 +99,18 @@
 }
 
 derive_copy! {
-    /// Whether a process may still count in a window.
+    /// Whether the totals of a process for a window are final.
     pub enum TotalsPhase {
-        /// It may.
+        /// The process may still count requests in the window.
         Open,
-        /// The window has ended for it.
+        /// The totals are final, and the process goes on with the next window.
         Closed,
-        /// The process has ended as planned, in or before the window's end.
+        /// The totals are final, because the process has stopped as planned by the window's end.
         Last,
     }
 }
 
-/// Totals of all processes, for the one that reports a window.
+/// Totals of all processes, collected by the process that reports a window.
 #[derive(Debug, Default)]
 pub struct WindowAggregator {
     totals: BTreeMap<WindowNumber, BTreeMap<u64, ProcessTotals>>,
@@ -121,7 +123,7 @@
 }
 
 impl WindowAggregator {
-    /// Takes the totals of a process. Later ones replace earlier ones.
+    /// Stores the totals of a process, in place of earlier ones for the same window.
     pub fn insert(
         &mut self,
         window: WindowNumber,
@@ -133,35 +135,38 @@
         self.totals.entry(window).or_default().insert(process, totals);
     }
 
-    /// Tells whether all processes that are known to live have closed a window: those that closed the
-    /// one before and went on, and those that counted in this one.
+    /// Tells whether every process that is known to have run in a window has closed it. These are
+    /// the processes that closed the previous window and went on, and those that stored totals for
+    /// this one. Returns `false` when no process is known to have gone on from the previous window.
     #[must_use]
     pub fn is_closed(&self, window: WindowNumber) -> bool {
-        let Some(before) = window.0.checked_sub(1).and_then(|w| self.totals.get(&WindowNumber(w)))
+        let Some(previous) =
+            window.0.checked_sub(1).and_then(|w| self.totals.get(&WindowNumber(w)))
         else {
             return false;
         };
-        let Some(now) = self.totals.get(&window) else { return false };
+        let Some(current) = self.totals.get(&window) else { return false };
         let closed = |process: &u64| {
-            now.get(process).is_some_and(|totals| totals.phase != TotalsPhase::Open)
+            current.get(process).is_some_and(|totals| totals.phase != TotalsPhase::Open)
         };
-        let goes_on = |totals: &ProcessTotals| totals.phase == TotalsPhase::Closed;
-        before.iter().filter(|(_, totals)| goes_on(totals)).all(|(process, _)| closed(process))
-            && now.keys().all(closed)
-            && before.values().any(goes_on)
+        let continues = |totals: &ProcessTotals| totals.phase == TotalsPhase::Closed;
+        previous.iter().filter(|(_, totals)| continues(totals)).all(|(process, _)| closed(process))
+            && current.keys().all(closed)
+            && previous.values().any(continues)
     }
 
-    /// Returns the figures of a window.
+    /// Returns the totals of a window over all processes.
     #[must_use]
     pub fn totals(&self, window: WindowNumber) -> CustomerCounts {
         let totals = self.totals.get(&window).into_iter().flat_map(BTreeMap::values);
         sum_counts(totals.map(|totals| &totals.counts))
     }
 
-    /// Forgets windows before `oldest`, and returns them with the processes that counted in them.
+    /// Drops the windows before `oldest`, and returns them with the processes that had stored
+    /// totals for them.
     pub fn forget_before(&mut self, oldest: WindowNumber) -> Vec<(WindowNumber, Vec<u64>)> {
         let kept = self.totals.split_off(&oldest);
-        let old = std::mem::replace(&mut self.totals, kept);
-        old.into_iter().map(|(window, totals)| (window, totals.into_keys().collect())).collect()
+        let removed = std::mem::replace(&mut self.totals, kept);
+        removed.into_iter().map(|(window, totals)| (window, totals.into_keys().collect())).collect()
     }
 }
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -1,4 +1,5 @@
-//! Property tests: window figures over seeded interleavings of appends, crashes and closes.
+//! Property tests of the usage per window over random interleavings of appends, crashes and closes,
+//! one per seed.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
     meter: UsageMeter,
     pending: PendingBatches,
     store: ReplicaStore,
-    // What the node's log writer sends again until the log answers.
+    // Batches that the node's log writer sends until the log acknowledges them.
     unacknowledged: Vec<UsageBatch>,
 }
 
@@ -36,40 +37,40 @@
     }
 }
 
-struct Trial {
+struct Simulation {
     rng: ChaCha8Rng,
     nodes: Vec<Node>,
     next_incarnation: u64,
-    late: Vec<UsageRecord>,
+    delayed: Vec<UsageRecord>,
     log: Vec<LogEntry>,
     lease: u64,
-    // Requests of every batch, and the processes that were given a copy of it.
-    cut: BTreeMap<RecordId, u64>,
+    // Requests of every batch, and the processes that have received a copy of it.
+    batch_requests: BTreeMap<RecordId, u64>,
     copies: BTreeMap<RecordId, Vec<Incarnation>>,
 }
 
-impl Trial {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
             nodes: (1..=4).map(Node::new).collect(),
             next_incarnation: 5,
-            late: Vec::new(),
+            delayed: Vec::new(),
             log: Vec::new(),
             lease: 1,
-            cut: BTreeMap::new(),
+            batch_requests: BTreeMap::new(),
             copies: BTreeMap::new(),
         }
     }
 
-    /// An append reaches the log now, late, both (its answer was lost), or never.
+    /// Appends a record to the log now, later, both (a repeat after a lost response), or never.
     fn append(&mut self, record: UsageRecord) {
-        let fate = self.rng.random_range(0..4);
-        if fate <= 1 {
+        let outcome = self.rng.random_range(0..4);
+        if outcome <= 1 {
             self.log.push((record.clone(), Some(FencingToken(self.lease))));
         }
-        if (1..=2).contains(&fate) {
-            self.late.push(record);
+        if (1..=2).contains(&outcome) {
+            self.delayed.push(record);
         }
     }
 
@@ -79,8 +80,8 @@
         let other = (index + self.rng.random_range(1..self.nodes.len())) % self.nodes.len();
         match self.rng.random_range(0..11) {
             0..=2 => {
-                let used = self.rng.random_range(1..1_000);
-                let amount = UsageAmount { requests: used, ..UsageAmount::default() };
+                let request_count = self.rng.random_range(1..1_000);
+                let amount = UsageAmount { requests: request_count, ..UsageAmount::default() };
                 self.nodes[index].meter.record(now, "portal", amount).unwrap();
             }
             3..=4 => {
@@ -90,7 +91,7 @@
                 node.sequence += 1;
                 node.pending.add(now, batch.clone());
                 node.unacknowledged.push(batch.clone());
-                self.cut.insert(id, batch.usage.get("portal").requests);
+                self.batch_requests.insert(id, batch.usage.get("portal").requests);
                 self.copies.insert(id, vec![id.writer]);
                 self.append(UsageRecord::Batch(batch));
             }
@@ -100,7 +101,7 @@
                     let id = batch.id;
                     self.nodes[other].store.hold(now, batch, OriginState::Live);
                     self.copies.get_mut(&id).unwrap().push(holder);
-                    // The answer of the holder can be lost.
+                    // The holder's response may be lost.
                     if self.rng.random_bool(0.7) {
                         self.nodes[index].pending.mark_held(id, holder);
                     }
@@ -112,16 +113,16 @@
                     self.append(UsageRecord::Batch(batch));
                 }
             }
-            8 if !self.late.is_empty() => {
-                let record = self.late.swap_remove(self.rng.random_range(0..self.late.len()));
+            8 if !self.delayed.is_empty() => {
+                let record = self.delayed.swap_remove(self.rng.random_range(0..self.delayed.len()));
                 self.log.push((record, Some(FencingToken(self.lease))));
             }
-            9 => self.follow(index),
+            9 => self.read_log(index),
             _ => self.close(),
         }
     }
 
-    fn follow(&mut self, index: usize) {
+    fn read_log(&mut self, index: usize) {
         for (record, _) in &self.log {
             let UsageRecord::Batch(batch) = record else { continue };
             self.nodes[index].pending.mark_committed(batch.id);
@@ -130,11 +131,11 @@
     }
 
     fn crash(&mut self, index: usize) {
-        let gone = std::mem::replace(&mut self.nodes[index], Node::new(self.next_incarnation));
+        let crashed = std::mem::replace(&mut self.nodes[index], Node::new(self.next_incarnation));
         self.next_incarnation += 1;
         for node in &mut self.nodes {
-            node.store.origin_gone(Moment(0), gone.incarnation);
-            node.pending.holder_lost(Moment(0), gone.incarnation);
+            node.store.origin_gone(Moment(0), crashed.incarnation);
+            node.pending.holder_lost(Moment(0), crashed.incarnation);
         }
     }
 
@@ -143,15 +144,15 @@
         let mut ledger = UsageLedger::new();
         replay(&mut ledger, &self.log, 0);
         let next = ledger.windows().last().map_or(WindowNumber(100), |(window, _)| window.next());
-        // Some closes come from an earlier holder, or repeat a window.
+        // Some closes come from an earlier lease holder, or repeat a window.
         let window = WindowNumber(next.0 - u64::from(self.rng.random_bool(0.2)));
         let fencing = FencingToken(self.lease - u64::from(self.rng.random_bool(0.2)));
         self.append(UsageRecord::Close(WindowClose { window, fencing }));
     }
 
-    /// Returns the batches that the log shows or that a live process has a copy of.
+    /// Returns the batches that are in the log or of which a live process has a copy.
     fn durable(&self) -> BTreeMap<RecordId, u64> {
-        let mut durable = self.cut.clone();
+        let mut durable = self.batch_requests.clone();
         let live: Vec<Incarnation> = self.nodes.iter().map(|node| node.incarnation).collect();
         let logged = self.logged();
         durable.retain(|id, _| {
@@ -164,13 +165,13 @@
         let mut logged = BTreeMap::new();
         for (record, _) in &self.log {
             let UsageRecord::Batch(batch) = record else { continue };
-            logged.insert(batch.id, self.cut[&batch.id]);
+            logged.insert(batch.id, self.batch_requests[&batch.id]);
         }
         logged
     }
 
-    /// The log takes every append, and each live node does all the work that is due.
-    fn settle(&mut self) {
+    /// Appends all that is outstanding: due replicas, unacknowledged batches and delayed records.
+    fn append_outstanding(&mut self) {
         let lease = Some(FencingToken(self.lease));
         for index in 0..self.nodes.len() {
             let node = &mut self.nodes[index];
@@ -178,8 +179,8 @@
             batches.extend(node.unacknowledged.iter().cloned());
             self.log.extend(batches.into_iter().map(|batch| (UsageRecord::Batch(batch), lease)));
         }
-        let late = std::mem::take(&mut self.late);
-        self.log.extend(late.into_iter().map(|record| (record, lease)));
+        let delayed = std::mem::take(&mut self.delayed);
+        self.log.extend(delayed.into_iter().map(|record| (record, lease)));
     }
 }
 
@@ -189,57 +190,58 @@
     }
 }
 
-fn billed(ledger: &UsageLedger) -> u64 {
+fn billed_requests(ledger: &UsageLedger) -> u64 {
     let closed: u64 = ledger.windows().map(|(_, w)| w.usage.get("portal").requests).sum();
     closed + ledger.open_usage().get("portal").requests
 }
 
-/// Guards against a batch billed twice or dropped, whoever appends it and however often.
+/// Guards against a batch that is billed twice or dropped, by whichever process and however often
+/// it is appended.
 #[rstest]
 fn each_batch_in_the_log_is_billed_once(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let mut trial = Trial::new(seed);
+    let mut simulation = Simulation::new(seed);
     for _ in 0..600 {
-        trial.step();
+        simulation.step();
     }
-    let durable = trial.durable();
-    trial.settle();
-    let logged = trial.logged();
+    let durable = simulation.durable();
+    simulation.append_outstanding();
+    let logged = simulation.logged();
     let mut ledger = UsageLedger::new();
-    replay(&mut ledger, &trial.log, 0);
-    assert!(ledger.windows().count() > 3, "the trial closed too few windows to mean anything");
-    assert_eq!(billed(&ledger), logged.values().sum::<u64>());
+    replay(&mut ledger, &simulation.log, 0);
+    assert!(ledger.windows().count() > 3, "the run must close more than 3 windows");
+    assert_eq!(billed_requests(&ledger), logged.values().sum::<u64>());
     let missing: Vec<_> = durable.keys().filter(|id| !logged.contains_key(id)).collect();
     assert!(missing.is_empty(), "seed {seed}: {missing:?}");
 }
 
-/// Guards against a successor that computes other figures after it started from a snapshot.
+/// Guards against a new lease holder that computes other usage after it started from a snapshot.
 #[rstest]
 fn snapshot_and_replay_agree(#[values(11, 12, 13, 14)] seed: u64) {
-    let mut trial = Trial::new(seed);
+    let mut simulation = Simulation::new(seed);
     for _ in 0..400 {
-        trial.step();
+        simulation.step();
     }
-    let mut whole = UsageLedger::new();
-    replay(&mut whole, &trial.log, 0);
-    for cut in 1..trial.log.len() {
+    let mut full = UsageLedger::new();
+    replay(&mut full, &simulation.log, 0);
+    for cut in 1..simulation.log.len() {
         let mut prefix = UsageLedger::new();
-        replay(&mut prefix, &trial.log[..cut], 0);
+        replay(&mut prefix, &simulation.log[..cut], 0);
         let snapshot = prefix.snapshot().unwrap();
-        let fencing = FencingToken(trial.lease);
+        let fencing = FencingToken(simulation.lease);
         let record = UsageRecord::Snapshot { snapshot: Box::new(snapshot.clone()), fencing };
 
-        // Retention drops the prefix; the carry stands at the end of the log.
+        // Retention drops the prefix, and the snapshot is at the end of the log.
         let mut successor = UsageLedger::new();
         successor.note_retention(LogOffset(cut as u64));
-        let end = LogOffset(trial.log.len() as u64);
+        let end = LogOffset(simulation.log.len() as u64);
         let outcome = successor.apply(end, &record, Some(fencing));
         assert_eq!(outcome, LedgerOutcome::Restored(snapshot.next), "seed {seed}, cut {cut}");
-        replay(&mut successor, &trial.log, cut);
-        assert_eq!(successor.snapshot(), whole.snapshot(), "seed {seed}, cut {cut}");
+        replay(&mut successor, &simulation.log, cut);
+        assert_eq!(successor.snapshot(), full.snapshot(), "seed {seed}, cut {cut}");
     }
 }
 
-/// Guards against a close that counts without the lease, twice, or ahead of its turn.
+/// Guards against a close that takes effect without the lease, twice, or ahead of the next window.
 #[test]
 fn close_needs_the_lease_and_the_next_window() {
     fn check(
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -1,4 +1,4 @@
-//! Metering, replica holding and reporting on one node.
+//! Tests of metering, replicas and reporting on one node.
 
 use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use usage::{
@@ -23,9 +23,9 @@
     UsageBatch { id: id(sequence), usage }
 }
 
-/// Guards against a batch that is cut early, late, twice or with inexact sums.
+/// Guards against a batch that ends early, late or twice, and against inexact sums.
 #[test]
-fn meter_cuts_one_exact_batch_per_period() {
+fn meter_returns_one_exact_batch_per_period() {
     let mut meter = UsageMeter::new(UsageMeter::DEFAULT_PERIOD);
     meter.record(Moment(0), "portal", amount(1)).unwrap();
     meter.record(Moment(7), "portal", amount((1 << 53) + 1)).unwrap();
@@ -34,10 +34,13 @@
     assert_eq!(meter.poll(Moment(due.0 - 1), || id(1)), None);
     let batch = meter.poll(due, || id(1)).unwrap();
     assert_eq!(batch.usage.get("portal").requests, (1 << 53) + 2);
-    assert_eq!(meter.poll(due + SECOND, || unreachable!("no id for an empty batch")), None);
+    assert_eq!(
+        meter.poll(due + SECOND, || unreachable!("an empty batch must not take an id")),
+        None
+    );
 }
 
-/// Guards against losing a held batch whose append did not reach the log.
+/// Guards against the loss of a held batch whose append did not reach the log.
 #[test]
 fn replica_is_appended_until_the_log_shows_it() {
     let mut store = ReplicaStore::new(2, SECOND, Span::from_secs(20));
@@ -54,18 +57,19 @@
     assert_eq!(store.poll(Moment(20)), [batch(2)]);
 }
 
-/// Guards against usage that waits for good when a whole zone failed and still counts as live.
+/// Guards against usage that is never appended because a whole zone has failed but still counts as
+/// live.
 #[test]
-fn replica_is_appended_after_the_takeover_time() {
-    let takeover = Span::from_secs(20);
-    let mut store = ReplicaStore::new(2, SECOND, takeover);
+fn replica_is_appended_after_the_takeover_timeout() {
+    let takeover_timeout = Span::from_secs(20);
+    let mut store = ReplicaStore::new(2, SECOND, takeover_timeout);
     store.hold(Moment(5), batch(1), OriginState::Live);
-    assert_eq!(store.next_deadline(), Some(Moment(5) + takeover));
-    assert_eq!(store.poll(Moment(4) + takeover), []);
-    assert_eq!(store.poll(Moment(5) + takeover), [batch(1)]);
+    assert_eq!(store.next_deadline(), Some(Moment(5) + takeover_timeout));
+    assert_eq!(store.poll(Moment(4) + takeover_timeout), []);
+    assert_eq!(store.poll(Moment(5) + takeover_timeout), [batch(1)]);
 }
 
-/// Guards against a batch without a replica after its holder restarts.
+/// Guards against a batch that is left without a replica after its holder has restarted.
 #[test]
 fn lost_holder_is_replaced() {
     let mut pending = PendingBatches::new(SECOND);
@@ -79,9 +83,9 @@
     assert!(pending.is_empty());
 }
 
-/// Guards against a window that is skipped or reported with other figures after a lost answer.
+/// Guards against a window that is skipped, or reported with other usage, after a lost response.
 #[test]
-fn lost_report_is_repeated_with_equal_figures() {
+fn lost_report_is_repeated_with_equal_usage() {
     let fencing = FencingToken(4);
     let mut ledger = UsageLedger::new();
     ledger.apply(LogOffset(5), &UsageRecord::Batch(batch(1)), None);
@@ -94,9 +98,9 @@
     assert_eq!(reporter.poll(Moment(0), &ledger, fencing), None);
     assert_eq!(reporter.answer(Moment(1), ReportAnswer::Lost), None);
     assert_eq!(reporter.poll(Moment(2), &ledger, fencing), None);
-    let again = reporter.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
-    assert_eq!(again, first);
-    assert_eq!(again.usage, batch(1).usage);
+    let repeated = reporter.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
+    assert_eq!(repeated, first);
+    assert_eq!(repeated.usage, batch(1).usage);
     let reported = reporter.answer(Moment(3), ReportAnswer::Accepted).unwrap();
     ledger.apply(LogOffset(8), &UsageRecord::Reported(reported), Some(fencing));
     assert_eq!(ledger.pending_report(fencing), None);
--- a/crates/usage/tests/tally.rs
+++ b/crates/usage/tests/tally.rs
@@ -1,4 +1,4 @@
-//! Running totals by window, and when a window may be reported.
+//! Tests of the running totals per window and of the condition for reporting a window.
 
 use base::{Span, WallTime};
 use rstest::rstest;
@@ -13,10 +13,10 @@
     pairs.iter().map(|(name, count)| (String::from(*name), *count)).collect()
 }
 
-/// Guards against a repeated write that bills a request twice, and a write that bills one that did not
-/// run.
+/// Guards against totals that count a request twice when they are written again, or that count a
+/// request that did not run.
 #[test]
-fn totals_are_written_again_only_when_they_change() {
+fn only_windows_with_changed_totals_are_written() {
     let mut window_totals = WindowTotals::default();
     window_totals.add(WindowNumber(7), "brewer");
     window_totals.add(WindowNumber(7), "brewer");
@@ -40,15 +40,15 @@
 #[case(4_999, 0)]
 #[case(5_000, 1)]
 #[case(-3, 0)]
-fn check_window(#[case] millis: i64, #[case] window: u64) {
+fn window_number_and_end_follow_from_the_time(#[case] millis: i64, #[case] window: u64) {
     assert_eq!(window_of(WallTime(millis), WINDOW), WindowNumber(window));
     assert_eq!(window_end(WindowNumber(window), WINDOW).0, (window as i64 + 1) * 5_000);
 }
 
-/// Pattern: the store is away from 3 s after a window's end until after its report is due.
+/// Pattern: the store is unavailable from 3 s after a window's end until after its report is due.
 ///
-/// Guards against a report that waits for nodes which have all closed the window already (trouble-2 of
-/// derwent-sleeves missed the window before an outage).
+/// Guards against a report that is delayed although all nodes have closed the window, and that the
+/// outage then prevents.
 #[test]
 fn window_is_closed_once_every_known_process_has_closed_it() {
     let mut aggregator = WindowAggregator::default();
@@ -69,13 +69,13 @@
     assert_eq!(aggregator.totals(WindowNumber(7)), counts(&[("brewer", 5), ("studio", 1)]));
 }
 
-/// Pattern: machines are stopped as planned, one after the other, and the store is away when the report is
-/// due at the latest.
+/// Pattern: VMs are stopped as planned, one after the other, and the store is unavailable at the
+/// latest time at which the report is due.
 ///
-/// Guards against a report that waits for a process which has ended (trouble-2 of derwent-sleeves missed
-/// the window before an outage).
+/// Guards against a report that waits for a process that has ended, and that the outage then
+/// prevents.
 #[test]
-fn ended_process_is_not_waited_for() {
+fn window_closes_without_a_process_that_has_ended() {
     let mut aggregator = WindowAggregator::default();
     for process in [1, 2] {
         aggregator.insert(WindowNumber(5), process, counts(&[]), TotalsPhase::Closed);
@@ -98,9 +98,10 @@
     assert!(!aggregator.is_closed(WindowNumber(7)));
 }
 
-/// Guards against totals that are kept, here and in the store, for windows long reported.
+/// Guards against totals of windows reported long ago that are never deleted from memory and from
+/// the store.
 #[test]
-fn old_windows_are_named_for_deletion() {
+fn forget_before_returns_the_removed_windows_and_processes() {
     let mut aggregator = WindowAggregator::default();
     aggregator.insert(WindowNumber(6), 1, counts(&[]), TotalsPhase::Closed);
     aggregator.insert(WindowNumber(6), 2, counts(&[]), TotalsPhase::Closed);
