--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -1,10 +1,12 @@
-//! Specification of leases and orders: several processes, one stream, one receiver of orders.
+//! Specification of leases and orders: three processes, one stream of the log, one receiver of
+//! orders.
 //!
-//! Every process holds a real [`LeaseManager`] and a real [`OrderManager`]. Running processes do all due
-//! work before time moves on, in the order of their numbers. A pause is possible before each step of
-//! a process, so other orders need a pause. Free interleaving gave 31,128 states for three units of
-//! time and one fault, too many for a takeover. Every fault takes one from a common budget, so the
-//! search covers all combinations of so many faults.
+//! Every process runs the daemon's [`LeaseManager`] and [`OrderManager`]. Before the clock
+//! advances, running processes finish their pending work one after the other, in the order of their
+//! indices. Other interleavings arise because a process may pause before each of its steps, which
+//! counts as a fault. Free interleaving gave 31,128 states for three units of time and one fault,
+//! too many to search the longer runs in which a lease is taken over. All faults draw on one
+//! budget, so the search covers every combination of up to that many faults.
 
 mod process;
 mod receiver;
@@ -19,104 +21,110 @@
 
 pub use crate::authority::{
     process::{CheckedOrder, ProcessState},
-    receiver::{OrderReceiver, WireOrder},
+    receiver::{OrderInTransit, OrderReceiver},
 };
 use crate::search::Specification;
 
-/// Two processes hold the lease by their own clock checks at the same time.
+/// Violated when two processes hold the lease at the same time, each by its own clock check.
 pub const ONE_HOLDER: &str = "at most one process holds the lease by its own clock check";
-/// The receiver took an order of an old fencing number after one of a newer number.
-pub const FENCED: &str = "no order of an old fencing number is accepted after a newer one";
-/// An order id took effect twice.
+/// Violated when the receiver accepts an order with a lower fencing token than that of an order
+/// that it accepted before.
+pub const FENCED_ORDERS: &str = "no order is accepted after one with a higher fencing token";
+/// Violated when an order id takes effect twice.
 pub const ONE_EFFECT: &str = "each order id takes effect at most once";
-/// An order took effect after a later holder had given a new order.
-pub const RECONCILED: &str = "no new order while the outcome of an earlier holder's is unknown";
-/// An order took effect although the log says that it was refused.
-pub const TRUE_OUTCOME: &str = "an order with the outcome `refused` never takes effect";
+/// Violated when an order takes effect after a later holder has submitted a new order.
+pub const RECONCILED: &str =
+    "no new order while the outcome of an earlier holder's order is unknown";
+/// Violated when an order takes effect although the log holds the outcome `refused` for it.
+pub const REFUSED_HAS_NO_EFFECT: &str = "an order with the outcome `refused` never takes effect";
 
 derive_copy! {
-    /// Sizes of a model. Times are in units of one microsecond, which stand for any length.
+    /// Bounds of the search. Times are in microseconds; since all times are scaled alike, one
+    /// microsecond stands for any unit.
     pub struct ModelBounds {
-        /// Time at which the model ends.
+        /// Time at which the clock stops.
         pub horizon: u64,
-        /// Number of faults of any kind.
+        /// Maximum number of faults of all kinds together.
         pub faults: u8,
-        /// Number of new orders of all processes together.
+        /// Maximum number of new orders of all processes together.
         pub orders: u8,
-        /// Longest time between the clock check and the write of an order, if bounded.
+        /// Longest time between the clock check and the write of an order. Unbounded if `None`.
         pub pause_limit: Option<u64>,
-        /// What the receiver does with fencing numbers.
+        /// Whether the receiver checks fencing tokens.
         pub receiver: FencingSupport,
-        /// Where a restarted process starts to read.
-        pub restart: RestartReading,
+        /// Offset at which a restarted process starts to read the log.
+        pub restart: RestartPosition,
     }
 
-    /// Where a restarted process starts to read.
-    pub enum RestartReading {
-        /// At the beginning of the stream.
+    /// Offset at which a restarted process starts to read the log.
+    pub enum RestartPosition {
+        /// The beginning of the stream.
         Beginning,
-        /// At the end: retention has dropped everything before.
+        /// The end of the stream: retention has dropped all records.
         End,
     }
 
-    /// One transition. The number is that of the process, record or order concerned.
+    /// One transition. The number is the index of the process, delayed record or delayed order.
     pub enum AuthorityStep {
-        /// Time moves on by one unit.
+        /// The clock advances by one unit, and timers that are due run.
         Advance,
-        /// Reads all new records.
+        /// A process reads all new records of the log.
         Read(usize),
-        /// Appends a record and gets the answer.
+        /// A process appends a record and receives the ack.
         Append(usize),
-        /// Appends a record and loses the answer, so that it is sent again.
+        /// A process appends a record and the ack is lost, so it will append the record again.
         AppendAnswerLost(usize),
-        /// Sends a record that takes effect at any later time, and again.
+        /// An append is delayed and may take effect at any later time. The process will send the
+        /// record again.
         AppendDelayed(usize),
-        /// A delayed record takes effect.
+        /// A delayed append takes effect.
         DelayedAppendLands(usize),
-        /// Decides on a new order.
+        /// A lease holder submits a new order to its order manager.
         Order(usize),
-        /// Checks the clock before an order is written.
+        /// A process checks by its clock that it still holds the lease, before it writes an order.
         CheckClock(usize),
-        /// Writes the checked order and gets the answer.
+        /// A process writes the checked order and receives the response.
         Write(usize),
-        /// Writes the checked order and loses the answer.
+        /// A process writes the checked order and the response is lost.
         WriteAnswerLost(usize),
-        /// Writes the checked order, which arrives within the order timeout.
+        /// A process writes the checked order, which is delayed by at most the order timeout.
         WriteDelayed(usize),
-        /// A delayed order arrives.
+        /// A delayed order arrives at the receiver.
         DelayedOrderArrives(usize),
-        /// Asks the receiver for an order by its id.
+        /// A process queries the state of an order by its id.
         Ask(usize),
-        /// Stops to run, at any point.
+        /// A process stops running, at any point.
         Pause(usize),
-        /// Runs again.
+        /// A paused process runs again.
         Resume(usize),
-        /// Loses the log.
+        /// A process loses its connection to the log.
         CutOff(usize),
-        /// Reaches the log again.
+        /// A process can reach the log again.
         Reconnect(usize),
-        /// Starts anew with nothing kept.
+        /// A process restarts under a new incarnation, without any state.
         Restart(usize),
-        /// Gives up the lease in a planned stop.
+        /// A lease holder resigns the lease, as in a planned stop.
         Resign(usize),
     }
 }
 
 derive_value! {
-    /// Times and bounds of a model.
+    /// Settings of the state machines, and bounds of the search.
     pub struct ModelSettings {
-        /// Times of the lease.
+        /// Durations of the lease.
         pub lease: LeaseSettings,
-        /// Times of orders.
+        /// Timeouts of orders, and whether the receiver checks fencing tokens.
         pub orders: OrderSettings,
-        /// Sizes of the model.
+        /// Bounds of the search.
         pub bounds: ModelBounds,
     }
 }
 
-/// Steps that guard an invariant. A test replaces one of them to show that the search notices.
-pub trait GuardedSteps {
-    /// Checks the clock as the last step before the write.
+/// Steps on which the invariants depend. A test replaces one of them by a faulty one, to show that
+/// the search finds the violation.
+pub trait AuthorityGuards {
+    /// Checks the clock as the last step before an order is written. Returns the fencing token to
+    /// send, or `None` if the process must not write.
     fn check_clock(
         &self,
         now: Moment,
@@ -126,74 +134,78 @@
         process.order_manager.permit(now, &process.lease_manager, id).ok()
     }
 
-    /// Returns the time by which a process without the lease decides to claim.
-    fn waiting_clock(&self, now: Moment) -> Moment {
+    /// Returns the time by which a process without the lease decides whether to claim it.
+    fn claim_clock(&self, now: Moment) -> Moment {
         now
     }
 
-    /// Returns the record as the log takes it at `offset`.
-    fn take_effect(&self, _offset: LogOffset, record: Rc<AuthorityRecord>) -> Rc<AuthorityRecord> {
+    /// Returns the record that the log stores at `offset` when `record` is appended.
+    fn stored_record(
+        &self,
+        _offset: LogOffset,
+        record: Rc<AuthorityRecord>,
+    ) -> Rc<AuthorityRecord> {
         record
     }
 
-    /// Tells whether the receiver takes an order with this number.
+    /// Tells whether the receiver accepts an order with this fencing token.
     fn accepts(&self, receiver: &OrderReceiver, fencing: FencingToken) -> bool {
-        receiver.support == FencingSupport::Ignored || fencing >= receiver.highest
+        receiver.fencing_support == FencingSupport::Ignored || fencing >= receiver.highest_token
     }
 
-    /// Tells whether the receiver recognises an order that it has carried out.
-    fn recognises(&self, receiver: &OrderReceiver, id: OrderId) -> bool {
-        receiver.has_carried_out(id)
+    /// Tells whether the receiver recognizes the order as one that it has already carried out.
+    fn is_duplicate(&self, receiver: &OrderReceiver, id: OrderId) -> bool {
+        receiver.has_executed(id)
     }
 
-    /// Returns what a process makes of the receiver's answer to a question.
-    fn understand(&self, response: OrderResponse) -> OrderResponse {
+    /// Returns the response to a query as the process interprets it.
+    fn interpret_query_response(&self, response: OrderResponse) -> OrderResponse {
         response
     }
 
-    /// Returns the desk with which a process goes on after it has acquired the lease.
-    fn take_over(&self, orders: OrderManager) -> OrderManager {
+    /// Returns the order manager with which a process continues after it has acquired the lease.
+    fn manager_after_takeover(&self, orders: OrderManager) -> OrderManager {
         orders
     }
 
-    /// Returns an order to send although its intent is not read back.
-    fn send_early(&self, _intent: &OrderIntent) -> Option<OrderIntent> {
+    /// Returns an order to send before its intent has been read back from the log.
+    fn send_before_intent(&self, _intent: &OrderIntent) -> Option<OrderIntent> {
         None
     }
 }
 
-/// The steps as the product takes them.
+/// The steps as the daemon performs them.
 #[derive(Debug, Clone, Copy)]
-pub struct ProductSteps;
+pub struct ProductGuards;
 
-impl GuardedSteps for ProductSteps {}
+impl AuthorityGuards for ProductGuards {}
 
-/// Leases and orders of one scope.
+/// Specification of the lease and the orders of one scope.
 #[derive(Debug, Clone)]
 pub struct AuthorityModel<G> {
-    /// Times and bounds.
+    /// Settings of the state machines, and bounds of the search.
     pub settings: ModelSettings,
-    /// Steps that guard the invariants.
-    pub steps: G,
+    /// Steps on which the invariants depend.
+    pub guards: G,
 }
 
-/// State of all processes, the stream, the receiver and messages under way.
+/// State of all processes, the stream, the receiver and messages in transit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AuthorityState {
     pub(crate) now: Moment,
     pub(crate) log: Vec<Rc<AuthorityRecord>>,
     pub(crate) delayed_appends: Vec<Rc<AuthorityRecord>>,
-    pub(crate) wire: Vec<WireOrder>,
+    pub(crate) in_transit: Vec<OrderInTransit>,
     pub(crate) processes: Vec<ProcessState>,
     pub(crate) receiver: OrderReceiver,
     pub(crate) faults_left: u8,
     pub(crate) orders_left: u8,
-    pub(crate) broken: Option<&'static str>,
+    pub(crate) broken_invariant: Option<&'static str>,
 }
 
 impl ModelSettings {
-    /// Returns small times that keep all relations of the defaults: a lease of 2 units, and a
-    /// successor's wait of 5.
+    /// Returns small durations that keep the relations between the defaults: a holder may use the
+    /// lease for 2 units, and a successor waits for 5 units.
     #[must_use]
     pub const fn small(bounds: ModelBounds) -> Self {
         let lease = LeaseSettings {
@@ -219,40 +231,44 @@
         &self.receiver
     }
 
-    /// Returns the processes that hold the lease by their own clock check, paused ones included.
+    /// Returns the number of processes that hold the lease by their own clock check, paused ones
+    /// included.
     fn holders(&self) -> usize {
         let holds = |process: &&ProcessState| process.lease_manager.held_token(self.now).is_some();
         self.processes.iter().filter(holds).count()
     }
 
-    fn last_record(&self) -> LogOffset {
+    fn log_end(&self) -> LogOffset {
         LogOffset(self.log.len() as u64)
     }
 }
 
-impl<G: GuardedSteps> AuthorityModel<G> {
-    fn fault(&self, state: &AuthorityState) -> Option<AuthorityState> {
+impl<G: AuthorityGuards> AuthorityModel<G> {
+    fn spend_fault(&self, state: &AuthorityState) -> Option<AuthorityState> {
         let faults_left = state.faults_left.checked_sub(1)?;
         Some(AuthorityState { faults_left, ..state.clone() })
     }
 
     fn append(&self, state: &mut AuthorityState, record: Rc<AuthorityRecord>) {
-        let record = self.steps.take_effect(state.last_record(), record);
+        let record = self.guards.stored_record(state.log_end(), record);
         state.log.push(record);
     }
 
-    /// Time may move on when no running process has anything left to do.
+    /// The clock may advance when no running process has pending work, no delayed order is due, and
+    /// no checked order has reached the pause limit.
     fn may_advance(&self, state: &AuthorityState) -> bool {
         let bounds = self.settings.bounds;
-        if state.now.0 >= bounds.horizon || state.wire.iter().any(|order| order.due <= state.now) {
+        if state.now.0 >= bounds.horizon
+            || state.in_transit.iter().any(|order| order.due <= state.now)
+        {
             return false;
         }
         for process in &state.processes {
-            if process.is_due(state.log.len()) {
+            if process.has_pending_work(state.log.len()) {
                 return false;
             }
             if let (Some(checked), Some(limit)) = (&process.checked, bounds.pause_limit)
-                && state.now.since(checked.at) >= Span(limit)
+                && state.now.since(checked.checked_at) >= Span(limit)
             {
                 return false;
             }
@@ -269,7 +285,7 @@
             let mut next = state.clone();
             next.now += Span(1);
             for index in 0..next.processes.len() {
-                self.settle(&mut next, index);
+                self.run_timers(&mut next, index);
             }
             steps.push((AuthorityStep::Advance, next));
         }
@@ -279,20 +295,20 @@
             self.append(&mut next, record);
             steps.push((AuthorityStep::DelayedAppendLands(index), next));
         }
-        for index in 0..state.wire.len() {
+        for index in 0..state.in_transit.len() {
             let mut next = state.clone();
-            let order = next.wire.remove(index);
+            let order = next.in_transit.remove(index);
             self.receive(&mut next, &order.intent, order.fencing);
             steps.push((AuthorityStep::DelayedOrderArrives(index), next));
         }
     }
 }
 
-impl<G: GuardedSteps> Specification for AuthorityModel<G> {
+impl<G: AuthorityGuards> Specification for AuthorityModel<G> {
     type State = AuthorityState;
     type Step = AuthorityStep;
 
-    /// The first process holds the lease, and all have read its claim.
+    /// Returns the state in which the first process holds the lease and all have read its claim.
     fn initial(&self) -> AuthorityState {
         let bounds = self.settings.bounds;
         let now = Moment(0);
@@ -300,18 +316,18 @@
             now,
             log: Vec::new(),
             delayed_appends: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             processes: Vec::new(),
             receiver: OrderReceiver::new(bounds.receiver),
             faults_left: bounds.faults,
             orders_left: bounds.orders,
-            broken: None,
+            broken_invariant: None,
         };
         for index in 0..3 {
             let process = ProcessState::new(&self.settings, now, LogOffset(0), index + 1);
             state.processes.push(process);
         }
-        self.settle(&mut state, 0);
+        self.run_timers(&mut state, 0);
         let claim = state.processes[0].outbox.remove(0);
         self.append(&mut state, claim);
         for index in 0..3 {
@@ -322,11 +338,11 @@
 
     fn steps(&self, state: &AuthorityState) -> Vec<(AuthorityStep, AuthorityState)> {
         let mut steps = Vec::new();
-        if self.broken(state).is_some() {
+        if self.broken_invariant(state).is_some() {
             return steps;
         }
-        let is_due = |process: &ProcessState| process.is_due(state.log.len());
-        if let Some(index) = state.processes.iter().position(is_due) {
+        let has_pending_work = |process: &ProcessState| process.has_pending_work(state.log.len());
+        if let Some(index) = state.processes.iter().position(has_pending_work) {
             self.due_steps(state, index, &mut steps);
             return steps;
         }
@@ -338,14 +354,14 @@
     }
 
     fn invariants(&self) -> &'static [&'static str] {
-        &[ONE_HOLDER, FENCED, ONE_EFFECT, RECONCILED, TRUE_OUTCOME]
+        &[ONE_HOLDER, FENCED_ORDERS, ONE_EFFECT, RECONCILED, REFUSED_HAS_NO_EFFECT]
     }
 
-    fn broken(&self, state: &AuthorityState) -> Option<&'static str> {
+    fn broken_invariant(&self, state: &AuthorityState) -> Option<&'static str> {
         if state.holders() > 1 {
             return Some(ONE_HOLDER);
         }
-        state.broken
+        state.broken_invariant
     }
 
     fn describe(&self, state: &AuthorityState) -> String {
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -1,4 +1,4 @@
-//! One process: the driver's part around the real machines.
+//! One process: the daemon's lease manager and order manager, and the work that their driver does.
 
 use std::rc::Rc;
 
@@ -9,14 +9,14 @@
 use base::{FencingToken, Incarnation, LogOffset, Moment, derive_copy};
 
 use super::{
-    AuthorityModel, AuthorityState, AuthorityStep, GuardedSteps, ModelSettings, RestartReading,
-    WireOrder,
+    AuthorityGuards, AuthorityModel, AuthorityState, AuthorityStep, ModelSettings, OrderInTransit,
+    RestartPosition,
 };
 
-/// Scope of the model. It needs no heap, which keeps states small.
+/// Scope of the lease. This variant allocates nothing, which keeps states small.
 const SCOPE: LeaseScope = LeaseScope::Fleet;
 
-/// Added to the incarnation of a process when it restarts.
+/// Added to the incarnation of a process when it restarts, so that incarnations stay unique.
 const RESTART_STRIDE: u64 = 10;
 
 derive_copy! {
@@ -31,26 +31,26 @@
     }
 }
 
-/// An order whose clock check has passed and that is not yet written.
+/// An order that passed the clock check and is not yet written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CheckedOrder {
     pub(crate) intent: OrderIntent,
     pub(crate) fencing: FencingToken,
-    pub(crate) at: Moment,
+    pub(crate) checked_at: Moment,
 }
 
-/// A process with its machines and the work that its driver has queued.
+/// A process: its state machines, and the work that its driver has queued.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ProcessState {
-    /// The real keeper.
+    /// Lease manager of the daemon.
     pub lease_manager: LeaseManager,
-    /// The real desk.
+    /// Order manager of the daemon.
     pub order_manager: OrderManager,
     pub(crate) incarnation: Incarnation,
-    pub(crate) next: LogOffset,
+    pub(crate) next_offset: LogOffset,
     pub(crate) outbox: Vec<Rc<AuthorityRecord>>,
-    pub(crate) sends: Vec<OrderIntent>,
-    pub(crate) asks: Vec<OrderId>,
+    pub(crate) queued_orders: Vec<OrderIntent>,
+    pub(crate) queued_queries: Vec<OrderId>,
     pub(crate) checked: Option<CheckedOrder>,
     pub(crate) activity: Activity,
     pub(crate) access: LogAccess,
@@ -71,43 +71,43 @@
             lease_manager,
             order_manager: OrderManager::new(settings.orders, SCOPE, incarnation),
             incarnation,
-            next: first,
+            next_offset: first,
             outbox: Vec::new(),
-            sends: Vec::new(),
-            asks: Vec::new(),
+            queued_orders: Vec::new(),
+            queued_queries: Vec::new(),
             checked: None,
             activity: Activity::Running,
             access: LogAccess::Reachable,
         }
     }
 
-    /// Tells whether the process has work to do before time moves on.
-    pub(crate) fn is_due(&self, log_length: usize) -> bool {
+    /// Tells whether the process has work to do before the clock advances.
+    pub(crate) fn has_pending_work(&self, log_length: usize) -> bool {
         if self.activity == Activity::Paused {
             return false;
         }
-        let has_log_work = (self.next.0 as usize) < log_length || !self.outbox.is_empty();
+        let has_log_work = (self.next_offset.0 as usize) < log_length || !self.outbox.is_empty();
         has_log_work && self.access == LogAccess::Reachable
             || self.checked.is_some()
-            || !self.sends.is_empty()
-            || !self.asks.is_empty()
+            || !self.queued_orders.is_empty()
+            || !self.queued_queries.is_empty()
     }
 
-    fn queue(&mut self, actions: impl IntoIterator<Item = OrderAction>) {
+    fn queue_actions(&mut self, actions: impl IntoIterator<Item = OrderAction>) {
         for action in actions {
             match action {
                 OrderAction::Append(record) => self.outbox.push(Rc::new(record)),
-                OrderAction::Send(intent) => self.sends.push(intent),
-                OrderAction::Query(id) => self.asks.push(id),
+                OrderAction::Send(intent) => self.queued_orders.push(intent),
+                OrderAction::Query(id) => self.queued_queries.push(id),
                 OrderAction::Settled(_) | OrderAction::Voided(_) => {}
             }
         }
     }
 }
 
-impl<G: GuardedSteps> AuthorityModel<G> {
-    /// Lets a running process do what its timers demand.
-    pub(crate) fn settle(&self, state: &mut AuthorityState, index: usize) {
+impl<G: AuthorityGuards> AuthorityModel<G> {
+    /// Runs the timers that are due, unless the process is paused.
+    pub(crate) fn run_timers(&self, state: &mut AuthorityState, index: usize) {
         let now = state.now;
         let process = &mut state.processes[index];
         if process.activity == Activity::Paused {
@@ -115,7 +115,7 @@
         }
         let clock = match process.lease_manager.held_token(now) {
             Some(_) => now,
-            None => self.steps.waiting_clock(now),
+            None => self.guards.claim_clock(now),
         };
         for action in process.lease_manager.tick(clock) {
             if let LeaseAction::Append(record) = action {
@@ -123,30 +123,31 @@
             }
         }
         let actions = process.order_manager.tick(now, &process.lease_manager);
-        process.queue(actions);
+        process.queue_actions(actions);
     }
 
     pub(crate) fn read(&self, state: &mut AuthorityState, index: usize) {
         let now = state.now;
         let process = &mut state.processes[index];
-        for record in &state.log[process.next.0 as usize..] {
-            for action in process.lease_manager.read(now, process.next, record) {
+        for record in &state.log[process.next_offset.0 as usize..] {
+            for action in process.lease_manager.read(now, process.next_offset, record) {
                 match action {
                     LeaseAction::Append(record) => process.outbox.push(Rc::new(record)),
                     LeaseAction::Acquired(_) => {
-                        process.order_manager = self.steps.take_over(process.order_manager.clone());
+                        process.order_manager =
+                            self.guards.manager_after_takeover(process.order_manager.clone());
                     }
                     LeaseAction::Lost { .. } => {}
                 }
             }
             let actions = process.order_manager.read(now, &process.lease_manager, record);
-            process.next = process.next.next();
-            process.queue(actions);
+            process.next_offset = process.next_offset.next();
+            process.queue_actions(actions);
         }
-        self.settle(state, index);
+        self.run_timers(state, index);
     }
 
-    /// Steps of a running process that has work to do.
+    /// Adds the steps of a running process that has pending work.
     pub(crate) fn due_steps(
         &self,
         state: &AuthorityState,
@@ -158,7 +159,7 @@
         self.fault_steps(state, index, steps);
     }
 
-    /// Steps of a process while no running process has work to do.
+    /// Adds the steps of a process while no running process has pending work.
     pub(crate) fn idle_steps(
         &self,
         state: &AuthorityState,
@@ -169,7 +170,7 @@
         if process.activity == Activity::Paused {
             let mut next = state.clone();
             next.processes[index].activity = Activity::Running;
-            self.settle(&mut next, index);
+            self.run_timers(&mut next, index);
             steps.push((AuthorityStep::Resume(index), next));
             return;
         }
@@ -178,7 +179,7 @@
             next.processes[index].access = LogAccess::Reachable;
             steps.push((AuthorityStep::Reconnect(index), next));
         }
-        if let Some(next) = self.decide(state, index) {
+        if let Some(next) = self.submit_order(state, index) {
             steps.push((AuthorityStep::Order(index), next));
         }
         self.fault_steps(state, index, steps);
@@ -194,7 +195,7 @@
         if process.access == LogAccess::CutOff {
             return;
         }
-        if process.next < state.last_record() {
+        if process.next_offset < state.log_end() {
             let mut next = state.clone();
             self.read(&mut next, index);
             steps.push((AuthorityStep::Read(index), next));
@@ -204,11 +205,11 @@
         next.processes[index].outbox.remove(0);
         self.append(&mut next, Rc::clone(record));
         steps.push((AuthorityStep::Append(index), next));
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             self.append(&mut next, Rc::clone(record));
             steps.push((AuthorityStep::AppendAnswerLost(index), next));
         }
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.delayed_appends.push(Rc::clone(record));
             steps.push((AuthorityStep::AppendDelayed(index), next));
         }
@@ -221,30 +222,30 @@
         steps: &mut Vec<(AuthorityStep, AuthorityState)>,
     ) {
         let process = &state.processes[index];
-        if !process.asks.is_empty() {
+        if !process.queued_queries.is_empty() {
             let mut next = state.clone();
-            let id = next.processes[index].asks.remove(0);
-            let response = self.steps.understand(next.receiver.state(id));
+            let id = next.processes[index].queued_queries.remove(0);
+            let response = self.guards.interpret_query_response(next.receiver.state(id));
             let process = &mut next.processes[index];
             let actions =
                 process.order_manager.answer(state.now, &process.lease_manager, id, response);
-            process.queue(actions);
+            process.queue_actions(actions);
             steps.push((AuthorityStep::Ask(index), next));
         }
         if let Some(checked) = &process.checked {
             self.write_steps(state, index, checked, steps);
-        } else if let Some(intent) = process.sends.first() {
+        } else if let Some(intent) = process.queued_orders.first() {
             let mut next = state.clone();
-            let fencing = self.steps.check_clock(state.now, process, intent.id);
+            let fencing = self.guards.check_clock(state.now, process, intent.id);
             let process = &mut next.processes[index];
-            let intent = process.sends.remove(0);
+            let intent = process.queued_orders.remove(0);
             process.checked =
-                fencing.map(|fencing| CheckedOrder { intent, fencing, at: state.now });
+                fencing.map(|fencing| CheckedOrder { intent, fencing, checked_at: state.now });
             steps.push((AuthorityStep::CheckClock(index), next));
         }
     }
 
-    fn decide(&self, state: &AuthorityState, index: usize) -> Option<AuthorityState> {
+    fn submit_order(&self, state: &AuthorityState, index: usize) -> Option<AuthorityState> {
         let mut next = state.clone();
         next.orders_left = state.orders_left.checked_sub(1)?;
         let process = &mut next.processes[index];
@@ -254,10 +255,10 @@
         let (_, action) =
             process.order_manager.submit(state.now, &process.lease_manager, request).ok()?;
         if let OrderAction::Append(AuthorityRecord::Intent(intent)) = &action {
-            process.sends.extend(self.steps.send_early(intent));
+            process.queued_orders.extend(self.guards.send_before_intent(intent));
         }
-        process.queue([action]);
-        next.receiver.newest_decision = next.receiver.newest_decision.max(fencing);
+        process.queue_actions([action]);
+        next.receiver.newest_submit_token = next.receiver.newest_submit_token.max(fencing);
         Some(next)
     }
 
@@ -275,18 +276,18 @@
         let process = &mut next.processes[index];
         let actions =
             process.order_manager.answer(now, &process.lease_manager, checked.intent.id, response);
-        process.queue(actions);
+        process.queue_actions(actions);
         steps.push((AuthorityStep::Write(index), next));
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.processes[index].checked = None;
             self.receive(&mut next, &checked.intent, checked.fencing);
             steps.push((AuthorityStep::WriteAnswerLost(index), next));
         }
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.processes[index].checked = None;
             let CheckedOrder { intent, fencing, .. } = checked.clone();
             let due = now + self.settings.lease.order_timeout;
-            next.wire.push(WireOrder { intent, fencing, due });
+            next.in_transit.push(OrderInTransit { intent, fencing, due });
             steps.push((AuthorityStep::WriteDelayed(index), next));
         }
     }
@@ -297,27 +298,28 @@
         index: usize,
         steps: &mut Vec<(AuthorityStep, AuthorityState)>,
     ) {
-        let Some(fault) = self.fault(state) else { return };
+        let Some(faulted) = self.spend_fault(state) else { return };
         let process = &state.processes[index];
-        let mut next = fault.clone();
+        let mut next = faulted.clone();
         next.processes[index].activity = Activity::Paused;
         steps.push((AuthorityStep::Pause(index), next));
         if process.access == LogAccess::Reachable {
-            let mut next = fault.clone();
+            let mut next = faulted.clone();
             next.processes[index].access = LogAccess::CutOff;
             steps.push((AuthorityStep::CutOff(index), next));
         }
-        let mut next = fault.clone();
+        let mut next = faulted.clone();
         let first = match self.settings.bounds.restart {
-            RestartReading::Beginning => LogOffset(0),
-            RestartReading::End => state.last_record(),
+            RestartPosition::Beginning => LogOffset(0),
+            RestartPosition::End => state.log_end(),
         };
         let incarnation = process.incarnation.0 + RESTART_STRIDE;
         next.processes[index] = ProcessState::new(&self.settings, state.now, first, incarnation);
         steps.push((AuthorityStep::Restart(index), next));
-        let is_answered = process.checked.is_none() && process.order_manager.open_orders() == 0;
-        if process.lease_manager.held_token(state.now).is_some() && is_answered {
-            let mut next = fault;
+        let has_no_open_order =
+            process.checked.is_none() && process.order_manager.open_orders() == 0;
+        if process.lease_manager.held_token(state.now).is_some() && has_no_open_order {
+            let mut next = faulted;
             let process = &mut next.processes[index];
             for action in process.lease_manager.resign() {
                 if let LeaseAction::Append(record) = action {
--- a/crates/model-check/src/authority/receiver.rs
+++ b/crates/model-check/src/authority/receiver.rs
@@ -1,48 +1,54 @@
-//! The platform as a receiver of orders.
+//! Receiver of orders, as the platform implements it.
 
 use authority::{AuthorityRecord, FencingSupport, OrderId, OrderIntent, OrderResponse, OrderState};
 use base::{FencingToken, Moment};
 
 use super::{
-    AuthorityModel, AuthorityState, FENCED, GuardedSteps, ONE_EFFECT, RECONCILED, TRUE_OUTCOME,
+    AuthorityGuards, AuthorityModel, AuthorityState, FENCED_ORDERS, ONE_EFFECT, RECONCILED,
+    REFUSED_HAS_NO_EFFECT,
 };
 
-/// An order under way to the receiver.
+/// An order on its way to the receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct WireOrder {
+pub struct OrderInTransit {
     pub(crate) intent: OrderIntent,
     pub(crate) fencing: FencingToken,
-    /// Latest arrival.
+    /// Latest time of arrival. The clock does not advance past it before the order arrives.
     pub(crate) due: Moment,
 }
 
-/// Receiver of orders with what the invariants need to know of its past.
+/// Receiver of orders, with the part of its history that the invariants refer to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrderReceiver {
-    /// What it does with fencing numbers.
-    pub support: FencingSupport,
-    /// Highest fencing number of an accepted order.
-    pub highest: FencingToken,
-    /// Accepted orders with their fencing numbers, in order of arrival.
+    /// Whether the receiver checks fencing tokens.
+    pub fencing_support: FencingSupport,
+    /// Highest fencing token of an accepted order.
+    pub highest_token: FencingToken,
+    /// Accepted orders with their fencing tokens, in order of arrival.
     pub accepted: Vec<(OrderId, FencingToken)>,
-    /// Newest lease under which a new order was decided on.
-    pub(crate) newest_decision: FencingToken,
+    /// Highest fencing token under which a new order was submitted.
+    pub(crate) newest_submit_token: FencingToken,
 }
 
 impl OrderReceiver {
-    pub(crate) const fn new(support: FencingSupport) -> Self {
+    pub(crate) const fn new(fencing_support: FencingSupport) -> Self {
         let zero = FencingToken(0);
-        Self { support, highest: zero, accepted: Vec::new(), newest_decision: zero }
+        Self {
+            fencing_support,
+            highest_token: zero,
+            accepted: Vec::new(),
+            newest_submit_token: zero,
+        }
     }
 
-    /// Tells whether the order has taken effect.
+    /// Tells whether the order took effect.
     #[must_use]
-    pub fn has_carried_out(&self, id: OrderId) -> bool {
+    pub fn has_executed(&self, id: OrderId) -> bool {
         self.accepted.iter().any(|(accepted, _)| *accepted == id)
     }
 
     pub(crate) fn state(&self, id: OrderId) -> OrderResponse {
-        if self.has_carried_out(id) { accepted() } else { OrderResponse::NotFound }
+        if self.has_executed(id) { accepted() } else { OrderResponse::NotFound }
     }
 }
 
@@ -50,39 +56,40 @@
     OrderResponse::State { state: OrderState::Accepted, upstreams: Vec::new() }
 }
 
-impl<G: GuardedSteps> AuthorityModel<G> {
-    /// Carries out an order and returns the receiver's answer.
+impl<G: AuthorityGuards> AuthorityModel<G> {
+    /// Carries out an order unless its fencing token is refused or its id is known, and returns the
+    /// receiver's response. Records the invariant that this violates, if any.
     pub(crate) fn receive(
         &self,
         state: &mut AuthorityState,
         intent: &OrderIntent,
         fencing: FencingToken,
     ) -> OrderResponse {
-        if !self.steps.accepts(&state.receiver, fencing) {
+        if !self.guards.accepts(&state.receiver, fencing) {
             return OrderResponse::FencingTooLow;
         }
-        let is_older = fencing < state.receiver.highest;
-        if is_older {
-            state.broken = state.broken.or(Some(FENCED));
+        let is_outdated = fencing < state.receiver.highest_token;
+        if is_outdated {
+            state.broken_invariant = state.broken_invariant.or(Some(FENCED_ORDERS));
         }
-        state.receiver.highest = state.receiver.highest.max(fencing);
-        if self.steps.recognises(&state.receiver, intent.id) {
+        state.receiver.highest_token = state.receiver.highest_token.max(fencing);
+        if self.guards.is_duplicate(&state.receiver, intent.id) {
             return accepted();
         }
         let is_refused = state.log.iter().any(|record| {
             matches!(&**record, AuthorityRecord::Outcome(outcome)
                 if outcome.id == intent.id && outcome.state == OrderState::Refused)
         });
-        let broken = if state.receiver.has_carried_out(intent.id) {
+        let broken = if state.receiver.has_executed(intent.id) {
             Some(ONE_EFFECT)
         } else if is_refused {
-            Some(TRUE_OUTCOME)
-        } else if intent.fencing < state.receiver.newest_decision {
+            Some(REFUSED_HAS_NO_EFFECT)
+        } else if intent.fencing < state.receiver.newest_submit_token {
             Some(RECONCILED)
         } else {
             None
         };
-        state.broken = state.broken.or(broken);
+        state.broken_invariant = state.broken_invariant.or(broken);
         state.receiver.accepted.push((intent.id, fencing));
         accepted()
     }
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -1,10 +1,14 @@
-//! Specification of configuration: several processes, the stream `config` and racing operators.
+//! Specification of configuration: three processes, the stream `config` and two operators that
+//! write concurrently.
 //!
-//! Every process holds a real [`ConfigRegistry`]. An operator reads the versions of a process, and
-//! writes an edit or a promotion that builds on them. A process appends a snapshot of its state at
-//! any time, as the holder of the `fleet` lease does, or an old holder whose append comes late.
-//! Retention drops any records that a snapshot in the log contains. Peers exchange the documents in
-//! force at any time, also while a process cannot reach the log.
+//! Every process runs the daemon's [`ConfigRegistry`]. An operator reads the versions of a process,
+//! and writes an edit or a promotion that names them as its base. A process may append a snapshot
+//! of its state at any time; in the daemon, that is the holder of the `fleet` lease, or a former
+//! holder whose append was delayed. Retention may drop the records whose effect a snapshot in the
+//! log contains. Peers exchange the documents in force at any time, also while a process cannot
+//! reach the log.
+//!
+//! [`ConfigRegistry`]: ::configuration::ConfigRegistry
 
 mod process;
 
@@ -22,33 +26,38 @@
 pub use crate::configuration::process::{AcceptAll, ConfigProcess, Registry};
 use crate::{configuration::process::expected_documents, search::Specification};
 
-/// The version in force on a process fell during its life.
-pub const NEVER_FALLS: &str = "the version in force on a process never falls during its life";
-/// Two processes have different documents under one version.
-pub const ONE_DOCUMENT: &str = "a version of an environment is the same document on all processes";
-/// Not exactly one of two edits on the same base was accepted, or processes disagree.
-pub const ONE_WINNER: &str = "of two edits on a base one is accepted, and all agree which";
-/// A snapshot replaced a newer version.
-pub const SNAPSHOT_YIELDS: &str = "a snapshot never supersedes a newer version";
+/// Violated when the version in force on a process decreases between two restarts.
+pub const VERSION_NEVER_DECREASES: &str =
+    "the version in force on a process never decreases between restarts";
+/// Violated when two processes have different documents under one version of an environment.
+pub const ONE_DOCUMENT_PER_VERSION: &str =
+    "a version of an environment is the same document on all processes";
+/// Violated when two edits on the same base are accepted, or when the documents of a process differ
+/// from those that the log determines.
+pub const ONE_ACCEPTED_EDIT: &str =
+    "of two edits on one base exactly one is accepted, the same on all processes";
+/// Violated when a snapshot record replaces a newer version.
+pub const SNAPSHOT_KEEPS_NEWER: &str = "a snapshot never replaces a newer version";
 
 pub(crate) const TRIAL: &str = "trial";
 pub(crate) const PRODUCTION: &str = "production";
 
-/// First number of the operators' incarnations.
-const FIRST_OPERATOR: u64 = 100;
+/// Incarnation of the first operator in the ids of its records. The second operator has the next
+/// one.
+const FIRST_OPERATOR_INCARNATION: u64 = 100;
 
 derive_copy! {
-    /// Sizes of a model. Each number bounds the transitions of a kind in one run.
+    /// Bounds of the search. Each number is the maximum of the transitions of a kind in one run.
     pub struct ConfigBounds {
         /// Records that each of the two operators writes.
         pub writes: u8,
-        /// Snapshot records.
+        /// Snapshot records that all processes append together.
         pub snapshots: u8,
-        /// Times that retention drops records.
+        /// Times at which retention drops records.
         pub retentions: u8,
-        /// Copies of a peer's documents.
+        /// Times at which a process adopts the documents of a peer.
         pub copies: u8,
-        /// Faults of any kind.
+        /// Faults of all kinds together.
         pub faults: u8,
         /// What the operators write.
         pub work: OperatorWork,
@@ -62,53 +71,55 @@
         EditsAndPromotions,
     }
 
-    /// One transition. The number is that of the process, operator or record concerned.
+    /// One transition. The number is the index of the process, operator or delayed record.
     pub enum ConfigStep {
-        /// Reads the next record or notices what retention has dropped.
+        /// A process reads the next record, or learns that retention has dropped it.
         Read(usize),
-        /// An operator reads a process's versions.
+        /// An operator reads the versions of a process and prepares a record that names them as its
+        /// base.
         Look {
             /// The operator.
             operator: usize,
             /// The process.
             process: usize,
         },
-        /// An operator's record takes effect and the answer arrives.
+        /// An operator appends its record and receives the ack.
         Write(usize),
-        /// An operator's record takes effect, and the operator sends it again.
+        /// An operator appends its record and the ack is lost, so the operator will send it again.
         WriteAnswerLost(usize),
-        /// An operator's record takes effect at any later time.
+        /// The append of an operator is delayed and may take effect at any later time.
         WriteDelayed(usize),
-        /// A delayed record takes effect.
+        /// A delayed append takes effect.
         DelayedWriteLands(usize),
-        /// Appends a snapshot.
+        /// A process appends a snapshot record.
         Carry(usize),
-        /// Appends a snapshot that takes effect at any later time.
+        /// The append of a snapshot record is delayed and may take effect at any later time.
         CarryDelayed(usize),
-        /// Retention drops all records below the offset that a snapshot has reached.
+        /// Retention drops all records below this offset, which a snapshot in the log covers.
         Retain(u64),
-        /// Takes the state and the documents in force of another process.
+        /// A process adopts the state and the documents in force of a peer.
         Copy {
-            /// The process that takes them.
+            /// The process that adopts them.
             to: usize,
-            /// The process that has them.
+            /// The peer that sends them.
             from: usize,
         },
-        /// Loses the log.
+        /// A process loses its connection to the log.
         CutOff(usize),
-        /// Reaches the log again.
+        /// A process can reach the log again.
         Reconnect(usize),
-        /// Starts anew with nothing kept.
+        /// A process restarts without any state.
         Restart(usize),
     }
 }
 
 derive_value! {
-    /// A record with a hash that goes by its id.
+    /// A record of the stream `config`, hashed by its id and base, or by the offset of a snapshot.
     pub struct ConfigEntry(pub ConfigRecord);
 }
 
-/// Leaves out contents that the rest of the state mostly implies, which keeps hashing cheap.
+/// Leaves out contents that the rest of the state implies in nearly all cases, which keeps hashing
+/// cheap.
 impl Hash for ConfigEntry {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         match &self.0 {
@@ -119,16 +130,17 @@
     }
 }
 
-/// An operator between reading the versions and writing a record.
+/// An operator. Its outbox holds the record that it has prepared and not yet written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Operator {
-    pub(crate) written: u8,
+    pub(crate) records_written: u8,
     pub(crate) outbox: Option<Rc<ConfigEntry>>,
 }
 
-/// Steps that guard an invariant. A test replaces one of them to show that the search notices.
+/// Steps on which the invariants depend. A test replaces one of them by a faulty one, to show that
+/// the search finds the violation.
 pub trait ConfigGuards {
-    /// Applies a record.
+    /// Applies a record of the log to the registry.
     fn apply(
         &self,
         registry: &mut Registry,
@@ -138,38 +150,39 @@
         registry.apply(offset, record)
     }
 
-    /// Takes a peer's copy of a document.
+    /// Adopts a document that a peer has sent.
     fn adopt(&self, registry: &mut Registry, document: &VersionedDocument) {
         registry.adopt_peer_document(document);
     }
 
-    /// Returns where a process reads on that continues from a peer's state of the log.
-    fn continue_at(&self, _reading_at: LogOffset, restored: LogOffset) -> LogOffset {
+    /// Returns the offset at which a process continues to read after it was restored from a peer's
+    /// snapshot. `reading_at` is its former offset, `restored` that of the snapshot.
+    fn offset_after_restore(&self, _reading_at: LogOffset, restored: LogOffset) -> LogOffset {
         restored
     }
 
-    /// Returns the documents that a process gives to a peer.
-    fn given(&self, registry: &Registry) -> Vec<VersionedDocument> {
+    /// Returns the documents that a process sends to a peer.
+    fn documents_for_peer(&self, registry: &Registry) -> Vec<VersionedDocument> {
         registry.documents().into_iter().cloned().collect()
     }
 }
 
-/// The steps as the product takes them.
+/// The steps as the daemon performs them.
 #[derive(Debug, Clone, Copy)]
-pub struct ProductConfig;
+pub struct ProductGuards;
 
-impl ConfigGuards for ProductConfig {}
+impl ConfigGuards for ProductGuards {}
 
-/// Configuration of two environments.
+/// Specification of the configuration of two environments.
 #[derive(Debug, Clone)]
 pub struct ConfigModel<G> {
-    /// Sizes of the model.
+    /// Bounds of the search.
     pub bounds: ConfigBounds,
-    /// Steps that guard the invariants.
+    /// Steps on which the invariants depend.
     pub guards: G,
 }
 
-/// State of all processes, the stream, the operators and records under way.
+/// State of all processes, the stream, the operators and delayed appends.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ConfigModelState {
     pub(crate) log: Vec<Rc<ConfigEntry>>,
@@ -181,7 +194,7 @@
     pub(crate) retentions_left: u8,
     pub(crate) copies_left: u8,
     pub(crate) faults_left: u8,
-    pub(crate) broken: Option<&'static str>,
+    pub(crate) broken_invariant: Option<&'static str>,
 }
 
 impl ConfigModelState {
@@ -209,15 +222,15 @@
         })
     }
 
-    /// Compares what each process read from the log with the rule itself, and the accepted edits of
-    /// all processes with each other.
-    fn is_undecided(&self) -> bool {
+    /// Tells whether processes have accepted different edits on one base, or a snapshot of a
+    /// process differs from the documents that the log up to its offset determines.
+    fn has_wrong_acceptance(&self) -> bool {
         let accepted = self.processes.iter().flat_map(|process| &process.accepted);
         let accepted = accepted.collect::<Vec<_>>();
-        let has_two_winners = accepted.iter().enumerate().any(|(index, (winner, base))| {
-            accepted[index + 1..].iter().any(|(other, at)| at == base && other != winner)
+        let has_two_accepted = accepted.iter().enumerate().any(|(index, (edit, base))| {
+            accepted[index + 1..].iter().any(|(other, at)| at == base && other != edit)
         });
-        has_two_winners
+        has_two_accepted
             || self
                 .processes
                 .iter()
@@ -227,7 +240,7 @@
 }
 
 impl<G: ConfigGuards> ConfigModel<G> {
-    pub(crate) fn fault(&self, state: &ConfigModelState) -> Option<ConfigModelState> {
+    pub(crate) fn spend_fault(&self, state: &ConfigModelState) -> Option<ConfigModelState> {
         let faults_left = state.faults_left.checked_sub(1)?;
         Some(ConfigModelState { faults_left, ..state.clone() })
     }
@@ -240,41 +253,44 @@
     ) {
         let operator = &state.operators[index];
         let Some(entry) = &operator.outbox else {
-            if operator.written >= self.bounds.writes {
+            if operator.records_written >= self.bounds.writes {
                 return;
             }
-            for (process, looked_at) in state.processes.iter().enumerate() {
+            for (process, observed) in state.processes.iter().enumerate() {
                 let mut next = state.clone();
-                let entry = self.compose(index, operator.written, &looked_at.registry);
-                next.operators[index] =
-                    Operator { written: operator.written + 1, outbox: Some(Rc::new(entry)) };
+                let entry =
+                    self.compose_record(index, operator.records_written, &observed.registry);
+                next.operators[index] = Operator {
+                    records_written: operator.records_written + 1,
+                    outbox: Some(Rc::new(entry)),
+                };
                 let step = ConfigStep::Look { operator: index, process };
-                // Operators that see the same versions write the same record.
+                // Processes with the same versions lead to the same record.
                 if !steps.iter().any(|(_, known)| *known == next) {
                     steps.push((step, next));
                 }
             }
             return;
         };
-        let mut unanswered = state.clone();
-        unanswered.log.push(Rc::clone(entry));
-        let mut next = unanswered.clone();
+        let mut appended = state.clone();
+        appended.log.push(Rc::clone(entry));
+        let mut next = appended.clone();
         next.operators[index].outbox = None;
         steps.push((ConfigStep::Write(index), next));
-        if let Some(next) = self.fault(&unanswered) {
+        if let Some(next) = self.spend_fault(&appended) {
             steps.push((ConfigStep::WriteAnswerLost(index), next));
         }
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.delayed.push(Rc::clone(entry));
             next.operators[index].outbox = None;
             steps.push((ConfigStep::WriteDelayed(index), next));
         }
     }
 
-    fn compose(&self, index: usize, written: u8, registry: &Registry) -> ConfigEntry {
+    fn compose_record(&self, index: usize, written: u8, registry: &Registry) -> ConfigEntry {
         let (trial, production) = (EnvironmentName::from(TRIAL), EnvironmentName::from(PRODUCTION));
         let id = RecordId {
-            writer: Incarnation(FIRST_OPERATOR + index as u64),
+            writer: Incarnation(FIRST_OPERATOR_INCARNATION + index as u64),
             sequence: u64::from(written) + 1,
         };
         let base = registry.version(&trial);
@@ -303,7 +319,8 @@
             steps.push((ConfigStep::DelayedWriteLands(index), next));
         }
         let Some(retentions_left) = state.retentions_left.checked_sub(1) else { return };
-        // Retention exceeds the period of snapshots, so one that reaches far enough is retained.
+        // The retention period exceeds the snapshot period, so a snapshot that covers the dropped
+        // records is itself still retained.
         let mut offsets = state
             .log
             .iter()
@@ -333,18 +350,18 @@
             first_retained: LogOffset(0),
             delayed: Vec::new(),
             processes: vec![process; 3],
-            operators: vec![Operator { written: 0, outbox: None }; 2],
+            operators: vec![Operator { records_written: 0, outbox: None }; 2],
             snapshots_left: self.bounds.snapshots,
             retentions_left: self.bounds.retentions,
             copies_left: self.bounds.copies,
             faults_left: self.bounds.faults,
-            broken: None,
+            broken_invariant: None,
         }
     }
 
     fn steps(&self, state: &ConfigModelState) -> Vec<(ConfigStep, ConfigModelState)> {
         let mut steps = Vec::new();
-        if self.broken(state).is_some() {
+        if self.broken_invariant(state).is_some() {
             return steps;
         }
         for index in 0..state.operators.len() {
@@ -358,17 +375,22 @@
     }
 
     fn invariants(&self) -> &'static [&'static str] {
-        &[NEVER_FALLS, ONE_DOCUMENT, ONE_WINNER, SNAPSHOT_YIELDS]
+        &[
+            VERSION_NEVER_DECREASES,
+            ONE_DOCUMENT_PER_VERSION,
+            ONE_ACCEPTED_EDIT,
+            SNAPSHOT_KEEPS_NEWER,
+        ]
     }
 
-    fn broken(&self, state: &ConfigModelState) -> Option<&'static str> {
-        if state.broken.is_some() {
-            return state.broken;
+    fn broken_invariant(&self, state: &ConfigModelState) -> Option<&'static str> {
+        if state.broken_invariant.is_some() {
+            return state.broken_invariant;
         }
-        if state.is_undecided() {
-            return Some(ONE_WINNER);
+        if state.has_wrong_acceptance() {
+            return Some(ONE_ACCEPTED_EDIT);
         }
-        state.documents_differ().then_some(ONE_DOCUMENT)
+        state.documents_differ().then_some(ONE_DOCUMENT_PER_VERSION)
     }
 
     fn describe(&self, state: &ConfigModelState) -> String {
@@ -377,7 +399,7 @@
         };
         let describe = |process: &Rc<ConfigProcess>| {
             let (trial, production) = (version(process, TRIAL), version(process, PRODUCTION));
-            format!("{}/{}@{}", trial.0, production.0, process.next.0)
+            format!("{}/{}@{}", trial.0, production.0, process.next_offset.0)
         };
         let processes: Vec<_> = state.processes.iter().map(describe).collect();
         format!(
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -1,4 +1,4 @@
-//! One process with its history, and its steps.
+//! One process: the daemon's config registry, and the steps of its driver.
 
 use std::{
     hash::{Hash, Hasher},
@@ -12,12 +12,12 @@
 use base::{LogOffset, RecordId, derive_value};
 
 use super::{
-    ConfigEntry, ConfigGuards, ConfigModel, ConfigModelState, ConfigStep, NEVER_FALLS, PRODUCTION,
-    SNAPSHOT_YIELDS, TRIAL,
+    ConfigEntry, ConfigGuards, ConfigModel, ConfigModelState, ConfigStep, PRODUCTION,
+    SNAPSHOT_KEEPS_NEWER, TRIAL, VERSION_NEVER_DECREASES,
 };
 
 derive_value! {
-    /// Accepts every text.
+    /// Document check that accepts every text.
     #[derive(Copy)]
     pub struct AcceptAll;
 
@@ -27,18 +27,18 @@
     }
 }
 
-/// The real history with a check that accepts every text.
+/// Config registry of the daemon, with a document check that accepts every text.
 pub type Registry = ConfigRegistry<AcceptAll>;
 
-/// A process and what the invariants need to know of its past.
+/// A process, with the part of its history that the invariants refer to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigProcess {
-    /// The real history.
+    /// Config registry of the daemon.
     pub registry: Registry,
     /// Offset of the next record to read.
-    pub(crate) next: LogOffset,
+    pub(crate) next_offset: LogOffset,
     pub(crate) access: LogAccess,
-    /// Edits that this process accepted from the log, with the version that each builds on.
+    /// Edits that this process accepted from the log, each with its base version.
     pub(crate) accepted: Vec<(RecordId, ConfigVersion)>,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// Leaves out texts, which versions and records imply.
+/// Leaves out the texts, which the versions and record ids imply.
 impl Hash for ConfigProcess {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.next, self.registry.next_offset(), &self.accepted).hash(hasher);
+        (self.next_offset, self.registry.next_offset(), &self.accepted).hash(hasher);
         (self.access == LogAccess::Reachable).hash(hasher);
         for document in self.registry.documents() {
             (document.version, document.record).hash(hasher);
@@ -63,7 +63,7 @@
     pub(crate) fn new() -> Self {
         Self {
             registry: ConfigRegistry::new(AcceptAll),
-            next: LogOffset(0),
+            next_offset: LogOffset(0),
             access: LogAccess::Reachable,
             accepted: Vec::new(),
         }
@@ -73,7 +73,7 @@
         [TRIAL, PRODUCTION].map(|name| self.registry.version(&EnvironmentName::from(name)))
     }
 
-    fn note_accepted(&mut self, record: &ConfigRecord) {
+    fn record_accepted(&mut self, record: &ConfigRecord) {
         let ConfigRecord::Edit(edit) = record else { return };
         if !self.accepted.iter().any(|(id, _)| *id == edit.id) {
             self.accepted.push((edit.id, edit.base));
@@ -82,7 +82,8 @@
     }
 }
 
-/// Returns the documents that the rule of section 5.4 accepts, without the product's code.
+/// Computes the documents in force after `log` by the rule of design section 5.4, independently of
+/// [`ConfigRegistry`]: an edit or promotion is accepted if the versions that it names are current.
 pub(crate) fn expected_documents(log: &[Rc<ConfigEntry>]) -> Vec<VersionedDocument> {
     let mut documents: Vec<VersionedDocument> = Vec::new();
     let find = |documents: &[VersionedDocument], name: &EnvironmentName| {
@@ -127,7 +128,9 @@
     ) {
         let process = &state.processes[index];
         if process.access == LogAccess::Reachable {
-            if process.next.0 < state.log.len() as u64 || process.next < state.first_retained {
+            if process.next_offset.0 < state.log.len() as u64
+                || process.next_offset < state.first_retained
+            {
                 let mut next = state.clone();
                 self.read(&mut next, index);
                 steps.push((ConfigStep::Read(index), next));
@@ -141,19 +144,19 @@
         if let Some(copies_left) = state.copies_left.checked_sub(1) {
             for from in (0..state.processes.len()).filter(|from| *from != index) {
                 let mut next = ConfigModelState { copies_left, ..state.clone() };
-                self.copy(&mut next, index, from);
+                self.copy_from_peer(&mut next, index, from);
                 if next.processes[index] != state.processes[index] {
                     steps.push((ConfigStep::Copy { to: index, from }, next));
                 }
             }
         }
-        let Some(fault) = self.fault(state) else { return };
+        let Some(faulted) = self.spend_fault(state) else { return };
         if process.access == LogAccess::Reachable {
-            let mut next = fault.clone();
+            let mut next = faulted.clone();
             Rc::make_mut(&mut next.processes[index]).access = LogAccess::CutOff;
             steps.push((ConfigStep::CutOff(index), next));
         }
-        let mut next = fault;
+        let mut next = faulted;
         let access = process.access.clone();
         next.processes[index] = Rc::new(ConfigProcess { access, ..ConfigProcess::new() });
         steps.push((ConfigStep::Restart(index), next));
@@ -167,7 +170,7 @@
     ) {
         let Some(snapshots_left) = state.snapshots_left.checked_sub(1) else { return };
         let Some(snapshot) = state.processes[index].registry.snapshot() else { return };
-        // A snapshot of the empty state is never due.
+        // No snapshot of an empty state is appended.
         if snapshot.documents.is_empty() {
             return;
         }
@@ -176,52 +179,56 @@
         let mut next = ConfigModelState { snapshots_left, ..state.clone() };
         next.log.push(Rc::clone(&entry));
         steps.push((ConfigStep::Carry(index), next));
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.snapshots_left = snapshots_left;
             next.delayed.push(entry);
             steps.push((ConfigStep::CarryDelayed(index), next));
         }
     }
 
-    /// Reads the next record, or learns that retention dropped it, as the daemon's follower does.
+    /// Reads the next record, or learns that retention has dropped it, as the daemon's log reader
+    /// does.
     fn read(&self, state: &mut ConfigModelState, index: usize) {
         let process = Rc::make_mut(&mut state.processes[index]);
-        if process.next < state.first_retained {
-            process.next = state.first_retained;
+        if process.next_offset < state.first_retained {
+            process.next_offset = state.first_retained;
             process.registry.note_retention(state.first_retained);
             return;
         }
-        let record = &state.log[process.next.0 as usize].0;
+        let record = &state.log[process.next_offset.0 as usize].0;
         let before = process.versions();
-        let offset = process.next;
-        process.next = offset.next();
+        let offset = process.next_offset;
+        process.next_offset = offset.next();
         match self.guards.apply(&mut process.registry, offset, record) {
-            ConfigOutcome::Accepted { .. } => process.note_accepted(record),
-            ConfigOutcome::Restored(from) => process.next = from,
+            ConfigOutcome::Accepted { .. } => process.record_accepted(record),
+            ConfigOutcome::Restored(from) => process.next_offset = from,
             ConfigOutcome::Conflict(_) | ConfigOutcome::Refused(_) => {}
         }
-        let fell = before.iter().zip(process.versions()).any(|(before, after)| after < *before);
+        let has_decreased =
+            before.iter().zip(process.versions()).any(|(before, after)| after < *before);
         let invariant = match record {
-            ConfigRecord::Snapshot(_) => SNAPSHOT_YIELDS,
-            ConfigRecord::Edit(_) | ConfigRecord::Promote(_) => NEVER_FALLS,
+            ConfigRecord::Snapshot(_) => SNAPSHOT_KEEPS_NEWER,
+            ConfigRecord::Edit(_) | ConfigRecord::Promote(_) => VERSION_NEVER_DECREASES,
         };
-        state.broken = state.broken.or(fell.then_some(invariant));
+        state.broken_invariant = state.broken_invariant.or(has_decreased.then_some(invariant));
     }
 
-    fn copy(&self, state: &mut ConfigModelState, to: usize, from: usize) {
-        let given = self.guards.given(&state.processes[from].registry);
+    fn copy_from_peer(&self, state: &mut ConfigModelState, to: usize, from: usize) {
+        let documents = self.guards.documents_for_peer(&state.processes[from].registry);
         let snapshot = state.processes[from].registry.snapshot().cloned();
         let process = Rc::make_mut(&mut state.processes[to]);
         let before = process.versions();
         if let Some(snapshot) = snapshot
             && let ConfigOutcome::Restored(next) = process.registry.adopt_snapshot(&snapshot)
         {
-            process.next = self.guards.continue_at(process.next, next);
+            process.next_offset = self.guards.offset_after_restore(process.next_offset, next);
         }
-        for document in &given {
+        for document in &documents {
             self.guards.adopt(&mut process.registry, document);
         }
-        let fell = before.iter().zip(process.versions()).any(|(before, after)| after < *before);
-        state.broken = state.broken.or(fell.then_some(NEVER_FALLS));
+        let has_decreased =
+            before.iter().zip(process.versions()).any(|(before, after)| after < *before);
+        state.broken_invariant =
+            state.broken_invariant.or(has_decreased.then_some(VERSION_NEVER_DECREASES));
     }
 }
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive search over a specification.
+//! Exhaustive breadth-first search over the states of a specification.
 
 use std::{
     fmt,
@@ -8,24 +8,24 @@
 use base::derive_value;
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// A transition system with invariants.
+/// A transition system whose reachable states must satisfy invariants.
 pub trait Specification {
-    /// State of all processes and of their environment.
+    /// State of all processes and of their environment: network, log and platform.
     type State: Clone + Eq + Hash;
-    /// Name of a transition, for traces.
+    /// Label of a transition. Traces print its `Debug` form.
     type Step: fmt::Debug;
 
     /// Returns the state in which every run starts.
     fn initial(&self) -> Self::State;
 
-    /// Returns every transition out of `state`.
+    /// Returns every transition out of `state`, with the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// Returns the names of the invariants that [`Specification::broken`] checks.
+    /// Returns the names of the invariants that [`Specification::broken_invariant`] checks.
     fn invariants(&self) -> &'static [&'static str];
 
-    /// Returns the name of an invariant that `state` breaks.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the name of an invariant that `state` violates.
+    fn broken_invariant(&self, state: &Self::State) -> Option<&'static str>;
 
     /// Describes a state in one line, for traces.
     fn describe(&self, state: &Self::State) -> String;
@@ -38,12 +38,12 @@
         pub states: usize,
         /// Largest number of steps on a shortest path to a state.
         pub depth: usize,
-        /// First broken invariant in breadth-first order.
+        /// First violated invariant in breadth-first order. The search stops there.
         pub broken: Option<&'static str>,
     }
 }
 
-/// A state with its distance from the start, which takes no part in comparisons.
+/// A state with its distance from the initial state. Comparison and hash ignore the distance.
 #[derive(Clone)]
 struct Node<S> {
     state: S,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Visits every reachable state, or stops at the first one that breaks an invariant.
+/// Visits every reachable state, or stops at the first one that violates an invariant.
 pub fn explore<T: Specification>(specification: &T) -> Exploration {
     let start = Node { state: specification.initial(), depth: 0 };
     let successors = |node: &Node<T::State>| {
@@ -76,7 +76,7 @@
     for node in bfs_reach(start, successors) {
         exploration.states += 1;
         exploration.depth = exploration.depth.max(node.depth);
-        exploration.broken = specification.broken(&node.state);
+        exploration.broken = specification.broken_invariant(&node.state);
         if exploration.broken.is_some() {
             break;
         }
@@ -84,7 +84,7 @@
     exploration
 }
 
-/// Returns the lines of a shortest trace to a state that breaks `invariant`, or `None` when no
+/// Returns the lines of a shortest trace to a state that violates `invariant`, or `None` when no
 /// reachable state does.
 pub fn counterexample<T: Specification>(
     specification: &T,
@@ -93,24 +93,25 @@
     let initial = specification.initial();
     let successors =
         |state: &T::State| specification.steps(state).into_iter().map(|(_, state)| state);
-    let breaks = |state: &T::State| specification.broken(state) == Some(invariant);
+    let breaks = |state: &T::State| specification.broken_invariant(state) == Some(invariant);
     let path = bfs(&initial, successors, breaks)?;
-    let mut lines = vec![format!("start: {}", specification.describe(&path[0]))];
+    let mut lines = vec![format!("initial state: {}", specification.describe(&path[0]))];
     for pair in path.windows(2) {
         let steps = specification.steps(&pair[0]);
         let step = steps.iter().find(|(_, state)| *state == pair[1]);
         let name = step.map(|(step, _)| format!("{step:?}")).unwrap_or_default();
         lines.push(format!("{name}: {}", specification.describe(&pair[1])));
     }
-    lines.push(format!("breaks: {invariant}"));
+    lines.push(format!("violated invariant: {invariant}"));
     Some(lines)
 }
 
-/// Checks that no reachable state breaks an invariant, and prints what was searched.
+/// Checks that no reachable state violates an invariant, and prints `bounds` and the size of the
+/// search.
 ///
 /// # Panics
 ///
-/// Panics after the shortest trace to a state that breaks one.
+/// Panics when a state violates an invariant, after printing a shortest trace to it.
 pub fn check_invariants<T: Specification>(specification: &T, bounds: &impl fmt::Debug) {
     let result = explore(specification);
     println!("{bounds:?}: {result:?}, invariants: {:?}", specification.invariants());
@@ -120,14 +121,15 @@
     assert_eq!(result.broken, None);
 }
 
-/// Checks that the search notices a specification in which a guard is missing.
+/// Checks that the search finds a violation of `invariant` in a specification in which a guard of
+/// it is replaced by a faulty one.
 ///
 /// # Panics
 ///
-/// Panics when no reachable state breaks `invariant`.
-pub fn check_noticed<T: Specification>(specification: &T, invariant: &'static str) {
+/// Panics when no reachable state violates `invariant`.
+pub fn check_violation_found<T: Specification>(specification: &T, invariant: &'static str) {
     let found = print_counterexample(specification, invariant);
-    assert!(found, "the search does not notice the missing guard");
+    assert!(found, "no reachable state violates `{invariant}`, although its guard is disabled");
 }
 
 fn print_counterexample<T: Specification>(specification: &T, invariant: &'static str) -> bool {
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -1,9 +1,10 @@
-//! Specification of one partition of submissions in the platform's store: nodes that accept, run and end
-//! submissions at the same time, and read them.
+//! Specification of one partition of submissions in the platform's store: two nodes that
+//! concurrently accept submissions, store their results, end them and read them.
 //!
-//! Every node holds a real [`PartitionCache`] and appends what [`opening_records`], [`result_records`] and
-//! [`ending_records`] plan. The store checks nothing but the offset that an append names. A node reads
-//! the keys of a submission in two pages, which are no snapshot, and follows the log meanwhile.
+//! Every node runs the daemon's [`PartitionCache`] and appends the records that
+//! [`opening_records`], [`result_records`] and [`ending_records`] return. The store only checks that
+//! an append names the end of the log. A node reads the keys of a submission in two pages, which
+//! are not read atomically, and follows the log meanwhile.
 //!
 //! [`opening_records`]: submissions::opening_records
 //! [`result_records`]: submissions::result_records
@@ -23,107 +24,114 @@
     store::{DelayedAppend, KeyedLog},
 };
 
-/// A submission was accepted twice.
+/// Violated when a submission is accepted twice.
 pub const ACCEPTED_ONCE: &str = "a submission is accepted once";
-/// An item has two results, or a position was given away twice or left out.
-pub const ONE_POSITION: &str = "each item and each position of a submission has one result";
-/// A result was stored after the end of its submission.
-pub const ENDED_STAYS: &str = "no result follows the end of its submission";
-/// A copy misses records of a loaded submission, or shows others than the log.
-pub const COPY_IS_WHOLE: &str = "a copy misses nothing of a loaded submission up to its offset";
+/// Violated when an item has two results, or when a position has two results or is skipped.
+pub const UNIQUE_POSITIONS: &str = "each item and each position of a submission has one result";
+/// Violated when a result is stored after the end of its submission.
+pub const NO_RESULT_AFTER_END: &str = "no result follows the end of its submission";
+/// Violated when the cache of a node misses records of a loaded submission, or differs from the
+/// log.
+pub const CACHE_MATCHES_LOG: &str =
+    "a cache holds every record of a loaded submission up to its offset";
 
 derive_copy! {
-    /// Sizes of a model.
+    /// Bounds of the search.
     pub struct SubmissionBounds {
-        /// Number of faults of any kind.
+        /// Maximum number of faults of all kinds together.
         pub faults: u8,
-        /// What the nodes have to do.
+        /// What each of the two nodes does.
         pub work: WorkPlan,
     }
 
-    /// What each of the two nodes has to do, in order.
+    /// What each of the two nodes does, in order.
     pub enum WorkPlan {
         /// A submission arrives at both nodes, and both store results.
         SentTwice,
-        /// Two submissions whose results both nodes store, in different orders.
+        /// Both nodes store results of the same two submissions, in different orders.
         TwoOwners,
-        /// One node ends the submission whose results the other one stores.
+        /// One node ends a submission while the other one stores its results.
         EndedMeanwhile,
-        /// Callers ask the node that stores results for two submissions at the same time.
+        /// Callers read two submissions from a node while it stores results.
         ReadMeanwhile,
     }
 
-    /// One transition. The number is that of the node or of the delayed append concerned.
+    /// One transition. The number is the index of the node or of the delayed append.
     pub enum SubmissionStep {
-        /// Reads the first page of a submission's keys.
+        /// A node reads the first page of a submission's keys: all records but the results.
         ReadFirstPage(usize),
-        /// Reads the second page and takes both.
+        /// A node reads the second page, the results, and applies both pages to its cache.
         ReadLastPage(usize),
-        /// Reads the next record of the log.
+        /// A node reads the next record of the log.
         ReadRecord(usize),
-        /// Reads all new records of the log.
+        /// A node reads all new records of the log.
         ReadLog(usize),
-        /// Decides what to append, and where.
+        /// A node decides which records to append, and at which offset.
         Decide(usize),
-        /// Appends and gets the answer.
+        /// A node appends and receives the response.
         Append(usize),
-        /// Appends and loses the answer.
+        /// A node appends and the response is lost.
         AppendAnswerLost(usize),
-        /// Sends an append that takes effect at any later time, and gives it up.
+        /// An append is delayed and may arrive at any later time. The node does not wait for it.
         AppendDelayed(usize),
         /// A delayed append arrives at the store.
         DelayedAppendLands(usize),
-        /// The store drops all records of the log, but the newest of each key.
+        /// The store compacts the log: of each key, only the newest record can be read, and by key
+        /// only.
         Forget,
     }
 }
 
 derive_value! {
-    /// What a node does for a caller or for its items.
+    /// One task of a node.
     pub enum NodeWork {
         /// Accepts a submission.
         Open(&'static str),
-        /// Stores results of items, named with their submissions.
+        /// Stores the results of items, given as pairs of submission and item.
         Results(Vec<(&'static str, &'static str)>),
         /// Ends a submission.
         End(&'static str),
     }
 }
 
-/// Steps that guard an invariant. A test replaces one of them to show that the search notices.
+/// Steps on which the invariants depend. A test replaces one of them by a faulty one, to show that
+/// the search finds the violation.
 pub trait SubmissionGuards {
-    /// Returns the offset at which an append may be tried.
+    /// Returns the offset at which an append that concerns `submissions` may be tried, or `None` if
+    /// the cache does not know enough of them.
     fn append_offset(&self, cache: &PartitionCache, submissions: &[&str]) -> Option<u64> {
         cache.append_offset(submissions)
     }
 
-    /// Returns the condition that is sent with an append.
-    fn condition(&self, offset: u64) -> Option<u64> {
+    /// Returns the offset that the store compares with the end of the log before it appends. `None`
+    /// appends unconditionally.
+    fn append_condition(&self, offset: u64) -> Option<u64> {
         Some(offset)
     }
 
-    /// Returns the offset from which the log follows a read of two pages.
-    fn read_end(&self, _copy: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
+    /// Returns the offset from which the cache follows the log after it has read two pages.
+    /// `first_page` and `last_page` are the ends of the log when the pages were read.
+    fn follow_offset(&self, _cache: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
         first_page
     }
 }
 
-/// The steps as the product takes them.
+/// The steps as the daemon performs them.
 #[derive(Debug, Clone, Copy)]
 pub struct ProductGuards;
 
 impl SubmissionGuards for ProductGuards {}
 
-/// Submissions of one partition.
+/// Specification of the submissions of one partition.
 #[derive(Debug, Clone)]
 pub struct SubmissionModel<G> {
-    /// Sizes of the model.
+    /// Bounds of the search.
     pub bounds: SubmissionBounds,
-    /// Steps that guard the invariants.
+    /// Steps on which the invariants depend.
     pub guards: G,
 }
 
-/// State of the store, the nodes and appends under way.
+/// State of the store, the nodes and delayed appends.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct SubmissionsState {
     pub(crate) log: KeyedLog,
@@ -133,13 +141,13 @@
 }
 
 impl SubmissionsState {
-    /// Returns the log of the store.
+    /// Returns the log of the partition.
     #[must_use]
     pub const fn log(&self) -> &KeyedLog {
         &self.log
     }
 
-    /// Tells whether all nodes have done their work.
+    /// Tells whether all nodes have finished their tasks.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.nodes.iter().all(|node| node.work.is_empty())
@@ -149,7 +157,7 @@
 impl WorkPlan {
     fn nodes(self) -> [StoreNode; 2] {
         let results = |items: &[(&'static str, &'static str)]| NodeWork::Results(items.to_vec());
-        let mut callers = Vec::new();
+        let mut caller_reads = Vec::new();
         let [first, second] = match self {
             Self::SentTwice => [
                 vec![NodeWork::Open("a"), results(&[("a", "a0"), ("a", "a1")])],
@@ -168,11 +176,11 @@
                 vec![NodeWork::End("a")],
             ],
             Self::ReadMeanwhile => {
-                callers = vec!["a", "b"];
+                caller_reads = vec!["a", "b"];
                 [vec![NodeWork::Open("a"), results(&[("a", "a0")])], vec![results(&[("a", "a1")])]]
             }
         };
-        [StoreNode::new(first, Vec::new()), StoreNode::new(second, callers)]
+        [StoreNode::new(first, Vec::new()), StoreNode::new(second, caller_reads)]
     }
 }
 
@@ -192,7 +200,7 @@
 
     fn steps(&self, state: &SubmissionsState) -> Vec<(SubmissionStep, SubmissionsState)> {
         let mut steps = Vec::new();
-        if self.broken(state).is_some() {
+        if self.broken_invariant(state).is_some() {
             return steps;
         }
         for index in 0..state.nodes.len() {
@@ -201,26 +209,26 @@
         for index in 0..state.delayed.len() {
             let mut next = state.clone();
             let append = next.delayed.remove(index);
-            // Nobody hears whether it took effect.
+            // The sender has stopped waiting, so nobody learns whether the append took effect.
             let _ = next.log.append(append.condition, &append.records);
             steps.push((SubmissionStep::DelayedAppendLands(index), next));
         }
-        if let Some(mut next) = state.fault().filter(|next| next.log.has_history()) {
-            next.log.forget();
+        if let Some(mut next) = state.spend_fault().filter(|next| next.log.can_compact()) {
+            next.log.compact();
             steps.push((SubmissionStep::Forget, next));
         }
         steps
     }
 
     fn invariants(&self) -> &'static [&'static str] {
-        &[ACCEPTED_ONCE, ONE_POSITION, ENDED_STAYS, COPY_IS_WHOLE]
+        &[ACCEPTED_ONCE, UNIQUE_POSITIONS, NO_RESULT_AFTER_END, CACHE_MATCHES_LOG]
     }
 
-    fn broken(&self, state: &SubmissionsState) -> Option<&'static str> {
-        let broken = state.log.broken();
+    fn broken_invariant(&self, state: &SubmissionsState) -> Option<&'static str> {
+        let broken = state.log.broken_invariant();
         broken.or_else(|| {
-            let whole = state.nodes.iter().all(|node| state.log.agrees_with(&node.cache));
-            (!whole).then_some(COPY_IS_WHOLE)
+            let whole = state.nodes.iter().all(|node| state.log.matches(&node.cache));
+            (!whole).then_some(CACHE_MATCHES_LOG)
         })
     }
 
@@ -232,7 +240,7 @@
 }
 
 impl SubmissionsState {
-    pub(crate) fn fault(&self) -> Option<Self> {
+    pub(crate) fn spend_fault(&self) -> Option<Self> {
         let faults_left = self.faults_left.checked_sub(1)?;
         Some(Self { faults_left, ..self.clone() })
     }
--- a/crates/model-check/src/submissions/node.rs
+++ b/crates/model-check/src/submissions/node.rs
@@ -1,4 +1,4 @@
-//! A node with its copy of the partition and its work.
+//! A node: its partition cache, its tasks and its steps.
 
 use std::{
     collections::VecDeque,
@@ -21,45 +21,47 @@
 /// Items of each submission.
 const ITEMS: u32 = 2;
 
-/// The model has no clock: nothing in the copy that it checks depends on time.
+/// Constant time: the model has no clock, since the invariants do not depend on time.
 const NOW: Moment = Moment(0);
 
 derive_value! {
-    /// What a node is about to do for the first work in its list.
+    /// Progress of a node in its current task, the first one in its list.
     pub enum NodeTask {
-        /// Reads what it needs to know.
+        /// Loads the submissions concerned, then decides what to append.
         Prepare {
-            /// Whether the log must be read first, because an append found it longer.
+            /// Whether the log must be read first, because the offset of an append was outdated or
+            /// its outcome is unknown.
             behind: bool,
         },
-        /// Sends this append.
+        /// Sends the append that was decided on.
         Append {
-            /// Offset that was decided on.
+            /// Offset at which to append.
             offset: u64,
-            /// What to append.
+            /// Records to append.
             records: Vec<SubmissionRecord>,
         },
     }
 
-    /// The first page of a read of a submission.
-    struct OpenRead {
+    /// A read of a submission of which the first page has arrived.
+    struct PartialRead {
         submission: &'static str,
-        end: u64,
+        /// End of the log when the first page was read.
+        log_end: u64,
         records: Vec<SubmissionRecord>,
     }
 
-    /// A node.
+    /// A node that works on the partition.
     pub struct StoreNode {
         pub(crate) cache: PartitionCache,
         pub(crate) work: VecDeque<NodeWork>,
-        /// Submissions that callers ask this node for, at any time.
-        callers: Vec<&'static str>,
+        /// Submissions that callers read from this node. Each read may begin at any time.
+        caller_reads: Vec<&'static str>,
         task: NodeTask,
-        reads: Vec<OpenRead>,
+        reads: Vec<PartialRead>,
     }
 }
 
-/// Leaves out the submissions, which the offset mostly implies.
+/// Leaves out the contents of the cache, which its offset implies in nearly all states.
 impl Hash for StoreNode {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.cache.next_offset().hash(hasher);
@@ -68,9 +70,9 @@
             NodeTask::Prepare { behind } => behind.hash(hasher),
             NodeTask::Append { offset, .. } => offset.hash(hasher),
         }
-        self.callers.len().hash(hasher);
+        self.caller_reads.len().hash(hasher);
         for read in &self.reads {
-            (read.submission, read.end, read.records.len()).hash(hasher);
+            (read.submission, read.log_end, read.records.len()).hash(hasher);
         }
     }
 }
@@ -83,11 +85,12 @@
         }
     }
 
-    /// Returns what is left to append.
+    /// Returns the records that are not stored yet according to the cache, or `None` if there are
+    /// none.
     fn records(&self, cache: &PartitionCache) -> Option<Vec<SubmissionRecord>> {
         match self {
             Self::Open(submission) => {
-                opening_records(cache.table(), submission, &opened(submission))
+                opening_records(cache.table(), submission, &acceptance_records(submission))
             }
             Self::End(submission) => ending_records(cache.table(), submission),
             Self::Results(items) => {
@@ -100,7 +103,7 @@
     }
 }
 
-fn opened(submission: &str) -> Vec<SubmissionRecord> {
+fn acceptance_records(submission: &str) -> Vec<SubmissionRecord> {
     let text = |text: &str| String::from(text);
     let items = (0..ITEMS).map(|index| SubmissionItem {
         id: format!("{submission}{index}"),
@@ -132,16 +135,16 @@
 }
 
 impl StoreNode {
-    pub(crate) fn new(work: Vec<NodeWork>, callers: Vec<&'static str>) -> Self {
+    pub(crate) fn new(work: Vec<NodeWork>, caller_reads: Vec<&'static str>) -> Self {
         let task = NodeTask::Prepare { behind: false };
         let cache = PartitionCache::default();
-        Self { cache, work: work.into(), callers, task, reads: Vec::new() }
+        Self { cache, work: work.into(), caller_reads, task, reads: Vec::new() }
     }
 
     fn read_first_page(&mut self, log: &KeyedLog, submission: &'static str) {
         let records = log.newest(submission, |key| !key.starts_with('r'));
-        let end = log.end();
-        self.reads.push(OpenRead { submission, end, records });
+        let log_end = log.end();
+        self.reads.push(PartialRead { submission, log_end, records });
     }
 
     pub(crate) fn describe(&self) -> String {
@@ -169,21 +172,21 @@
             self.read_last_page(&mut next, index, read);
             steps.push((SubmissionStep::ReadLastPage(index), next));
         }
-        if !node.callers.is_empty() {
+        if !node.caller_reads.is_empty() {
             let mut next = state.clone();
             let changed = Rc::make_mut(&mut next.nodes[index]);
-            let submission = changed.callers.remove(0);
+            let submission = changed.caller_reads.remove(0);
             changed.read_first_page(&state.log, submission);
             steps.push((SubmissionStep::ReadFirstPage(index), next));
         }
         let Some(work) = node.work.front() else { return };
         match &node.task {
-            NodeTask::Prepare { .. } => self.prepare(state, index, work, steps),
+            NodeTask::Prepare { .. } => self.prepare_steps(state, index, work, steps),
             NodeTask::Append { .. } => self.append_steps(state, index, steps),
         }
     }
 
-    fn prepare(
+    fn prepare_steps(
         &self,
         state: &SubmissionsState,
         index: usize,
@@ -193,7 +196,7 @@
         let node = &state.nodes[index];
         let behind = node.task == NodeTask::Prepare { behind: true };
         if behind && node.cache.next_offset().is_some_and(|next| next < state.log.end()) {
-            // The log is read first, which is a step of its own.
+            // The node must read the log first, for which `node_steps` has added separate steps.
             return;
         }
         let submissions = work.submissions();
@@ -202,7 +205,7 @@
         if let Some(offset) = self.guards.append_offset(&node.cache, &submissions) {
             match work.records(&node.cache) {
                 Some(records) => changed.task = NodeTask::Append { offset, records },
-                None => changed.finish(),
+                None => changed.finish_task(),
             }
             steps.push((SubmissionStep::Decide(index), next));
         } else if let Some(submission) = submissions.into_iter().find(|submission| {
@@ -220,11 +223,12 @@
         let read = node.reads.remove(read);
         let mut records = read.records;
         records.extend(log.newest(read.submission, |key| key.starts_with('r')));
-        // A read that was overtaken is repeated.
+        // The cache rejects a read that began before its own start offset. The submission is then
+        // still not loaded, and `prepare_steps` reads it again for a task that needs it.
         node.cache.apply_snapshot(SubmissionSnapshot {
             submission: String::from(read.submission),
             read_started_at: NOW,
-            log_end: self.guards.read_end(&node.cache, read.end, log.end()),
+            log_end: self.guards.follow_offset(&node.cache, read.log_end, log.end()),
             records,
         });
     }
@@ -236,7 +240,7 @@
         steps: &mut Vec<(SubmissionStep, SubmissionsState)>,
     ) {
         let NodeTask::Append { offset, records } = &state.nodes[index].task else { return };
-        let condition = self.guards.condition(*offset);
+        let condition = self.guards.append_condition(*offset);
         let stored: Vec<_> =
             records.iter().cloned().map(|record| Rc::new(KeyedRecord::from(record))).collect();
         let mut next = state.clone();
@@ -246,18 +250,19 @@
         match appended {
             Some(offset) => {
                 node.cache.apply_own_append(offset, end, records.clone());
-                node.finish();
+                node.finish_task();
             }
             None => node.task = NodeTask::Prepare { behind: true },
         }
         steps.push((SubmissionStep::Append(index), next));
-        if let Some(mut next) = state.fault() {
-            // Nothing is known of the append, so the next try begins with a read.
+        if let Some(mut next) = state.spend_fault() {
+            // Whether the append took effect is unknown, so the node reads the log before it
+            // retries.
             let _ = next.log.append(condition, &stored);
             Rc::make_mut(&mut next.nodes[index]).task = NodeTask::Prepare { behind: true };
             steps.push((SubmissionStep::AppendAnswerLost(index), next));
         }
-        if let Some(mut next) = state.fault() {
+        if let Some(mut next) = state.spend_fault() {
             next.delayed.push(DelayedAppend { condition, records: stored });
             Rc::make_mut(&mut next.nodes[index]).task = NodeTask::Prepare { behind: true };
             steps.push((SubmissionStep::AppendDelayed(index), next));
@@ -266,7 +271,7 @@
 }
 
 impl StoreNode {
-    fn finish(&mut self) {
+    fn finish_task(&mut self) {
         self.work.pop_front();
         self.task = NodeTask::Prepare { behind: false };
     }
--- a/crates/model-check/src/submissions/store.rs
+++ b/crates/model-check/src/submissions/store.rs
@@ -1,4 +1,4 @@
-//! The store's partition: a log and the newest record of each key.
+//! A partition of the platform's store: a log, and the newest record of each key.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -10,23 +10,24 @@
 use base::derive_value;
 use protocol::{encode_submission_record, submission_prefix};
 
-use crate::submissions::{ACCEPTED_ONCE, ENDED_STAYS, ONE_POSITION};
+use crate::submissions::{ACCEPTED_ONCE, NO_RESULT_AFTER_END, UNIQUE_POSITIONS};
 
 derive_value! {
-    /// A record with its key.
+    /// A record with the key under which the store keeps it.
     pub(crate) struct KeyedRecord {
         pub(crate) key: String,
         pub(crate) record: SubmissionRecord,
     }
 
-    /// An append that nobody waits for any more.
+    /// An append that has not arrived at the store and whose sender has stopped waiting.
     #[derive(Hash)]
     pub struct DelayedAppend {
         pub(crate) condition: Option<u64>,
         pub(crate) records: Vec<Rc<KeyedRecord>>,
     }
 
-    /// A partition. Offsets count from 0, and records before `first` can be read by their keys only.
+    /// The log of a partition. Offsets start at 0. Records before `first` are compacted and can be
+    /// read by key only.
     #[derive(Default, Hash)]
     pub struct KeyedLog {
         records: Vec<Rc<KeyedRecord>>,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Leaves out what the key implies, which keeps hashing cheap.
+/// Leaves out contents that the key implies, which keeps hashing cheap.
 impl Hash for KeyedRecord {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.key.hash(hasher);
@@ -51,26 +52,27 @@
 }
 
 impl KeyedLog {
-    /// Number of records that were ever appended.
+    /// Returns the number of records that were ever appended, which is the offset of the next one.
     #[must_use]
     pub const fn end(&self) -> u64 {
         self.records.len() as u64
     }
 
-    /// Offset of the first record that can be read by its offset.
+    /// Returns the offset of the first record that can be read by its offset.
     pub(crate) const fn first(&self) -> u64 {
         self.first
     }
 
-    pub(crate) const fn has_history(&self) -> bool {
+    pub(crate) const fn can_compact(&self) -> bool {
         self.first < self.end()
     }
 
-    pub(crate) const fn forget(&mut self) {
+    pub(crate) const fn compact(&mut self) {
         self.first = self.end();
     }
 
-    /// Appends all records or none. Returns their offset if the condition held.
+    /// Appends all records if the log ends at the offset `condition` or there is no condition, and
+    /// returns the offset of the first. Appends none and returns `None` otherwise.
     pub(crate) fn append(
         &mut self,
         condition: Option<u64>,
@@ -84,13 +86,14 @@
         Some(end)
     }
 
-    /// Returns the records of offsets from `from` to before `to`.
+    /// Returns the records at offsets from `from` up to but not including `to`.
     pub(crate) fn read(&self, from: u64, to: u64) -> Vec<(u64, SubmissionRecord)> {
         let records = self.records[from as usize..to as usize].iter();
         (from..).zip(records.map(|stored| stored.record.clone())).collect()
     }
 
-    /// Returns the newest records of the keys of a submission for which `wanted` holds.
+    /// Returns the newest record of each key of a submission whose rest after the prefix satisfies
+    /// `wanted`.
     pub(crate) fn newest(
         &self,
         submission: &str,
@@ -106,7 +109,7 @@
         newest.into_values().cloned().collect()
     }
 
-    pub(crate) fn broken(&self) -> Option<&'static str> {
+    pub(crate) fn broken_invariant(&self) -> Option<&'static str> {
         let (mut opened, mut ended) = (HashSet::new(), HashSet::new());
         let mut items = HashSet::new();
         let mut positions: BTreeMap<&str, u32> = BTreeMap::new();
@@ -120,11 +123,11 @@
                 }
                 SubmissionRecord::Result { submission, position, result } => {
                     if ended.contains(submission) {
-                        return Some(ENDED_STAYS);
+                        return Some(NO_RESULT_AFTER_END);
                     }
                     let next = positions.entry(submission).or_default();
                     if *position != *next || !items.insert((submission, &result.item)) {
-                        return Some(ONE_POSITION);
+                        return Some(UNIQUE_POSITIONS);
                     }
                     *next += 1;
                 }
@@ -134,12 +137,12 @@
         None
     }
 
-    /// Tells whether a copy shows every record of its loaded submissions up to its offset, and no other
-    /// result than the log at any position.
-    pub(crate) fn agrees_with(&self, cache: &PartitionCache) -> bool {
+    /// Tells whether a cache holds every record of its loaded submissions up to its offset, and at
+    /// no position a result that differs from the log.
+    pub(crate) fn matches(&self, cache: &PartitionCache) -> bool {
         let known = cache.next_offset().unwrap_or_default();
         (0..).zip(&self.records).all(|(offset, stored)| match &stored.record {
-            // The last record of an acceptance. Before it the submission does not exist yet.
+            // The last record of an acceptance. The submission exists from here on.
             SubmissionRecord::Items { submission, .. } => {
                 let due = offset < known && cache.is_loaded(submission);
                 !due || cache.table().get(submission).is_some()
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -1,11 +1,12 @@
-//! Specification of usage windows: several processes, the stream `usage` and the platform's report
-//! interface.
+//! Specification of usage windows: three processes, the stream `usage` and the platform's receiver
+//! of usage reports.
 //!
-//! Every process holds a real [`LeaseManager`], [`UsageLedger`], [`WindowReporter`], [`PendingBatches`]
-//! and [`ReplicaStore`]. Lease records share the stream with batches, closes, reports and
-//! snapshots. Running processes do all due work before time moves on, in the order of their
-//! numbers, as in [`crate::authority`]; other orders need a pause. The log shows repeats of a record
-//! to the ledger, which is stricter than the daemon's follower.
+//! Every process runs the daemon's [`LeaseManager`], [`UsageLedger`], [`WindowReporter`],
+//! [`PendingBatches`] and [`ReplicaStore`]. Lease records share the stream with batches, closes,
+//! reports and snapshots. As in [`crate::authority`], running processes finish their pending work
+//! in the order of their indices before the clock advances, and other interleavings need a pause.
+//! The ledger reads repeated records, which the daemon's log reader drops, so the model is
+//! stricter.
 //!
 //! [`LeaseManager`]: authority::LeaseManager
 //! [`WindowReporter`]: ::usage::WindowReporter
@@ -27,38 +28,39 @@
 use crate::search::Specification;
 pub use crate::usage::{
     process::UsageProcess,
-    sink::{ReportSink, WireReport},
+    sink::{ReportInTransit, ReportSink},
 };
 
-/// A window was reported with two different figures.
-pub const ONE_FIGURE: &str = "no window is reported with two different figures";
-/// A report arrived while two processes held the lease by their own clock checks.
+/// Violated when a window is reported twice with different usage.
+pub const ONE_USAGE_PER_WINDOW: &str = "no window is reported twice with different usage";
+/// Violated when a report arrives while two processes hold the lease, each by its own clock check.
 pub const ONE_REPORTER: &str = "no report arrives while two processes hold the lease";
-/// A batch in the log counts in no window or more than once.
-pub const ONE_WINDOW: &str = "a batch in the log counts in exactly one window";
-/// Two ledgers that have read the same prefix differ.
+/// Violated when a batch in the log is counted in no window or more than once.
+pub const BATCH_COUNTED_ONCE: &str = "a batch in the log is counted in exactly one window";
+/// Violated when two ledgers that have read the log up to the same offset differ.
 pub const EQUAL_LEDGERS: &str = "two ledgers at the same offset are equal";
-/// A report of an old fencing number was accepted after one of a newer number.
-pub const FENCED_REPORTS: &str = "no report of an old fencing number is accepted after a newer one";
+/// Violated when a report is accepted after one with a higher fencing token.
+pub const FENCED_REPORTS: &str = "no report is accepted after one with a higher fencing token";
 
 derive_copy! {
-    /// Sizes of a model. Times are in units of one microsecond, which stand for any length.
+    /// Bounds of the search. Times are in microseconds; since all times are scaled alike, one
+    /// microsecond stands for any unit.
     pub struct UsageBounds {
-        /// Time at which the model ends.
+        /// Time at which the clock stops.
         pub horizon: u64,
         /// Length of a usage window.
         pub window: u64,
-        /// Number of faults of any kind.
+        /// Maximum number of faults of all kinds together.
         pub faults: u8,
-        /// Number of batches of all processes together.
+        /// Maximum number of batches of all processes together.
         pub batches: u8,
-        /// What the platform does with fencing numbers.
+        /// Whether the platform checks fencing tokens.
         pub platform: FencingSupport,
-        /// Where a restarted process starts to read.
+        /// Records that the log still holds when a process restarts.
         pub retention: UsageRetention,
     }
 
-    /// Which records a restarted process finds.
+    /// Records that the log still holds when a process restarts. It reads them from the first one.
     pub enum UsageRetention {
         /// All records.
         Everything,
@@ -66,55 +68,56 @@
         SinceSnapshot,
     }
 
-    /// One transition. The number is that of the process, record or report concerned.
+    /// One transition. The number is the index of the process, delayed record or delayed report.
     pub enum UsageStep {
-        /// Time moves on by one unit.
+        /// The clock advances by one unit, and timers that are due run.
         Advance,
-        /// Reads all new records.
+        /// A process reads all new records of the log.
         Read(usize),
-        /// Appends a record and gets the answer.
+        /// A process appends a record and receives the ack.
         Append(usize),
-        /// Appends a record and loses the answer, so that it is sent again.
+        /// A process appends a record and the ack is lost, so it will append the record again.
         AppendAnswerLost(usize),
-        /// Sends a record that takes effect at any later time, and again.
+        /// An append is delayed and may take effect at any later time. The process will send the
+        /// record again.
         AppendDelayed(usize),
-        /// A delayed record takes effect.
+        /// A delayed append takes effect.
         DelayedAppendLands(usize),
-        /// Cuts a batch.
+        /// A process creates a usage batch, and queues it for the log and for the replica holder.
         Meter(usize),
-        /// Gives a batch to the replica holder and gets the answer.
+        /// The replica holder receives a batch, and the process receives its response.
         Hold(usize),
-        /// Gives a batch to the replica holder and loses the answer.
+        /// The replica holder receives a batch, and its response is lost.
         HoldAnswerLost(usize),
-        /// Loses a batch on the way to the replica holder.
+        /// A batch is lost on its way to the replica holder.
         HoldLost(usize),
-        /// Checks the clock before a report is written.
+        /// A process checks by its clock that it still holds the lease, before it writes a report.
         CheckClock(usize),
-        /// Writes the checked report and gets the answer.
+        /// A process writes the checked report and receives the response.
         Report(usize),
-        /// Writes the checked report and loses the answer.
+        /// A process writes the checked report and the response is lost.
         ReportAnswerLost(usize),
-        /// Writes the checked report, which arrives within the order timeout.
+        /// A process writes the checked report, which is delayed by at most the order timeout.
         ReportDelayed(usize),
-        /// A delayed report arrives.
+        /// A delayed report arrives at the platform.
         DelayedReportArrives(usize),
-        /// Stops to run, at any point.
+        /// A process stops running, at any point.
         Pause(usize),
-        /// Runs again.
+        /// A paused process runs again.
         Resume(usize),
-        /// Loses the log.
+        /// A process loses its connection to the log.
         CutOff(usize),
-        /// Reaches the log again.
+        /// A process can reach the log again.
         Reconnect(usize),
-        /// Starts anew with nothing kept.
+        /// A process restarts under a new incarnation, without any state.
         Restart(usize),
-        /// Gives up the lease in a planned stop.
+        /// A lease holder resigns the lease, as in a planned stop.
         Resign(usize),
     }
 }
 
 derive_value! {
-    /// A record of the stream.
+    /// A record of the stream `usage`.
     pub enum UsageStreamRecord {
         /// A lease record of the scope `usage`.
         Lease(AuthorityRecord),
@@ -123,7 +126,8 @@
     }
 }
 
-/// Leaves out contents that the identity of a record implies, which keeps hashing cheap.
+/// Leaves out contents that the id or fencing token of a record implies in nearly all states, which
+/// keeps hashing cheap.
 impl Hash for UsageStreamRecord {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         match self {
@@ -136,65 +140,66 @@
     }
 }
 
-/// Steps that guard an invariant. A test replaces one of them to show that the search notices.
+/// Steps on which the invariants depend. A test replaces one of them by a faulty one, to show that
+/// the search finds the violation.
 pub trait UsageGuards {
-    /// Returns the time by which a process without the lease decides to claim.
-    fn waiting_clock(&self, now: Moment) -> Moment {
+    /// Returns the time by which a process without the lease decides whether to claim it.
+    fn claim_clock(&self, now: Moment) -> Moment {
         now
     }
 
-    /// Returns the fencing number that the ledger takes as valid at the present position.
+    /// Returns the fencing token that the ledger accepts as valid at the offset that it reads.
     fn valid_claim(&self, _now: Moment, lease_manager: &LeaseManager) -> Option<FencingToken> {
         lease_manager.claim_in_force()
     }
 
-    /// Returns the report to send.
+    /// Returns the report that is sent for `report`.
     fn report(&self, _ledger: &UsageLedger, report: WindowReport) -> WindowReport {
         report
     }
 
-    /// Returns the batch as its replica holder appends it.
+    /// Returns the batch that the replica holder appends to the log for `batch`.
     fn replica(&self, batch: UsageBatch) -> UsageBatch {
         batch
     }
 
-    /// Tells whether the platform takes a report with this number.
+    /// Tells whether the platform accepts a report with this fencing token.
     fn accepts(&self, sink: &ReportSink, fencing: FencingToken) -> bool {
-        sink.support == FencingSupport::Ignored || fencing >= sink.highest
+        sink.fencing_support == FencingSupport::Ignored || fencing >= sink.highest_token
     }
 }
 
-/// The steps as the product takes them.
+/// The steps as the daemon performs them.
 #[derive(Debug, Clone, Copy)]
 pub struct ProductGuards;
 
 impl UsageGuards for ProductGuards {}
 
-/// Usage windows and their reports.
+/// Specification of usage windows and their reports.
 #[derive(Debug, Clone)]
 pub struct UsageModel<G> {
-    /// Sizes of the model.
+    /// Bounds of the search.
     pub bounds: UsageBounds,
-    /// Steps that guard the invariants.
+    /// Steps on which the invariants depend.
     pub guards: G,
 }
 
-/// State of all processes, the stream, the platform and messages under way.
+/// State of all processes, the stream, the platform and messages in transit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UsageState {
     pub(crate) now: Moment,
     pub(crate) log: Vec<Rc<UsageStreamRecord>>,
     pub(crate) delayed_appends: Vec<Rc<UsageStreamRecord>>,
-    pub(crate) wire: Vec<WireReport>,
+    pub(crate) in_transit: Vec<ReportInTransit>,
     pub(crate) processes: Vec<Rc<UsageProcess>>,
     pub(crate) sink: ReportSink,
     pub(crate) faults_left: u8,
     pub(crate) batches_left: u8,
-    pub(crate) broken: Option<&'static str>,
+    pub(crate) broken_invariant: Option<&'static str>,
 }
 
 impl UsageState {
-    /// Returns the platform's report interface.
+    /// Returns the platform's receiver of reports.
     #[must_use]
     pub const fn sink(&self) -> &ReportSink {
         &self.sink
@@ -226,7 +231,9 @@
         let read = ledgers.filter(|ledger| ledger.next_offset().is_some()).collect::<Vec<_>>();
         read.iter().enumerate().any(|(index, left)| {
             read[index + 1..].iter().any(|right| {
-                // A ledger that continued from a snapshot knows less of earlier snapshots.
+                // A ledger that was restored from a snapshot lacks bookkeeping of earlier
+                // snapshots, so ledgers that differ count as equal if their own snapshots are
+                // equal.
                 !Rc::ptr_eq(left, right)
                     && left.next_offset() == right.next_offset()
                     && left != right
@@ -235,7 +242,7 @@
         })
     }
 
-    fn is_miscounted(&self) -> bool {
+    fn has_miscounted_batch(&self) -> bool {
         self.processes.iter().any(|process| {
             let Some(next) = process.ledger.next_offset() else { return false };
             self.log[..next.0 as usize].iter().any(|record| {
@@ -243,18 +250,23 @@
                     return false;
                 };
                 // Each batch has a customer of its own.
-                let customer = batch.usage.0.keys().next().expect("a batch names a customer");
+                let customer = batch
+                    .usage
+                    .0
+                    .keys()
+                    .next()
+                    .expect("a batch of the model holds the usage of one customer");
                 let closed = process.ledger.windows().map(|(_, closed)| &closed.usage);
-                let figures = closed.chain([process.ledger.open_usage()]);
-                figures.map(|figures| figures.get(customer).requests).sum::<u64>() != 1
+                let usage = closed.chain([process.ledger.open_usage()]);
+                usage.map(|usage| usage.get(customer).requests).sum::<u64>() != 1
             })
         })
     }
 }
 
 impl<G: UsageGuards> UsageModel<G> {
-    /// Small times that keep all relations of the defaults: a lease of 2 units, and a successor's
-    /// wait of 5.
+    /// Small durations that keep the relations between the defaults: a holder may use the lease for
+    /// 2 units, and a successor waits for 5 units.
     pub(crate) const LEASE: LeaseSettings = LeaseSettings {
         term: Span(3),
         renewal: Span(1),
@@ -267,7 +279,7 @@
         WindowNumber(now.0 / self.bounds.window)
     }
 
-    pub(crate) fn fault(&self, state: &UsageState) -> Option<UsageState> {
+    pub(crate) fn spend_fault(&self, state: &UsageState) -> Option<UsageState> {
         let faults_left = state.faults_left.checked_sub(1)?;
         Some(UsageState { faults_left, ..state.clone() })
     }
@@ -284,11 +296,11 @@
         snapshot.unwrap_or(LogOffset(0))
     }
 
-    /// Time may move on when no running process has anything left to do.
+    /// The clock may advance when no running process has pending work and no delayed report is due.
     fn may_advance(&self, state: &UsageState) -> bool {
         state.now.0 < self.bounds.horizon
-            && state.wire.iter().all(|report| report.due > state.now)
-            && !state.processes.iter().any(|process| process.is_due(state.log.len()))
+            && state.in_transit.iter().all(|report| report.due > state.now)
+            && !state.processes.iter().any(|process| process.has_pending_work(state.log.len()))
     }
 
     fn environment_steps(&self, state: &UsageState, steps: &mut Vec<(UsageStep, UsageState)>) {
@@ -296,7 +308,7 @@
             let mut next = state.clone();
             next.now += Span(1);
             for index in 0..next.processes.len() {
-                self.settle(&mut next, index);
+                self.run_timers(&mut next, index);
             }
             steps.push((UsageStep::Advance, next));
         }
@@ -306,9 +318,9 @@
             next.log.push(record);
             steps.push((UsageStep::DelayedAppendLands(index), next));
         }
-        for index in 0..state.wire.len() {
+        for index in 0..state.in_transit.len() {
             let mut next = state.clone();
-            let WireReport { report, .. } = next.wire.remove(index);
+            let ReportInTransit { report, .. } = next.in_transit.remove(index);
             self.receive(&mut next, &report);
             steps.push((UsageStep::DelayedReportArrives(index), next));
         }
@@ -319,25 +331,25 @@
     type State = UsageState;
     type Step = UsageStep;
 
-    /// The first process holds the lease.
+    /// Returns the state in which the first process holds the lease and all have read its claim.
     fn initial(&self) -> UsageState {
         let now = Moment(0);
         let mut state = UsageState {
             now,
             log: Vec::new(),
             delayed_appends: Vec::new(),
-            wire: Vec::new(),
+            in_transit: Vec::new(),
             processes: Vec::new(),
             sink: ReportSink::new(self.bounds.platform),
             faults_left: self.bounds.faults,
             batches_left: self.bounds.batches,
-            broken: None,
+            broken_invariant: None,
         };
         for index in 0..3 {
             let process = UsageProcess::new(Self::LEASE, now, LogOffset(0), index + 1);
             state.processes.push(Rc::new(process));
         }
-        self.settle(&mut state, 0);
+        self.run_timers(&mut state, 0);
         let claim = Rc::make_mut(&mut state.processes[0]).outbox.remove(0);
         state.log.push(claim);
         for index in 0..3 {
@@ -348,11 +360,12 @@
 
     fn steps(&self, state: &UsageState) -> Vec<(UsageStep, UsageState)> {
         let mut steps = Vec::new();
-        if self.broken(state).is_some() {
+        if self.broken_invariant(state).is_some() {
             return steps;
         }
-        let is_due = |process: &Rc<UsageProcess>| process.is_due(state.log.len());
-        if let Some(index) = state.processes.iter().position(is_due) {
+        let has_pending_work =
+            |process: &Rc<UsageProcess>| process.has_pending_work(state.log.len());
+        if let Some(index) = state.processes.iter().position(has_pending_work) {
             self.due_steps(state, index, &mut steps);
             return steps;
         }
@@ -364,24 +377,24 @@
     }
 
     fn invariants(&self) -> &'static [&'static str] {
-        &[ONE_FIGURE, ONE_REPORTER, ONE_WINDOW, EQUAL_LEDGERS, FENCED_REPORTS]
+        &[ONE_USAGE_PER_WINDOW, ONE_REPORTER, BATCH_COUNTED_ONCE, EQUAL_LEDGERS, FENCED_REPORTS]
     }
 
-    fn broken(&self, state: &UsageState) -> Option<&'static str> {
-        if state.broken.is_some() {
-            return state.broken;
+    fn broken_invariant(&self, state: &UsageState) -> Option<&'static str> {
+        if state.broken_invariant.is_some() {
+            return state.broken_invariant;
         }
         if state.ledgers_differ() {
             return Some(EQUAL_LEDGERS);
         }
-        state.is_miscounted().then_some(ONE_WINDOW)
+        state.has_miscounted_batch().then_some(BATCH_COUNTED_ONCE)
     }
 
     fn describe(&self, state: &UsageState) -> String {
         let read = |process: &Rc<UsageProcess>| {
             let held = process.lease_manager.held_token(state.now);
             let held = held.map_or("-".to_owned(), |fencing| fencing.0.to_string());
-            format!("{held}@{}", process.next.0)
+            format!("{held}@{}", process.next_offset.0)
         };
         let read: Vec<_> = state.processes.iter().map(read).collect();
         format!(
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -1,4 +1,4 @@
-//! One process with its machines, and its steps.
+//! One process: the daemon's state machines, and the work that their driver does.
 
 use std::{
     hash::{Hash, Hasher},
@@ -13,18 +13,21 @@
 use authority::{LeaseAction, LeaseManager, LeaseRole, LeaseScope, LeaseSettings};
 use base::{Incarnation, LogOffset, Moment, RecordId, Span, derive_copy};
 
-use super::{UsageGuards, UsageModel, UsageState, UsageStep, UsageStreamRecord, WireReport};
+use super::{ReportInTransit, UsageGuards, UsageModel, UsageState, UsageStep, UsageStreamRecord};
 
-/// Added to the incarnation of a process when it restarts.
+/// Added to the incarnation of a process when it restarts, so that incarnations stay unique.
 const RESTART_STRIDE: u64 = 10;
 
-/// Wait before an unanswered hold request, append, snapshot or report is repeated.
-const RETRY: Span = Span(2);
+/// Delay, in units of time, after which an unanswered hold request, append, snapshot or report is
+/// retried.
+const RETRY_DELAY: Span = Span(2);
 
-/// Time after which a replica holder appends a batch that the log does not show.
-const TAKEOVER: Span = Span(3);
+/// Delay, in units of time, after which a replica holder appends a batch that the log does not
+/// show.
+const REPLICA_TAKEOVER_DELAY: Span = Span(3);
 
-const REPLICA_CAPACITY: usize = 2;
+/// Batches that a replica holder keeps at most.
+const MAX_REPLICAS: usize = 2;
 
 derive_copy! {
     pub(crate) enum Activity {
@@ -38,41 +41,41 @@
     }
 }
 
-/// A process with its machines and the work that its driver has queued.
+/// A process: its state machines, and the work that its driver has queued.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageProcess {
-    /// The real keeper.
+    /// Lease manager of the daemon.
     pub lease_manager: LeaseManager,
-    /// The real ledger.
+    /// Usage ledger of the daemon. Processes with equal ledgers share one to save memory.
     pub ledger: Rc<UsageLedger>,
-    pub(crate) reports: WindowReporter,
-    pub(crate) pending: PendingBatches,
+    pub(crate) reporter: WindowReporter,
+    pub(crate) pending_batches: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) incarnation: Incarnation,
     pub(crate) sequence: u64,
-    pub(crate) next: LogOffset,
+    pub(crate) next_offset: LogOffset,
     pub(crate) outbox: Vec<Rc<UsageStreamRecord>>,
-    pub(crate) holds: Vec<UsageBatch>,
-    /// A report whose clock check is due.
-    pub(crate) unchecked: Option<WindowReport>,
-    /// A report whose clock check has passed and that is not yet written.
-    pub(crate) checked: Option<WindowReport>,
-    pub(crate) closing: Option<WindowNumber>,
+    pub(crate) queued_holds: Vec<UsageBatch>,
+    /// A report that has not passed the clock check yet.
+    pub(crate) unchecked_report: Option<WindowReport>,
+    /// A report that passed the clock check and is not yet written.
+    pub(crate) checked_report: Option<WindowReport>,
+    pub(crate) closing_window: Option<WindowNumber>,
     pub(crate) snapshot_tried_at: Option<Moment>,
     pub(crate) activity: Activity,
     pub(crate) access: LogAccess,
 }
 
-/// Leaves out what the offset or the rest of the state mostly implies.
+/// Leaves out contents that the read offset and the hashed fields imply in nearly all states.
 impl Hash for UsageProcess {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.lease_manager.hash(hasher);
-        (self.incarnation, self.sequence, self.next, &self.outbox).hash(hasher);
-        (self.pending.len(), self.pending.next_deadline()).hash(hasher);
+        (self.incarnation, self.sequence, self.next_offset, &self.outbox).hash(hasher);
+        (self.pending_batches.len(), self.pending_batches.next_deadline()).hash(hasher);
         (self.replicas.len(), self.replicas.next_deadline()).hash(hasher);
-        (self.reports.next_deadline(), self.holds.len()).hash(hasher);
-        (self.unchecked.is_some(), self.checked.is_some()).hash(hasher);
-        (self.closing, self.snapshot_tried_at, self.activity, self.access).hash(hasher);
+        (self.reporter.next_deadline(), self.queued_holds.len()).hash(hasher);
+        (self.unchecked_report.is_some(), self.checked_report.is_some()).hash(hasher);
+        (self.closing_window, self.snapshot_tried_at, self.activity, self.access).hash(hasher);
     }
 }
 
@@ -92,37 +95,37 @@
         Self {
             lease_manager,
             ledger: Rc::new(ledger),
-            reports: WindowReporter::new(RETRY),
-            pending: PendingBatches::new(RETRY),
-            replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
+            reporter: WindowReporter::new(RETRY_DELAY),
+            pending_batches: PendingBatches::new(RETRY_DELAY),
+            replicas: ReplicaStore::new(MAX_REPLICAS, RETRY_DELAY, REPLICA_TAKEOVER_DELAY),
             incarnation,
             sequence: 0,
-            next: first,
+            next_offset: first,
             outbox: Vec::new(),
-            holds: Vec::new(),
-            unchecked: None,
-            checked: None,
-            closing: None,
+            queued_holds: Vec::new(),
+            unchecked_report: None,
+            checked_report: None,
+            closing_window: None,
             snapshot_tried_at: None,
             activity: Activity::Running,
             access: LogAccess::Reachable,
         }
     }
 
-    /// Tells whether the process has work to do before time moves on.
-    pub(crate) fn is_due(&self, log_length: usize) -> bool {
+    /// Tells whether the process has work to do before the clock advances.
+    pub(crate) fn has_pending_work(&self, log_length: usize) -> bool {
         if self.activity == Activity::Paused {
             return false;
         }
-        let has_log_work = (self.next.0 as usize) < log_length || !self.outbox.is_empty();
+        let has_log_work = (self.next_offset.0 as usize) < log_length || !self.outbox.is_empty();
         has_log_work && self.access == LogAccess::Reachable
-            || self.unchecked.is_some()
-            || self.checked.is_some()
-            || !self.holds.is_empty()
+            || self.unchecked_report.is_some()
+            || self.checked_report.is_some()
+            || !self.queued_holds.is_empty()
     }
 
     fn queue(&mut self, record: UsageStreamRecord) {
-        // The writer keeps one copy of a record that is asked for again.
+        // As in the daemon's log writer, a record that is already queued is not queued again.
         if !self.outbox.iter().any(|queued| **queued == record) {
             self.outbox.push(Rc::new(record));
         }
@@ -142,8 +145,9 @@
 }
 
 impl<G: UsageGuards> UsageModel<G> {
-    /// Lets a running process do what its timers demand, in the order of the daemon's driver.
-    pub(crate) fn settle(&self, state: &mut UsageState, index: usize) {
+    /// Runs the timers that are due, in the order in which the daemon's driver does, unless the
+    /// process is paused.
+    pub(crate) fn run_timers(&self, state: &mut UsageState, index: usize) {
         let now = state.now;
         let process = Rc::make_mut(&mut state.processes[index]);
         if process.activity == Activity::Paused {
@@ -151,42 +155,43 @@
         }
         let clock = match process.lease_manager.held_token(now) {
             Some(_) => now,
-            None => self.guards.waiting_clock(now),
+            None => self.guards.claim_clock(now),
         };
         let actions = process.lease_manager.tick(clock);
         process.queue_lease(actions);
-        process.holds.extend(process.pending.poll(now));
+        process.queued_holds.extend(process.pending_batches.poll(now));
         for batch in process.replicas.poll(now) {
             process.queue_usage(UsageRecord::Batch(self.guards.replica(batch)));
         }
         let Some(fencing) = process.lease_manager.held_token(now) else {
-            process.closing = None;
+            process.closing_window = None;
             return;
         };
         let due = process.ledger.window_to_close(self.window_at(now));
         if let Some(window) = due
-            && process.closing != due
+            && process.closing_window != due
         {
-            process.closing = due;
+            process.closing_window = due;
             process.queue_usage(UsageRecord::Close(WindowClose { window, fencing }));
         }
-        let may_snapshot = process.snapshot_tried_at.is_none_or(|at| now.since(at) >= RETRY);
+        let may_snapshot = process.snapshot_tried_at.is_none_or(|at| now.since(at) >= RETRY_DELAY);
         if may_snapshot && process.ledger.snapshot_due() {
-            let snapshot = process.ledger.snapshot().expect("no snapshot is awaited");
+            let snapshot =
+                process.ledger.snapshot().expect("a ledger that has a snapshot due can build it");
             process.snapshot_tried_at = Some(now);
             process.queue_usage(UsageRecord::Snapshot { snapshot: Box::new(snapshot), fencing });
         }
-        if let Some(report) = process.reports.poll(now, &process.ledger, fencing) {
-            process.unchecked = Some(self.guards.report(&process.ledger, report));
+        if let Some(report) = process.reporter.poll(now, &process.ledger, fencing) {
+            process.unchecked_report = Some(self.guards.report(&process.ledger, report));
         }
     }
 
     pub(crate) fn read(&self, state: &mut UsageState, index: usize) {
         let now = state.now;
         let process = Rc::make_mut(&mut state.processes[index]);
-        while let Some(record) = state.log.get(process.next.0 as usize) {
-            let offset = process.next;
-            process.next = offset.next();
+        while let Some(record) = state.log.get(process.next_offset.0 as usize) {
+            let offset = process.next_offset;
+            process.next_offset = offset.next();
             match &**record {
                 UsageStreamRecord::Lease(record) => {
                     let actions = process.lease_manager.read(now, offset, record);
@@ -196,28 +201,28 @@
                     let valid = self.guards.valid_claim(now, &process.lease_manager);
                     let outcome = Rc::make_mut(&mut process.ledger).apply(offset, record, valid);
                     if let UsageRecord::Batch(batch) = record {
-                        process.pending.mark_committed(batch.id);
+                        process.pending_batches.mark_committed(batch.id);
                         process.replicas.mark_committed(batch.id);
                     }
                     match outcome {
-                        LedgerOutcome::Closed(_) => process.closing = None,
-                        LedgerOutcome::Restored(next) => process.next = next,
+                        LedgerOutcome::Closed(_) => process.closing_window = None,
+                        LedgerOutcome::Restored(next) => process.next_offset = next,
                         _ => {}
                     }
                 }
             }
         }
-        // Sharing equal ledgers halves the memory of the search.
+        // Sharing equal ledgers between processes halves the memory of the search.
         let read = &state.processes[index].ledger;
         let equal = state.processes.iter().map(|process| &process.ledger);
         let equal = equal.filter(|ledger| !Rc::ptr_eq(ledger, read)).find(|ledger| *ledger == read);
         if let Some(shared) = equal.cloned() {
             Rc::make_mut(&mut state.processes[index]).ledger = shared;
         }
-        self.settle(state, index);
+        self.run_timers(state, index);
     }
 
-    /// Steps of a running process that has work to do.
+    /// Adds the steps of a running process that has pending work.
     pub(crate) fn due_steps(
         &self,
         state: &UsageState,
@@ -230,7 +235,7 @@
         self.fault_steps(state, index, steps);
     }
 
-    /// Steps of a process while no running process has work to do.
+    /// Adds the steps of a process while no running process has pending work.
     pub(crate) fn idle_steps(
         &self,
         state: &UsageState,
@@ -241,7 +246,7 @@
         if process.activity == Activity::Paused {
             let mut next = state.clone();
             Rc::make_mut(&mut next.processes[index]).activity = Activity::Running;
-            self.settle(&mut next, index);
+            self.run_timers(&mut next, index);
             steps.push((UsageStep::Resume(index), next));
             return;
         }
@@ -259,9 +264,9 @@
             let amount = UsageAmount { requests: 1, ..UsageAmount::default() };
             usage.0.insert(format!("customer {batches_left}"), amount);
             let batch = UsageBatch { id, usage };
-            process.pending.add(state.now, batch.clone());
+            process.pending_batches.add(state.now, batch.clone());
             process.queue_usage(UsageRecord::Batch(batch));
-            self.settle(&mut next, index);
+            self.run_timers(&mut next, index);
             steps.push((UsageStep::Meter(index), next));
         }
         self.fault_steps(state, index, steps);
@@ -277,7 +282,7 @@
         if process.access == LogAccess::CutOff {
             return;
         }
-        if (process.next.0 as usize) < state.log.len() {
+        if (process.next_offset.0 as usize) < state.log.len() {
             let mut next = state.clone();
             self.read(&mut next, index);
             steps.push((UsageStep::Read(index), next));
@@ -287,11 +292,11 @@
         Rc::make_mut(&mut next.processes[index]).outbox.remove(0);
         next.log.push(Rc::clone(record));
         steps.push((UsageStep::Append(index), next));
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.log.push(Rc::clone(record));
             steps.push((UsageStep::AppendAnswerLost(index), next));
         }
-        if let Some(mut next) = self.fault(state) {
+        if let Some(mut next) = self.spend_fault(state) {
             next.delayed_appends.push(Rc::clone(record));
             steps.push((UsageStep::AppendDelayed(index), next));
         }
@@ -303,14 +308,14 @@
         index: usize,
         steps: &mut Vec<(UsageStep, UsageState)>,
     ) {
-        if state.processes[index].holds.is_empty() {
+        if state.processes[index].queued_holds.is_empty() {
             return;
         }
         let mut lost = state.clone();
-        let batch = Rc::make_mut(&mut lost.processes[index]).holds.remove(0);
+        let batch = Rc::make_mut(&mut lost.processes[index]).queued_holds.remove(0);
         let holder = (index + 1) % state.processes.len();
         if state.processes[holder].activity == Activity::Paused {
-            // A paused process does not answer, which is no fault of its own.
+            // A paused process does not respond. Its pause was counted as a fault already.
             steps.push((UsageStep::HoldLost(index), lost));
             return;
         }
@@ -323,7 +328,7 @@
             let unanswered = UsageState { faults_left, ..held.clone() };
             steps.push((UsageStep::HoldAnswerLost(index), unanswered));
         }
-        Rc::make_mut(&mut held.processes[index]).pending.mark_held(batch.id, incarnation);
+        Rc::make_mut(&mut held.processes[index]).pending_batches.mark_held(batch.id, incarnation);
         steps.push((UsageStep::Hold(index), held));
     }
 
@@ -336,29 +341,29 @@
         let now = state.now;
         let mut next = state.clone();
         let process = Rc::make_mut(&mut next.processes[index]);
-        if let Some(report) = process.unchecked.take() {
+        if let Some(report) = process.unchecked_report.take() {
             match process.lease_manager.held_token(now) {
-                Some(_) => process.checked = Some(report),
-                None => drop(process.reports.answer(now, ReportAnswer::Lost)),
+                Some(_) => process.checked_report = Some(report),
+                None => drop(process.reporter.answer(now, ReportAnswer::Lost)),
             }
             steps.push((UsageStep::CheckClock(index), next));
             return;
         }
-        let Some(report) = process.checked.take() else { return };
-        if let Some(mut next) = self.fault(&next) {
+        let Some(report) = process.checked_report.take() else { return };
+        if let Some(mut next) = self.spend_fault(&next) {
             self.receive(&mut next, &report);
-            Rc::make_mut(&mut next.processes[index]).reports.answer(now, ReportAnswer::Lost);
+            Rc::make_mut(&mut next.processes[index]).reporter.answer(now, ReportAnswer::Lost);
             steps.push((UsageStep::ReportAnswerLost(index), next));
         }
-        if let Some(mut next) = self.fault(&next) {
+        if let Some(mut next) = self.spend_fault(&next) {
             let due = now + Self::LEASE.order_timeout;
-            next.wire.push(WireReport { report: report.clone(), due });
-            Rc::make_mut(&mut next.processes[index]).reports.answer(now, ReportAnswer::Lost);
+            next.in_transit.push(ReportInTransit { report: report.clone(), due });
+            Rc::make_mut(&mut next.processes[index]).reporter.answer(now, ReportAnswer::Lost);
             steps.push((UsageStep::ReportDelayed(index), next));
         }
         let answer = self.receive(&mut next, &report);
         let process = Rc::make_mut(&mut next.processes[index]);
-        if let Some(reported) = process.reports.answer(now, answer) {
+        if let Some(reported) = process.reporter.answer(now, answer) {
             process.queue_usage(UsageRecord::Reported(reported));
         }
         steps.push((UsageStep::Report(index), next));
@@ -370,20 +375,21 @@
         index: usize,
         steps: &mut Vec<(UsageStep, UsageState)>,
     ) {
-        let Some(fault) = self.fault(state) else { return };
+        let Some(faulted) = self.spend_fault(state) else { return };
         let process = &state.processes[index];
-        let mut next = fault.clone();
+        let mut next = faulted.clone();
         Rc::make_mut(&mut next.processes[index]).activity = Activity::Paused;
         steps.push((UsageStep::Pause(index), next));
         if process.access == LogAccess::Reachable {
-            let mut next = fault.clone();
+            let mut next = faulted.clone();
             Rc::make_mut(&mut next.processes[index]).access = LogAccess::CutOff;
             steps.push((UsageStep::CutOff(index), next));
         }
-        steps.push((UsageStep::Restart(index), self.restart(state, fault.clone(), index)));
-        let is_answered = process.unchecked.is_none() && process.checked.is_none();
-        if process.lease_manager.held_token(state.now).is_some() && is_answered {
-            let mut next = fault;
+        steps.push((UsageStep::Restart(index), self.restart(state, faulted.clone(), index)));
+        let has_no_open_report =
+            process.unchecked_report.is_none() && process.checked_report.is_none();
+        if process.lease_manager.held_token(state.now).is_some() && has_no_open_report {
+            let mut next = faulted;
             let process = Rc::make_mut(&mut next.processes[index]);
             let actions = process.lease_manager.resign();
             process.queue_lease(actions);
@@ -391,22 +397,23 @@
         }
     }
 
-    /// Starts a process anew. The others learn at once that the old one is gone.
+    /// Restarts a process without any state. The other processes learn at once that its former
+    /// incarnation has ended.
     fn restart(&self, state: &UsageState, mut next: UsageState, index: usize) -> UsageState {
         let first = self.first_retained(state);
-        let gone = state.processes[index].incarnation;
-        let incarnation = gone.0 + RESTART_STRIDE;
+        let ended = state.processes[index].incarnation;
+        let incarnation = ended.0 + RESTART_STRIDE;
         next.processes[index] =
             Rc::new(UsageProcess::new(Self::LEASE, state.now, first, incarnation));
         for (other, process) in next.processes.iter_mut().enumerate() {
             if other != index {
                 let process = Rc::make_mut(process);
-                process.replicas.origin_gone(state.now, gone);
-                process.pending.holder_lost(state.now, gone);
+                process.replicas.origin_gone(state.now, ended);
+                process.pending_batches.holder_lost(state.now, ended);
             }
         }
         for other in 0..next.processes.len() {
-            self.settle(&mut next, other);
+            self.run_timers(&mut next, other);
         }
         next
     }
--- a/crates/model-check/tests/authority.rs
+++ b/crates/model-check/tests/authority.rs
@@ -10,10 +10,11 @@
 use model_check::{
     Specification,
     authority::{
-        AuthorityModel, FENCED, GuardedSteps, ModelBounds, ModelSettings, ONE_EFFECT, ONE_HOLDER,
-        OrderReceiver, ProcessState, ProductSteps, RECONCILED, RestartReading, TRUE_OUTCOME,
+        AuthorityGuards, AuthorityModel, FENCED_ORDERS, ModelBounds, ModelSettings, ONE_EFFECT,
+        ONE_HOLDER, OrderReceiver, ProcessState, ProductGuards, RECONCILED, REFUSED_HAS_NO_EFFECT,
+        RestartPosition,
     },
-    check_invariants, check_noticed,
+    check_invariants, check_violation_found,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -25,10 +26,11 @@
     orders: 2,
     pause_limit: None,
     receiver: FencingSupport::Checked,
-    restart: RestartReading::Beginning,
+    restart: RestartPosition::Beginning,
 };
 
-/// Twice the margin and the extra wait: the longest pause that the successor's wait covers.
+/// Longest pause that the successor's wait covers, in units of time: twice the margin plus the
+/// extra wait.
 const COVERED_PAUSE: u64 = 4;
 
 const IGNORED: ModelBounds = ModelBounds {
@@ -38,40 +40,40 @@
     ..CHECKED
 };
 
-/// Guards against any interleaving of so many faults that breaks an invariant.
+/// Guards against interleavings of up to `faults` faults that violate an invariant.
 #[rstest]
 #[case::checked(CHECKED)]
 #[case::checked_two_faults(ModelBounds { faults: 2, orders: 1, horizon: 5, ..CHECKED })]
 #[case::ignored(IGNORED)]
-#[case::retention(ModelBounds { orders: 0, faults: 2, restart: RestartReading::End, ..CHECKED })]
+#[case::retention(ModelBounds { orders: 0, faults: 2, restart: RestartPosition::End, ..CHECKED })]
 fn invariants_hold(#[case] bounds: ModelBounds) {
-    let model = AuthorityModel { settings: ModelSettings::small(bounds), steps: ProductSteps };
+    let model = AuthorityModel { settings: ModelSettings::small(bounds), guards: ProductGuards };
     check_invariants(&model, &bounds);
 }
 
-fn check_broken<G: GuardedSteps>(bounds: ModelBounds, steps: G, invariant: &'static str) {
-    let model = AuthorityModel { settings: ModelSettings::small(bounds), steps };
-    check_noticed(&model, invariant);
+fn check_violation<G: AuthorityGuards>(bounds: ModelBounds, guards: G, invariant: &'static str) {
+    let model = AuthorityModel { settings: ModelSettings::small(bounds), guards };
+    check_violation_found(&model, invariant);
 }
 
-struct HastySuccessor;
+struct ClaimWithoutWait;
 
-impl GuardedSteps for HastySuccessor {
-    fn waiting_clock(&self, now: Moment) -> Moment {
+impl AuthorityGuards for ClaimWithoutWait {
+    fn claim_clock(&self, now: Moment) -> Moment {
         now + Span(4)
     }
 }
 
-/// Shows that the successor's wait guards against two holders.
+/// Without the successor's wait, two processes hold the lease at the same time.
 #[test]
-fn a_successor_that_does_not_wait_is_noticed() {
-    check_broken(CHECKED, HastySuccessor, ONE_HOLDER);
+fn a_claim_without_the_successors_wait_is_detected() {
+    check_violation(CHECKED, ClaimWithoutWait, ONE_HOLDER);
 }
 
-struct LateClaims;
+struct LateClaimsCount;
 
-impl GuardedSteps for LateClaims {
-    fn take_effect(&self, offset: LogOffset, record: Rc<AuthorityRecord>) -> Rc<AuthorityRecord> {
+impl AuthorityGuards for LateClaimsCount {
+    fn stored_record(&self, offset: LogOffset, record: Rc<AuthorityRecord>) -> Rc<AuthorityRecord> {
         match &*record {
             AuthorityRecord::Claim(claim) => {
                 let mut claim = claim.clone();
@@ -83,48 +85,50 @@
     }
 }
 
-/// Shows that voiding late claims guards against two holders.
+/// If a claim counts although another lease record has arrived since its `clear_from`, two
+/// processes hold the lease at the same time.
 #[test]
-fn late_claims_that_count_are_noticed() {
-    check_broken(CHECKED, LateClaims, ONE_HOLDER);
+fn late_claims_that_count_are_detected() {
+    check_violation(CHECKED, LateClaimsCount, ONE_HOLDER);
 }
 
-struct UncheckedReceiver;
+struct ReceiverWithoutFencing;
 
-impl GuardedSteps for UncheckedReceiver {
+impl AuthorityGuards for ReceiverWithoutFencing {
     fn accepts(&self, _receiver: &OrderReceiver, _fencing: FencingToken) -> bool {
         true
     }
 }
 
-/// Shows that the receiver's check guards against orders of a paused former holder.
+/// Without the receiver's check of fencing tokens, a former holder that resumes after a pause gets
+/// an order accepted after one of its successor.
 #[test]
-fn a_receiver_that_does_not_check_is_noticed() {
-    check_broken(ModelBounds { horizon: 8, ..CHECKED }, UncheckedReceiver, FENCED);
+fn a_receiver_without_fencing_check_is_detected() {
+    check_violation(ModelBounds { horizon: 8, ..CHECKED }, ReceiverWithoutFencing, FENCED_ORDERS);
 }
 
-struct ForgetfulReceiver;
+struct ReceiverWithoutDeduplication;
 
-impl GuardedSteps for ForgetfulReceiver {
-    fn recognises(&self, _receiver: &OrderReceiver, _id: OrderId) -> bool {
+impl AuthorityGuards for ReceiverWithoutDeduplication {
+    fn is_duplicate(&self, _receiver: &OrderReceiver, _id: OrderId) -> bool {
         false
     }
 
-    fn understand(&self, _answer: OrderResponse) -> OrderResponse {
+    fn interpret_query_response(&self, _response: OrderResponse) -> OrderResponse {
         OrderResponse::NotFound
     }
 }
 
-/// Shows that recognising order ids guards against two effects of one order.
+/// If the receiver does not recognize order ids, a repeated order takes effect twice.
 #[test]
-fn a_receiver_without_memory_is_noticed() {
-    check_broken(CHECKED, ForgetfulReceiver, ONE_EFFECT);
+fn a_receiver_that_executes_an_id_twice_is_detected() {
+    check_violation(CHECKED, ReceiverWithoutDeduplication, ONE_EFFECT);
 }
 
-struct ForgetfulSuccessor;
+struct SuccessorWithoutReconciliation;
 
-impl GuardedSteps for ForgetfulSuccessor {
-    fn take_over(&self, _desk: OrderManager) -> OrderManager {
+impl AuthorityGuards for SuccessorWithoutReconciliation {
+    fn manager_after_takeover(&self, _orders: OrderManager) -> OrderManager {
         let settings = OrderSettings {
             order_timeout: Span(1),
             query_retry_delay: Span(1),
@@ -134,16 +138,21 @@
     }
 }
 
-/// Shows that reconciling open intents guards against new orders while an old one may take effect.
+/// If a successor does not reconcile the open intents, it gives a new order while an earlier one
+/// may still take effect.
 #[test]
-fn a_successor_that_does_not_reconcile_is_noticed() {
-    check_broken(ModelBounds { pause_limit: None, ..IGNORED }, ForgetfulSuccessor, RECONCILED);
+fn a_successor_that_does_not_reconcile_is_detected() {
+    check_violation(
+        ModelBounds { pause_limit: None, ..IGNORED },
+        SuccessorWithoutReconciliation,
+        RECONCILED,
+    );
 }
 
-struct HastyOutcome;
+struct UnknownOrderRefused;
 
-impl GuardedSteps for HastyOutcome {
-    fn understand(&self, response: OrderResponse) -> OrderResponse {
+impl AuthorityGuards for UnknownOrderRefused {
+    fn interpret_query_response(&self, response: OrderResponse) -> OrderResponse {
         match response {
             OrderResponse::NotFound => {
                 OrderResponse::State { state: OrderState::Refused, upstreams: Vec::new() }
@@ -153,17 +162,17 @@
     }
 }
 
-/// Shows that sending an unknown order again, instead of giving it up, guards against false
-/// outcomes.
+/// If a process takes an order that the receiver does not know for refused, instead of sending it
+/// again, the log holds the outcome `refused` for an order that takes effect later.
 #[test]
-fn an_unknown_order_that_is_given_up_is_noticed() {
-    check_broken(CHECKED, HastyOutcome, TRUE_OUTCOME);
+fn an_unknown_order_recorded_as_refused_is_detected() {
+    check_violation(CHECKED, UnknownOrderRefused, REFUSED_HAS_NO_EFFECT);
 }
 
-struct EarlySending;
+struct SendBeforeIntent;
 
-impl GuardedSteps for EarlySending {
-    /// The desk itself refuses an order whose intent is not read back.
+impl AuthorityGuards for SendBeforeIntent {
+    /// Skips the check of the order manager, which permits no order before its intent is read back.
     fn check_clock(
         &self,
         now: Moment,
@@ -173,20 +182,25 @@
         process.lease_manager.held_token(now)
     }
 
-    fn send_early(&self, intent: &OrderIntent) -> Option<OrderIntent> {
+    fn send_before_intent(&self, intent: &OrderIntent) -> Option<OrderIntent> {
         Some(intent.clone())
     }
 }
 
-/// Shows that reading the intent back guards against orders that a successor does not know of.
+/// If an order is sent before its intent is read back from the log, a successor does not know of it
+/// and gives a new order while the earlier one may still take effect.
 #[test]
-fn an_order_before_its_intent_is_noticed() {
-    check_broken(ModelBounds { faults: 2, pause_limit: None, ..IGNORED }, EarlySending, RECONCILED);
+fn an_order_sent_before_its_intent_is_read_back_is_detected() {
+    check_violation(
+        ModelBounds { faults: 2, pause_limit: None, ..IGNORED },
+        SendBeforeIntent,
+        RECONCILED,
+    );
 }
 
 struct NoClockCheck;
 
-impl GuardedSteps for NoClockCheck {
+impl AuthorityGuards for NoClockCheck {
     fn check_clock(
         &self,
         _now: Moment,
@@ -197,28 +211,30 @@
     }
 }
 
-/// Shows that the clock check guards against orders after a pause that came before it.
+/// Without the clock check, a former holder sends an order after a pause in which it lost the
+/// lease.
 #[test]
-fn an_order_without_clock_check_is_noticed() {
-    check_broken(IGNORED, NoClockCheck, FENCED);
+fn an_order_without_clock_check_is_detected() {
+    check_violation(IGNORED, NoClockCheck, FENCED_ORDERS);
 }
 
-/// The remaining exposure: a pause between clock check and write that outlasts the successor's
-/// whole wait, towards a receiver that ignores fencing numbers. `invariants_hold::ignored` shows
-/// that none exists while such a pause is at most [`COVERED_PAUSE`].
+/// The remaining exposure: the receiver ignores fencing tokens, and a process pauses between clock
+/// check and write for longer than the successor's whole wait. `invariants_hold::ignored` shows
+/// that no invariant is violated while such a pause is at most [`COVERED_PAUSE`].
 #[test]
 fn a_pause_longer_than_the_whole_wait_is_the_remaining_exposure() {
-    check_broken(ModelBounds { pause_limit: None, ..IGNORED }, ProductSteps, FENCED);
+    check_violation(ModelBounds { pause_limit: None, ..IGNORED }, ProductGuards, FENCED_ORDERS);
 }
 
-/// Guards against faults in longer runs with more faults than the exhaustive search can cover.
+/// Guards against violations in runs that are longer and have more faults than the exhaustive
+/// search can cover.
 #[rstest]
 fn random_schedules_hold(
     #[values(1, 2, 3, 4)] seed: u64,
     #[values(CHECKED, IGNORED)] bounds: ModelBounds,
 ) {
     let bounds = ModelBounds { horizon: 40, faults: 8, orders: 6, ..bounds };
-    let model = AuthorityModel { settings: ModelSettings::small(bounds), steps: ProductSteps };
+    let model = AuthorityModel { settings: ModelSettings::small(bounds), guards: ProductGuards };
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
     let mut takeovers = 0;
     for run in 0..50 {
@@ -229,12 +245,15 @@
                 break;
             }
             state = steps.swap_remove(generator.random_range(0..steps.len())).1;
-            let broken = model.broken(&state);
+            let broken = model.broken_invariant(&state);
             assert_eq!(broken, None, "seed {seed}, run {run}: {}", model.describe(&state));
             steps = model.steps(&state);
         }
-        takeovers += usize::from(state.receiver().highest > FencingToken(0));
+        takeovers += usize::from(state.receiver().highest_token > FencingToken(0));
     }
     println!("seed {seed}, {bounds:?}: a successor gave orders in {takeovers} of 50 runs");
-    assert!(takeovers > 0, "the schedules are too mild");
+    assert!(
+        takeovers > 0,
+        "no successor gave an order in 50 runs of seed {seed}: takeovers are not covered"
+    );
 }
--- a/crates/model-check/tests/configuration.rs
+++ b/crates/model-check/tests/configuration.rs
@@ -1,14 +1,15 @@
-//! Model checks of edits, promotions, snapshots and peers' copies.
+//! Model checks of edits, promotions, snapshots and documents received from peers.
 
 use std::sync::Mutex;
 
 use ::configuration::{ConfigOutcome, ConfigRecord, ConfigRegistry, VersionedDocument};
 use base::LogOffset;
 use model_check::{
-    Specification, check_invariants, check_noticed,
+    Specification, check_invariants, check_violation_found,
     configuration::{
-        AcceptAll, ConfigBounds, ConfigGuards, ConfigModel, ConfigStep, NEVER_FALLS, ONE_DOCUMENT,
-        ONE_WINNER, OperatorWork, ProductConfig, Registry, SNAPSHOT_YIELDS,
+        AcceptAll, ConfigBounds, ConfigGuards, ConfigModel, ConfigStep, ONE_ACCEPTED_EDIT,
+        ONE_DOCUMENT_PER_VERSION, OperatorWork, ProductGuards, Registry, SNAPSHOT_KEEPS_NEWER,
+        VERSION_NEVER_DECREASES,
     },
 };
 use rand::{RngExt, SeedableRng};
@@ -26,43 +27,43 @@
 
 const PROMOTIONS: ConfigBounds = ConfigBounds { work: OperatorWork::EditsAndPromotions, ..EDITS };
 
-/// Lets one exhaustive search run at a time, which bounds the memory of all.
+/// Lets one exhaustive search run at a time, which bounds the memory that the tests take.
 static SEARCH: Mutex<()> = Mutex::new(());
 
-/// Guards against any interleaving of so many faults that breaks an invariant.
+/// Guards against interleavings of up to `faults` faults that violate an invariant.
 #[rstest]
 #[case::edits(EDITS)]
 #[case::promotions(PROMOTIONS)]
 fn invariants_hold(#[case] bounds: ConfigBounds) {
     let _turn = SEARCH.lock();
-    let model = ConfigModel { bounds, guards: ProductConfig };
+    let model = ConfigModel { bounds, guards: ProductGuards };
     check_invariants(&model, &bounds);
 }
 
-fn check_broken<G: ConfigGuards>(bounds: ConfigBounds, guards: G, invariant: &'static str) {
+fn check_violation<G: ConfigGuards>(bounds: ConfigBounds, guards: G, invariant: &'static str) {
     let model = ConfigModel { bounds, guards };
-    check_noticed(&model, invariant);
+    check_violation_found(&model, invariant);
 }
 
-struct AnyCopy;
+struct AdoptAnyDocument;
 
-impl ConfigGuards for AnyCopy {
+impl ConfigGuards for AdoptAnyDocument {
     fn adopt(&self, registry: &mut Registry, document: &VersionedDocument) {
         *registry = ConfigRegistry::new(AcceptAll);
         registry.adopt_peer_document(document);
     }
 }
 
-/// Shows that taking only newer copies guards against a version that falls.
+/// If a process adopts any document of a peer, and not only newer ones, its version decreases.
 #[test]
-fn an_older_copy_that_is_taken_is_noticed() {
-    check_broken(ConfigBounds { writes: 2, ..EDITS }, AnyCopy, NEVER_FALLS);
+fn an_older_document_that_is_adopted_is_detected() {
+    check_violation(ConfigBounds { writes: 2, ..EDITS }, AdoptAnyDocument, VERSION_NEVER_DECREASES);
 }
 
-struct EarlyVersion;
+struct IncrementedVersion;
 
-impl ConfigGuards for EarlyVersion {
-    fn given(&self, registry: &Registry) -> Vec<VersionedDocument> {
+impl ConfigGuards for IncrementedVersion {
+    fn documents_for_peer(&self, registry: &Registry) -> Vec<VersionedDocument> {
         let next = |document: &VersionedDocument| {
             let version = document.version.next();
             VersionedDocument { version, ..document.clone() }
@@ -71,10 +72,15 @@
     }
 }
 
-/// Shows that copies under the version of the log guard against two documents of one version.
+/// If a process sends a document under another version than that of the log, two documents have the
+/// same version.
 #[test]
-fn a_copy_under_another_version_is_noticed() {
-    check_broken(ConfigBounds { writes: 2, ..EDITS }, EarlyVersion, ONE_DOCUMENT);
+fn a_document_sent_under_another_version_is_detected() {
+    check_violation(
+        ConfigBounds { writes: 2, ..EDITS },
+        IncrementedVersion,
+        ONE_DOCUMENT_PER_VERSION,
+    );
 }
 
 struct LastEditWins;
@@ -95,15 +101,15 @@
     }
 }
 
-/// Shows that the version check guards against two accepted edits on one base.
+/// Without the check of the base version, two edits on one base are accepted.
 #[test]
-fn an_edit_without_version_check_is_noticed() {
-    check_broken(EDITS, LastEditWins, ONE_WINNER);
+fn an_edit_without_version_check_is_detected() {
+    check_violation(EDITS, LastEditWins, ONE_ACCEPTED_EDIT);
 }
 
-struct SnapshotWins;
+struct SnapshotReplacesState;
 
-impl ConfigGuards for SnapshotWins {
+impl ConfigGuards for SnapshotReplacesState {
     fn apply(
         &self,
         registry: &mut Registry,
@@ -118,27 +124,34 @@
     }
 }
 
-/// Shows that ignoring snapshots of a known prefix guards against a return to an older version.
+/// If a process does not ignore snapshots of a prefix that it has already read, it returns to an
+/// older version.
 #[test]
-fn a_snapshot_that_replaces_the_state_is_noticed() {
-    check_broken(ConfigBounds { writes: 2, ..EDITS }, SnapshotWins, SNAPSHOT_YIELDS);
+fn a_snapshot_that_replaces_the_state_is_detected() {
+    check_violation(
+        ConfigBounds { writes: 2, ..EDITS },
+        SnapshotReplacesState,
+        SNAPSHOT_KEEPS_NEWER,
+    );
 }
 
-struct NoSecondReading;
+struct NoRereadAfterRestore;
 
-impl ConfigGuards for NoSecondReading {
-    fn continue_at(&self, reading_at: LogOffset, _restored: LogOffset) -> LogOffset {
+impl ConfigGuards for NoRereadAfterRestore {
+    fn offset_after_restore(&self, reading_at: LogOffset, _restored: LogOffset) -> LogOffset {
         reading_at
     }
 }
 
-/// Shows that reading again from a peer's state guards against skipped records.
+/// If a process that adopted a peer's snapshot does not read on from the offset of that snapshot,
+/// it skips records.
 #[test]
-fn records_after_a_peers_state_that_are_skipped_are_noticed() {
-    check_broken(EDITS, NoSecondReading, ONE_WINNER);
+fn records_skipped_after_a_peers_snapshot_are_detected() {
+    check_violation(EDITS, NoRereadAfterRestore, ONE_ACCEPTED_EDIT);
 }
 
-/// Guards against faults in longer runs with more faults than the exhaustive search can cover.
+/// Guards against violations in runs that are longer and have more faults than the exhaustive
+/// search can cover.
 #[rstest]
 fn random_schedules_hold(
     #[values(1, 2, 3)] seed: u64,
@@ -146,14 +159,14 @@
 ) {
     let bounds =
         ConfigBounds { writes: 6, snapshots: 6, retentions: 6, copies: 12, faults: 10, ..bounds };
-    let model = ConfigModel { bounds, guards: ProductConfig };
+    let model = ConfigModel { bounds, guards: ProductGuards };
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
     let (mut retained, mut restarts) = (0, 0);
     for run in 0..200 {
         let mut state = model.initial();
         let mut steps = model.steps(&state);
         for _ in 0..300 {
-            // A uniform choice would use up all faults before there is anything to lose.
+            // A uniform choice would use up all faults before the processes have any state to lose.
             let is_faulty = generator.random_ratio(1, 8);
             let faults_left = state.faults_left();
             if steps.iter().any(|(_, next)| (next.faults_left() < faults_left) == is_faulty) {
@@ -163,10 +176,10 @@
                 break;
             }
             let (step, next) = steps.swap_remove(generator.random_range(0..steps.len()));
-            let is_trimmed = next.first_retained() > LogOffset(0);
-            restarts += usize::from(matches!(step, ConfigStep::Restart(_)) && is_trimmed);
+            let has_dropped_records = next.first_retained() > LogOffset(0);
+            restarts += usize::from(matches!(step, ConfigStep::Restart(_)) && has_dropped_records);
             state = next;
-            let broken = model.broken(&state);
+            let broken = model.broken_invariant(&state);
             assert_eq!(broken, None, "seed {seed}, run {run}: {}", model.describe(&state));
             steps = model.steps(&state);
         }
@@ -176,5 +189,9 @@
         "seed {seed}, {bounds:?}: records dropped in {retained} of 200 runs, {restarts} restarts \
          after that"
     );
-    assert!(retained > 0 && restarts > 0, "the schedules are too mild");
+    assert!(
+        retained > 0 && restarts > 0,
+        "seed {seed}: records dropped in {retained} runs, {restarts} restarts after that: the \
+         schedules do not cover both"
+    );
 }
--- a/crates/model-check/tests/submissions.rs
+++ b/crates/model-check/tests/submissions.rs
@@ -4,26 +4,26 @@
 
 use ::submissions::PartitionCache;
 use model_check::{
-    Specification, check_invariants, check_noticed,
+    Specification, check_invariants, check_violation_found,
     submissions::{
-        COPY_IS_WHOLE, ONE_POSITION, ProductGuards, SubmissionBounds, SubmissionGuards,
-        SubmissionModel, WorkPlan,
+        CACHE_MATCHES_LOG, ProductGuards, SubmissionBounds, SubmissionGuards, SubmissionModel,
+        UNIQUE_POSITIONS, WorkPlan,
     },
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// Lets one exhaustive search run at a time, since each takes some hundred MB.
+/// Lets one exhaustive search run at a time, since each takes several hundred MB of memory.
 static SEARCH: Mutex<()> = Mutex::new(());
 
 const fn bounds(work: WorkPlan, faults: u8) -> SubmissionBounds {
     SubmissionBounds { faults, work }
 }
 
-/// Guards against any interleaving with so many lost answers, late appends and forgotten histories that
-/// accepts a submission twice, gives a position away twice, stores a result after the end, or leaves a
-/// copy without a record that it should have.
+/// Guards against interleavings with up to `faults` lost responses, delayed appends and log
+/// compactions that accept a submission twice, assign a position twice, store a result after the
+/// end of its submission, or leave a cache without a record that it should hold.
 #[rstest]
 #[case::sent_twice(bounds(WorkPlan::SentTwice, 2))]
 #[case::two_owners(bounds(WorkPlan::TwoOwners, 1))]
@@ -35,71 +35,80 @@
     check_invariants(&model, &bounds);
 }
 
-fn check_broken<G: SubmissionGuards>(bounds: SubmissionBounds, guards: G, invariant: &'static str) {
+fn check_violation<G: SubmissionGuards>(
+    bounds: SubmissionBounds,
+    guards: G,
+    invariant: &'static str,
+) {
     let model = SubmissionModel { bounds, guards };
-    check_noticed(&model, invariant);
+    check_violation_found(&model, invariant);
 }
 
-struct OpenAppends;
+struct UnconditionalAppends;
 
-impl SubmissionGuards for OpenAppends {
-    fn condition(&self, _offset: u64) -> Option<u64> {
+impl SubmissionGuards for UnconditionalAppends {
+    fn append_condition(&self, _offset: u64) -> Option<u64> {
         None
     }
 }
 
-/// Shows that the condition of appends guards against a position that two nodes give away.
+/// If appends are unconditional, two nodes assign the same position.
 #[test]
-fn an_append_without_a_condition_is_noticed() {
-    check_broken(bounds(WorkPlan::TwoOwners, 0), OpenAppends, ONE_POSITION);
+fn an_append_without_a_condition_is_detected() {
+    check_violation(bounds(WorkPlan::TwoOwners, 0), UnconditionalAppends, UNIQUE_POSITIONS);
 }
 
-struct PartlyLoaded;
+struct OneLoadedSuffices;
 
-impl SubmissionGuards for PartlyLoaded {
+impl SubmissionGuards for OneLoadedSuffices {
     fn append_offset(&self, cache: &PartitionCache, submissions: &[&str]) -> Option<u64> {
         let any = submissions.iter().any(|submission| cache.is_loaded(submission));
         cache.next_offset().filter(|_| any)
     }
 }
 
-/// Shows that loading all submissions of an append in one epoch guards against a position that was given
-/// away before the store forgot its history.
+/// If an append may be tried when only one of its submissions was loaded since the cache was last
+/// reset, a node assigns a position of the other one again that was assigned before the log was
+/// compacted.
 #[test]
-fn an_append_that_knows_one_of_two_submissions_is_noticed() {
-    check_broken(bounds(WorkPlan::TwoOwners, 1), PartlyLoaded, ONE_POSITION);
+fn an_append_with_one_of_two_submissions_loaded_is_detected() {
+    check_violation(bounds(WorkPlan::TwoOwners, 1), OneLoadedSuffices, UNIQUE_POSITIONS);
 }
 
-struct Overtaken;
+struct OutdatedReadAccepted;
 
-impl SubmissionGuards for Overtaken {
-    fn read_end(&self, cache: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
+impl SubmissionGuards for OutdatedReadAccepted {
+    fn follow_offset(&self, cache: &PartitionCache, first_page: u64, _last_page: u64) -> u64 {
         cache.next_offset().unwrap_or(first_page)
     }
 }
 
-/// Shows that repeating an overtaken read guards against a submission that one of two reads at the same
-/// time hides: both began before anything was known, and the later one was the first to end.
+/// If a read that began before the start offset of the cache is accepted instead of repeated, the
+/// cache misses records. This takes two concurrent reads that both begin while the cache is empty.
+/// The later one ends first, so the cache follows the log from a later offset than the end of the
+/// log at the earlier read, and holds no record between the two offsets.
 #[test]
-fn an_overtaken_read_is_noticed() {
-    check_broken(bounds(WorkPlan::ReadMeanwhile, 0), Overtaken, COPY_IS_WHOLE);
+fn an_outdated_read_that_is_accepted_is_detected() {
+    check_violation(bounds(WorkPlan::ReadMeanwhile, 0), OutdatedReadAccepted, CACHE_MATCHES_LOG);
 }
 
-struct LastPage;
+struct FollowFromLastPage;
 
-impl SubmissionGuards for LastPage {
-    fn read_end(&self, _copy: &PartitionCache, _first_page: u64, last_page: u64) -> u64 {
+impl SubmissionGuards for FollowFromLastPage {
+    fn follow_offset(&self, _cache: &PartitionCache, _first_page: u64, last_page: u64) -> u64 {
         last_page
     }
 }
 
-/// Shows that following the log from the first page guards against records between two pages.
+/// If the cache follows the log from the end of the log at the last page instead of the first one,
+/// it misses records that were appended between the two pages.
 #[test]
-fn a_read_that_goes_on_after_its_last_page_is_noticed() {
-    check_broken(bounds(WorkPlan::SentTwice, 0), LastPage, COPY_IS_WHOLE);
+fn following_the_log_from_the_last_page_is_detected() {
+    check_violation(bounds(WorkPlan::SentTwice, 0), FollowFromLastPage, CACHE_MATCHES_LOG);
 }
 
-/// Guards against faults in longer runs than the exhaustive search can cover.
+/// Guards against violations in runs that are longer and have more faults than the exhaustive
+/// search can cover.
 #[rstest]
 fn random_schedules_hold(
     #[values(1, 2, 3)] seed: u64,
@@ -122,10 +131,10 @@
                 break;
             }
             state = steps.swap_remove(generator.random_range(0..steps.len())).1;
-            let broken = model.broken(&state);
+            let broken = model.broken_invariant(&state);
             assert_eq!(broken, None, "seed {seed}, run {run}: {}", model.describe(&state));
         }
         done += usize::from(state.is_done());
     }
-    assert!(done > 100, "only {done} of 200 runs did all their work");
+    assert!(done > 100, "only {done} of 200 runs of seed {seed} finished all tasks");
 }
--- a/crates/model-check/tests/usage.rs
+++ b/crates/model-check/tests/usage.rs
@@ -6,10 +6,10 @@
 use authority::{FencingSupport, LeaseManager};
 use base::{FencingToken, Incarnation, Moment, RecordId, Span};
 use model_check::{
-    Specification, check_invariants, check_noticed,
+    Specification, check_invariants, check_violation_found,
     usage::{
-        EQUAL_LEDGERS, FENCED_REPORTS, ONE_FIGURE, ONE_REPORTER, ONE_WINDOW, ProductGuards,
-        ReportSink, UsageBounds, UsageGuards, UsageModel, UsageRetention, UsageStep,
+        BATCH_COUNTED_ONCE, EQUAL_LEDGERS, FENCED_REPORTS, ONE_REPORTER, ONE_USAGE_PER_WINDOW,
+        ProductGuards, ReportSink, UsageBounds, UsageGuards, UsageModel, UsageRetention, UsageStep,
     },
 };
 use rand::{RngExt, SeedableRng};
@@ -29,10 +29,10 @@
 
 const RETENTION: UsageBounds = UsageBounds { retention: UsageRetention::SinceSnapshot, ..CHECKED };
 
-/// Lets one exhaustive search run at a time. Each takes up to 700 MB.
+/// Lets one exhaustive search run at a time, since each takes up to 700 MB of memory.
 static SEARCH: Mutex<()> = Mutex::new(());
 
-/// Guards against any interleaving of so many faults that breaks an invariant.
+/// Guards against interleavings of up to `faults` faults that violate an invariant.
 #[rstest]
 #[case::checked(CHECKED)]
 #[case::ignored(IGNORED)]
@@ -45,53 +45,58 @@
     check_invariants(&model, &bounds);
 }
 
-fn check_broken<G: UsageGuards>(bounds: UsageBounds, guards: G, invariant: &'static str) {
+fn check_violation<G: UsageGuards>(bounds: UsageBounds, guards: G, invariant: &'static str) {
     let model = UsageModel { bounds, guards };
-    check_noticed(&model, invariant);
+    check_violation_found(&model, invariant);
 }
 
-struct OpenFigures;
+struct ReportOfOpenUsage;
 
-impl UsageGuards for OpenFigures {
+impl UsageGuards for ReportOfOpenUsage {
     fn report(&self, ledger: &UsageLedger, mut report: WindowReport) -> WindowReport {
-        report.usage.merge(ledger.open_usage()).expect("small figures");
+        report
+            .usage
+            .merge(ledger.open_usage())
+            .expect("the usage of a few batches does not overflow");
         report
     }
 }
 
-/// Shows that figures fixed by the close record guard against two figures of one window.
+/// If a report includes usage that no close record has fixed yet, a window is reported twice with
+/// different usage.
 #[test]
-fn a_report_of_open_figures_is_noticed() {
-    check_broken(CHECKED, OpenFigures, ONE_FIGURE);
+fn a_report_of_open_usage_is_detected() {
+    check_violation(CHECKED, ReportOfOpenUsage, ONE_USAGE_PER_WINDOW);
 }
 
-struct HastySuccessor;
+struct ClaimWithoutWait;
 
-impl UsageGuards for HastySuccessor {
-    fn waiting_clock(&self, now: Moment) -> Moment {
+impl UsageGuards for ClaimWithoutWait {
+    fn claim_clock(&self, now: Moment) -> Moment {
         now + Span(4)
     }
 }
 
-/// Shows that the successor's wait guards against reports while two processes hold the lease.
+/// Without the successor's wait, a report arrives while two processes hold the lease.
 #[test]
-fn a_successor_that_does_not_wait_is_noticed() {
-    check_broken(CHECKED, HastySuccessor, ONE_REPORTER);
+fn a_claim_without_the_successors_wait_is_detected() {
+    check_violation(CHECKED, ClaimWithoutWait, ONE_REPORTER);
 }
 
-struct RenumberedReplica;
+struct ReplicaUnderOtherId;
 
-impl UsageGuards for RenumberedReplica {
+impl UsageGuards for ReplicaUnderOtherId {
     fn replica(&self, batch: UsageBatch) -> UsageBatch {
         let id = RecordId { writer: Incarnation(99), ..batch.id };
         UsageBatch { id, ..batch }
     }
 }
 
-/// Shows that a replica under the id of its origin guards against counting a batch twice.
+/// If a replica holder appends a batch under another id than its origin, the batch is counted
+/// twice.
 #[test]
-fn a_replica_under_another_id_is_noticed() {
-    check_broken(CHECKED, RenumberedReplica, ONE_WINDOW);
+fn a_replica_under_another_id_is_detected() {
+    check_violation(CHECKED, ReplicaUnderOtherId, BATCH_COUNTED_ONCE);
 }
 
 struct OwnLeaseOnly;
@@ -102,27 +107,30 @@
     }
 }
 
-/// Shows that judging records by the claim in force in the log guards against unequal ledgers.
+/// If a ledger validates records by the lease of its own process instead of the claim in force in
+/// the log, ledgers differ.
 #[test]
-fn a_ledger_that_goes_by_its_own_lease_is_noticed() {
-    check_broken(CHECKED, OwnLeaseOnly, EQUAL_LEDGERS);
+fn a_ledger_that_validates_by_its_own_lease_is_detected() {
+    check_violation(CHECKED, OwnLeaseOnly, EQUAL_LEDGERS);
 }
 
-struct UncheckedPlatform;
+struct PlatformWithoutFencing;
 
-impl UsageGuards for UncheckedPlatform {
+impl UsageGuards for PlatformWithoutFencing {
     fn accepts(&self, _sink: &ReportSink, _fencing: FencingToken) -> bool {
         true
     }
 }
 
-/// Shows that the platform's check guards against reports of a paused former holder.
+/// Without the platform's check of fencing tokens, a former holder that resumes after a pause gets
+/// a report accepted after one of its successor.
 #[test]
-fn a_platform_that_does_not_check_is_noticed() {
-    check_broken(CHECKED, UncheckedPlatform, FENCED_REPORTS);
+fn a_platform_without_fencing_check_is_detected() {
+    check_violation(CHECKED, PlatformWithoutFencing, FENCED_REPORTS);
 }
 
-/// Guards against faults in longer runs with more faults than the exhaustive search can cover.
+/// Guards against violations in runs that are longer and have more faults than the exhaustive
+/// search can cover.
 #[rstest]
 fn random_schedules_hold(
     #[values(1, 2, 3)] seed: u64,
@@ -131,7 +139,7 @@
     let bounds = UsageBounds { horizon: 30, faults: 8, batches: 6, ..bounds };
     let model = UsageModel { bounds, guards: ProductGuards };
     let mut generator = ChaCha8Rng::seed_from_u64(seed);
-    let (mut accepted, mut restores) = (0, 0);
+    let (mut accepted, mut late_restarts) = (0, 0);
     for run in 0..50 {
         let mut state = model.initial();
         let mut steps = model.steps(&state);
@@ -146,17 +154,22 @@
                 break;
             }
             let (step, next) = steps.swap_remove(generator.random_range(0..steps.len()));
-            restores += usize::from(matches!(step, UsageStep::Restart(_)) && next.has_snapshot());
+            late_restarts +=
+                usize::from(matches!(step, UsageStep::Restart(_)) && next.has_snapshot());
             state = next;
-            let broken = model.broken(&state);
+            let broken = model.broken_invariant(&state);
             assert_eq!(broken, None, "seed {seed}, run {run}: {}", model.describe(&state));
             steps = model.steps(&state);
         }
         accepted += state.sink().accepted_windows();
     }
     println!(
-        "seed {seed}, {bounds:?}: {accepted} windows reported and {restores} restarts after a \
+        "seed {seed}, {bounds:?}: {accepted} windows reported and {late_restarts} restarts after a \
          snapshot in 50 runs"
     );
-    assert!(accepted > 0 && restores > 0, "the schedules are too mild");
+    assert!(
+        accepted > 0 && late_restarts > 0,
+        "seed {seed}: {accepted} windows reported, {late_restarts} restarts after a snapshot: the \
+         schedules do not cover both"
+    );
 }
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that check what they get.
+//! Callers that send requests through the gateways and check the responses.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,71 +8,82 @@
 use process_tests::SiteFleet;
 use serde_json::Value;
 
-use crate::world::SoakWorld;
+use crate::testbed::SoakTestbed;
 
-/// Longest wait for an answer. Routes end after 2 s.
-const LIMIT: Span = Span::from_secs(4);
+/// Timeout of one request. The routes of the configuration time out after 2 s.
+const REQUEST_TIMEOUT: Span = Span::from_secs(4);
 
-/// Statuses that promise that a request has not run and never will.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that guarantee that a request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Time after which a request that was answered is looked for at the upstreams again.
-const LATE: Duration = Duration::from_millis(1_500);
+/// Delay after the last request, in which a request that was already refused would reach an
+/// upstream if it were still in transit.
+const LATE_ARRIVAL_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Sends requests one after the other until the run stops. Connections are kept and used until their
-/// process is gone.
-pub(crate) async fn run(world: Rc<SoakWorld>, caller: usize) {
+/// Sends requests one after the other until the run stops, then checks that no refused
+/// non-idempotent request has run. Connections are reused until the gateway at their other end
+/// exits.
+pub(crate) async fn run(testbed: Rc<SoakTestbed>, caller: usize) {
     let client = HttpClient::new(Span::from_millis(500));
     let mut number = 0;
     let mut refused = Vec::new();
-    while !world.is_stopping() {
+    while !testbed.is_stopping() {
         number += 1;
-        let safe = number % 3 != 0;
-        let kind = if safe { "safe" } else { "once" };
+        let idempotent = number % 3 != 0;
+        let kind = if idempotent { "safe" } else { "once" };
         let id = format!("{kind}-{caller}-{number}");
-        let path = if safe { "/fetch/x" } else { "/once/x" };
-        let node = (caller + number) % world.options.gateways;
-        let address = world.nodes.borrow()[node].process.callers();
+        let path = if idempotent { "/fetch/x" } else { "/once/x" };
+        let node = (caller + number) % testbed.options.gateways;
+        let address = testbed.nodes.borrow()[node].process.callers();
         let mut request = HttpRequest::post(address, path, Bytes::from(id.clone().into_bytes()));
         for (name, value) in SiteFleet::headers(&id) {
-            let name = name.parse().expect("names are valid");
-            request = request.with_header(name, value.parse().expect("values are valid"));
+            let name = name.parse().expect("header names of the test fleet are valid");
+            request = request.with_header(
+                name,
+                value.parse().expect("header values of the test fleet are valid"),
+            );
         }
-        let answer = client.exchange(request, LIMIT, 1 << 20).await;
-        let Ok(answer) = answer else {
-            world.count("no answer");
+        let response = client.exchange(request, REQUEST_TIMEOUT, 1 << 20).await;
+        let Ok(response) = response else {
+            testbed.count("no answer");
             tokio::time::sleep(Duration::from_millis(30)).await;
             continue;
         };
-        let status = answer.status.as_u16();
+        let status = response.status.as_u16();
         match status {
-            200 => check_answer(&world, &id, &answer.body),
+            200 => check_response(&testbed, &id, &response.body),
             401 | 404 => {
-                world.broken(format!("{id} was answered {status}, which no config allows"));
+                testbed.report_violation(format!(
+                    "request {id} got status {status}, which no version of the configuration allows"
+                ));
             }
-            status if NOT_RUN.contains(&status) => {
-                world.count("refused");
+            status if NOT_RUN_STATUSES.contains(&status) => {
+                testbed.count("refused");
                 refused.push(id.clone());
             }
-            _ => world.count("failed"),
+            _ => testbed.count("failed"),
         }
-        if !safe && world.runs_of(&id) > 1 {
-            world.broken(format!("{id} ran at two upstreams"));
+        if !idempotent && testbed.runs_of(&id) > 1 {
+            testbed.report_violation(format!(
+                "non-idempotent request {id} ran on more than one upstream"
+            ));
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    tokio::time::sleep(LATE).await;
+    tokio::time::sleep(LATE_ARRIVAL_DELAY).await;
     for id in refused.iter().filter(|id| id.starts_with("once-")) {
-        if world.runs_of(id) > 0 {
-            world.broken(format!("{id} was answered as not run, and has run"));
+        if testbed.runs_of(id) > 0 {
+            testbed.report_violation(format!(
+                "request {id} was refused with a status that guarantees it did not run, but it ran"
+            ));
         }
     }
 }
 
-fn check_answer(world: &SoakWorld, id: &str, body: &[u8]) {
-    world.count("answered");
+fn check_response(testbed: &SoakTestbed, id: &str, body: &[u8]) {
+    testbed.count("answered");
     let body: Value = serde_json::from_slice(body).unwrap_or_default();
     if body["id"] != id || body["customer"] != "brewer" || body["sent"] != id.len() {
-        world.broken(format!("{id} was answered with {body}"));
+        testbed.report_violation(format!("request {id} got an unexpected response body: {body}"));
     }
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and their end.
+//! Injects random faults and ends them.
 
 use std::{
     rc::Rc,
@@ -9,53 +9,69 @@
 use rand::{Rng, RngExt as _};
 use site_stand_in::StoreFault;
 
-use crate::world::SoakWorld;
+use crate::testbed::SoakTestbed;
 
-/// Longest pause between two faults, so that they come in series and overlap.
-const MOST_PAUSE_MS: u64 = 900;
+/// Longest pause between the starts of two faults. It is shorter than most faults, so that faults
+/// overlap.
+const MAX_PAUSE_MS: u64 = 900;
 
-/// Longest fault. The platform's own troubles last from 2 to 14 s.
-const MOST_LENGTH_MS: u64 = 4_000;
+/// Longest duration of a fault. Faults of the real platform last from 2 to 14 s.
+const MAX_FAULT_DURATION_MS: u64 = 4_000;
 
-/// Time from SIGTERM after which the platform kills a process.
-const GRACE: Duration = Duration::from_secs(8);
+/// Time between SIGTERM and SIGKILL when the platform stops a process.
+const TERMINATION_GRACE_PERIOD: Duration = Duration::from_secs(8);
 
+/// A fault. The number is the index of the gateway, engine or service. The report prints the
+/// `Debug` form.
 #[derive(Debug, Clone, Copy)]
 enum FaultKind {
+    /// SIGKILL, and a restart after at most 2 s.
     Kill(usize),
+    /// SIGSTOP, and SIGCONT at the end of the fault.
     Pause(usize),
+    /// A planned stop with SIGTERM, and a restart.
     Terminate(usize),
+    /// Delayed or blocked traffic between a gateway and the store.
     StorePath(usize, RelayFlow),
+    /// Reset of the connections between a gateway and the store.
     StoreReset(usize),
+    /// A fault of the store itself, for all gateways.
     StoreAway(StoreFault),
+    /// Compaction of all partitions down to the newest record of each key.
     StoreForgets,
+    /// A rebalance of the partitions of all consumer groups.
     PartitionsDealt,
+    /// Delayed or blocked traffic between the gateways and an engine.
     EnginePath(usize, RelayFlow),
+    /// Reset of the connections to an engine.
     EngineReset(usize),
+    /// An engine that takes 80 ms instead of 20 ms for each event.
     EngineSlow(usize),
+    /// Delayed or blocked traffic between the gateways and a plain service.
     ServicePath(usize, RelayFlow),
+    /// A new version of the configuration, which stays in force.
     Configuration,
 }
 
-/// Injects faults until the length of the run has passed.
-pub(crate) async fn inject(world: &Rc<SoakWorld>, random: &mut impl Rng) {
+/// Starts faults, each in a task of its own, until the fault period of the run has passed.
+pub(crate) async fn inject(testbed: &Rc<SoakTestbed>, random: &mut impl Rng) {
     let start = Instant::now();
-    while start.elapsed() < world.options.length {
-        let pause = random.random_range(50..MOST_PAUSE_MS);
+    while start.elapsed() < testbed.options.duration {
+        let pause = random.random_range(50..MAX_PAUSE_MS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        let length = Duration::from_millis(random.random_range(200..MOST_LENGTH_MS));
-        let kind = draw(world, random);
+        let duration = Duration::from_millis(random.random_range(200..MAX_FAULT_DURATION_MS));
+        let kind = random_fault(testbed, random);
         let at = start.elapsed().as_millis();
-        let line = format!("{at} ms {kind:?} for {} ms", length.as_millis());
-        world.report.borrow_mut().faults.push(line);
-        let world = Rc::clone(world);
-        actix_rt::spawn(async move { strike(&world, kind, length).await });
+        let line = format!("{at} ms {kind:?} for {} ms", duration.as_millis());
+        testbed.report.borrow_mut().faults.push(line);
+        let testbed = Rc::clone(testbed);
+        actix_rt::spawn(async move { apply_fault(&testbed, kind, duration).await });
     }
 }
 
-fn draw(world: &SoakWorld, random: &mut impl Rng) -> FaultKind {
-    let node = random.random_range(0..world.options.gateways);
-    let engine = random.random_range(0..world.options.engines);
+fn random_fault(testbed: &SoakTestbed, random: &mut impl Rng) -> FaultKind {
+    let node = random.random_range(0..testbed.options.gateways);
+    let engine = random.random_range(0..testbed.options.engines);
     let flow = match random.random_range(0..4) {
         0 => RelayFlow::Delay(Duration::from_millis(random.random_range(20..300))),
         1 => RelayFlow::HoldRequests,
@@ -81,131 +97,137 @@
     }
 }
 
-async fn strike(world: &SoakWorld, kind: FaultKind, length: Duration) {
-    world.count("faults");
+async fn apply_fault(testbed: &SoakTestbed, kind: FaultKind, duration: Duration) {
+    testbed.count("faults");
     match kind {
         FaultKind::Kill(node) => {
-            if !take_away(world, node) {
+            if !mark_unavailable(testbed, node) {
                 return;
             }
-            world.nodes.borrow_mut()[node].process.kill();
-            tokio::time::sleep(length.min(Duration::from_secs(2))).await;
-            bring_back(world, node);
+            testbed.nodes.borrow_mut()[node].process.kill();
+            tokio::time::sleep(duration.min(Duration::from_secs(2))).await;
+            restart_gateway(testbed, node);
         }
         FaultKind::Pause(node) => {
-            if !take_away(world, node) {
+            if !mark_unavailable(testbed, node) {
                 return;
             }
-            world.nodes.borrow()[node].process.signal("STOP");
-            tokio::time::sleep(length).await;
-            let mut nodes = world.nodes.borrow_mut();
+            testbed.nodes.borrow()[node].process.signal("STOP");
+            tokio::time::sleep(duration).await;
+            let mut nodes = testbed.nodes.borrow_mut();
             nodes[node].process.signal("CONT");
-            nodes[node].away = false;
+            nodes[node].unavailable = false;
         }
-        FaultKind::Terminate(node) => terminate(world, node).await,
+        FaultKind::Terminate(node) => terminate(testbed, node).await,
         FaultKind::StorePath(node, flow) => {
-            world.nodes.borrow()[node].store_path.set_flow(flow);
-            tokio::time::sleep(length).await;
-            world.nodes.borrow()[node].store_path.set_flow(RelayFlow::Pass);
+            testbed.nodes.borrow()[node].store_relay.set_flow(flow);
+            tokio::time::sleep(duration).await;
+            testbed.nodes.borrow()[node].store_relay.set_flow(RelayFlow::Pass);
         }
-        FaultKind::StoreReset(node) => world.nodes.borrow()[node].store_path.reset(),
+        FaultKind::StoreReset(node) => testbed.nodes.borrow()[node].store_relay.reset(),
         FaultKind::StoreAway(fault) => {
-            world.store.set_fault(fault);
-            tokio::time::sleep(length).await;
-            world.store.set_fault(StoreFault::None);
+            testbed.store.set_fault(fault);
+            tokio::time::sleep(duration).await;
+            testbed.store.set_fault(StoreFault::None);
         }
-        FaultKind::StoreForgets => world.store.forget(),
-        FaultKind::PartitionsDealt => world.store.deal(),
+        FaultKind::StoreForgets => testbed.store.forget(),
+        FaultKind::PartitionsDealt => testbed.store.deal(),
         FaultKind::EnginePath(engine, flow) => {
-            world.engines[engine].path.set_flow(flow);
-            tokio::time::sleep(length).await;
-            world.engines[engine].path.set_flow(RelayFlow::Pass);
+            testbed.engines[engine].relay.set_flow(flow);
+            tokio::time::sleep(duration).await;
+            testbed.engines[engine].relay.set_flow(RelayFlow::Pass);
         }
-        FaultKind::EngineReset(engine) => world.engines[engine].path.reset(),
+        FaultKind::EngineReset(engine) => testbed.engines[engine].relay.reset(),
         FaultKind::EngineSlow(engine) => {
-            world.engines[engine].upstream.set_event_time(Duration::from_millis(80));
-            tokio::time::sleep(length).await;
-            world.engines[engine].upstream.set_event_time(Duration::from_millis(20));
+            testbed.engines[engine].upstream.set_event_time(Duration::from_millis(80));
+            tokio::time::sleep(duration).await;
+            testbed.engines[engine].upstream.set_event_time(Duration::from_millis(20));
         }
         FaultKind::ServicePath(service, flow) => {
-            world.services[service].path.set_flow(flow);
-            tokio::time::sleep(length).await;
-            world.services[service].path.set_flow(RelayFlow::Pass);
+            testbed.services[service].relay.set_flow(flow);
+            tokio::time::sleep(duration).await;
+            testbed.services[service].relay.set_flow(RelayFlow::Pass);
         }
         FaultKind::Configuration => {
             let version = {
-                let report = world.report.borrow();
+                let report = testbed.report.borrow();
                 2 + report.faults.len() as u64
             };
             let config = process_tests::SiteFleet::config(version, &["key-1", "key-2"]);
-            world.store.put_operator("config", &config);
+            testbed.store.put_operator("config", &config);
         }
     }
 }
 
-/// Marks a node as away, unless it is away or the last one that is not.
-fn take_away(world: &SoakWorld, node: usize) -> bool {
-    let mut nodes = world.nodes.borrow_mut();
-    let present = nodes.iter().filter(|node| !node.away).count();
-    if nodes[node].away || present < 2 {
+/// Marks a gateway as unavailable and returns `true`, unless it is unavailable already or the last
+/// available one.
+fn mark_unavailable(testbed: &SoakTestbed, node: usize) -> bool {
+    let mut nodes = testbed.nodes.borrow_mut();
+    let available = nodes.iter().filter(|node| !node.unavailable).count();
+    if nodes[node].unavailable || available < 2 {
         return false;
     }
-    nodes[node].away = true;
+    nodes[node].unavailable = true;
     true
 }
 
-fn bring_back(world: &SoakWorld, node: usize) {
-    let mut nodes = world.nodes.borrow_mut();
+fn restart_gateway(testbed: &SoakTestbed, node: usize) {
+    let mut nodes = testbed.nodes.borrow_mut();
     nodes[node].process.restart();
-    nodes[node].away = false;
+    nodes[node].unavailable = false;
 }
 
-/// Stops a process as the platform does: SIGTERM, SIGKILL after the grace, and a new start.
-async fn terminate(world: &SoakWorld, node: usize) {
-    if !take_away(world, node) {
+/// Stops a gateway as the platform does: SIGTERM, SIGKILL after the grace period, and a restart.
+async fn terminate(testbed: &SoakTestbed, node: usize) {
+    if !mark_unavailable(testbed, node) {
         return;
     }
-    world.nodes.borrow()[node].process.signal("TERM");
+    testbed.nodes.borrow()[node].process.signal("TERM");
     let start = Instant::now();
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let code = world.nodes.borrow_mut()[node].process.exit_code();
+        let code = testbed.nodes.borrow_mut()[node].process.exit_code();
         match code {
             Some(0) => break,
             Some(code) => {
-                world.broken(format!("a planned stop ended with code {code}"));
+                testbed.report_violation(format!(
+                    "gateway {node} exited with code {code} after SIGTERM"
+                ));
                 break;
             }
-            None if start.elapsed() > GRACE => {
-                world.broken(String::from("a planned stop took longer than the grace"));
+            None if start.elapsed() > TERMINATION_GRACE_PERIOD => {
+                testbed.report_violation(String::from(
+                    "a gateway did not exit within the grace period after SIGTERM",
+                ));
                 break;
             }
             None => {}
         }
     }
-    bring_back(world, node);
+    restart_gateway(testbed, node);
 }
 
-/// Ends all faults and waits until every gateway is back.
-pub(crate) async fn heal(world: &SoakWorld) {
-    // Faults end by themselves; the longest one lasts as long as a planned stop.
+/// Waits until every gateway is available again, and ends the faults that are still active.
+pub(crate) async fn end_faults(testbed: &SoakTestbed) {
+    // Faults end by themselves. The longest one is a planned stop, which may take the whole grace
+    // period.
     let start = Instant::now();
-    let longest = GRACE + Duration::from_millis(MOST_LENGTH_MS);
+    let longest = TERMINATION_GRACE_PERIOD + Duration::from_millis(MAX_FAULT_DURATION_MS);
     while start.elapsed() < longest {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let away = world.nodes.borrow().iter().any(|node| node.away);
-        if !away && start.elapsed() > Duration::from_millis(MOST_LENGTH_MS) {
+        let any_unavailable = testbed.nodes.borrow().iter().any(|node| node.unavailable);
+        if !any_unavailable && start.elapsed() > Duration::from_millis(MAX_FAULT_DURATION_MS) {
             break;
         }
     }
-    world.store.set_fault(StoreFault::None);
-    for node in world.nodes.borrow().iter() {
-        node.store_path.set_flow(RelayFlow::Pass);
+    testbed.store.set_fault(StoreFault::None);
+    for node in testbed.nodes.borrow().iter() {
+        node.store_relay.set_flow(RelayFlow::Pass);
     }
-    for engine in &world.engines {
-        engine.path.set_flow(RelayFlow::Pass);
+    for engine in &testbed.engines {
+        engine.relay.set_flow(RelayFlow::Pass);
     }
-    for service in &world.services {
-        service.path.set_flow(RelayFlow::Pass);
+    for service in &testbed.services {
+        service.relay.set_flow(RelayFlow::Pass);
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,40 +1,45 @@
-//! A randomized soak: gateways as separate processes in front of stand-ins, faults from outside, and
-//! checks of the promises from what callers and upstreams see.
+//! Randomized soak test: gateways run as separate processes between callers, a trainer and
+//! stand-ins of the store and the upstreams. The run injects faults and checks, from what callers,
+//! the trainer and the stand-ins observe, that the guarantees of the service hold.
 //!
-//! A seed fixes the order of the faults and their strengths. The processes run in real time, so two
-//! runs of a seed see the same faults, but not the same interleavings.
+//! A seed determines the sequence of the faults with their kinds and durations. The processes run
+//! in real time, so two runs of one seed have the same faults, but not the same interleavings.
 
 mod callers;
 mod faults;
+mod testbed;
 mod trainer;
-mod world;
 
 use std::time::Duration;
 
-pub use crate::world::SoakReport;
+pub use crate::testbed::SoakReport;
 
-/// Settings of one run.
+/// Settings of one soak run.
 #[derive(Debug, Clone, Copy)]
 pub struct SoakOptions {
-    /// Seed of the faults.
+    /// Seed of the random generator that chooses the faults.
     pub seed: u64,
-    /// Time for which faults are injected.
-    pub length: Duration,
-    /// Gateways.
+    /// Length of the period in which faults are injected.
+    pub duration: Duration,
+    /// Number of gateways.
     pub gateways: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Callers.
+    /// Number of callers that send requests concurrently.
     pub callers: usize,
 }
 
 impl Default for SoakOptions {
     fn default() -> Self {
-        Self { seed: 1, length: Duration::from_secs(20), gateways: 3, engines: 3, callers: 4 }
+        Self { seed: 1, duration: Duration::from_secs(20), gateways: 3, engines: 3, callers: 4 }
     }
 }
 
-/// Runs one soak inside an `actix_rt` system and returns what it found.
+/// Runs one soak and returns its report. Must be called inside an `actix_rt` system.
+///
+/// # Panics
+///
+/// Panics when a stand-in or a gateway does not start.
 pub async fn run(options: SoakOptions) -> SoakReport {
-    world::SoakWorld::start(options).await.run().await
+    testbed::SoakTestbed::start(options).await.run().await
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs soaks one after the other and exits with 1 when a promise was broken.
+//! Runs soaks one after the other, prints their reports, and exits with status 1 if any of them
+//! found a violation.
 
 mod flags;
 
@@ -17,14 +18,14 @@
     for seed in (first..).take(count as usize) {
         let options = SoakOptions {
             seed,
-            length: flags.seconds.map_or(default.length, Duration::from_secs),
+            duration: flags.seconds.map_or(default.duration, Duration::from_secs),
             gateways: flags.gateways.unwrap_or(default.gateways),
             engines: flags.engines.unwrap_or(default.engines),
             ..default
         };
         let report = actix_rt::System::new().block_on(soak::run(options));
         print!("{report}");
-        failed += u64::from(!report.broken.is_empty());
+        failed += u64::from(!report.violations.is_empty());
     }
     println!("{} passed, {failed} failed", count - failed);
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
