--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The fleet under test, its course, and the report.
+//! The test bed of a run: gateways, stand-ins and relays, the course of the run, and its report.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt, rc::Rc, time::Duration};
 
@@ -9,63 +9,67 @@
 
 use crate::{SoakOptions, callers, faults, trainer};
 
-/// Time that is left after the last fault until all submissions must be complete.
-const SETTLING: Duration = Duration::from_secs(45);
+/// Time after the last fault within which the trainer must complete all submissions.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
 
-/// Time between two writes of the entries.
-const ENTRY_PERIOD: Duration = Duration::from_millis(500);
+/// Time between two writes of the upstream entries to the store.
+const ENTRY_WRITE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Promises that a run found broken, and what it did.
+/// Violations that a run found, and statistics of the run.
 #[derive(Debug, Clone, Default)]
 pub struct SoakReport {
     /// Seed of the run.
     pub seed: u64,
-    /// Broken promises.
-    pub broken: Vec<String>,
-    /// Counts of what happened, by name.
+    /// Descriptions of the violated guarantees. Empty if the run passed.
+    pub violations: Vec<String>,
+    /// Number of occurrences of each kind of event, by its name.
     pub counts: BTreeMap<&'static str, u64>,
-    /// Faults in order, with their time in milliseconds since the start.
+    /// Faults in the order in which they started, each with its time in milliseconds since the
+    /// start.
     pub faults: Vec<String>,
 }
 
-/// A gateway with the relay through which it reaches the store.
+/// A gateway process, with the relay through which it reaches the store.
 pub(crate) struct SoakNode {
     pub(crate) process: GatewayProcess,
-    pub(crate) store_path: TcpRelay,
-    /// Whether the process is stopped, paused or being stopped.
-    pub(crate) away: bool,
+    pub(crate) store_relay: TcpRelay,
+    /// Whether a fault has stopped or paused the process, or is stopping it.
+    pub(crate) unavailable: bool,
 }
 
-/// An engine or a plain service with the relay through which all gateways reach it.
+/// An engine or a plain service, with the relay through which all gateways reach it.
 pub(crate) struct SoakUpstream<T> {
     pub(crate) upstream: T,
-    pub(crate) path: TcpRelay,
+    pub(crate) relay: TcpRelay,
 }
 
-/// Everything of a run.
-pub(crate) struct SoakWorld {
+/// All parts of a run, shared by the tasks of its callers, its trainer and its faults.
+pub(crate) struct SoakTestbed {
     pub(crate) options: SoakOptions,
     pub(crate) store: SiteStore,
     pub(crate) nodes: RefCell<Vec<SoakNode>>,
     pub(crate) engines: Vec<SoakUpstream<SiteEngine>>,
     pub(crate) services: Vec<SoakUpstream<SiteService>>,
     pub(crate) report: RefCell<SoakReport>,
-    pub(crate) version: RefCell<u64>,
+    /// Newest weight version that the trainer has published.
+    pub(crate) weight_version: RefCell<u64>,
+    /// Whether the fault period is over, so that callers and trainer finish.
     pub(crate) stopping: RefCell<bool>,
 }
 
-impl SoakWorld {
-    /// Starts all parts and waits until the gateways are ready.
+impl SoakTestbed {
+    /// Starts the stand-ins, relays and gateways, and waits until the gateways are ready.
     pub(crate) async fn start(options: SoakOptions) -> Rc<Self> {
         let shape = SiteShape::default();
-        let store = SiteStore::start(shape.store.clone()).expect("the store starts");
+        let store =
+            SiteStore::start(shape.store.clone()).expect("the store stand-in does not start");
         let mut engines = Vec::new();
         for index in 0..options.engines {
             let engine = EngineOptions { id: format!("engine-{index}"), ..shape.engine.clone() };
-            let upstream = SiteEngine::start(engine).expect("the engine starts");
-            let path = TcpRelay::start().await;
-            path.set_target(upstream.address());
-            engines.push(SoakUpstream { upstream, path });
+            let upstream = SiteEngine::start(engine).expect("an engine stand-in does not start");
+            let relay = TcpRelay::start().await;
+            relay.set_target(upstream.address());
+            engines.push(SoakUpstream { upstream, relay });
         }
         let mut services = Vec::new();
         for index in 0..2 {
@@ -74,60 +78,61 @@
                 lose_every: 23,
                 ..shape.service.clone()
             };
-            let upstream = SiteService::start(service).expect("the service starts");
-            let path = TcpRelay::start().await;
-            path.set_target(upstream.address());
-            services.push(SoakUpstream { upstream, path });
+            let upstream = SiteService::start(service).expect("a service stand-in does not start");
+            let relay = TcpRelay::start().await;
+            relay.set_target(upstream.address());
+            services.push(SoakUpstream { upstream, relay });
         }
         store.put_operator("config", &SiteFleet::config(1, &["key-1"]));
         let mut nodes = Vec::new();
         for index in 0..options.gateways {
-            let store_path = TcpRelay::start().await;
-            store_path.set_target(store.address());
-            let process = GatewayProcess::start(store_path.address(), index, true);
-            nodes.push(SoakNode { process, store_path, away: false });
+            let store_relay = TcpRelay::start().await;
+            store_relay.set_target(store.address());
+            let process = GatewayProcess::start(store_relay.address(), index, true);
+            nodes.push(SoakNode { process, store_relay, unavailable: false });
         }
-        let world = Self {
+        let testbed = Self {
             options,
             store,
             nodes: RefCell::new(nodes),
             engines,
             services,
             report: RefCell::new(SoakReport { seed: options.seed, ..Default::default() }),
-            version: RefCell::new(1),
+            weight_version: RefCell::new(1),
             stopping: RefCell::new(false),
         };
-        world.write_entries();
+        testbed.write_entries();
         let addresses: Vec<_> =
-            world.nodes.borrow().iter().map(|node| node.process.ready()).collect();
+            testbed.nodes.borrow().iter().map(|node| node.process.ready()).collect();
         for address in addresses {
             process_tests::wait_for("a gateway that is ready", || async move {
-                let answer = process_tests::get(address, "/readyz", &[]).await;
-                (answer.status == 200).then_some(())
+                let response = process_tests::get(address, "/readyz", &[]).await;
+                (response.status == 200).then_some(())
             })
             .await;
         }
-        Rc::new(world)
+        Rc::new(testbed)
     }
 
-    /// Writes the entries of all upstreams, with the addresses of their relays.
+    /// Writes the entries of all upstreams to the store, with the addresses of their relays.
     pub(crate) fn write_entries(&self) {
         for engine in &self.engines {
             let mut entry = engine.upstream.entry();
-            entry["address"] = engine.path.address().to_string().into();
+            entry["address"] = engine.relay.address().to_string().into();
             self.store.put_upstream(engine.upstream.id(), &entry);
         }
         for service in &self.services {
             let mut entry = service.upstream.entry();
-            entry["address"] = service.path.address().to_string().into();
+            entry["address"] = service.relay.address().to_string().into();
             self.store.put_upstream(service.upstream.id(), &entry);
         }
     }
 
-    /// Writes the entries again and again, as engines do when their versions change.
+    /// Writes the entries periodically, since they name the weight versions that the engines have
+    /// loaded.
     async fn refresh_entries(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(ENTRY_PERIOD).await;
+            tokio::time::sleep(ENTRY_WRITE_PERIOD).await;
             self.write_entries();
         }
     }
@@ -136,15 +141,16 @@
         *self.report.borrow_mut().counts.entry(what).or_default() += 1;
     }
 
-    pub(crate) fn broken(&self, what: String) {
-        self.report.borrow_mut().broken.push(what);
+    pub(crate) fn report_violation(&self, what: String) {
+        self.report.borrow_mut().violations.push(what);
     }
 
     pub(crate) fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Injects faults for the length of the run, heals everything, and checks what must hold then.
+    /// Injects faults for the fault period, ends them, waits for callers and trainer, and checks
+    /// what must hold then.
     pub(crate) async fn run(self: Rc<Self>) -> SoakReport {
         let mut random = ChaCha8Rng::seed_from_u64(self.options.seed);
         actix_rt::spawn(Rc::clone(&self).refresh_entries());
@@ -154,45 +160,49 @@
         }
         let trainer = actix_rt::spawn(trainer::run(Rc::clone(&self)));
         faults::inject(&self, &mut random).await;
-        faults::heal(&self).await;
+        faults::end_faults(&self).await;
         *self.stopping.borrow_mut() = true;
         for caller in callers {
             if let Err(error) = caller.await {
-                self.broken(format!("a caller failed: {error}"));
+                self.report_violation(format!("caller task failed: {error}"));
             }
         }
-        match tokio::time::timeout(SETTLING, trainer).await {
+        match tokio::time::timeout(SETTLE_TIMEOUT, trainer).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => self.broken(format!("the trainer failed: {error}")),
-            Err(_) => self.broken(String::from("submissions are not complete after the faults")),
+            Ok(Err(error)) => self.report_violation(format!("trainer task failed: {error}")),
+            Err(_) => self.report_violation(String::from(
+                "submissions were not complete within the settle timeout after the faults",
+            )),
         }
         self.check_upstreams();
         self.report.borrow().clone()
     }
 
-    /// Collects what the stand-ins saw.
+    /// Adds the violations that the stand-ins observed, and gateways that exited unexpectedly.
     fn check_upstreams(&self) {
         for violation in self.store.violations() {
-            self.broken(format!("store: {violation}"));
+            self.report_violation(format!("store: {violation}"));
         }
         for engine in &self.engines {
             for violation in engine.upstream.violations() {
-                self.broken(format!("{}: {violation}", engine.upstream.id()));
+                self.report_violation(format!("{}: {violation}", engine.upstream.id()));
             }
         }
         let repeated = self.services.iter().flat_map(|service| service.upstream.repeated());
         for request in repeated.filter(|request| request.starts_with("once-")) {
-            self.broken(format!("request {request} ran twice at one upstream"));
+            self.report_violation(format!(
+                "non-idempotent request {request} ran more than once on one upstream"
+            ));
         }
         let mut nodes = self.nodes.borrow_mut();
-        for node in nodes.iter_mut().filter(|node| !node.away) {
+        for node in nodes.iter_mut().filter(|node| !node.unavailable) {
             if let Some(code) = node.process.exit_code() {
-                self.broken(format!("a gateway ended by itself with code {code}"));
+                self.report_violation(format!("a gateway exited unexpectedly with code {code}"));
             }
         }
     }
 
-    /// Tells at how many upstreams a request has run.
+    /// Returns the number of plain services on which a request has run.
     pub(crate) fn runs_of(&self, request: &str) -> usize {
         self.services.iter().filter(|service| service.upstream.has_run(request)).count()
     }
@@ -200,16 +210,16 @@
 
 impl fmt::Display for SoakReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let verdict = if self.broken.is_empty() { "passed" } else { "FAILED" };
+        let verdict = if self.violations.is_empty() { "passed" } else { "FAILED" };
         writeln!(f, "seed {} {verdict}", self.seed)?;
         let counts = self.counts.iter().map(|(name, count)| format!("{name} {count}"));
         writeln!(f, "  {}", counts.collect::<Vec<_>>().join(", "))?;
-        for line in &self.broken {
+        for line in &self.violations {
             writeln!(f, "  broken: {line}")?;
         }
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             writeln!(f, "  faults: {}", self.faults.join("; "))?;
-            writeln!(f, "  again: cargo run --release --bin soak -- --seed {}", self.seed)?;
+            writeln!(f, "  to repeat: cargo run --release --bin soak -- --seed {}", self.seed)?;
         }
         Ok(())
     }
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -1,4 +1,5 @@
-//! A trainer that submits, reads, ends, and names versions.
+//! A trainer that hands in submissions, reads and checks their results, ends them, and publishes
+//! new weight versions.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,81 +11,95 @@
 use serde_json::{Value, json};
 use site_stand_in::event_data;
 
-use crate::world::SoakWorld;
+use crate::testbed::SoakTestbed;
 
-/// Items of a submission.
-const ITEMS: usize = 12;
+/// Number of items in a submission.
+const ITEMS_PER_SUBMISSION: usize = 12;
 
-/// Events of an item.
-const EVENTS: u64 = 10;
+/// Number of events in an item's output.
+const EVENTS_PER_ITEM: u64 = 10;
 
 /// Pause between two reads.
 const READ_PAUSE: Duration = Duration::from_millis(150);
 
-/// Time after which a submission is ended although it is not complete, while faults go on.
-const PATIENCE: Duration = Duration::from_secs(12);
+/// Time after which an incomplete submission is ended while faults are injected. After the faults,
+/// the trainer reads for three times as long.
+const READ_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// One submission as the trainer has seen it.
+/// A submission with the results that the trainer has read, by position.
 struct SeenSubmission {
     id: String,
-    least: u64,
+    min_version: u64,
     results: BTreeMap<u64, Value>,
 }
 
-/// Submits until the run stops; then completes the last submission and reads all of them once more.
-pub(crate) async fn run(world: Rc<SoakWorld>) {
+/// Hands in one submission after the other until the run stops. Then hands in a last one, which
+/// must be completed without faults, and reads all submissions once more from the start.
+pub(crate) async fn run(testbed: Rc<SoakTestbed>) {
     let mut step = 0;
     let mut seen = Vec::new();
-    while !world.is_stopping() {
+    while !testbed.is_stopping() {
         step += 1;
-        let least = world.version.borrow().saturating_sub(1).max(1);
-        let id = format!("lot{}x{step}", world.options.seed);
-        let mut submission = SeenSubmission { id, least, results: BTreeMap::new() };
-        if submit(&world, &submission).await {
-            world.count("submissions");
-            read(&world, &mut submission).await;
+        let min_version = testbed.weight_version.borrow().saturating_sub(1).max(1);
+        let id = format!("lot{}x{step}", testbed.options.seed);
+        let mut submission = SeenSubmission { id, min_version, results: BTreeMap::new() };
+        if submit(&testbed, &submission).await {
+            testbed.count("submissions");
+            read_until_complete(&testbed, &mut submission).await;
             seen.push(submission);
-            name_version(&world);
+            publish_version(&testbed);
         }
     }
     let mut last = SeenSubmission {
-        id: format!("lot{}last", world.options.seed),
-        least: world.version.borrow().saturating_sub(1).max(1),
+        id: format!("lot{}last", testbed.options.seed),
+        min_version: testbed.weight_version.borrow().saturating_sub(1).max(1),
         results: BTreeMap::new(),
     };
-    if submit(&world, &last).await {
-        read(&world, &mut last).await;
-        if last.results.len() != ITEMS {
-            world.broken(format!("{} is not complete after the faults", last.id));
+    if submit(&testbed, &last).await {
+        read_until_complete(&testbed, &mut last).await;
+        if last.results.len() != ITEMS_PER_SUBMISSION {
+            testbed.report_violation(format!(
+                "submission {} is not complete, although the faults have ended",
+                last.id
+            ));
         }
         seen.push(last);
     }
     for submission in &mut seen {
-        read_again(&world, submission).await;
+        read_from_start(&testbed, submission).await;
     }
 }
 
-fn name_version(world: &SoakWorld) {
-    let mut version = world.version.borrow_mut();
+fn publish_version(testbed: &SoakTestbed) {
+    let mut version = testbed.weight_version.borrow_mut();
     *version += 1;
-    world.store.put_operator("version/m0", &json!({ "model": "m0", "version": *version }));
+    testbed.store.put_operator("version/m0", &json!({ "model": "m0", "version": *version }));
 }
 
-/// Hands a submission in until a node accepts it, as a trainer does.
-async fn submit(world: &SoakWorld, seen: &SeenSubmission) -> bool {
-    let body = submission(&seen.id, ITEMS, seen.least).to_string();
+/// Hands in a submission, and retries on another node until one accepts it. Returns whether it was
+/// accepted.
+async fn submit(testbed: &SoakTestbed, seen: &SeenSubmission) -> bool {
+    let body = submission(&seen.id, ITEMS_PER_SUBMISSION, seen.min_version).to_string();
     let path = format!("/draft/{}", seen.id);
     for attempt in 0.. {
-        if world.is_stopping() && attempt > 200 {
-            world.broken(format!("{} is not accepted after the faults", seen.id));
+        if testbed.is_stopping() && attempt > 200 {
+            testbed.report_violation(format!(
+                "submission {} was not accepted in {attempt} attempts, although the faults have \
+                 ended",
+                seen.id
+            ));
             return false;
         }
-        let address = address(world, attempt);
-        let answer = call(address, &path, &SiteFleet::headers(&seen.id), &body).await;
-        match answer.status {
+        let address = address(testbed, attempt);
+        let response = call(address, &path, &SiteFleet::headers(&seen.id), &body).await;
+        match response.status {
             202 => return true,
             400 | 401 | 404 | 413 => {
-                world.broken(format!("{} was answered {}", seen.id, answer.status));
+                testbed.report_violation(format!(
+                    "submission {} was refused with status {}, which a valid submission must not \
+                     get",
+                    seen.id, response.status
+                ));
                 return false;
             }
             _ => tokio::time::sleep(READ_PAUSE).await,
@@ -93,29 +108,30 @@
     false
 }
 
-fn address(world: &SoakWorld, attempt: usize) -> std::net::SocketAddr {
-    let nodes = world.nodes.borrow();
+fn address(testbed: &SoakTestbed, attempt: usize) -> std::net::SocketAddr {
+    let nodes = testbed.nodes.borrow();
     nodes[attempt % nodes.len()].process.callers()
 }
 
-/// Reads until all results are there, or patience ends while faults go on; then ends the submission.
-async fn read(world: &SoakWorld, seen: &mut SeenSubmission) {
+/// Reads until all results are there or the timeout has passed while faults are injected, then ends
+/// the submission.
+async fn read_until_complete(testbed: &SoakTestbed, seen: &mut SeenSubmission) {
     let start = Instant::now();
     for attempt in 0.. {
-        read_once(world, seen, seen.results.len() as u64, attempt).await;
-        let complete = seen.results.len() == ITEMS;
-        if complete || (start.elapsed() > PATIENCE && !world.is_stopping()) {
+        read_once(testbed, seen, seen.results.len() as u64, attempt).await;
+        let complete = seen.results.len() == ITEMS_PER_SUBMISSION;
+        if complete || (start.elapsed() > READ_TIMEOUT && !testbed.is_stopping()) {
             break;
         }
-        if start.elapsed() > PATIENCE * 3 {
+        if start.elapsed() > READ_TIMEOUT * 3 {
             return;
         }
         tokio::time::sleep(READ_PAUSE).await;
     }
     for attempt in 0..100 {
         let path = format!("/lots/{}", seen.id);
-        let answer = delete(address(world, attempt), &path).await;
-        if answer == 200 {
+        let response = delete(address(testbed, attempt), &path).await;
+        if response == 200 {
             return;
         }
         tokio::time::sleep(READ_PAUSE).await;
@@ -124,101 +140,126 @@
 
 async fn delete(address: std::net::SocketAddr, path: &str) -> u16 {
     let mut request = clients::HttpRequest::get(address, path);
-    request.method = "DELETE".parse().expect("the method is valid");
+    request.method = "DELETE".parse().expect("DELETE is a valid method");
     for (name, value) in SiteFleet::headers("end") {
-        let name = name.parse().expect("names are valid");
-        request = request.with_header(name, value.parse().expect("values are valid"));
+        let name = name.parse().expect("header names of the test fleet are valid");
+        request = request
+            .with_header(name, value.parse().expect("header values of the test fleet are valid"));
     }
     let client = clients::HttpClient::new(base::Span::from_millis(500));
-    let answer = client.exchange(request, base::Span::from_secs(4), 1 << 16).await;
-    answer.map_or(0, |answer| answer.status.as_u16())
+    let response = client.exchange(request, base::Span::from_secs(4), 1 << 16).await;
+    response.map_or(0, |response| response.status.as_u16())
 }
 
-/// Reads everything from the start, until a node answers.
-async fn read_again(world: &SoakWorld, seen: &mut SeenSubmission) {
+/// Reads all results from the start, and retries on another node until one responds.
+async fn read_from_start(testbed: &SoakTestbed, seen: &mut SeenSubmission) {
     for attempt in 0..100 {
-        if read_once(world, seen, 0, attempt).await {
+        if read_once(testbed, seen, 0, attempt).await {
             return;
         }
         tokio::time::sleep(READ_PAUSE).await;
     }
-    world.broken(format!("{} cannot be read after the faults", seen.id));
+    testbed.report_violation(format!(
+        "submission {} could not be read in 100 attempts, although the faults have ended",
+        seen.id
+    ));
 }
 
 async fn read_once(
-    world: &SoakWorld,
+    testbed: &SoakTestbed,
     seen: &mut SeenSubmission,
     after: u64,
     attempt: usize,
 ) -> bool {
     let path = format!("/lots/{}?after={after}", seen.id);
-    let answer = get(address(world, attempt), &path, &SiteFleet::headers("read")).await;
-    if answer.status == 404 {
-        world.broken(format!("{} was accepted and is answered 404", seen.id));
+    let response = get(address(testbed, attempt), &path, &SiteFleet::headers("read")).await;
+    if response.status == 404 {
+        testbed.report_violation(format!(
+            "submission {} was accepted, but reading it returned 404",
+            seen.id
+        ));
     }
-    if answer.status != 200 {
+    if response.status != 200 {
         return false;
     }
-    let Ok(body) = serde_json::from_str::<Value>(&answer.body) else {
-        world.broken(format!("{} is answered with {}", seen.id, answer.body));
+    let Ok(body) = serde_json::from_str::<Value>(&response.body) else {
+        testbed.report_violation(format!(
+            "reading submission {} returned an invalid body: {}",
+            seen.id, response.body
+        ));
         return false;
     };
-    if body["total"] != ITEMS as u64 {
-        world.broken(format!("{} has {} items", seen.id, body["total"]));
+    if body["total"] != ITEMS_PER_SUBMISSION as u64 {
+        testbed.report_violation(format!(
+            "submission {} reports {} items instead of {ITEMS_PER_SUBMISSION}",
+            seen.id, body["total"]
+        ));
     }
     let results = body["results"].as_array().cloned().unwrap_or_default();
     for (position, result) in (after..).zip(results) {
-        check_result(world, seen, position, result);
+        check_result(testbed, seen, position, result);
     }
     true
 }
 
-fn check_result(world: &SoakWorld, seen: &mut SeenSubmission, position: u64, result: Value) {
+fn check_result(testbed: &SoakTestbed, seen: &mut SeenSubmission, position: u64, result: Value) {
     if let Some(known) = seen.results.get(&position) {
         if *known != result {
-            world.broken(format!("position {position} of {} has changed", seen.id));
+            testbed.report_violation(format!(
+                "the result at position {position} of submission {} has changed",
+                seen.id
+            ));
         }
         return;
     }
     let item = String::from(result["id"].as_str().unwrap_or_default());
     if seen.results.values().any(|known| known["id"] == item.as_str()) {
-        world.broken(format!("{item} stands at two positions"));
+        testbed.report_violation(format!("item {item} has results at two positions"));
     }
-    if let Err(reason) = check_text(&result, &item, seen.least) {
-        world.broken(format!("{item}: {reason}: {result}"));
+    if let Err(reason) = verify_result(&result, &item, seen.min_version) {
+        testbed.report_violation(format!("wrong result of item {item}: {reason}: {result}"));
     }
-    world.count("results");
+    testbed.count("results");
     seen.results.insert(position, result);
 }
 
-/// Checks that a text is whole, and names the versions that its events were made with.
-fn check_text(result: &Value, item: &str, least: u64) -> Result<(), String> {
+/// Checks that a result is complete: its output has all events of the item, and `versions` lists
+/// exactly the weight versions that generated them, none of which is below the minimum.
+///
+/// # Errors
+///
+/// Returns what is wrong with the result.
+fn verify_result(result: &Value, item: &str, min_version: u64) -> Result<(), String> {
     if result["state"] != "finished" {
-        return Err(String::from("it was given up"));
+        return Err(String::from("its state is not `finished`"));
     }
     if result["score"] != format!("stamp-{item}-score") {
-        return Err(String::from("the score is not that of its call"));
+        return Err(String::from("its score is not that of its scoring call"));
     }
     let mut versions = BTreeSet::new();
     let output = result["output"].as_str().unwrap_or_default();
     let lines: Vec<&str> = output.lines().collect();
-    if lines.len() as u64 != EVENTS {
-        return Err(format!("{} events of {EVENTS}", lines.len()));
+    if lines.len() as u64 != EVENTS_PER_ITEM {
+        return Err(format!("it has {} of {EVENTS_PER_ITEM} events", lines.len()));
     }
     for (event, line) in (1..).zip(&lines) {
         let version = line.rsplit(':').next().and_then(|text| text.parse().ok()).unwrap_or(0);
         if *line != event_data(item, event, version) {
-            return Err(format!("event {event} is {line}"));
+            return Err(format!("event {event} has unexpected content: {line}"));
         }
         versions.insert(version);
     }
     let named: BTreeSet<u64> =
         result["versions"].as_array().into_iter().flatten().filter_map(Value::as_u64).collect();
     if named != versions {
-        return Err(format!("it names {named:?} and was made with {versions:?}"));
+        return Err(format!(
+            "it names weight versions {named:?}, but its events were generated with {versions:?}"
+        ));
     }
-    if versions.first().is_some_and(|oldest| *oldest < least) {
-        return Err(format!("a version is below {least}"));
+    if versions.first().is_some_and(|oldest| *oldest < min_version) {
+        return Err(format!(
+            "it was generated with a weight version below the minimum of {min_version}"
+        ));
     }
     Ok(())
 }
--- a/crates/soak/tests/seeds.rs
+++ b/crates/soak/tests/seeds.rs
@@ -1,4 +1,5 @@
-//! Short seeded runs. Each seed that ever failed stays here with its cause.
+//! Short runs with fixed seeds. Each seed that has ever failed stays here, with the cause of the
+//! failure.
 
 use std::time::Duration;
 
@@ -7,12 +8,12 @@
 
 #[rstest]
 #[case::short_run(7, 6)]
-// A usage report that its holder had given up was held by the network and arrived after its successor's.
-// Given-up calls end with a reset now.
-#[case::held_up_report(213, 8)]
+// The network delayed a usage report that its sender, a former lease holder, had abandoned. It
+// arrived after the report of the successor. Abandoned calls now end with a connection reset.
+#[case::delayed_usage_report(213, 8)]
 #[actix_rt::test]
 async fn check_seed(#[case] seed: u64, #[case] seconds: u64) {
-    let length = Duration::from_secs(seconds);
-    let report = soak::run(SoakOptions { seed, length, ..Default::default() }).await;
-    assert!(report.broken.is_empty(), "{report}");
+    let duration = Duration::from_secs(seconds);
+    let report = soak::run(SoakOptions { seed, duration, ..Default::default() }).await;
+    assert!(report.violations.is_empty(), "{report}");
 }
--- a/crates/xtask/src/catalogue.rs
+++ b/crates/xtask/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! Keeps `docs/events.md` equal to the event catalogue in the code.
+//! Writes `docs/events.md` from the event catalogue in the code, and checks that the file is
+//! current.
 
 use std::{fmt::Write as _, fs};
 
@@ -9,14 +10,15 @@
 
 const FILE: &str = "docs/events.md";
 
-/// Fails when the page and the code differ.
+/// Fails when the page differs from the event catalogue.
 pub(crate) fn check() -> StepResult {
     let page =
         fs::read_to_string(FILE).change_context_lazy(|| StepFailed(format!("reading {FILE}")))?;
     if page == render() {
         return Ok(());
     }
-    let problem = format!("{FILE} differs from the code, run `cargo xtask events`; this check");
+    let problem =
+        format!("check that {FILE} matches the event catalogue (`cargo xtask events` updates it)");
     Err(StepFailed(problem).into())
 }
 
--- a/crates/xtask/src/flags.rs
+++ b/crates/xtask/src/flags.rs
@@ -4,9 +4,10 @@
 #![allow(missing_docs, unreachable_pub)]
 
 xflags::xflags! {
-    /// Automation of the hibiscushinge workspace.
+    /// Development tasks of the hibiscushinge workspace.
     cmd xtask {
-        /// Runs formatter, linter, event catalogue check, all tests and the model checks.
+        /// Checks formatting, lints and docs/events.md, and runs all tests, the model checks
+        /// included, but for those listed in KNOWN-RED.txt.
         cmd test {}
         /// Writes docs/events.md from the event catalogue in the code.
         cmd events {}
--- a/crates/xtask/src/known_red.rs
+++ b/crates/xtask/src/known_red.rs
@@ -1,4 +1,4 @@
-//! Reads `KNOWN-RED.txt`, the list of tests that fail because of a known fault.
+//! Reads `KNOWN-RED.txt`, the list of tests that CI skips because they fail for a known fault.
 //!
 //! Entries are blocks of `key: value` lines separated by blank lines, with the keys `test`,
 //! `command`, `seen` and `issue`. Lines that start with `#` are comments.
@@ -12,23 +12,24 @@
 
 const FILE: &str = "KNOWN-RED.txt";
 
-/// One test that fails because of a known fault.
+/// A test that fails because of a known fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct RedEntry {
+pub(crate) struct KnownFailure {
     pub(crate) test: String,
     command: String,
     seen: String,
     issue: String,
 }
 
-pub(crate) fn read() -> StepResult<Vec<RedEntry>> {
+pub(crate) fn read() -> StepResult<Vec<KnownFailure>> {
     let text =
         fs::read_to_string(FILE).change_context_lazy(|| StepFailed(format!("reading {FILE}")))?;
     parse(&text).map_err(|problem| StepFailed(format!("reading {FILE}: {problem}")).into())
 }
 
-/// Fails when an entry names a test that does not exist.
-pub(crate) fn check_names(shell: &Shell, entries: &[RedEntry]) -> StepResult {
+/// Fails when an entry names a test that does not exist. Tests are listed only if there is an
+/// entry, since that compiles the workspace.
+pub(crate) fn check_tests_exist(shell: &Shell, entries: &[KnownFailure]) -> StepResult {
     if entries.is_empty() {
         return Ok(());
     }
@@ -41,13 +42,14 @@
         if tests.contains(entry.test.as_str()) {
             continue;
         }
-        let problem = format!("{FILE}: test \"{}\" does not exist; this check", entry.test);
+        let problem =
+            format!("check that the test \"{}\" of {FILE} exists in the workspace", entry.test);
         return Err(StepFailed(problem).into());
     }
     Ok(())
 }
 
-pub(crate) fn print(entries: &[RedEntry]) {
+pub(crate) fn print(entries: &[KnownFailure]) {
     println!("known red tests passed over: {}", entries.len());
     for entry in entries {
         println!("  {} (issue {}): {}", entry.test, entry.issue, entry.seen);
@@ -55,7 +57,7 @@
     }
 }
 
-fn parse(text: &str) -> Result<Vec<RedEntry>, String> {
+fn parse(text: &str) -> Result<Vec<KnownFailure>, String> {
     let mut entries = Vec::new();
     let lines = text.lines().filter(|line| !line.starts_with('#')).collect::<Vec<_>>();
     for block in lines.split(|line| line.trim().is_empty()) {
@@ -65,11 +67,11 @@
         let field = |key: &str| {
             let prefix = format!("{key}:");
             let value = block.iter().find_map(|line| line.strip_prefix(&prefix));
-            value
-                .map(|value| String::from(value.trim()))
-                .ok_or_else(|| format!("the entry \"{}\" has no line \"{prefix}\"", block[0]))
+            value.map(|value| String::from(value.trim())).ok_or_else(|| {
+                format!("the entry that starts with \"{}\" has no line \"{prefix}\"", block[0])
+            })
         };
-        entries.push(RedEntry {
+        entries.push(KnownFailure {
             test: field("test")?,
             command: field("command")?,
             seen: field("seen")?,
--- a/crates/xtask/src/main.rs
+++ b/crates/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Automation of the workspace: `cargo xtask test` is what CI runs.
+//! Development tasks of the workspace. CI runs `cargo xtask test`.
 
 mod catalogue;
 mod flags;
@@ -9,7 +9,7 @@
 
 use crate::flags::{Xtask, XtaskCmd};
 
-/// A step of the automation failed.
+/// A failed step, named so that the message reads "... failed".
 #[derive(Debug)]
 pub(crate) struct StepFailed(pub(crate) String);
 
@@ -40,12 +40,14 @@
     step("cargo clippy", &cmd!(shell, "cargo clippy --workspace --all-targets -- -D warnings"))?;
     catalogue::check()?;
     let entries = known_red::read()?;
-    known_red::check_names(&shell, &entries)?;
-    let skips = entries.iter().flat_map(|entry| [String::from("--skip"), entry.test.clone()]);
-    // Integration tests start the daemon and the stand-ins as processes, so the binaries must exist.
+    known_red::check_tests_exist(&shell, &entries)?;
+    let skip_args = entries.iter().flat_map(|entry| [String::from("--skip"), entry.test.clone()]);
+    // Integration tests start the binaries of the daemon and the stand-ins, which `cargo test` does
+    // not build for other packages.
     step("cargo build", &cmd!(shell, "cargo build --workspace --bins"))?;
-    // `--exact` applies to `--skip`, so that an entry passes over exactly one test.
-    step("cargo test", &cmd!(shell, "cargo test --workspace -- --exact {skips...}"))?;
+    // `--exact` also applies to `--skip`: each entry skips the test of that name only, not all
+    // tests whose names contain it.
+    step("cargo test", &cmd!(shell, "cargo test --workspace -- --exact {skip_args...}"))?;
     known_red::print(&entries);
     Ok(())
 }
