--- a/crates/process-tests/src/call.rs
+++ b/crates/process-tests/src/call.rs
@@ -1,4 +1,4 @@
-//! HTTP calls of tests.
+//! HTTP calls that tests make.
 
 use std::net::SocketAddr;
 
@@ -7,61 +7,65 @@
 use clients::{HttpClient, HttpRequest};
 use serde_json::Value;
 
-/// A whole answer.
+/// A complete response, or the error in its place.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallAnswer {
-    /// HTTP status, or 0 when no whole answer came.
+pub struct CallResponse {
+    /// HTTP status, or 0 if no complete response arrived.
     pub status: u16,
-    /// Body.
+    /// Body, or the text of the error if no complete response arrived.
     pub body: String,
 }
 
-const LIMIT: Span = Span::from_secs(60);
+/// Timeout of one call, connecting and reading a streamed body included.
+const CALL_TIMEOUT: Span = Span::from_secs(60);
 
-/// Sends a caller's request.
+/// Posts a body with the given headers, as a caller does.
 pub async fn call(
     address: SocketAddr,
     path: &str,
     headers: &[(&'static str, String)],
     body: &str,
-) -> CallAnswer {
+) -> CallResponse {
     let mut request = HttpRequest::post(address, path, Bytes::copy_from_slice(body.as_bytes()));
     for (name, value) in headers {
-        let value = value.parse().expect("test headers are valid");
-        request = request.with_header(name.parse().expect("test headers are valid"), value);
+        let value = value.parse().expect("a test passes valid header values");
+        request =
+            request.with_header(name.parse().expect("a test passes valid header names"), value);
     }
     send(request).await
 }
 
-/// Sends a request without a body.
+/// Sends a GET request with the given headers.
 pub async fn get(
     address: SocketAddr,
     path: &str,
     headers: &[(&'static str, String)],
-) -> CallAnswer {
+) -> CallResponse {
     let mut request = HttpRequest::get(address, path);
     for (name, value) in headers {
-        let value = value.parse().expect("test headers are valid");
-        request = request.with_header(name.parse().expect("test headers are valid"), value);
+        let value = value.parse().expect("a test passes valid header values");
+        request =
+            request.with_header(name.parse().expect("a test passes valid header names"), value);
     }
     send(request).await
 }
 
-/// Reads JSON, or `None` when no answer came.
+/// Sends a GET request and decodes the JSON body, whatever the status. Returns `None` if no
+/// complete response arrived or its body is not JSON.
 pub async fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
-    let answer = send(HttpRequest::get(address, path)).await;
-    serde_json::from_str(&answer.body).ok()
+    let response = send(HttpRequest::get(address, path)).await;
+    serde_json::from_str(&response.body).ok()
 }
 
-/// Posts JSON and returns the status.
+/// Posts JSON and returns the status, or 0 if no complete response arrived.
 pub async fn post_json(address: SocketAddr, path: &str, value: &Value) -> u16 {
     let body = Bytes::from(value.to_string());
     send(HttpRequest::post(address, path, body)).await.status
 }
 
-async fn send(request: HttpRequest) -> CallAnswer {
-    match HttpClient::new(Span::from_secs(5)).stream_all(request, LIMIT).await {
-        Ok((status, body)) => CallAnswer { status, body: String::from_utf8_lossy(&body).into() },
-        Err(error) => CallAnswer { status: 0, body: error.to_string() },
+async fn send(request: HttpRequest) -> CallResponse {
+    match HttpClient::new(Span::from_secs(5)).stream_all(request, CALL_TIMEOUT).await {
+        Ok((status, body)) => CallResponse { status, body: String::from_utf8_lossy(&body).into() },
+        Err(error) => CallResponse { status: 0, body: error.to_string() },
     }
 }
--- a/crates/process-tests/src/fleet.rs
+++ b/crates/process-tests/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small deployment of separate processes.
+//! A small deployment of separate processes: the platform, upstreams and daemons.
 
 use std::{
     fmt::Write as _,
@@ -19,50 +19,51 @@
 /// What a test deployment consists of.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Zone of each daemon.
+    /// Zone of each daemon. Its length is the number of daemons.
     pub daemons: Vec<&'static str>,
-    /// Engines, with further arguments of the stand-in.
+    /// Additional command line arguments of each model engine.
     pub engines: Vec<Vec<String>>,
-    /// Plain services, with further arguments of the stand-in.
+    /// Additional command line arguments of each upstream of the plain service.
     pub plain: Vec<Vec<String>>,
-    /// Further arguments of the platform stand-in.
+    /// Additional command line arguments of the platform stand-in.
     pub platform: Vec<String>,
-    /// Lines added to the settings of every daemon.
+    /// TOML lines that are added to the settings of every daemon.
     pub settings: String,
-    /// Traffic threads of each daemon.
+    /// Number of traffic threads of each daemon.
     pub traffic_threads: u32,
-    /// How long a share of a customer's limit lasts.
+    /// Duration of a limit grant, as text with its unit.
     pub limit_grant: &'static str,
-    /// Lines put before the tables of the document.
+    /// Top-level TOML lines of the document, before its tables.
     pub document: String,
-    /// Further tables of the document.
+    /// Additional TOML tables at the end of the document.
     pub tables: String,
 }
 
-/// Running processes of a test deployment.
+/// The running processes of a test deployment. Dropping it kills them, and removes their logs
+/// unless the test panics.
 #[derive(Debug)]
 pub struct TestFleet {
-    /// Platform.
+    /// Platform stand-in.
     pub platform: ProcessHandle,
     /// Model engines, all in zone `hobart-a`.
     pub engines: Vec<ProcessHandle>,
-    /// Plain services, all in zone `hobart-a`.
+    /// Upstreams of the plain service, all in zone `hobart-a`.
     pub plain: Vec<ProcessHandle>,
-    /// Daemons. Their addresses are those of callers, peers and operators, in this order.
+    /// Daemons. Address 0 is for callers, 1 for peers, 2 for operators.
     pub daemons: Vec<ProcessHandle>,
     options: FleetOptions,
     folder: PathBuf,
 }
 
-static LAST_FOLDER: AtomicU32 = AtomicU32::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// Returns the key of a customer or trainer of the test document.
+/// Returns the API key of a customer or trainer of the test document.
 #[must_use]
 pub fn caller_key(name: &str) -> String {
     format!("key-of-{name}")
 }
 
-/// Builds the test document with its customers.
+/// Builds the document of the test deployment with these customers.
 #[must_use]
 pub fn document_text(fleet: &TestFleet, customers: &[&str]) -> String {
     let mut text = String::from("environment = \"production\"\ntime_zone = \"Australia/Hobart\"\n");
@@ -74,11 +75,11 @@
     }
     text.push_str("[[services]]\nname = \"draft-models\"\nkind = \"model\"\n");
     text.push_str("[[services]]\nname = \"dieline-index\"\nkind = \"plain\"\n");
-    pool(&mut text, "draft-models", &fleet.engines);
-    pool(&mut text, "dieline-index", &fleet.plain);
-    route(&mut text, "draft", "draft-models", "idempotent = true");
-    route(&mut text, "order", "dieline-index", "idempotent = false");
-    route(&mut text, "open", "dieline-index", "idempotent = true\nopen = true");
+    push_pool(&mut text, "draft-models", &fleet.engines);
+    push_pool(&mut text, "dieline-index", &fleet.plain);
+    push_route(&mut text, "draft", "draft-models", "idempotent = true");
+    push_route(&mut text, "order", "dieline-index", "idempotent = false");
+    push_route(&mut text, "open", "dieline-index", "idempotent = true\nopen = true");
     for customer in customers {
         let digest = KeyDigest::of(&caller_key(customer));
         writeln!(
@@ -101,7 +102,8 @@
     text
 }
 
-fn pool(text: &mut String, service: &str, upstreams: &[ProcessHandle]) {
+/// Appends the pool of a service with the addresses of its upstreams.
+fn push_pool(text: &mut String, service: &str, upstreams: &[ProcessHandle]) {
     let addresses = upstreams.iter().map(|upstream| format!("\"{}\"", upstream.address(0)));
     let addresses = addresses.collect::<Vec<_>>().join(", ");
     let count = upstreams.len().max(1);
@@ -114,7 +116,8 @@
     .expect("writing to a string succeeds");
 }
 
-fn route(text: &mut String, path: &str, service: &str, flags: &str) {
+/// Appends a route to a service.
+fn push_route(text: &mut String, path: &str, service: &str, flags: &str) {
     let table = format!(
         "[[routes]]\npath = \"{path}\"\nservice = \"{service}\"\n{flags}\nmax_deadline = \"30s\"\n"
     );
@@ -138,21 +141,23 @@
 }
 
 impl TestFleet {
-    /// Starts all processes. No document is in force yet.
+    /// Starts all processes and makes the platform list the daemons. No document is in force yet.
     ///
     /// # Panics
     ///
     /// Panics when a process cannot be started.
     pub async fn start(options: FleetOptions) -> Self {
-        let number = LAST_FOLDER.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("hibiscushinge-{}-{number}", process::id()));
-        fs::create_dir_all(&folder).expect("the folder can be created");
-        let platform = stand_in(&folder, "platform", 0, &options.platform);
+        fs::create_dir_all(&folder)
+            .expect("the folder of the test's logs and settings can be created");
+        let platform = start_stand_in(&folder, "platform", 0, &options.platform);
         let engines = options.engines.iter().enumerate();
-        let engines = engines.map(|(index, extra)| stand_in(&folder, "engine", index, extra));
+        let engines = engines.map(|(index, extra)| start_stand_in(&folder, "engine", index, extra));
         let engines = engines.collect();
         let plain = options.plain.iter().enumerate();
-        let plain = plain.map(|(index, extra)| stand_in(&folder, "plain", index, extra)).collect();
+        let plain =
+            plain.map(|(index, extra)| start_stand_in(&folder, "plain", index, extra)).collect();
         let mut fleet = Self { platform, engines, plain, daemons: Vec::new(), options, folder };
         for index in 0..fleet.options.daemons.len() {
             let daemon = fleet.start_daemon(index);
@@ -162,19 +167,21 @@
         fleet
     }
 
-    /// Starts the daemon at `index`, also again after it has ended.
+    /// Starts the daemon at `index` with the settings of all daemons. Call it again to restart a
+    /// daemon that has ended.
     #[must_use]
     pub fn start_daemon(&self, index: usize) -> ProcessHandle {
         self.start_daemon_with(index, self.options.daemons[index], &self.options.settings)
     }
 
-    /// Starts a daemon of this number in a zone, with further lines of settings.
+    /// Starts the daemon with this index in a zone, with these additional lines of settings.
     #[must_use]
     pub fn start_daemon_with(&self, index: usize, zone: &str, settings: &str) -> ProcessHandle {
         self.start_daemon_through(index, zone, self.platform.address(0), settings)
     }
 
-    /// Starts a daemon that reaches the platform at another address than the other daemons.
+    /// Starts a daemon that reaches the platform at the address `platform`, such as that of a
+    /// relay.
     #[must_use]
     pub fn start_daemon_through(
         &self,
@@ -191,18 +198,19 @@
             self.options.traffic_threads, self.options.limit_grant
         );
         let file = self.folder.join(format!("daemon-{index}.toml"));
-        fs::write(&file, text).expect("the settings can be written");
+        fs::write(&file, text).expect("the daemon's settings file can be written");
         let arguments = [String::from("--settings"), file.display().to_string()];
         ProcessHandle::start("hibiscushinged", &arguments, &self.log(index))
     }
 
-    /// Returns the log file of the daemon at `index`.
+    /// Returns the path of the log file of the daemon at `index`. A restart overwrites the file.
     #[must_use]
     pub fn log(&self, index: usize) -> PathBuf {
         self.folder.join(format!("daemon-{index}.log"))
     }
 
-    /// Makes the platform list the daemons at their present addresses.
+    /// Makes the platform list the daemons as live VMs at their present addresses. A restarted
+    /// daemon has new ports.
     pub async fn list_vms(&self) {
         let vms = self.daemons.iter().enumerate().map(|(index, daemon)| {
             json!({
@@ -213,10 +221,11 @@
             })
         });
         let status = post_json(self.platform.address(0), "/vms", &vms.collect()).await;
-        assert_eq!(status, 200, "the platform takes the list of VMs");
+        assert_eq!(status, 200, "the platform refused the list of VMs");
     }
 
-    /// Returns an operator's access to the documents.
+    /// Returns a client for an operator's edits of documents. Clients with different `writer`
+    /// numbers are different operators.
     #[must_use]
     pub fn operator(&self, writer: u64) -> OperatorClient {
         OperatorClient::new(self.platform.address(0), Incarnation(writer))
@@ -234,35 +243,39 @@
         self.wait_for_version(1).await;
     }
 
-    /// Waits until all daemons have this version in force and see their upstreams.
+    /// Waits until all daemons have this or a later version of the document in force, and all their
+    /// upstreams, at least one, are in phase `Serving`.
     pub async fn wait_for_version(&self, version: u64) {
         for daemon in &self.daemons {
             let admin = daemon.address(2);
-            wait_for("the document and the upstreams", || async move {
+            wait_for("the document in force and all upstreams in phase Serving", || async move {
                 let status = get_json(admin, "/admin/status").await?;
                 let in_force = status["configuration"]["version"].as_u64()? >= version;
                 let upstreams = status["upstreams"].as_array()?;
-                let serving = upstreams.iter().filter(|one| one["phase"] == "Serving").count();
+                let serving =
+                    upstreams.iter().filter(|upstream| upstream["phase"] == "Serving").count();
                 (in_force && serving > 0 && serving == upstreams.len()).then_some(())
             })
             .await;
         }
     }
 
-    /// Returns what the platform received.
+    /// Returns the state of the platform stand-in: the orders, reports and queries that it
+    /// received, and its upstreams.
     ///
     /// # Panics
     ///
-    /// Panics when the platform does not answer.
+    /// Panics when the platform does not respond.
     pub async fn inspect(&self) -> Value {
-        let found = get_json(self.platform.address(0), "/inspect").await;
-        found.expect("the platform answers")
+        let state = get_json(self.platform.address(0), "/inspect").await;
+        state.expect("the platform stand-in responds to GET /inspect with JSON")
     }
 
-    /// Changes the faults of the platform.
+    /// Changes the faults that the platform stand-in injects. Faults that `change` does not name
+    /// stay.
     pub async fn fault(&self, change: &Value) {
         let status = post_json(self.platform.address(0), "/faults", change).await;
-        assert_eq!(status, 200, "the platform takes the change of faults");
+        assert_eq!(status, 200, "the platform refused the change of faults {change}");
     }
 
     /// Returns the address for callers of the daemon at `index`.
@@ -275,14 +288,23 @@
 impl Drop for TestFleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("logs are in {}", self.folder.display());
+            eprintln!(
+                "the test failed; the logs of its processes are in {}",
+                self.folder.display()
+            );
             return;
         }
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-fn stand_in(folder: &std::path::Path, kind: &str, index: usize, extra: &[String]) -> ProcessHandle {
+/// Starts a stand-in of this kind on a free port, with additional arguments.
+fn start_stand_in(
+    folder: &std::path::Path,
+    kind: &str,
+    index: usize,
+    extra: &[String],
+) -> ProcessHandle {
     let mut arguments =
         vec![String::from(kind), String::from("--listen"), String::from("127.0.0.1:0")];
     arguments.extend_from_slice(extra);
--- a/crates/process-tests/src/lib.rs
+++ b/crates/process-tests/src/lib.rs
@@ -1,7 +1,7 @@
 //! Starts daemons and stand-ins as separate processes on loopback, for the tests of this crate.
 //!
-//! `cargo xtask test` builds the binaries first. Processes are ended by id when their handle is
-//! dropped. Waits have generous limits and end as soon as the awaited event is seen.
+//! `cargo xtask test` builds the binaries first. Dropping the handle of a process kills it. Waits
+//! have timeouts that suffice on a loaded machine, and end as soon as the awaited event is seen.
 
 mod call;
 mod fleet;
@@ -11,7 +11,7 @@
 mod site;
 
 pub use crate::{
-    call::{CallAnswer, call, get, get_json, post_json},
+    call::{CallResponse, call, get, get_json, post_json},
     fleet::{FleetOptions, TestFleet, caller_key, document_text},
     ordered::{
         HeldLease, ORDERED_SERVICE, ORDERED_ZONE, edit_pools, held_lease, lease_options,
--- a/crates/process-tests/src/ordered.rs
+++ b/crates/process-tests/src/ordered.rs
@@ -1,4 +1,5 @@
-//! Deployments whose upstreams are started by order, and their leases.
+//! Deployments whose upstreams the platform starts by order of the daemons, and the leases under
+//! which the daemons send the orders.
 
 use std::net::SocketAddr;
 
@@ -8,20 +9,20 @@
 
 use crate::{FleetOptions, TestFleet, document_text, get_json, wait_for};
 
-/// Service whose upstreams are ordered.
+/// Service whose upstreams the platform starts by order.
 pub const ORDERED_SERVICE: &str = "sleeve-proofs";
 
 /// Zone of the ordered upstreams.
 pub const ORDERED_ZONE: &str = "hobart-a";
 
-/// A lease as its holder reports it.
+/// A lease, as its holder reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Position of the daemon.
+    /// Index of the daemon that holds the lease.
     pub daemon: usize,
-    /// Fencing number.
+    /// Fencing token.
     pub fencing: u64,
-    /// Orders without an outcome.
+    /// Number of orders of the scope without an outcome.
     pub open_orders: u64,
 }
 
@@ -41,8 +42,8 @@
     }
 }
 
-/// Starts a fleet whose document asks for this many regular and cheap ordered upstreams, and waits
-/// until they are started.
+/// Starts a deployment whose document asks for at least this many regular and cheap ordered
+/// upstreams, and waits until they run.
 pub async fn start_ordered(options: FleetOptions, regular: u32, cheap: u32) -> TestFleet {
     let fleet = TestFleet::start(options).await;
     edit_pools(&fleet, 0, regular, cheap).await;
@@ -51,7 +52,7 @@
     fleet
 }
 
-/// Replaces the document of version `base` by one with these smallest numbers of upstreams.
+/// Replaces the document of version `base` by one with these minimum numbers of ordered upstreams.
 ///
 /// # Panics
 ///
@@ -76,19 +77,23 @@
     assert_eq!(edit, Ok(EditOutcome::Accepted(ConfigVersion(base + 1))));
 }
 
-/// Waits until the platform lists this many upstreams, all running, and no order is open.
+/// Waits until the platform lists this many ordered upstreams, all running, and the zone's lease
+/// holder has no open order.
 pub async fn wait_for_ordered(fleet: &TestFleet, count: usize) {
-    wait_for("the ordered upstreams", || async move {
-        let seen = fleet.inspect().await;
-        let upstreams = seen["upstreams"].as_array()?;
-        let settled = upstreams.iter().all(|one| one["state"] == "running");
-        let holder = held_lease(fleet, ORDERED_ZONE).await?;
-        (settled && upstreams.len() == count && holder.open_orders == 0).then_some(())
-    })
+    wait_for(
+        "the wanted number of ordered upstreams, all running, and no open order",
+        || async move {
+            let state = fleet.inspect().await;
+            let upstreams = state["upstreams"].as_array()?;
+            let all_running = upstreams.iter().all(|upstream| upstream["state"] == "running");
+            let holder = held_lease(fleet, ORDERED_ZONE).await?;
+            (all_running && upstreams.len() == count && holder.open_orders == 0).then_some(())
+        },
+    )
     .await;
 }
 
-/// Returns the daemon that holds a scope.
+/// Returns the lease of a scope, or `None` if no daemon says that it holds it.
 pub async fn held_lease(fleet: &TestFleet, scope: &str) -> Option<HeldLease> {
     for (daemon, process) in fleet.daemons.iter().enumerate() {
         let Some(status) = lease_status(process.address(2), scope).await else { continue };
@@ -99,8 +104,8 @@
     None
 }
 
-/// Returns what a daemon says about a scope.
+/// Returns what the daemon with the operators' address `admin` reports of the lease of a scope.
 pub async fn lease_status(admin: SocketAddr, scope: &str) -> Option<Value> {
     let status = get_json(admin, "/admin/status").await?;
-    status["leases"].as_array()?.iter().find(|one| one["scope"] == scope).cloned()
+    status["leases"].as_array()?.iter().find(|lease| lease["scope"] == scope).cloned()
 }
--- a/crates/process-tests/src/process.rs
+++ b/crates/process-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes.
+//! Child processes and waiting for what they do.
 
 use std::{
     fs::File,
@@ -10,10 +10,11 @@
     time::{Duration, Instant},
 };
 
-/// Longest wait for any event. Loaded machines need far less.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of [`wait_for`]. Even a loaded machine needs far less, so its end means that the event
+/// will not come.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A process that ends with its handle.
+/// A child process, which is killed when its handle is dropped.
 #[derive(Debug)]
 pub struct ProcessHandle {
     child: Child,
@@ -21,7 +22,8 @@
 }
 
 impl ProcessHandle {
-    /// Starts a binary of this workspace and reads the addresses that it prints.
+    /// Starts a binary of this workspace with standard error in the file `log`, and reads the
+    /// addresses from its first line, `listening ADDRESS...`.
     ///
     /// # Panics
     ///
@@ -29,23 +31,25 @@
     #[must_use]
     pub fn start(binary: &str, arguments: &[String], log: &Path) -> Self {
         let path = binary_path(binary);
-        let log = File::create(log).expect("the log file can be created");
+        let log = File::create(log).expect("the log file of the process can be created");
         let mut command = Command::new(&path);
         command.args(arguments).stdout(Stdio::piped()).stderr(log);
         let spawned = command.spawn();
         let mut child = spawned.unwrap_or_else(|error| {
-            panic!("starting {}: {error}; run `cargo xtask test`", path.display())
+            panic!("cannot start {}: {error}; `cargo xtask test` builds it", path.display())
         });
         let mut line = String::new();
         let output = child.stdout.take().expect("standard output is piped");
-        BufReader::new(output).read_line(&mut line).expect("the process prints a line");
+        BufReader::new(output)
+            .read_line(&mut line)
+            .expect("the first line of the process can be read");
         let words = line.trim().strip_prefix("listening ").unwrap_or_default();
         let addresses = words.split(' ').filter_map(|word| word.parse().ok()).collect::<Vec<_>>();
-        assert!(!addresses.is_empty(), "{binary} printed {line:?} instead of its address");
+        assert!(!addresses.is_empty(), "{binary} printed {line:?} instead of its addresses");
         Self { child, addresses }
     }
 
-    /// Returns the address with this position in the printed line.
+    /// Returns the address with this index in the printed line.
     ///
     /// # Panics
     ///
@@ -55,15 +59,15 @@
         self.addresses[index]
     }
 
-    /// Returns the id of the process.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends the process as a failed VM does.
+    /// Kills the process without notice, as the failure of its VM would, and waits for its end.
     pub fn kill(&mut self) {
-        // Errors mean that the process has ended, which is what was asked for.
+        // An error means that the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -76,10 +80,13 @@
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status();
-        assert!(status.is_ok_and(|status| status.success()), "signal {name} to process {id}");
+        assert!(
+            status.is_ok_and(|status| status.success()),
+            "cannot send signal {name} to process {id}"
+        );
     }
 
-    /// Returns the exit code if the process has ended.
+    /// Returns the exit code, or `None` if the process still runs or was ended by a signal.
     #[must_use]
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().and_then(|status| status.code())
@@ -92,26 +99,28 @@
     }
 }
 
-/// Repeats `probe` until it returns a value.
+/// Repeats `probe` until it returns a value. `what` names the awaited event in the message of the
+/// panic.
 ///
 /// # Panics
 ///
-/// Panics with `what` when the limit passes.
+/// Panics after 60 s without a value.
 pub async fn wait_for<T, F: Future<Output = Option<T>>>(what: &str, probe: impl Fn() -> F) -> T {
     let start = Instant::now();
     loop {
         if let Some(value) = probe().await {
             return value;
         }
-        assert!(start.elapsed() < WAIT_LIMIT, "waited {WAIT_LIMIT:?} for {what}");
-        // A short pause keeps probes from taking the processor from the processes under test.
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timeout: waited {WAIT_TIMEOUT:?} for {what}");
+        // The pause leaves the processor to the processes under test.
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
+/// Returns the path of a binary that was built together with the test.
 pub(crate) fn binary_path(binary: &str) -> PathBuf {
-    // Test binaries lie in `deps`, one folder below the binaries of the workspace.
-    let mut path = std::env::current_exe().expect("the test has a path");
+    // Cargo puts test binaries into `deps`, one folder below the binaries of the workspace.
+    let mut path = std::env::current_exe().expect("the path of the test binary is known");
     path.pop();
     if path.ends_with("deps") {
         path.pop();
--- a/crates/process-tests/src/relay.rs
+++ b/crates/process-tests/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay that can cut or hold up a connection path, as a network does.
+//! A TCP relay that can cut, delay or hold up connections, as a faulty network does.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,7 +11,7 @@
     sync::watch,
 };
 
-/// Forwards connections to one address until it is cut.
+/// Forwards connections to one address, with the faults that a test sets.
 #[derive(Debug)]
 pub struct TcpRelay {
     address: SocketAddr,
@@ -20,49 +20,55 @@
     flow: watch::Sender<RelayFlow>,
 }
 
-/// What a relay does with the bytes of its connections.
+/// What a relay does with the bytes of its connections. A request goes to the target, an answer
+/// comes from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayFlow {
-    /// They pass.
+    /// All bytes pass.
     Pass,
-    /// They pass after this time.
+    /// All bytes pass after this time.
     Delay(Duration),
-    /// Those to the target are held up.
+    /// Bytes to the target are held up, those from it pass.
     HoldRequests,
-    /// Those from the target are held up.
+    /// Bytes from the target are held up, those to it pass.
     HoldAnswers,
-    /// None pass, and new connections are accepted.
+    /// Bytes of both directions are held up. New connections are still accepted.
     Silent,
 }
 
 impl TcpRelay {
-    /// Starts a relay on a free port. It refuses connections until it has a target.
+    /// Starts a relay on a free port. Until it has a target it closes each connection at once.
     ///
     /// # Panics
     ///
     /// Panics when no port is free.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
-        let address = listener.local_addr().expect("a listener has an address");
-        let (target, target_seen) = watch::channel(None);
-        let (is_cut, cut_seen) = watch::channel(false);
-        let (flow, flow_seen) = watch::channel(RelayFlow::Pass);
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port is free");
+        let address = listener.local_addr().expect("a bound listener has an address");
+        let (target, target_receiver) = watch::channel(None);
+        let (is_cut, cut_receiver) = watch::channel(false);
+        let (flow, flow_receiver) = watch::channel(RelayFlow::Pass);
         actix_rt::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let flow = flow_seen.clone();
-                actix_rt::spawn(forward(stream, target_seen.clone(), cut_seen.clone(), flow));
+                let flow = flow_receiver.clone();
+                actix_rt::spawn(forward(
+                    stream,
+                    target_receiver.clone(),
+                    cut_receiver.clone(),
+                    flow,
+                ));
             }
         });
         Self { address, target, is_cut, flow }
     }
 
-    /// Changes what happens to bytes from now on. Bytes that are held up pass when it is
-    /// [`RelayFlow::Pass`] again.
+    /// Changes what happens to bytes from now on, also on open connections. Bytes that are held up
+    /// pass as soon as the new flow lets their direction pass.
     pub fn set_flow(&self, flow: RelayFlow) {
         self.flow.send_replace(flow);
     }
 
-    /// Resets all connections and goes on.
+    /// Closes all open connections. New ones are forwarded.
     pub fn reset(&self) {
         self.is_cut.send_replace(true);
         self.is_cut.send_replace(false);
@@ -74,22 +80,23 @@
         self.address
     }
 
-    /// Sets where connections are forwarded.
+    /// Sets the address to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Closes all connections and drops new ones.
+    /// Closes all open connections, and each new one at once, until [`Self::heal`].
     pub fn cut(&self) {
         self.is_cut.send_replace(true);
     }
 
-    /// Ends the cut.
+    /// Ends a cut: new connections are forwarded.
     pub fn heal(&self) {
         self.is_cut.send_replace(false);
     }
 }
 
+/// Forwards one connection until either side ends it or the relay is cut.
 async fn forward(
     mut stream: TcpStream,
     target: watch::Receiver<Option<SocketAddr>>,
@@ -103,28 +110,29 @@
     let (reader, writer) = stream.split();
     let (upstream_reader, upstream_writer) = upstream.split();
     tokio::select! {
-        // Either end closes the path; the tests look only at what arrives.
-        () = copy(reader, upstream_writer, flow.clone(), Direction::Request) => {}
-        () = copy(upstream_reader, writer, flow, Direction::Answer) => {}
+        // The first direction that ends closes both. Tests depend only on the bytes that arrive.
+        () = copy(reader, upstream_writer, flow.clone(), Direction::ToTarget) => {}
+        () = copy(upstream_reader, writer, flow, Direction::FromTarget) => {}
         _ = is_cut.changed() => {}
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    Request,
-    Answer,
+    ToTarget,
+    FromTarget,
 }
 
 /// Waits until the sender resets the connection.
-async fn reset(reader: &mut ReadHalf<'_>) {
+async fn wait_for_reset(reader: &mut ReadHalf<'_>) {
     let mut byte = [0];
     if reader.peek(&mut byte).await.is_ok() {
-        // Bytes or an orderly end have arrived, so a reset can no longer be told from here.
+        // There are bytes or an orderly end to read, which hide a later reset from this function.
         std::future::pending::<()>().await;
     }
 }
 
+/// Copies bytes in one direction, as the flow allows, until the connection ends.
 async fn copy(
     mut reader: ReadHalf<'_>,
     mut writer: WriteHalf<'_>,
@@ -136,17 +144,18 @@
         let Ok(length @ 1..) = reader.read(&mut buffer).await else { return };
         let passes = |flow: &RelayFlow| match flow {
             RelayFlow::Pass | RelayFlow::Delay(_) => true,
-            RelayFlow::HoldRequests => direction == Direction::Answer,
-            RelayFlow::HoldAnswers => direction == Direction::Request,
+            RelayFlow::HoldRequests => direction == Direction::FromTarget,
+            RelayFlow::HoldAnswers => direction == Direction::ToTarget,
             RelayFlow::Silent => false,
         };
-        let passing = tokio::select! {
-            passing = flow.wait_for(passes) => passing.map(|flow| *flow),
-            // A network discards what it holds up when its sender resets the connection.
-            () = reset(&mut reader) => return,
+        let current_flow = tokio::select! {
+            current_flow = flow.wait_for(passes) => current_flow.map(|flow| *flow),
+            // As in a network, bytes that are held up are discarded if their sender resets the
+            // connection.
+            () = wait_for_reset(&mut reader) => return,
         };
-        let Ok(passing) = passing else { return };
-        if let RelayFlow::Delay(delay) = passing {
+        let Ok(current_flow) = current_flow else { return };
+        if let RelayFlow::Delay(delay) = current_flow {
             tokio::time::sleep(delay).await;
         }
         if writer.write_all(&buffer[..length]).await.is_err() {
--- a/crates/process-tests/src/site.rs
+++ b/crates/process-tests/src/site.rs
@@ -1,4 +1,4 @@
-//! Gateways as separate processes in front of stand-ins that speak the users' platform.
+//! Gateways as separate processes, in front of in-process stand-ins for the users' platform.
 
 use std::{
     fs::File,
@@ -17,45 +17,47 @@
 
 use crate::process::{binary_path, wait_for};
 
-/// Host of all routes.
+/// Host name of all routes.
 const HOST: &str = "studio.example";
 
-/// Ports of a gateway on its own loopback address.
+/// Ports of a gateway. They are the same for all gateways, since each has a loopback address of its
+/// own.
 const CALLER_PORT: u16 = 18_405;
 const READY_PORT: u16 = 18_406;
 const METRICS_PORT: u16 = 18_407;
 
-/// Shape of a fleet.
+/// Size of a [`SiteFleet`] and options of its stand-ins.
 #[derive(Debug, Clone)]
 pub struct SiteShape {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Upstreams of the plain service.
+    /// Number of upstreams of the plain service.
     pub services: usize,
-    /// Settings of each engine.
+    /// Options of each engine. The identifiers are set by [`SiteFleet::start`].
     pub engine: EngineOptions,
-    /// Settings of each upstream of the plain service.
+    /// Options of each upstream of the plain service. The identifiers are set by
+    /// [`SiteFleet::start`].
     pub service: ServiceOptions,
-    /// Settings of the store.
+    /// Options of the store.
     pub store: StoreOptions,
 }
 
-/// A running fleet.
+/// Running gateways with their store and upstreams.
 #[derive(Debug)]
 pub struct SiteFleet {
-    /// The store.
+    /// Store of the platform.
     pub store: SiteStore,
     /// Model engines.
     pub engines: Vec<SiteEngine>,
     /// Upstreams of the plain service.
     pub services: Vec<SiteService>,
-    /// Gateways.
+    /// Gateways, in the order of their VM names.
     pub gateways: Vec<GatewayProcess>,
 }
 
-/// A gateway process that ends with its handle.
+/// A gateway process, which is killed when its handle is dropped.
 #[derive(Debug)]
 pub struct GatewayProcess {
     child: Option<Child>,
@@ -104,20 +106,23 @@
     ///
     /// # Panics
     ///
-    /// Panics when something cannot be started.
+    /// Panics when a part cannot be started or a gateway does not become ready within 60 s.
     pub async fn start(shape: SiteShape) -> Self {
-        let store = SiteStore::start(shape.store.clone()).expect("the store starts");
+        let store = SiteStore::start(shape.store.clone())
+            .expect("the store stand-in can listen on loopback");
         let mut engines = Vec::new();
         for index in 0..shape.engines {
             let options = EngineOptions { id: format!("engine-{index}"), ..shape.engine.clone() };
-            let engine = SiteEngine::start(options).expect("the engine starts");
+            let engine =
+                SiteEngine::start(options).expect("the engine stand-in can listen on loopback");
             store.put_upstream(engine.id(), &engine.entry());
             engines.push(engine);
         }
         let mut services = Vec::new();
         for index in 0..shape.services {
             let options = ServiceOptions { id: format!("portal-{index}"), ..shape.service.clone() };
-            let service = SiteService::start(options).expect("the service starts");
+            let service = SiteService::start(options)
+                .expect("the plain service stand-in can listen on loopback");
             store.put_upstream(service.id(), &service.entry());
             services.push(service);
         }
@@ -131,7 +136,9 @@
         fleet
     }
 
-    /// Returns a configuration with the given keys of the customer `brewer`.
+    /// Returns a configuration with two non-public plain routes (`/fetch/` idempotent, `/once/`
+    /// not), the public route `/score/`, the rollout route `/draft/`, and the customer `brewer`
+    /// with these keys.
     #[must_use]
     pub fn config(version: u64, keys: &[&str]) -> Value {
         json!({
@@ -161,7 +168,8 @@
         })
     }
 
-    /// Returns the headers of a request of the customer `brewer`.
+    /// Returns the headers of a request with this identifier by the customer `brewer`, with
+    /// `key-1`.
     #[must_use]
     pub fn headers(id: &str) -> Vec<(&'static str, String)> {
         vec![
@@ -172,9 +180,10 @@
     }
 }
 
-/// Returns the body of a submission with items that are scored by the plain service.
+/// Returns the body of a submission whose items are scored by the plain service. No token may come
+/// from weights older than `min_version`. Each four consecutive items form a group.
 #[must_use]
-pub fn submission(id: &str, items: usize, least_version: u64) -> Value {
+pub fn submission(id: &str, items: usize, min_version: u64) -> Value {
     let items = (0..items).map(|index| {
         json!({
             "id": format!("{id}-{index}"),
@@ -190,29 +199,32 @@
     json!({
         "step": 1,
         "model": "m0",
-        "min_version": least_version,
+        "min_version": min_version,
         "target_groups": 1,
         "items": items.collect::<Vec<_>>(),
     })
 }
 
 impl GatewayProcess {
-    /// Starts a gateway on a loopback address of its own.
+    /// Starts a gateway on a loopback address of its own, as VM `vm-{index}`. `first_start` is the
+    /// setting of that name.
     ///
     /// # Panics
     ///
     /// Panics when the process cannot be started.
     #[must_use]
     pub fn start(store: SocketAddr, index: usize, first_start: bool) -> Self {
-        static LAST_FLEET: AtomicU32 = AtomicU32::new(0);
-        let number = LAST_FLEET.fetch_add(1, Ordering::Relaxed);
+        static NEXT_GATEWAY_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_GATEWAY_NUMBER.fetch_add(1, Ordering::Relaxed);
         let process = std::process::id();
-        // All of 127.0.0.0/8 is loopback, so tests that run at once need no common ports.
+        // All of 127.0.0.0/8 is loopback. The address follows from the process id and a counter, so
+        // that tests that run at the same time need no agreement on ports.
         let octets =
             [127, 16 + (process % 200) as u8, (process / 200 % 250) as u8, 1 + number as u8];
         let address = IpAddr::from(Ipv4Addr::from(octets));
         let folder = std::env::temp_dir().join(format!("hibiscushinge-site-{process}"));
-        std::fs::create_dir_all(&folder).expect("the folder can be created");
+        std::fs::create_dir_all(&folder)
+            .expect("the folder of the gateway's log and settings can be created");
         let settings = folder.join(format!("gateway-{number}.toml"));
         let text = format!(
             r#"
@@ -226,14 +238,15 @@
             duties = "{store}"
             "#,
         ) + &rendered_settings(store, 12, 4500);
-        std::fs::write(&settings, text).expect("the settings can be written");
+        std::fs::write(&settings, text).expect("the gateway's settings file can be written");
         let log = folder.join(format!("gateway-{number}.log"));
         let mut process = Self { child: None, settings, log, address };
         process.restart();
         process
     }
 
-    /// Starts the process again, after it was killed.
+    /// Kills the process if it runs, and starts it again with the same settings, addresses and log
+    /// file.
     ///
     /// # Panics
     ///
@@ -241,67 +254,76 @@
     pub fn restart(&mut self) {
         self.kill();
         let log = File::options().create(true).append(true).open(&self.log);
-        let log = log.expect("the log file can be opened");
-        let errors = log.try_clone().expect("the log file can be shared");
+        let log = log.expect("the gateway's log file can be opened");
+        let stderr =
+            log.try_clone().expect("the gateway's log file can be used for both output streams");
         let mut command = Command::new(binary_path("hibiscushinged"));
         command.arg("--gateway").arg(&self.settings);
-        command.stdout(Stdio::from(log)).stderr(Stdio::from(errors));
-        self.child = Some(command.spawn().expect("the daemon starts; run `cargo xtask test`"));
+        command.stdout(Stdio::from(log)).stderr(Stdio::from(stderr));
+        self.child = Some(
+            command.spawn().expect("hibiscushinged can be started; `cargo xtask test` builds it"),
+        );
     }
 
-    /// Address of callers.
+    /// Returns the address for callers.
     #[must_use]
     pub const fn callers(&self) -> SocketAddr {
         SocketAddr::new(self.address, CALLER_PORT)
     }
 
-    /// Address of the readiness check.
+    /// Returns the address of the readiness check.
     #[must_use]
     pub const fn ready(&self) -> SocketAddr {
         SocketAddr::new(self.address, READY_PORT)
     }
 
-    /// Address of the metrics page.
+    /// Returns the address of the metrics page.
     #[must_use]
     pub const fn metrics(&self) -> SocketAddr {
         SocketAddr::new(self.address, METRICS_PORT)
     }
 
-    /// Returns the log lines so far, those of earlier starts included.
+    /// Returns the log lines so far, those of earlier starts included. Lines that are not JSON are
+    /// left out.
     #[must_use]
     pub fn log(&self) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
-    /// Waits until the gateway is ready.
+    /// Waits until the readiness check of the gateway succeeds.
     pub async fn wait_ready(&self) {
         let ready = self.ready();
-        wait_for("a gateway that is ready", || async move {
-            let answer = crate::get(ready, "/readyz", &[]).await;
-            (answer.status == 200).then_some(())
+        wait_for("status 200 from the gateway's readiness check", || async move {
+            let response = crate::get(ready, "/readyz", &[]).await;
+            (response.status == 200).then_some(())
         })
         .await;
     }
 
-    /// Ends the process as a failed VM does.
+    /// Kills the process without notice, as the failure of its VM would, and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Errors mean that the process has ended, which is what was asked for.
+            // An error means that the process has ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Sends a signal by name, for example `STOP`, `CONT` or `TERM`.
+    /// Sends a signal by name, for example `STOP`, `CONT` or `TERM`. Does nothing after
+    /// [`Self::kill`].
     pub fn signal(&self, name: &str) {
         let Some(child) = &self.child else { return };
         let id = child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status();
-        assert!(status.is_ok_and(|status| status.success()), "signal {name} to process {id}");
+        assert!(
+            status.is_ok_and(|status| status.success()),
+            "cannot send signal {name} to process {id}"
+        );
     }
 
-    /// Tells whether the process has ended by itself, with its exit code.
+    /// Returns the exit code if the process has ended by itself. Returns `None` while it runs,
+    /// after [`Self::kill`], and if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.as_mut()?.try_wait().ok().flatten().and_then(|status| status.code())
     }
--- a/crates/process-tests/tests/fleet.rs
+++ b/crates/process-tests/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are replaced, refused and stopped by order.
+//! Upstreams that the platform starts and stops by order, and reclaims or refuses by itself.
 
 use process_tests::{
     ORDERED_SERVICE, ORDERED_ZONE, TestFleet, call, caller_key, edit_pools, get_json,
@@ -6,38 +6,44 @@
 };
 use serde_json::{Value, json};
 
-fn cheap(seen: &Value) -> usize {
-    let upstreams = seen["upstreams"].as_array().expect("the platform lists its upstreams");
-    upstreams.iter().filter(|one| one["cheap"] == true).count()
+/// Counts the cheap upstreams that the platform lists.
+fn count_cheap(state: &Value) -> usize {
+    let upstreams =
+        state["upstreams"].as_array().expect("the platform's state lists its upstreams");
+    upstreams.iter().filter(|upstream| upstream["cheap"] == true).count()
 }
 
-async fn check_plan(fleet: &TestFleet, wanted: &str) {
+/// Checks that a decision event of the fleet planner contains this text.
+async fn check_plan(fleet: &TestFleet, expected: &str) {
     let subject = format!("/admin/explain?id=fleet/{ORDERED_ZONE}/{ORDERED_SERVICE}");
-    let lines = get_json(fleet.daemons[0].address(2), &subject).await.expect("an answer");
-    assert!(lines["events"].to_string().contains(wanted), "{lines:#}");
+    let lines = get_json(fleet.daemons[0].address(2), &subject)
+        .await
+        .expect("the daemon responds to GET /admin/explain");
+    assert!(lines["events"].to_string().contains(expected), "{lines:#}");
 }
 
-/// Guards against reclaimed upstreams that are not replaced, and against cheap orders for a zone
-/// whose cheap upstreams were just taken away.
+/// Guards against reclaimed upstreams that are not replaced, and against orders of cheap upstreams
+/// in a zone where the platform has just reclaimed the cheap ones.
 #[actix_rt::test]
 async fn reclaimed_upstreams_are_replaced_by_regular_ones() {
     let fleet = start_ordered(lease_options(vec![ORDERED_ZONE], &[]), 0, 2).await;
-    assert_eq!(cheap(&fleet.inspect().await), 2);
+    assert_eq!(count_cheap(&fleet.inspect().await), 2);
     let reclaim = json!({ "zone": ORDERED_ZONE, "after_ms": 200 });
     assert_eq!(post_json(fleet.platform.address(0), "/reclaims", &reclaim).await, 200);
-    wait_for("the end of the cheap upstreams", || async {
-        (cheap(&fleet.inspect().await) == 0).then_some(())
+    wait_for("the platform to list no cheap upstream", || async {
+        (count_cheap(&fleet.inspect().await) == 0).then_some(())
     })
     .await;
     edit_pools(&fleet, 1, 2, 2).await;
     wait_for_ordered(&fleet, 2).await;
-    assert_eq!(cheap(&fleet.inspect().await), 0);
+    assert_eq!(count_cheap(&fleet.inspect().await), 0);
     check_plan(&fleet, "2 regular and 0 cheap").await;
 }
 
-/// Starts a stream. Streams of different numbers have prompts without a common prefix, so that they
-/// do not all belong to the engine whose cache may hold it.
-async fn stream(
+/// Starts a stream and returns a task that yields its status and number of lines. The prompts of
+/// different numbers have no common prefix. Otherwise cache affinity could send all streams to the
+/// same engine.
+async fn start_stream(
     fleet: &TestFleet,
     number: usize,
     tokens: u32,
@@ -46,49 +52,58 @@
     actix_rt::spawn(async move {
         let body = format!("{{\"prompt\": \"{number} sleeves\", \"max_tokens\": {tokens}}}");
         let headers = [("authorization", format!("Bearer {}", caller_key("cordial")))];
-        let answer = call(address, "/v1/proof", &headers, &body).await;
-        (answer.status, answer.body.lines().count())
+        let response = call(address, "/v1/proof", &headers, &body).await;
+        (response.status, response.body.lines().count())
     })
 }
 
-/// Returns the load of each ordered engine.
-async fn running(fleet: &TestFleet) -> Vec<u64> {
-    let seen = fleet.inspect().await;
+/// Returns the number of running generations of each ordered engine.
+async fn running_generations(fleet: &TestFleet) -> Vec<u64> {
+    let state = fleet.inspect().await;
     let mut running = Vec::new();
-    for upstream in seen["upstreams"].as_array().expect("the platform lists its upstreams") {
-        let address = upstream["address"].as_str().expect("an address").parse().unwrap();
-        let load = get_json(address, "/inspect").await.expect("the engine answers");
-        running.push(load["running"].as_u64().expect("a number"));
+    for upstream in state["upstreams"].as_array().expect("the platform's state lists its upstreams")
+    {
+        let address =
+            upstream["address"].as_str().expect("an upstream has an address").parse().unwrap();
+        let engine_state =
+            get_json(address, "/inspect").await.expect("the engine responds to GET /inspect");
+        running.push(
+            engine_state["running"]
+                .as_u64()
+                .expect("an engine reports the number of running generations"),
+        );
     }
     running
 }
 
-/// Guards against a planned stop that ends a running stream, or lets it go on elsewhere.
+/// Guards against a planned stop of an engine that breaks a running stream or moves it to another
+/// engine.
 #[actix_rt::test]
-async fn planned_stop_waits_for_running_streams() {
+async fn planned_stop_of_an_engine_waits_for_its_streams() {
     const TOKENS: u32 = 300;
     let options = lease_options(vec![ORDERED_ZONE], &["--engine-speed", "25"]);
     let fleet = start_ordered(options, 2, 0).await;
-    wait_for("an admitted request", || async {
-        (stream(&fleet, 0, 1).await.await.unwrap().0 == 200).then_some(())
+    wait_for("status 200 for a request", || async {
+        (start_stream(&fleet, 0, 1).await.await.unwrap().0 == 200).then_some(())
     })
     .await;
-    wait_for("both engines to take work", || async {
+    wait_for("both engines in phase Serving", || async {
         let status = get_json(fleet.daemons[0].address(2), "/admin/status").await?;
         let upstreams = status["upstreams"].as_array()?.iter();
-        let of_service = |one: &&Value| {
-            let name = one["upstream"].as_str().unwrap_or_default();
-            name.starts_with(ORDERED_SERVICE) && one["phase"] == "Serving"
+        let of_service = |upstream: &&Value| {
+            let name = upstream["upstream"].as_str().unwrap_or_default();
+            name.starts_with(ORDERED_SERVICE) && upstream["phase"] == "Serving"
         };
         (upstreams.filter(of_service).count() == 2).then_some(())
     })
     .await;
     let mut streams = Vec::new();
-    while running(&fleet).await.contains(&0) {
-        assert!(streams.len() < 6, "no stream reached the second engine");
-        streams.push(stream(&fleet, streams.len(), TOKENS).await);
-        wait_for("the stream to run", || async {
-            (running(&fleet).await.iter().sum::<u64>() == streams.len() as u64).then_some(())
+    while running_generations(&fleet).await.contains(&0) {
+        assert!(streams.len() < 6, "6 streams were started, and none runs on the second engine");
+        streams.push(start_stream(&fleet, streams.len(), TOKENS).await);
+        wait_for("all started streams to run", || async {
+            (running_generations(&fleet).await.iter().sum::<u64>() == streams.len() as u64)
+                .then_some(())
         })
         .await;
     }
@@ -97,26 +112,30 @@
     for stream in streams {
         assert_eq!(stream.await.unwrap(), (200, TOKENS as usize + 1));
     }
-    let log = std::fs::read_to_string(fleet.log(0)).expect("the daemon has a log");
-    assert!(!log.contains("RequestResumed"), "a stream was moved");
+    let log = std::fs::read_to_string(fleet.log(0)).expect("the daemon's log file can be read");
+    assert!(
+        !log.contains("RequestResumed"),
+        "the log has RequestResumed: a stream was moved to another engine"
+    );
     check_plan(&fleet, "1 regular and 0 cheap").await;
 }
 
-/// Guards against a service that waits for cheap upstreams that cannot be had.
+/// Guards against a service that waits for cheap upstreams although the platform refuses to start
+/// them.
 #[actix_rt::test]
 async fn refused_cheap_orders_fall_back_to_regular_upstreams() {
     let fleet = start_ordered(lease_options(vec![ORDERED_ZONE], &[]), 1, 0).await;
     fleet.fault(&json!({ "refuse_cheap": true })).await;
     edit_pools(&fleet, 1, 1, 1).await;
-    wait_for("the refused order", || async {
-        let seen = fleet.inspect().await;
-        let orders = seen["orders"].as_array()?;
-        let refused = orders.iter().find(|one| one["reply"]["state"] == "refused")?;
+    wait_for("the refusal of an order of cheap upstreams", || async {
+        let state = fleet.inspect().await;
+        let orders = state["orders"].as_array()?;
+        let refused = orders.iter().find(|order| order["reply"]["state"] == "refused")?;
         (refused["order"]["cheap"] == true).then_some(())
     })
     .await;
     let subject = format!("/admin/explain?id=fleet/{ORDERED_ZONE}/{ORDERED_SERVICE}");
-    wait_for("a plan without cheap upstreams", || async {
+    wait_for("a newest plan without cheap upstreams", || async {
         let lines = get_json(fleet.daemons[0].address(2), &subject).await?;
         let last = lines["events"].as_array()?.last()?["detail"].as_str()?.to_owned();
         last.contains("and 0 cheap").then_some(())
@@ -124,8 +143,8 @@
     .await;
     edit_pools(&fleet, 2, 2, 1).await;
     wait_for_ordered(&fleet, 2).await;
-    let seen = fleet.inspect().await;
-    let orders = seen["orders"].as_array().expect("the platform lists its orders");
-    let cheap = orders.iter().filter(|one| one["order"]["cheap"] == true).count();
-    assert_eq!(cheap, 1, "a refused order is not repeated at once: {orders:#?}");
+    let state = fleet.inspect().await;
+    let orders = state["orders"].as_array().expect("the platform's state lists its orders");
+    let cheap = orders.iter().filter(|order| order["order"]["cheap"] == true).count();
+    assert_eq!(cheap, 1, "the refused order was repeated at once: {orders:#?}");
 }
--- a/crates/process-tests/tests/malformed.rs
+++ b/crates/process-tests/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed log records and peer messages at the interfaces of separate processes.
+//! Malformed log records and peer messages, with separate processes.
 
 use std::fs;
 
@@ -9,9 +9,10 @@
 };
 use serde_json::{Value, json};
 
-/// A byte that MessagePack never uses.
-const GARBAGE: &str = "c1c1c1";
+/// Record data in hexadecimal. MessagePack reserves the byte c1, so it never decodes.
+const MALFORMED_DATA: &str = "c1c1c1";
 
+/// Streams of the log whose readers are tested.
 const STREAMS: [&str; 8] = [
     "config",
     "usage",
@@ -23,6 +24,7 @@
     "authority.fleet",
 ];
 
+/// Returns the headers of a customer's request with this idempotency key.
 fn headers(key: &str) -> Vec<(&'static str, String)> {
     vec![
         ("authorization", format!("Bearer {}", caller_key("cordial"))),
@@ -30,24 +32,24 @@
     ]
 }
 
-async fn status(fleet: &TestFleet) -> Option<Value> {
+async fn daemon_status(fleet: &TestFleet) -> Option<Value> {
     get_json(fleet.daemons[0].address(2), "/admin/status").await
 }
 
-/// Appends garbage to a stream and returns its offset.
-async fn append_garbage(fleet: &TestFleet, stream: &str) -> u64 {
+/// Appends a record that cannot be decoded to a stream and returns its offset.
+async fn append_malformed(fleet: &TestFleet, stream: &str) -> u64 {
     let platform = fleet.platform.address(0);
     let path = format!("/log/{stream}");
-    let records = json!([{ "id": "dead-1", "data": GARBAGE }]);
+    let records = json!([{ "id": "dead-1", "data": MALFORMED_DATA }]);
     assert_eq!(post_json(platform, &path, &records).await, 200, "stream {stream}");
     let page = get_json(platform, &format!("{path}?from=0&max=100000")).await;
-    let page = page.expect("the platform answers");
-    let records = page["records"].as_array().expect("a page has records");
-    let garbage = records.iter().find(|record| record["data"] == GARBAGE);
-    garbage.and_then(|record| record["offset"].as_u64()).expect("the garbage is in the log")
+    let page = page.expect("the platform responds to a read of the stream");
+    let records = page["records"].as_array().expect("a page of the log lists records");
+    let record = records.iter().find(|record| record["data"] == MALFORMED_DATA);
+    record.and_then(|record| record["offset"].as_u64()).expect("the malformed record is in the log")
 }
 
-/// Returns the fields of the daemon's log lines of an event.
+/// Returns the fields of the daemon's log lines with this event name.
 fn log_lines(fleet: &TestFleet, event: &str) -> Vec<Value> {
     let text = fs::read_to_string(fleet.log(0)).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -55,28 +57,29 @@
     fields.filter(|fields| fields["name"] == event).collect()
 }
 
-/// Guards against a reader that stops at a record it cannot decode, or passes over it in silence.
+/// Guards against a log reader that stops at a record that it cannot decode, or skips it without a
+/// log line and a count.
 #[actix_rt::test]
 async fn records_after_malformed_ones_are_read() {
     let options = FleetOptions { daemons: vec!["hobart-a"], ..FleetOptions::default() };
     let fleet = TestFleet::start(options).await;
     fleet.first_document(&["cordial"]).await;
-    let lease = |status: &Value, scope: &str| {
+    let holds_lease = |status: &Value, scope: &str| {
         let leases = status["leases"].as_array().cloned().unwrap_or_default();
         leases.iter().any(|lease| lease["scope"] == scope && lease["held"].is_u64())
     };
-    wait_for("all leases", || async {
-        let status = status(&fleet).await?;
-        ["hobart-a", "fleet", "usage"].iter().all(|scope| lease(&status, scope)).then_some(())
+    wait_for("the daemon to hold the leases of its zone, fleet and usage", || async {
+        let status = daemon_status(&fleet).await?;
+        ["hobart-a", "fleet", "usage"].iter().all(|scope| holds_lease(&status, scope)).then_some(())
     })
     .await;
 
     let mut offsets = Vec::new();
     for stream in STREAMS {
-        offsets.push(append_garbage(&fleet, stream).await);
+        offsets.push(append_malformed(&fleet, stream).await);
     }
-    wait_for("the counter of malformed records", || async {
-        let malformed = status(&fleet).await?["log"]["malformed"].as_u64()?;
+    wait_for("one malformed record for each stream in the counter", || async {
+        let malformed = daemon_status(&fleet).await?["log"]["malformed"].as_u64()?;
         (malformed == STREAMS.len() as u64).then_some(())
     })
     .await;
@@ -84,7 +87,7 @@
         let lines = log_lines(&fleet, "LogRecordRefused");
         let named = lines.iter().filter(|line| line["stream"] == stream);
         let named = named.map(|line| line["offset"].as_u64()).collect::<Vec<_>>();
-        assert_eq!(named, [Some(*offset)], "log lines of stream {stream}");
+        assert_eq!(named, [Some(*offset)], "offsets in the log lines of stream {stream}");
     }
 
     let text = document_text(&fleet, &["cordial", "brewers"]);
@@ -92,14 +95,14 @@
     assert_eq!(edit, Ok(EditOutcome::Accepted(ConfigVersion(2))));
     fleet.wait_for_version(2).await;
 
-    // The claim must be read back from the log before the request runs.
+    // A request with an idempotency key runs only after its claim was read back from the log.
     let address = fleet.caller_address(0);
-    wait_for("a request with a claim", || async {
-        let answer = call(address, "/v1/order", &headers("sheet-1"), "{}").await;
-        (answer.status == 200).then_some(())
+    wait_for("status 200 for a request with an idempotency key", || async {
+        let response = call(address, "/v1/order", &headers("sheet-1"), "{}").await;
+        (response.status == 200).then_some(())
     })
     .await;
-    wait_for("its usage", || async {
+    wait_for("the usage of that request", || async {
         let usage = get_json(fleet.daemons[0].address(2), "/admin/usage").await?;
         let windows = usage["windows"].as_array()?.iter().map(|window| &window["figures"]);
         let figures = windows.chain([&usage["open"]]);
@@ -108,24 +111,29 @@
     })
     .await;
 
-    // A lease whose renewals are not read ends within 10 s, which is before the sixth renewal.
+    // A lease whose renewals cannot be read expires within 10 s, which is before the sixth renewal.
+    // So the reader works if the daemon holds the lease after six records.
     for (stream, scope) in [("authority.hobart-a", "hobart-a"), ("authority.fleet", "fleet")] {
-        let position = STREAMS.iter().position(|known| *known == stream).expect("a listed stream");
-        let after = offsets[position] + 6;
-        wait_for("renewals after the garbage", || async {
+        let index =
+            STREAMS.iter().position(|known| *known == stream).expect("the stream is in STREAMS");
+        let after = offsets[index] + 6;
+        wait_for("lease renewals after the malformed record", || async {
             let path = format!("/log/{stream}?from={after}&max=1");
             let page = get_json(fleet.platform.address(0), &path).await?;
             (!page["records"].as_array()?.is_empty()).then_some(())
         })
         .await;
-        wait_for("the lease", || async { lease(&status(&fleet).await?, scope).then_some(()) })
-            .await;
+        wait_for("the lease to be held after the renewals", || async {
+            holds_lease(&daemon_status(&fleet).await?, scope).then_some(())
+        })
+        .await;
     }
 }
 
-/// Guards against a peer message that ends the server, or is dropped in silence.
+/// Guards against a malformed peer message that stops the peer server, or is dropped without a log
+/// line and a count.
 #[actix_rt::test]
-async fn malformed_peer_messages_are_counted_and_others_are_answered() {
+async fn malformed_peer_messages_are_counted_and_valid_ones_still_handled() {
     let options = FleetOptions { daemons: vec!["hobart-a", "hobart-b"], ..FleetOptions::default() };
     let fleet = TestFleet::start(options).await;
     fleet.first_document(&["cordial"]).await;
@@ -133,17 +141,18 @@
     for body in ["\u{1}", "no message", ""] {
         assert_eq!(call(peer, "/peer/1", &[], body).await.status, 200);
     }
-    wait_for("the counter of malformed messages", || async {
-        let malformed = status(&fleet).await?["malformed_peer_messages"].as_u64()?;
+    wait_for("3 malformed messages in the counter", || async {
+        let malformed = daemon_status(&fleet).await?["malformed_peer_messages"].as_u64()?;
         (malformed == 3).then_some(())
     })
     .await;
     let lines = log_lines(&fleet, "PeerMessageRefused");
-    let sender = |line: &&Value| line["sender"].as_str().is_some_and(|it| it.starts_with("127."));
+    let sender =
+        |line: &&Value| line["sender"].as_str().is_some_and(|address| address.starts_with("127."));
     let named = lines.iter().filter(sender).count();
-    assert_eq!(named, 3, "log lines that name the sender");
+    assert_eq!(named, 3, "number of log lines with the address of the sender");
     wait_for("the other daemon as a live peer", || async {
-        let status = status(&fleet).await?;
+        let status = daemon_status(&fleet).await?;
         let peers = status["peers"].as_array()?.clone();
         peers.iter().any(|peer| peer["vm"] == "entry-1" && peer["state"] == "live").then_some(())
     })
