--- a/crates/hibiscushinge/src/commands.rs
+++ b/crates/hibiscushinge/src/commands.rs
@@ -1,4 +1,4 @@
-//! One module per command.
+//! The commands, one module for each, and helpers that they share.
 
 pub(crate) mod check;
 pub(crate) mod diff;
@@ -17,12 +17,12 @@
 
 use crate::output::CommandFailure;
 
-/// Creates the client of one run of the tool.
-fn operator(platform: SocketAddr) -> OperatorClient {
+/// Creates a client with a random writer, which makes the record ids of this run unique.
+fn operator_client(platform: SocketAddr) -> OperatorClient {
     OperatorClient::new(platform, Incarnation(rand::random()))
 }
 
-/// Returns the document in force in an environment.
+/// Returns the current document of an environment.
 async fn find_document(
     client: &OperatorClient,
     environment: &str,
@@ -31,7 +31,7 @@
     Ok(documents.into_iter().find(|document| document.environment.0 == environment))
 }
 
-/// Returns the version in force in an environment, or 0 when it has no document.
+/// Returns the current version of an environment, or 0 when it has no document.
 async fn current_version(
     client: &OperatorClient,
     environment: &str,
@@ -40,7 +40,7 @@
     Ok(document.map_or(ConfigVersion(0), |document| document.version))
 }
 
-fn no_document(environment: &str) -> CommandFailure {
+fn no_document_error(environment: &str) -> CommandFailure {
     CommandFailure::failed(format!(
         "environment \"{environment}\" has no document; create one with `hibiscushinge edit`"
     ))
--- a/crates/hibiscushinge/src/commands/check.rs
+++ b/crates/hibiscushinge/src/commands/check.rs
@@ -7,14 +7,14 @@
 
 use crate::{exit::ExitStatus, flags::Check};
 
-/// Result in the form of `--json`.
+/// Result as `--json` prints it.
 #[derive(Debug, Serialize)]
 struct CheckResult {
     file: String,
     /// `environment` or `settings`.
     kind: &'static str,
     valid: bool,
-    /// Why the file could not be read.
+    /// Why the file could not be read, if so.
     error: Option<String>,
     problems: Vec<ProblemLine>,
 }
@@ -59,5 +59,5 @@
             println!("{problem}");
         }
     }
-    if valid { ExitStatus::Fine } else { ExitStatus::Failed }
+    if valid { ExitStatus::Success } else { ExitStatus::Failed }
 }
--- a/crates/hibiscushinge/src/commands/diff.rs
+++ b/crates/hibiscushinge/src/commands/diff.rs
@@ -7,14 +7,14 @@
 use similar::{ChangeTag, TextDiff};
 
 use crate::{
-    commands::{no_document, operator},
+    commands::{no_document_error, operator_client},
     exit::ExitStatus,
     flags::Diff,
     output::{CommandFailure, OutputFormat, print_json},
 };
 
-/// Lines shown around a change.
-const CONTEXT: usize = 3;
+/// Unchanged lines printed before and after a change.
+const CONTEXT_LINES: usize = 3;
 
 /// One side of the comparison.
 struct DiffSide {
@@ -22,21 +22,22 @@
     text: String,
 }
 
-/// Prints the lines in which two documents differ. Documents that differ are no failure.
+/// Prints the lines in which two documents differ. The exit code does not depend on whether they
+/// do.
 pub(crate) async fn run(flags: &Diff) -> Result<ExitStatus, CommandFailure> {
-    let documents = operator(flags.platform).documents().await?;
-    let old = side(&documents, &flags.old)?;
-    let new = side(&documents, &flags.new)?;
+    let documents = operator_client(flags.platform).documents().await?;
+    let old = load_side(&documents, &flags.old)?;
+    let new = load_side(&documents, &flags.new)?;
     let diff = TextDiff::from_lines(&old.text, &new.text);
     let count = |tag| diff.iter_all_changes().filter(|change| change.tag() == tag).count();
     let (removed, added) = (count(ChangeTag::Delete), count(ChangeTag::Insert));
-    match OutputFormat::of(flags.json) {
+    match OutputFormat::from_flag(flags.json) {
         OutputFormat::Text if removed + added == 0 => {
             println!("{} and {} are the same", old.name, new.name);
         }
         OutputFormat::Text => {
             let mut unified = diff.unified_diff();
-            print!("{}", unified.context_radius(CONTEXT).header(&old.name, &new.name));
+            print!("{}", unified.context_radius(CONTEXT_LINES).header(&old.name, &new.name));
             println!("{removed} lines removed, {added} lines added");
         }
         OutputFormat::Json => {
@@ -57,18 +58,19 @@
             }));
         }
     }
-    Ok(ExitStatus::Fine)
+    Ok(ExitStatus::Success)
 }
 
-/// Takes a name as an environment, and as a file when no environment has it.
-fn side(documents: &[VersionedDocument], name: &str) -> Result<DiffSide, CommandFailure> {
+/// Reads the document of the environment with this name, or a file when there is no such
+/// environment.
+fn load_side(documents: &[VersionedDocument], name: &str) -> Result<DiffSide, CommandFailure> {
     let found = documents.iter().find(|document| document.environment.0 == name);
     if let Some(document) = found {
         let name = format!("{name} (version {})", document.version.0);
         return Ok(DiffSide { name, text: document.text.clone() });
     }
     if !Path::new(name).exists() {
-        return Err(no_document(name));
+        return Err(no_document_error(name));
     }
     let text = fs::read_to_string(name).map_err(|error| {
         CommandFailure::failed(format!("{name}: reading the file failed: {error}"))
--- a/crates/hibiscushinge/src/commands/edit.rs
+++ b/crates/hibiscushinge/src/commands/edit.rs
@@ -5,7 +5,7 @@
 use configuration::ConfigVersion;
 
 use crate::{
-    commands::{current_version, operator},
+    commands::{current_version, operator_client},
     exit::ExitStatus,
     flags::Edit,
     output::{CommandFailure, OutputFormat, print_outcome},
@@ -19,7 +19,7 @@
             flags.file.display()
         ))
     })?;
-    let mut client = operator(flags.platform);
+    let mut client = operator_client(flags.platform);
     let base = match flags.base {
         Some(base) => ConfigVersion(base),
         None => {
@@ -29,5 +29,5 @@
         }
     };
     let outcome = client.edit(&flags.environment, base, &text).await?;
-    Ok(print_outcome(OutputFormat::of(flags.json), &flags.environment, &outcome))
+    Ok(print_outcome(OutputFormat::from_flag(flags.json), &flags.environment, &outcome))
 }
--- a/crates/hibiscushinge/src/commands/explain.rs
+++ b/crates/hibiscushinge/src/commands/explain.rs
@@ -8,11 +8,11 @@
     output::{CommandFailure, OutputFormat, print_json},
 };
 
-/// Prints the decisions that a daemon took about a request, a sample or an order.
+/// Prints the decisions that a daemon made about a request, a sample or an order.
 pub(crate) async fn run(flags: &Explain) -> Result<ExitStatus, CommandFailure> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-._:/".contains(c);
-    if flags.id.is_empty() || !flags.id.chars().all(plain) {
-        return Err(CommandFailure::wrong_use(format!(
+    let is_query_safe = |c: char| c.is_ascii_alphanumeric() || "-._:/".contains(c);
+    if flags.id.is_empty() || !flags.id.chars().all(is_query_safe) {
+        return Err(CommandFailure::usage_error(format!(
             "\"{}\" is not an id; take it from the header `x-request-id` or from a log line",
             flags.id
         )));
@@ -21,7 +21,7 @@
     let value =
         value.map_err(|error| CommandFailure::failed(format!("{}: {error}", flags.node)))?;
     let found = value["found"] == true;
-    match OutputFormat::of(flags.json) {
+    match OutputFormat::from_flag(flags.json) {
         OutputFormat::Json => print_json(&value),
         OutputFormat::Text if found => {
             for event in value["events"].as_array().into_iter().flatten() {
@@ -33,11 +33,11 @@
         OutputFormat::Text => {
             println!(
                 "this daemon has no decisions about {}. It keeps those of its last 2,000 requests. \
-                 The part of a request id before the hyphen is the incarnation of its daemon; \
-                 `hibiscushinge status --json` shows those.",
+                 The part of a request id before the hyphen is the incarnation of the daemon that \
+                 took it; `hibiscushinge status --json` shows the incarnation of each daemon.",
                 flags.id
             );
         }
     }
-    Ok(if found { ExitStatus::Fine } else { ExitStatus::Failed })
+    Ok(if found { ExitStatus::Success } else { ExitStatus::Failed })
 }
--- a/crates/hibiscushinge/src/commands/promote.rs
+++ b/crates/hibiscushinge/src/commands/promote.rs
@@ -3,7 +3,7 @@
 use configuration::ConfigVersion;
 
 use crate::{
-    commands::{current_version, no_document, operator},
+    commands::{current_version, no_document_error, operator_client},
     exit::ExitStatus,
     flags::Promote,
     output::{CommandFailure, OutputFormat, print_outcome},
@@ -13,13 +13,13 @@
 pub(crate) async fn run(flags: &Promote) -> Result<ExitStatus, CommandFailure> {
     let source = flags.from.as_deref().unwrap_or("trial");
     let target = flags.to.as_deref().unwrap_or("production");
-    let mut client = operator(flags.platform);
+    let mut client = operator_client(flags.platform);
     let version = match flags.version {
         Some(version) => ConfigVersion(version),
         None => current_version(&client, source).await?,
     };
     if version == ConfigVersion(0) {
-        return Err(no_document(source));
+        return Err(no_document_error(source));
     }
     let base = match flags.base {
         Some(base) => ConfigVersion(base),
@@ -27,5 +27,5 @@
     };
     eprintln!("promoting version {} of {source} over version {} of {target}", version.0, base.0);
     let outcome = client.promote((source, version), (target, base)).await?;
-    Ok(print_outcome(OutputFormat::of(flags.json), target, &outcome))
+    Ok(print_outcome(OutputFormat::from_flag(flags.json), target, &outcome))
 }
--- a/crates/hibiscushinge/src/commands/status.rs
+++ b/crates/hibiscushinge/src/commands/status.rs
@@ -12,24 +12,24 @@
     output::{CommandFailure, OutputFormat, print_json},
 };
 
-/// Prints whether the asked daemons are well, and what to do when they are not.
+/// Prints the status of the named daemons, the findings, and advice for each.
 pub(crate) async fn run(flags: &Status) -> Result<ExitStatus, CommandFailure> {
     if flags.node.is_empty() {
-        return Err(CommandFailure::wrong_use(
+        return Err(CommandFailure::usage_error(
             "no daemon was named; give the admin address of each with `--node ADDR`",
         ));
     }
     let client = AdminClient::new();
-    let asked = flags.node.iter().map(|node| async {
+    let queries = flags.node.iter().map(|node| async {
         (*node, client.status(*node).await.map_err(|error| error.to_string()))
     });
-    let nodes = join_all(asked).await;
+    let nodes = join_all(queries).await;
     let findings = assess(&nodes);
     let problems = findings.iter().filter(|finding| finding.kind == FindingKind::Problem).count();
-    match OutputFormat::of(flags.json) {
+    match OutputFormat::from_flag(flags.json) {
         OutputFormat::Text => print_text(&nodes, &findings, problems),
         OutputFormat::Json => {
-            let nodes = nodes.iter().map(|(address, answer)| match answer {
+            let nodes = nodes.iter().map(|(address, result)| match result {
                 Ok(status) => json!({ "node": address, "status": status }),
                 Err(error) => json!({ "node": address, "error": error }),
             });
@@ -37,7 +37,7 @@
             print_json(&json!({ "well": problems == 0, "findings": findings, "nodes": nodes }));
         }
     }
-    Ok(if problems == 0 { ExitStatus::Fine } else { ExitStatus::Failed })
+    Ok(if problems == 0 { ExitStatus::Success } else { ExitStatus::Failed })
 }
 
 fn print_text(nodes: &[NodeAnswer], findings: &[Finding], problems: usize) {
@@ -50,18 +50,18 @@
         "{:<18} {:<12} {:<9} {:>8} {:>7} {:>9} {:>10} {:>6}  leases",
         "vm", "zone", "phase", "version", "flight", "upstreams", "peers", "log"
     );
-    for (address, answer) in nodes {
-        match answer {
+    for (address, result) in nodes {
+        match result {
             Ok(status) => print_node(status),
             Err(_) => println!("{address:<18} does not answer"),
         }
     }
     for finding in findings {
-        let mark = match finding.kind {
+        let label = match finding.kind {
             FindingKind::Problem => "problem",
             FindingKind::Notice => "notice",
         };
-        println!("{mark}: {}: {}\n    {}", finding.subject, finding.seen, finding.advice);
+        println!("{label}: {}: {}\n    {}", finding.subject, finding.seen, finding.advice);
     }
 }
 
--- a/crates/hibiscushinge/src/commands/usage.rs
+++ b/crates/hibiscushinge/src/commands/usage.rs
@@ -12,9 +12,9 @@
     output::{CommandFailure, OutputFormat, print_json},
 };
 
-/// Answer of `GET /admin/usage`.
+/// Response to `GET /admin/usage`.
 #[derive(Debug, Deserialize)]
-struct UsageAnswer {
+struct UsageResponse {
     open: BTreeMap<String, UsageAmount>,
     windows: Vec<ClosedWindow>,
     pending_batches: u64,
@@ -27,33 +27,33 @@
     figures: BTreeMap<String, UsageAmount>,
 }
 
-/// Prints the usage figures of the whole environment as one daemon reads them from the log.
+/// Prints the usage of the whole environment, as one daemon reads it from the log.
 pub(crate) async fn run(flags: &Usage) -> Result<ExitStatus, CommandFailure> {
     let value = AdminClient::new().usage(flags.node).await;
     let value =
         value.map_err(|error| CommandFailure::failed(format!("{}: {error}", flags.node)))?;
-    if OutputFormat::of(flags.json) == OutputFormat::Json {
+    if OutputFormat::from_flag(flags.json) == OutputFormat::Json {
         print_json(&value);
-        return Ok(ExitStatus::Fine);
+        return Ok(ExitStatus::Success);
     }
-    let answer = serde_json::from_value::<UsageAnswer>(value)
+    let response = serde_json::from_value::<UsageResponse>(value)
         .map_err(|error| CommandFailure::failed(format!("{}: {error}", flags.node)))?;
     println!(
         "{:<12} {:<20} {:>10} {:>14} {:>16}",
         "window", "customer", "requests", "prompt tokens", "generated tokens"
     );
-    for window in &answer.windows {
+    for window in &response.windows {
         let state = if window.reported { "reported" } else { "closed, not yet reported" };
         println!("{} ({state})", window.window);
-        print_figures(&window.figures);
+        print_usage(&window.figures);
     }
     println!("open");
-    print_figures(&answer.open);
-    println!("{} batches of this node are not in the log yet", answer.pending_batches);
-    Ok(ExitStatus::Fine)
+    print_usage(&response.open);
+    println!("{} batches of this node are not in the log yet", response.pending_batches);
+    Ok(ExitStatus::Success)
 }
 
-fn print_figures(figures: &BTreeMap<String, UsageAmount>) {
+fn print_usage(figures: &BTreeMap<String, UsageAmount>) {
     for (customer, amount) in figures {
         println!(
             "{:<12} {customer:<20} {:>10} {:>14} {:>16}",
--- a/crates/hibiscushinge/src/demo.rs
+++ b/crates/hibiscushinge/src/demo.rs
@@ -1,24 +1,25 @@
-//! `hibiscushinge demo`: a whole deployment in one process, and a check of its promises.
+//! `hibiscushinge demo`: runs a whole deployment in one process and checks the guarantees of the
+//! service, called promises.
 
-mod account;
 mod caller;
+mod checks;
 mod config;
+mod deployment;
 mod steps;
-mod world;
 
 use std::time::Duration;
 
 use crate::{
-    demo::{account::PromiseAccount, world::DemoWorld},
+    demo::{checks::PromiseChecks, deployment::DemoDeployment},
     exit::ExitStatus,
     flags::Demo,
     output::CommandFailure,
 };
 
-/// Longest run. A run that takes longer has stalled, on any machine.
-const RUN_LIMIT: Duration = Duration::from_secs(240);
+/// Bound on the duration of all steps. A run that takes longer has stalled, even on a slow machine.
+const RUN_TIMEOUT: Duration = Duration::from_secs(240);
 
-/// Runs all steps and prints the account of the promises.
+/// Runs all steps and prints which promises were kept.
 pub(crate) async fn run(flags: &Demo) -> Result<ExitStatus, CommandFailure> {
     if flags.verbose {
         let filter = tracing_subscriber::EnvFilter::new("info");
@@ -27,17 +28,17 @@
     }
     let seed = flags.seed.unwrap_or(1);
     println!("A deployment in this process, on loopback, with seed {seed}");
-    let mut account = PromiseAccount::new();
-    let mut world = DemoWorld::start(seed).await.map_err(CommandFailure::failed)?;
-    world.describe();
-    let steps = steps::run(&mut world, &mut account);
-    let result = match actix_rt::time::timeout(RUN_LIMIT, steps).await {
+    let mut checks = PromiseChecks::new();
+    let mut deployment = DemoDeployment::start(seed).await.map_err(CommandFailure::failed)?;
+    deployment.print_addresses();
+    let steps = steps::run(&mut deployment, &mut checks);
+    let result = match actix_rt::time::timeout(RUN_TIMEOUT, steps).await {
         Ok(result) => result,
-        Err(_) => Err(format!("the run exceeded {} s", RUN_LIMIT.as_secs())),
+        Err(_) => Err(format!("the steps did not end within {} s", RUN_TIMEOUT.as_secs())),
     };
     if let Err(reason) = result {
-        account.check("The run reaches its end", false, reason);
+        checks.record("The run reaches its end", false, reason);
     }
-    world.stop().await;
-    Ok(account.close())
+    deployment.stop().await;
+    Ok(checks.print_summary())
 }
--- a/crates/hibiscushinge/src/demo/caller.rs
+++ b/crates/hibiscushinge/src/demo/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: requests, running streams, and the judgement of answers.
+//! Callers: requests, running streams, and the comparison of responses with what upstreams
+//! generate.
 
 #[cfg(test)]
 mod tests;
@@ -13,21 +14,21 @@
 use serde_json::{Value, json};
 use stand_ins::token_text;
 
-/// Longest exchange. It exceeds the deadlines of the document.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(100);
+/// Bound on one exchange. It exceeds the `max_deadline` of the routes in the document.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(100);
 
-/// How often a refusal that offers a retry is followed by one.
-const MAX_TRIES: u32 = 20;
+/// Most retries of a request after refusals with `retry_after_ms`.
+const MAX_RETRIES: u32 = 20;
 
-/// Sends requests as callers do. Clones share their connections.
+/// HTTP client of the callers. Clones share their connections.
 #[derive(Clone)]
 pub(crate) struct DemoCaller {
     client: Client,
 }
 
-/// A request of a caller.
+/// A request of a caller to a route of a daemon.
 #[derive(Debug, Clone)]
-pub(crate) struct CallerAsk {
+pub(crate) struct CallerRequest {
     pub(crate) daemon: SocketAddr,
     pub(crate) path: &'static str,
     pub(crate) key: Option<String>,
@@ -35,39 +36,40 @@
     pub(crate) body: String,
 }
 
-/// A generation that a caller wants.
+/// The body of a generation request.
 #[derive(Debug, Clone)]
-pub(crate) struct GenerateAsk {
+pub(crate) struct GenerationRequest {
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
     pub(crate) seed: u64,
 }
 
-/// What a caller received.
+/// The response that a caller received.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct CallerAnswer {
-    /// HTTP status, or 0 when no answer came.
+pub(crate) struct CallerResponse {
+    /// HTTP status, or 0 when there was no response.
     pub(crate) status: u16,
-    /// Id of the request as the daemon names it.
+    /// Request id from the header `x-request-id`.
     pub(crate) id: String,
     pub(crate) body: String,
-    /// Refusals with a time for a retry that came before this answer.
+    /// Retries before this response.
     pub(crate) retries: u32,
 }
 
-/// A stream that runs beside the demo.
+/// A stream that is received in the background.
 pub(crate) struct RunningStream {
-    pub(crate) ask: GenerateAsk,
+    pub(crate) request: GenerationRequest,
     pub(crate) customer: String,
+    /// Lines received so far.
     lines: Rc<Cell<usize>>,
-    task: JoinHandle<CallerAnswer>,
+    task: JoinHandle<CallerResponse>,
 }
 
 /// A stream that has ended.
-pub(crate) struct EndedStream {
-    pub(crate) ask: GenerateAsk,
+pub(crate) struct FinishedStream {
+    pub(crate) request: GenerationRequest,
     pub(crate) customer: String,
-    pub(crate) answer: CallerAnswer,
+    pub(crate) response: CallerResponse,
 }
 
 impl DemoCaller {
@@ -77,115 +79,133 @@
         Self { client: builder.disable_timeout().finish() }
     }
 
-    /// Sends a request and follows refusals that offer a retry.
-    pub(crate) async fn call(&self, ask: &CallerAsk) -> CallerAnswer {
-        self.follow(ask, &Rc::default()).await
+    /// Sends a request, and again after each refusal with `retry_after_ms`.
+    pub(crate) async fn call(&self, request: &CallerRequest) -> CallerResponse {
+        self.send_with_retries(request, &Rc::default()).await
     }
 
-    /// Sends a request once, whatever the answer.
-    pub(crate) async fn once(&self, ask: &CallerAsk) -> CallerAnswer {
-        let mut answer = CallerAnswer::default();
+    /// Sends a request once, without retries.
+    pub(crate) async fn call_once(&self, request: &CallerRequest) -> CallerResponse {
+        let mut response = CallerResponse::default();
         let lines = Cell::default();
-        let exchange = self.exchange(ask, &lines, &mut answer);
-        if actix_rt::time::timeout(EXCHANGE_LIMIT, exchange).await.is_err() {
-            answer.body.push_str("(no end of the answer)");
+        let exchange = self.exchange(request, &lines, &mut response);
+        if actix_rt::time::timeout(EXCHANGE_TIMEOUT, exchange).await.is_err() {
+            response.body.push_str("(the response did not end before the timeout)");
         }
-        answer
+        response
     }
 
-    /// Starts a generation in the background.
-    pub(crate) fn start(
+    /// Starts a generation request in the background, with retries.
+    pub(crate) fn start_generation(
         &self,
         customer: &str,
-        ask: CallerAsk,
-        generate: &GenerateAsk,
+        request: CallerRequest,
+        generation: &GenerationRequest,
     ) -> RunningStream {
         let lines = Rc::<Cell<usize>>::default();
-        let (caller, seen) = (self.clone(), Rc::clone(&lines));
-        let task = actix_rt::spawn(async move { caller.follow(&ask, &seen).await });
-        RunningStream { ask: generate.clone(), customer: String::from(customer), lines, task }
+        let (caller, received_lines) = (self.clone(), Rc::clone(&lines));
+        let task =
+            actix_rt::spawn(
+                async move { caller.send_with_retries(&request, &received_lines).await },
+            );
+        RunningStream { request: generation.clone(), customer: String::from(customer), lines, task }
     }
 
-    async fn follow(&self, ask: &CallerAsk, lines: &Cell<usize>) -> CallerAnswer {
+    async fn send_with_retries(
+        &self,
+        request: &CallerRequest,
+        lines: &Cell<usize>,
+    ) -> CallerResponse {
         let mut retries = 0;
         loop {
-            let mut answer = CallerAnswer::default();
-            let exchange = self.exchange(ask, lines, &mut answer);
-            if actix_rt::time::timeout(EXCHANGE_LIMIT, exchange).await.is_err() {
-                answer.body.push_str("(no end of the answer)");
+            let mut response = CallerResponse::default();
+            let exchange = self.exchange(request, lines, &mut response);
+            if actix_rt::time::timeout(EXCHANGE_TIMEOUT, exchange).await.is_err() {
+                response.body.push_str("(the response did not end before the timeout)");
             }
-            answer.retries = retries;
-            let wait = answer.refusal()["retry_after_ms"].as_u64();
-            let Some(wait) = wait.filter(|_| answer.status != 200 && retries < MAX_TRIES) else {
-                return answer;
+            response.retries = retries;
+            let wait = response.refusal()["retry_after_ms"].as_u64();
+            let Some(wait) = wait.filter(|_| response.status != 200 && retries < MAX_RETRIES)
+            else {
+                return response;
             };
             retries += 1;
             actix_rt::time::sleep(Duration::from_millis(wait)).await;
         }
     }
 
-    /// Reads `path` of a daemon with a key.
-    pub(crate) async fn get(&self, daemon: SocketAddr, path: &str, key: &str) -> CallerAnswer {
-        let request = self.client.get(format!("http://{daemon}{path}"));
-        let request = request.insert_header(("authorization", format!("Bearer {key}")));
-        let mut answer = CallerAnswer::default();
+    /// Sends a GET request for `path` with a key, without retries.
+    pub(crate) async fn get(&self, daemon: SocketAddr, path: &str, key: &str) -> CallerResponse {
+        let http_request = self.client.get(format!("http://{daemon}{path}"));
+        let http_request = http_request.insert_header(("authorization", format!("Bearer {key}")));
+        let mut response = CallerResponse::default();
         let lines = Cell::default();
-        let exchange = receive(request.send(), &lines, &mut answer);
-        if actix_rt::time::timeout(EXCHANGE_LIMIT, exchange).await.is_err() {
-            answer.body.push_str("(no end of the answer)");
+        let exchange = receive(http_request.send(), &lines, &mut response);
+        if actix_rt::time::timeout(EXCHANGE_TIMEOUT, exchange).await.is_err() {
+            response.body.push_str("(the response did not end before the timeout)");
         }
-        answer
+        response
     }
 
-    async fn exchange(&self, ask: &CallerAsk, lines: &Cell<usize>, answer: &mut CallerAnswer) {
-        let mut request = self.client.post(format!("http://{}/v1/{}", ask.daemon, ask.path));
-        if let Some(key) = &ask.key {
-            request = request.insert_header(("authorization", format!("Bearer {key}")));
+    async fn exchange(
+        &self,
+        request: &CallerRequest,
+        lines: &Cell<usize>,
+        response: &mut CallerResponse,
+    ) {
+        let mut http_request =
+            self.client.post(format!("http://{}/v1/{}", request.daemon, request.path));
+        if let Some(key) = &request.key {
+            http_request = http_request.insert_header(("authorization", format!("Bearer {key}")));
         }
-        if let Some(key) = &ask.idempotency_key {
-            request = request.insert_header(("idempotency-key", key.as_str()));
+        if let Some(key) = &request.idempotency_key {
+            http_request = http_request.insert_header(("idempotency-key", key.as_str()));
         }
-        receive(request.send_body(Bytes::from(ask.body.clone())), lines, answer).await;
+        receive(http_request.send_body(Bytes::from(request.body.clone())), lines, response).await;
     }
 }
 
-/// Receives an answer and counts its lines as they come.
-async fn receive(response: awc::SendClientRequest, lines: &Cell<usize>, answer: &mut CallerAnswer) {
-    let mut response = match response.await {
-        Ok(response) => response,
+/// Receives a response and counts its lines as they arrive.
+async fn receive(
+    http_response: awc::SendClientRequest,
+    lines: &Cell<usize>,
+    response: &mut CallerResponse,
+) {
+    let mut http_response = match http_response.await {
+        Ok(http_response) => http_response,
         Err(error) => {
-            answer.body = error.to_string();
+            response.body = error.to_string();
             return;
         }
     };
-    answer.status = response.status().as_u16();
-    let id = response.headers().get("x-request-id").and_then(|value| value.to_str().ok());
-    answer.id = id.map(String::from).unwrap_or_default();
-    while let Some(chunk) = response.next().await {
-        // A stream that breaks off lacks its end marker, which the judgement notices.
+    response.status = http_response.status().as_u16();
+    let id = http_response.headers().get("x-request-id").and_then(|value| value.to_str().ok());
+    response.id = id.map(String::from).unwrap_or_default();
+    while let Some(chunk) = http_response.next().await {
+        // A truncated stream lacks its end line, which `GenerationRequest::verify` reports.
         let Ok(chunk) = chunk else { return };
-        answer.body.push_str(&String::from_utf8_lossy(&chunk));
-        lines.set(answer.body.matches('\n').count());
+        response.body.push_str(&String::from_utf8_lossy(&chunk));
+        lines.set(response.body.matches('\n').count());
     }
 }
 
-impl GenerateAsk {
+impl GenerationRequest {
     pub(crate) fn body(&self) -> String {
         json!({ "prompt": self.prompt, "max_tokens": self.max_tokens, "seed": self.seed })
             .to_string()
     }
 
-    /// Compares an answer with what an engine generates for this request.
+    /// Checks that a response is complete and equal to what an engine generates for this request.
     ///
     /// # Errors
     ///
     /// Returns the first difference.
-    pub(crate) fn judge(&self, answer: &CallerAnswer) -> Result<(), String> {
-        let count = self.judge_tokens(answer)?;
-        let lines = answer.lines();
+    pub(crate) fn verify(&self, response: &CallerResponse) -> Result<(), String> {
+        let count = self.verify_tokens(response)?;
+        let lines = response.lines();
         let end = lines.last().cloned().unwrap_or_default();
         if end["end"] != true || end["tokens"].as_u64() != Some(count) {
-            return Err(format!("status {}, {count} tokens, then {end}", answer.status));
+            return Err(format!("status {}, {count} tokens, then {end}", response.status));
         }
         if count != u64::from(self.max_tokens) {
             return Err(format!("{count} tokens of {}", self.max_tokens));
@@ -193,14 +213,15 @@
         Ok(())
     }
 
-    /// Compares the tokens that came, however many, and returns their number.
+    /// Checks that the tokens received, however many, are those that an engine generates, and
+    /// returns their number.
     ///
     /// # Errors
     ///
     /// Returns the first difference.
-    pub(crate) fn judge_tokens(&self, answer: &CallerAnswer) -> Result<u64, String> {
+    pub(crate) fn verify_tokens(&self, response: &CallerResponse) -> Result<u64, String> {
         let mut count = 0;
-        for line in answer.lines() {
+        for line in response.lines() {
             if line["token"].is_null() {
                 continue;
             }
@@ -214,19 +235,19 @@
     }
 }
 
-impl CallerAnswer {
-    /// Returns the lines of a stream.
+impl CallerResponse {
+    /// Returns the lines of the body as JSON, with null for a line that cannot be parsed.
     pub(crate) fn lines(&self) -> Vec<Value> {
         self.body.lines().map(|line| serde_json::from_str(line).unwrap_or_default()).collect()
     }
 
-    /// Returns the refusal that the answer is or ends with, or null.
+    /// Returns the refusal that is the body or ends the stream, or null.
     pub(crate) fn refusal(&self) -> Value {
         self.lines().last().map(|line| line["error"].clone()).unwrap_or_default()
     }
 
-    /// Returns what the caller expects to be billed for a stream.
-    pub(crate) fn stream_figures(&self) -> UsageAmount {
+    /// Returns the usage that the caller expects to be billed for this stream.
+    pub(crate) fn stream_usage(&self) -> UsageAmount {
         let lines = self.lines();
         let tokens = lines.iter().filter(|line| !line["token"].is_null()).count();
         let prompt = lines.last().and_then(|line| line["prompt_tokens"].as_u64());
@@ -237,23 +258,23 @@
         }
     }
 
-    /// Returns what the caller expects to be billed for a call to a plain service.
-    pub(crate) fn plain_figures(&self) -> UsageAmount {
+    /// Returns the usage that the caller expects to be billed for this response of a plain service.
+    pub(crate) fn plain_usage(&self) -> UsageAmount {
         let requests = u64::from(self.status == StatusCode::OK.as_u16());
         UsageAmount { requests, prompt_tokens: 0, generated_tokens: 0 }
     }
 }
 
 impl RunningStream {
-    /// Returns how many lines the caller has received.
+    /// Returns the number of lines received so far.
     pub(crate) fn received(&self) -> usize {
         self.lines.get()
     }
 
     /// Waits for the end of the stream.
-    pub(crate) async fn end(self) -> EndedStream {
-        let Self { ask, customer, task, .. } = self;
-        let answer = task.await.unwrap_or_default();
-        EndedStream { ask, customer, answer }
+    pub(crate) async fn end(self) -> FinishedStream {
+        let Self { request, customer, task, .. } = self;
+        let response = task.await.unwrap_or_default();
+        FinishedStream { request, customer, response }
     }
 }
--- a/crates/hibiscushinge/src/demo/config.rs
+++ b/crates/hibiscushinge/src/demo/config.rs
@@ -1,18 +1,18 @@
-//! The document of the demo.
+//! The environment document of the demo.
 
 use std::{fmt::Write as _, net::SocketAddr};
 
 use base::KeyDigest;
 
-use super::world::{DemoCustomer, TRAINER, ZONES};
+use super::deployment::{DemoCustomer, TRAINER, ZONES};
 
-/// Addresses of the upstreams, with the position of their zone.
+/// Addresses of the upstreams, each with the index of its zone in [`ZONES`].
 pub(crate) struct UpstreamList {
     pub(crate) engines: Vec<(usize, SocketAddr)>,
     pub(crate) plain: Vec<(usize, SocketAddr)>,
 }
 
-/// Builds the document. A customer whose key is withdrawn has none in it.
+/// Returns the text of the document. Customers whose key is withdrawn have an empty list of keys.
 pub(crate) fn document_text(
     upstreams: &UpstreamList,
     customers: &[DemoCustomer],
@@ -22,17 +22,17 @@
         "environment = \"production\"\ntime_zone = \"Australia/Hobart\"\nusage_window = \"10s\"\n",
     );
     for zone in ZONES {
-        push(
+        push_table(
             &mut text,
             "zones",
             &format!("name = \"{zone}\"\nregion = \"tas-south\"\nentry_vms = 1"),
         );
     }
-    push(&mut text, "services", "name = \"draft-models\"\nkind = \"model\"");
-    push(&mut text, "services", "name = \"dieline-index\"\nkind = \"plain\"");
+    push_table(&mut text, "services", "name = \"draft-models\"\nkind = \"model\"");
+    push_table(&mut text, "services", "name = \"dieline-index\"\nkind = \"plain\"");
     for (zone, name) in ZONES.iter().enumerate() {
-        pool(&mut text, "draft-models", name, zone, &upstreams.engines);
-        pool(&mut text, "dieline-index", name, zone, &upstreams.plain);
+        push_pools(&mut text, "draft-models", name, zone, &upstreams.engines);
+        push_pools(&mut text, "dieline-index", name, zone, &upstreams.plain);
     }
     for (path, service, idempotent) in [
         ("draft", "draft-models", true),
@@ -43,7 +43,7 @@
             "path = \"{path}\"\nservice = \"{service}\"\nidempotent = {idempotent}\n\
              max_deadline = \"90s\""
         );
-        push(&mut text, "routes", &route);
+        push_table(&mut text, "routes", &route);
     }
     for customer in customers {
         let digest = format!("\"{}\"", KeyDigest::of(&customer.key));
@@ -53,18 +53,18 @@
              requests_per_second = 3000",
             customer.name
         );
-        push(&mut text, "customers", &table);
+        push_table(&mut text, "customers", &table);
     }
     let table = format!(
         "name = \"{TRAINER}\"\nkey = \"{}\"\nservice = \"draft-models\"\nstaleness_bound = 1\n\
          min_group = 1\nmax_group = 64",
         KeyDigest::of(trainer_key)
     );
-    push(&mut text, "trainers", &table);
+    push_table(&mut text, "trainers", &table);
     text
 }
 
-fn pool(
+fn push_pools(
     text: &mut String,
     service: &str,
     zone_name: &str,
@@ -83,9 +83,9 @@
         own.len(),
         own.join(", ")
     );
-    push(text, "pools", &table);
+    push_table(text, "pools", &table);
 }
 
-fn push(text: &mut String, name: &str, table: &str) {
-    write!(text, "\n[[{name}]]\n{table}\n").expect("writing to a string succeeds");
+fn push_table(text: &mut String, name: &str, table: &str) {
+    write!(text, "\n[[{name}]]\n{table}\n").expect("writing to a `String` never fails");
 }
--- a/crates/hibiscushinge/src/demo/world.rs
+++ b/crates/hibiscushinge/src/demo/deployment.rs
@@ -1,4 +1,5 @@
-//! The deployment: platform, upstreams, daemons and an operator, all in this process.
+//! The deployment of the demo: platform, upstreams, daemons, callers and an operator, all in this
+//! process.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -16,18 +17,18 @@
 };
 
 use super::{
-    account::UsageCount,
-    caller::{CallerAsk, DemoCaller, GenerateAsk},
+    caller::{CallerRequest, DemoCaller, GenerationRequest},
+    checks::UsageCount,
     config::{UpstreamList, document_text},
 };
 
-/// Zones, with one daemon in each.
+/// Availability zones, with one daemon in each.
 pub(crate) const ZONES: [&str; 3] = ["hobart-a", "hobart-b", "kingston-c"];
 
-/// Zone of each engine, by position in [`ZONES`].
+/// Zone of each engine, as an index in [`ZONES`].
 const ENGINE_ZONES: [usize; 4] = [0, 0, 1, 2];
 
-/// Zone of the plain service.
+/// Zone of the plain service, as an index in [`ZONES`].
 const PLAIN_ZONE: usize = 1;
 
 const CUSTOMERS: [&str; 4] = ["huon-cordials", "tamar-ales", "bruny-preserves", "sorell-cider"];
@@ -35,29 +36,30 @@
 /// Name of the trainer.
 pub(crate) const TRAINER: &str = "layouts";
 
-/// Longest wait for anything that is observed. Loaded machines need far less.
-const WAIT_LIMIT: Duration = Duration::from_secs(45);
+/// Bound on each wait for an observed state. Even loaded machines need far less.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(45);
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A customer of the demo.
+/// A customer with its key.
 #[derive(Debug, Clone)]
 pub(crate) struct DemoCustomer {
     pub(crate) name: &'static str,
     pub(crate) key: String,
+    /// Whether [`DemoDeployment::document`] leaves the key out.
     pub(crate) withdrawn: bool,
 }
 
-/// A daemon of the demo.
+/// A daemon with the name of its VM.
 pub(crate) struct DemoDaemon {
     pub(crate) vm: String,
     pub(crate) addresses: DaemonAddresses,
-    /// `None` once the daemon has been stopped.
+    /// `None` once the daemon was stopped.
     pub(crate) daemon: Option<Daemon>,
 }
 
 /// The whole deployment.
-pub(crate) struct DemoWorld {
+pub(crate) struct DemoDeployment {
     pub(crate) platform: Platform,
     pub(crate) engines: Vec<Engine>,
     pub(crate) plain: PlainService,
@@ -67,14 +69,14 @@
     pub(crate) operator: OperatorClient,
     pub(crate) admin: AdminClient,
     pub(crate) caller: DemoCaller,
-    /// What the callers counted.
+    /// Usage that the callers counted.
     pub(crate) counted: UsageCount,
     rng: ChaCha8Rng,
     http: HttpClient,
 }
 
-impl DemoWorld {
-    /// Starts everything. No document is in force yet.
+impl DemoDeployment {
+    /// Starts platform, upstreams and daemons. The environment has no document yet.
     pub(crate) async fn start(seed: u64) -> Result<Self, String> {
         let failed = |error: std::io::Error| format!("starting the deployment failed: {error}");
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -100,7 +102,7 @@
         let customers = customers.collect();
         let trainer_key = random_key(&mut rng);
         let operator = OperatorClient::new(platform.address(), Incarnation(rng.random()));
-        let world = Self {
+        let deployment = Self {
             platform,
             engines,
             plain,
@@ -114,12 +116,12 @@
             rng,
             http: HttpClient::new(Span::from_secs(5)),
         };
-        world.list_vms().await?;
-        Ok(world)
+        deployment.register_vms().await?;
+        Ok(deployment)
     }
 
-    /// Prints the addresses in use.
-    pub(crate) fn describe(&self) {
+    /// Prints the addresses of platform, upstreams and daemons.
+    pub(crate) fn print_addresses(&self) {
         println!("  platform {}", self.platform.address());
         for (engine, zone) in self.engines.iter().zip(ENGINE_ZONES) {
             println!("  engine {} in {}", engine.address(), ZONES[zone]);
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Builds the document with the customers as they are now.
+    /// Returns the document with the current keys of the customers.
     pub(crate) fn document(&self) -> String {
         let engines = self.engines.iter().zip(ENGINE_ZONES);
         let engines = engines.map(|(engine, zone)| (zone, engine.address())).collect();
@@ -139,27 +141,27 @@
         document_text(&UpstreamList { engines, plain }, &self.customers, &self.trainer_key)
     }
 
-    /// Builds a generation with a prompt of its own.
-    pub(crate) fn generation(&mut self, max_tokens: u32) -> GenerateAsk {
+    /// Creates a generation request with a unique prompt.
+    pub(crate) fn generation(&mut self, max_tokens: u32) -> GenerationRequest {
         let number = self.rng.random::<u64>();
         let prompt = format!("a sleeve for batch {number:x} of plum cordial");
-        GenerateAsk { prompt, max_tokens, seed: self.rng.random::<u64>() >> 1 }
+        GenerationRequest { prompt, max_tokens, seed: self.rng.random::<u64>() >> 1 }
     }
 
-    /// Returns a text that no other call returns.
-    pub(crate) fn unique(&mut self, prefix: &str) -> String {
+    /// Returns a text that is unique, since it ends with a random number.
+    pub(crate) fn unique_text(&mut self, prefix: &str) -> String {
         format!("{prefix}-{:016x}", self.rng.random::<u64>())
     }
 
-    /// Builds a request of a customer to a daemon, both by position.
-    pub(crate) fn ask(
+    /// Creates a request of a customer to a daemon, both given by index.
+    pub(crate) fn request(
         &self,
         daemon: usize,
         customer: usize,
         path: &'static str,
         body: String,
-    ) -> CallerAsk {
-        CallerAsk {
+    ) -> CallerRequest {
+        CallerRequest {
             daemon: self.daemons[daemon].addresses.listen,
             path,
             key: Some(self.customers[customer].key.clone()),
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Reads the status of all daemons that run.
+    /// Returns the status of all daemons that run and respond.
     pub(crate) async fn statuses(&self) -> Vec<NodeStatus> {
         let mut found = Vec::new();
         for daemon in self.daemons.iter().filter(|daemon| daemon.daemon.is_some()) {
@@ -179,24 +181,25 @@
         found
     }
 
-    /// Returns what the upstreams received, one value for each.
-    pub(crate) async fn upstream_views(&self) -> Result<Vec<Value>, String> {
+    /// Returns what `GET /inspect` of each upstream shows: what it received.
+    pub(crate) async fn inspect_upstreams(&self) -> Result<Vec<Value>, String> {
         let mut views = self.engines.iter().map(Engine::inspect).collect::<Vec<_>>();
-        let ask = HttpRequest::get(self.plain.address(), "/inspect");
-        let answer = self.http.exchange(ask, Span::from_secs(5), 16 << 20).await;
-        let answer = answer.map_err(|error| format!("the plain service: {error}"))?;
-        views.push(serde_json::from_slice(&answer.body).unwrap_or_default());
+        let request = HttpRequest::get(self.plain.address(), "/inspect");
+        let response = self.http.exchange(request, Span::from_secs(5), 16 << 20).await;
+        let response =
+            response.map_err(|error| format!("inspecting the plain service failed: {error}"))?;
+        views.push(serde_json::from_slice(&response.body).unwrap_or_default());
         Ok(views)
     }
 
-    /// Counts the requests that upstreams have run.
+    /// Returns the number of requests that the upstreams have run.
     pub(crate) async fn upstream_runs(&self) -> Result<u64, String> {
-        let views = self.upstream_views().await?;
+        let views = self.inspect_upstreams().await?;
         let runs = views.iter().filter_map(|view| view["runs"].as_object());
         Ok(runs.flat_map(|runs| runs.values()).filter_map(Value::as_u64).sum())
     }
 
-    /// Stops what still runs.
+    /// Stops the daemons that still run.
     pub(crate) async fn stop(&mut self) {
         for daemon in &mut self.daemons {
             if let Some(daemon) = daemon.daemon.take() {
@@ -205,7 +208,8 @@
         }
     }
 
-    async fn list_vms(&self) -> Result<(), String> {
+    /// Registers the daemons' VMs at the platform, so that the daemons find each other.
+    async fn register_vms(&self) -> Result<(), String> {
         let vms = self.daemons.iter().zip(ZONES).map(|(daemon, zone)| {
             json!({
                 "name": daemon.vm, "zone": zone, "address": daemon.addresses.peer,
@@ -213,9 +217,11 @@
             })
         });
         let body = Bytes::from(vms.collect::<Value>().to_string());
-        let ask = HttpRequest::post(self.platform.address(), "/vms", body);
-        let answer = self.http.exchange(ask, Span::from_secs(5), 1 << 10).await;
-        answer.map(|_| ()).map_err(|error| format!("listing the VMs: {error}"))
+        let request = HttpRequest::post(self.platform.address(), "/vms", body);
+        let response = self.http.exchange(request, Span::from_secs(5), 1 << 10).await;
+        response
+            .map(|_| ())
+            .map_err(|error| format!("registering the VMs at the platform failed: {error}"))
     }
 }
 
@@ -223,19 +229,19 @@
     format!("{:016x}{:016x}", rng.random::<u64>(), rng.random::<u64>())
 }
 
-/// Reads a value until it is as wanted, and returns the last one that was read. The caller judges
-/// it, so that a wait that ends in vain shows what was observed.
-pub(crate) async fn observe<T, F: Future<Output = T>>(
+/// Polls a value until it is as wanted or [`WAIT_TIMEOUT`] has passed, and returns the last one
+/// read. The caller checks it, so that the evidence of a broken promise shows what was observed.
+pub(crate) async fn poll_until<T, F: Future<Output = T>>(
     mut read: impl FnMut() -> F,
     wanted: impl Fn(&T) -> bool,
 ) -> T {
-    let end = std::time::Instant::now() + WAIT_LIMIT;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         let value = read().await;
         if wanted(&value) || std::time::Instant::now() >= end {
             return value;
         }
-        actix_rt::time::sleep(POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/hibiscushinge/src/demo/steps.rs
+++ b/crates/hibiscushinge/src/demo/steps.rs
@@ -1,91 +1,101 @@
-//! The steps of the demo, in order. Each checks promises by what it observed.
+//! The steps of the demo, in order. Each checks promises against what it observed.
 
-mod answers;
 mod billing;
 mod crash;
 mod documents;
 mod drain;
-mod once;
+mod idempotency;
+mod responses;
 mod secrets;
 mod training;
 mod withdrawal;
 
 use super::{
-    account::PromiseAccount,
-    caller::{EndedStream, RunningStream},
-    world::{DemoWorld, observe},
+    caller::{FinishedStream, RunningStream},
+    checks::PromiseChecks,
+    deployment::{DemoDeployment, poll_until},
 };
 
-/// Why a step could not be carried out.
+/// Result of a step. The error says why the step could not be carried out; a broken promise is
+/// not an error.
 type StepResult = Result<(), String>;
 
-/// Runs all steps. A broken promise does not stop the ones after it.
-pub(crate) async fn run(world: &mut DemoWorld, account: &mut PromiseAccount) -> StepResult {
-    account.step("A document goes from trial to production");
-    documents::run(world, account).await?;
-    account.step("Callers of several customers ask for drafts and look-ups");
-    answers::run(world, account).await?;
-    account.step("Orders are sent twice, through two daemons at once");
-    once::run(world, account).await?;
-    account.step("A trainer asks for groups of samples");
-    training::run(world, account).await?;
-    account.step("A key is withdrawn while its stream runs");
-    withdrawal::run(world, account).await?;
-    account.step("An engine crashes while streams run");
-    crash::run(world, account).await?;
-    account.step("A daemon is drained while a stream runs");
-    drain::run(world, account).await?;
-    account.step("Usage windows close and are reported");
-    billing::run(world, account).await?;
-    account.step("What the upstreams received");
-    secrets::run(world, account).await
+/// Runs all steps. The later ones run also after a broken promise, but not after a failed step.
+pub(crate) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
+    checks.step("A document goes from trial to production");
+    documents::run(deployment, checks).await?;
+    checks.step("Callers of several customers ask for drafts and look-ups");
+    responses::run(deployment, checks).await?;
+    checks.step("Orders are sent twice, through two daemons at once");
+    idempotency::run(deployment, checks).await?;
+    checks.step("A trainer asks for groups of samples");
+    training::run(deployment, checks).await?;
+    checks.step("A key is withdrawn while its stream runs");
+    withdrawal::run(deployment, checks).await?;
+    checks.step("An engine crashes while streams run");
+    crash::run(deployment, checks).await?;
+    checks.step("A daemon is drained while a stream runs");
+    drain::run(deployment, checks).await?;
+    checks.step("Usage windows close and are reported");
+    billing::run(deployment, checks).await?;
+    checks.step("What the upstreams received");
+    secrets::run(deployment, checks).await
 }
 
-/// Starts a stream of a customer through a daemon, both by position.
+/// Starts a stream of a customer through a daemon, both given by index.
 fn start_stream(
-    world: &mut DemoWorld,
+    deployment: &mut DemoDeployment,
     daemon: usize,
     customer: usize,
     max_tokens: u32,
 ) -> RunningStream {
-    let generate = world.generation(max_tokens);
-    let ask = world.ask(daemon, customer, "draft", generate.body());
-    world.caller.start(world.customers[customer].name, ask, &generate)
+    let generation = deployment.generation(max_tokens);
+    let request = deployment.request(daemon, customer, "draft", generation.body());
+    deployment.caller.start_generation(deployment.customers[customer].name, request, &generation)
 }
 
-/// Waits until every stream has brought this many lines.
+/// Waits until every stream has received at least this many lines.
 async fn wait_for_lines(streams: &[RunningStream], lines: usize) -> StepResult {
-    let least = || async { streams.iter().map(RunningStream::received).min().unwrap_or_default() };
-    let least = observe(least, |least| *least >= lines).await;
-    if least < lines {
-        return Err(format!("a stream brought {least} lines instead of {lines}"));
+    let min_lines =
+        || async { streams.iter().map(RunningStream::received).min().unwrap_or_default() };
+    let min_lines = poll_until(min_lines, |min_lines| *min_lines >= lines).await;
+    if min_lines < lines {
+        return Err(format!(
+            "a stream received {min_lines} lines within the wait, expected at least {lines}"
+        ));
     }
     Ok(())
 }
 
-/// Waits for the ends of streams and counts their usage.
-async fn end_streams(world: &mut DemoWorld, streams: Vec<RunningStream>) -> Vec<EndedStream> {
+/// Waits until the streams have ended, and counts their usage.
+async fn end_streams(
+    deployment: &mut DemoDeployment,
+    streams: Vec<RunningStream>,
+) -> Vec<FinishedStream> {
     let mut ended = Vec::new();
     for stream in streams {
         let stream = stream.end().await;
-        world.counted.add(&stream.customer, stream.answer.stream_figures());
+        deployment.counted.add(&stream.customer, stream.response.stream_usage());
         ended.push(stream);
     }
     ended
 }
 
-/// Splits streams into the number of whole ones and the first fault of the others.
-fn judge_all(streams: &[EndedStream]) -> (usize, Option<String>) {
-    let results = streams.iter().map(|stream| stream.ask.judge(&stream.answer));
+/// Returns the number of complete, correct streams, and the first difference found in the others.
+fn verify_streams(streams: &[FinishedStream]) -> (usize, Option<String>) {
+    let results = streams.iter().map(|stream| stream.request.verify(&stream.response));
     let results = results.collect::<Vec<_>>();
-    let whole = results.iter().filter(|result| result.is_ok()).count();
-    (whole, results.into_iter().find_map(Result::err))
+    let complete = results.iter().filter(|result| result.is_ok()).count();
+    (complete, results.into_iter().find_map(Result::err))
 }
 
-/// Describes how many of the streams are whole.
-fn whole_text(streams: &[EndedStream]) -> (bool, String) {
-    let (whole, fault) = judge_all(streams);
+/// Returns whether all streams are complete and correct, and a text that says how many are.
+fn summarize_streams(streams: &[FinishedStream]) -> (bool, String) {
+    let (complete, mismatch) = verify_streams(streams);
     let all = streams.len();
-    let fault = fault.map(|fault| format!("; {fault}")).unwrap_or_default();
-    (whole == all, format!("{whole} of {all} streams are equal to the engine's tokens{fault}"))
+    let mismatch = mismatch.map(|mismatch| format!("; {mismatch}")).unwrap_or_default();
+    (
+        complete == all,
+        format!("{complete} of {all} streams are equal to the engine's tokens{mismatch}"),
+    )
 }
--- a/crates/hibiscushinge/src/demo/steps/billing.rs
+++ b/crates/hibiscushinge/src/demo/steps/billing.rs
@@ -1,4 +1,4 @@
-//! Usage reports against what the callers counted.
+//! Comparison of the usage reports with what the callers counted.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,21 @@
 
 use super::StepResult;
 use crate::demo::{
-    account::{PromiseAccount, UsageCount},
-    world::{DemoWorld, observe},
+    checks::{PromiseChecks, UsageCount},
+    deployment::{DemoDeployment, poll_until},
 };
 
-/// A report as the platform received it.
+/// A usage report as the platform stand-in recorded it.
 #[derive(Debug, Deserialize)]
 struct ReceivedReport {
     report: Report,
     accepted: bool,
 }
 
-pub(super) async fn run(world: &mut DemoWorld, account: &mut PromiseAccount) -> StepResult {
-    let counted = world.counted.clone();
-    let read = || async { received(&world.platform.inspect()) };
-    let reports = observe(read, |reports| covers(&billed(reports), &counted)).await;
+pub(super) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
+    let counted = deployment.counted.clone();
+    let read = || async { received(&deployment.platform.inspect()) };
+    let reports = poll_until(read, |reports| covers(&billed(reports), &counted)).await;
     let billed = billed(&reports);
     let mut windows = BTreeMap::<u64, Vec<&Report>>::new();
     for received in &reports {
@@ -32,7 +32,7 @@
         .values()
         .filter(|reports| reports.iter().any(|report| report.figures != reports[0].figures));
     let changed = changed.count();
-    account.check(
+    checks.record(
         "Each usage window is reported once",
         changed == 0 && reports.iter().all(|received| received.accepted),
         format!(
@@ -41,7 +41,7 @@
             windows.len()
         ),
     );
-    account.check(
+    checks.record(
         "The reported figures are what the callers counted",
         billed == counted,
         match billed == counted {
@@ -50,16 +50,17 @@
         },
     );
 
-    // A daemon reads the close of a window up to 500 ms after its holder has reported it.
-    let node = world.daemons[0].addresses.admin;
+    // A daemon reads the record that closes a window up to 500 ms after the lease holder has
+    // reported the window.
+    let node = deployment.daemons[0].addresses.admin;
     let read = || async {
-        let usage = world.admin.usage(node).await.unwrap_or_default();
+        let usage = deployment.admin.usage(node).await.unwrap_or_default();
         usage["open"].clone()
     };
     let is_empty = |open: &Value| open.as_object().is_some_and(serde_json::Map::is_empty);
-    let open = observe(read, is_empty).await;
-    let billed = self::billed(&received(&world.platform.inspect()));
-    account.check(
+    let open = poll_until(read, is_empty).await;
+    let billed = self::billed(&received(&deployment.platform.inspect()));
+    checks.record(
         "Nothing is billed again",
         is_empty(&open) && billed == counted,
         format!("the open window holds {open}; reported by then: {}", billed.summary()),
@@ -71,7 +72,7 @@
     serde_json::from_value(inspected["reports"].clone()).unwrap_or_default()
 }
 
-/// Sums the accepted reports, each window once.
+/// Sums the accepted reports by customer, with each window counted once.
 fn billed(reports: &[ReceivedReport]) -> UsageCount {
     let accepted = reports.iter().filter(|received| received.accepted);
     let windows = accepted.map(|received| (received.report.window, &received.report.figures));
@@ -84,6 +85,7 @@
     count
 }
 
+/// Returns whether at least the counted usage has been billed.
 fn covers(billed: &UsageCount, counted: &UsageCount) -> bool {
     counted.0.iter().all(|(customer, counted)| {
         let at_least = |billed: &UsageAmount| {
--- a/crates/hibiscushinge/src/demo/steps/crash.rs
+++ b/crates/hibiscushinge/src/demo/steps/crash.rs
@@ -1,49 +1,49 @@
-//! An engine that crashes while streams run.
+//! An engine crashes while streams run.
 
 use std::time::Duration;
 
 use hibiscushinge::AdminClient;
 
-use super::{StepResult, end_streams, start_stream, wait_for_lines, whole_text};
-use crate::demo::{account::PromiseAccount, world::DemoWorld};
+use super::{StepResult, end_streams, start_stream, summarize_streams, wait_for_lines};
+use crate::demo::{checks::PromiseChecks, deployment::DemoDeployment};
 
-/// Tokens of each stream, for 2 s at the engine's speed. Streams of the crashed engine run one after
-/// the other, since suspects share no upstream.
-const TOKENS: u32 = 400;
+/// Tokens of each stream, which take 2 s at the engine's speed. The streams of the crashed engine
+/// are resumed one after the other, since a suspect runs alone on its upstream.
+const STREAM_TOKENS: u32 = 400;
 
-/// Time for which the engine stays down.
-const DOWN: Duration = Duration::from_secs(2);
+/// Time until the engine serves again.
+const DOWNTIME: Duration = Duration::from_secs(2);
 
-pub(super) async fn run(world: &mut DemoWorld, account: &mut PromiseAccount) -> StepResult {
+pub(super) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
     let mut streams = Vec::new();
-    for daemon in 0..world.daemons.len() {
+    for daemon in 0..deployment.daemons.len() {
         for customer in 0..2 {
-            streams.push(start_stream(world, daemon, customer, TOKENS));
+            streams.push(start_stream(deployment, daemon, customer, STREAM_TOKENS));
         }
     }
     wait_for_lines(&streams, 20).await?;
-    let running = |index: usize| world.engines[index].inspect()["running"].as_u64();
-    let busiest = (0..world.engines.len()).max_by_key(|index| running(*index));
+    let running = |index: usize| deployment.engines[index].inspect()["running"].as_u64();
+    let busiest = (0..deployment.engines.len()).max_by_key(|index| running(*index));
     let busiest = busiest.ok_or("there is no engine")?;
-    let engine = &world.engines[busiest];
-    let lost = running(busiest).unwrap_or_default();
-    println!("    engine {} crashes with {lost} streams", engine.address());
-    engine.crash(DOWN);
-    let streams = end_streams(world, streams).await;
+    let engine = &deployment.engines[busiest];
+    let interrupted = running(busiest).unwrap_or_default();
+    println!("    engine {} crashes with {interrupted} streams", engine.address());
+    engine.crash(DOWNTIME);
+    let streams = end_streams(deployment, streams).await;
 
     let mut resumed = Vec::new();
-    for daemon in &world.daemons {
+    for daemon in &deployment.daemons {
         for stream in &streams {
-            let id = &stream.answer.id;
-            resumed.extend(resumptions(&world.admin, daemon.addresses.admin, id).await);
+            let id = &stream.response.id;
+            resumed.extend(resumptions(&deployment.admin, daemon.addresses.admin, id).await);
         }
     }
-    let (whole, evidence) = whole_text(&streams);
-    account.check(
+    let (complete, evidence) = summarize_streams(&streams);
+    checks.record(
         "Answers are whole although an engine crashed while they ran",
-        whole && lost > 0 && !resumed.is_empty(),
+        complete && interrupted > 0 && !resumed.is_empty(),
         format!(
-            "{lost} streams were on the engine, {} resumed ({}); {evidence}",
+            "{interrupted} streams were on the engine, {} resumed ({}); {evidence}",
             resumed.len(),
             resumed.join("; ")
         ),
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// Returns where a stream was resumed, by the decisions that a daemon kept.
+/// Returns the resumptions of a stream, from the decision events that a daemon kept.
 async fn resumptions(admin: &AdminClient, node: std::net::SocketAddr, id: &str) -> Vec<String> {
     let found = admin.explain(node, id).await.unwrap_or_default();
     let events = found["events"].as_array().cloned().unwrap_or_default();
--- a/crates/hibiscushinge/src/demo/steps/secrets.rs
+++ b/crates/hibiscushinge/src/demo/steps/secrets.rs
@@ -1,21 +1,21 @@
-//! No upstream has seen a key.
+//! Searches what the upstreams received for the keys of callers.
 
 use super::StepResult;
 use crate::demo::{
-    account::PromiseAccount,
-    world::{DemoWorld, TRAINER},
+    checks::PromiseChecks,
+    deployment::{DemoDeployment, TRAINER},
 };
 
-pub(super) async fn run(world: &mut DemoWorld, account: &mut PromiseAccount) -> StepResult {
-    let views = world.upstream_views().await?;
+pub(super) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
+    let views = deployment.inspect_upstreams().await?;
     let headers = views.iter().filter_map(|view| view["headers"].as_array());
     let headers = headers.map(Vec::len).sum::<usize>();
     let texts = views.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let customers = world.customers.iter().map(|customer| (customer.name, &customer.key));
-    let keys = customers.chain([(TRAINER, &world.trainer_key)]).collect::<Vec<_>>();
+    let customers = deployment.customers.iter().map(|customer| (customer.name, &customer.key));
+    let keys = customers.chain([(TRAINER, &deployment.trainer_key)]).collect::<Vec<_>>();
     let seen = keys.iter().filter(|(_, key)| texts.iter().any(|text| text.contains(*key)));
     let seen = seen.map(|(owner, _)| *owner).collect::<Vec<_>>();
-    account.check(
+    checks.record(
         "No upstream sees a caller's key",
         seen.is_empty() && headers > 0,
         format!(
--- a/crates/hibiscushinge/src/exit.rs
+++ b/crates/hibiscushinge/src/exit.rs
@@ -5,16 +5,16 @@
 use base::derive_copy;
 
 derive_copy! {
-    /// How a command ended. `xflags` exits with 2 when the command line is wrong, and scripts read
-    /// 3 as a conflict with another operator's change.
+    /// Exit code of a command. `xflags` itself exits with 2 when it cannot parse the command line.
+    /// Scripts rely on 3 for a conflict with another operator's change.
     pub(crate) enum ExitStatus {
         /// The command did what was asked.
-        Fine = 0,
+        Success = 0,
         /// The command failed, or a check found problems.
         Failed = 1,
-        /// The command line is wrong.
-        WrongUse = 2,
-        /// Another operator's change came first.
+        /// The command line is invalid.
+        UsageError = 2,
+        /// Another operator's change was made first, and this one was not made.
         Conflict = 3,
     }
 }
--- a/crates/hibiscushinge/src/flags.rs
+++ b/crates/hibiscushinge/src/flags.rs
@@ -8,7 +8,8 @@
 xflags::xflags! {
     /// Operators' tool of the rollout service.
     ///
-    /// Exit codes: 0 fine, 1 failed, 2 wrong use, 3 conflict with another operator's change.
+    /// Exit codes: 0 success, 1 failure or problems found, 2 invalid command line, 3 conflict with
+    /// another operator's change.
     cmd hibiscushinge {
         /// Checks an environment document, or a daemon's settings, and reports every problem.
         ///
@@ -16,7 +17,7 @@
         cmd check {
             /// File to check.
             required file: PathBuf
-            /// Takes the file as a daemon's settings.
+            /// Checks the file as a daemon's settings instead of an environment document.
             optional --settings
             /// Writes the result as JSON.
             optional --json
@@ -24,10 +25,10 @@
 
         /// Replaces the document of an environment with a file.
         ///
-        /// The change builds on the version in `--base`. When another operator's change came first,
-        /// nothing happens and the exit code is 3. Without `--base` the tool builds on the version
-        /// that it finds, and prints it; that does not protect against a change made since the file
-        /// was read with `show`.
+        /// The change builds on the version in `--base`. If the environment is at another version
+        /// by then, nothing is changed and the exit code is 3. Without `--base` the tool takes the
+        /// current version and prints it; that does not protect against a change made since the
+        /// file was read with `show`.
         ///
         /// Example, with version 7 printed by `show`:
         /// hibiscushinge show --platform 127.0.0.1:7000 --environment trial > trial.toml
@@ -39,7 +40,7 @@
             required --platform platform: SocketAddr
             /// Environment to change, usually trial or production.
             required --environment environment: String
-            /// Version on which the file builds, or 0 for the first document.
+            /// Version that the file was made from, or 0 for the first document.
             optional --base base: u64
             /// Writes the result as JSON.
             optional --json
@@ -47,8 +48,8 @@
 
         /// Copies the document of one environment to another, usually from trial to production.
         ///
-        /// Without `--version` and `--base` the tool takes the versions that it finds, and prints
-        /// them. A change of either environment in between is a conflict, with exit code 3.
+        /// Without `--version` and `--base` the tool takes the current versions and prints them. If
+        /// either environment is changed in between, nothing is changed and the exit code is 3.
         ///
         /// Example: hibiscushinge promote --platform 127.0.0.1:7000 --from trial --to production
         cmd promote {
@@ -58,9 +59,9 @@
             optional --from from: String
             /// Environment to change; production when left out.
             optional --to to: String
-            /// Version of the source that was reviewed.
+            /// Version of the source environment to copy, as it was reviewed.
             optional --version version: u64
-            /// Version of the target that is replaced.
+            /// Version of the target environment that the copy replaces.
             optional --base base: u64
             /// Writes the result as JSON.
             optional --json
@@ -73,9 +74,9 @@
         ///
         /// Example: hibiscushinge diff --platform 127.0.0.1:7000 production trial
         cmd diff {
-            /// Old side.
+            /// Old side: an environment or a file.
             required old: String
-            /// New side.
+            /// New side: an environment or a file.
             required new: String
             /// Address of the platform.
             required --platform platform: SocketAddr
@@ -83,7 +84,7 @@
             optional --json
         }
 
-        /// Prints the document in force, and its version on standard error.
+        /// Prints the current document of an environment, and its version on standard error.
         ///
         /// Example: hibiscushinge show --platform 127.0.0.1:7000 --environment trial > trial.toml
         cmd show {
@@ -95,9 +96,9 @@
             optional --json
         }
 
-        /// Tells on one screen whether daemons are well, and if not, what to do.
+        /// Prints the status of daemons, the problems found, and what to do about each.
         ///
-        /// The exit code is 1 when there is a problem. Notices are part of ordinary operation.
+        /// The exit code is 1 when there is a problem. Notices report states of ordinary operation.
         ///
         /// Example: hibiscushinge status --node 127.0.0.1:8082 --node 127.0.0.1:8182
         cmd status {
@@ -109,7 +110,7 @@
 
         /// Prints usage by customer for the open window and the closed ones.
         ///
-        /// Every daemon reads the same figures from the log, so one is enough to ask.
+        /// Every daemon reads the same usage from the log, so any one of them can be asked.
         ///
         /// Example: hibiscushinge usage --node 127.0.0.1:8082
         cmd usage {
@@ -119,9 +120,10 @@
             optional --json
         }
 
-        /// Prints why a request was placed, resumed or refused.
+        /// Prints the decisions about a request, a sample or an order: why it was placed, resumed
+        /// or refused.
         ///
-        /// The id is in the answer's header `x-request-id` and in log lines.
+        /// The id is in the header `x-request-id` of the response and in log lines.
         ///
         /// Example: hibiscushinge explain --node 127.0.0.1:8082 0f3c5b1e9a7d2846-2a
         cmd explain {
@@ -133,10 +135,12 @@
             optional --json
         }
 
-        /// Runs a whole deployment in this process and checks its promises, in under a minute.
+        /// Runs a whole deployment in this process and checks what the service guarantees, in under
+        /// a minute.
         ///
         /// Platform, engines, a plain service and three daemons use free ports of loopback. Each
-        /// promise is checked by what was observed. The exit code is 1 when one is broken.
+        /// guarantee (promise) is checked against what callers, upstreams and the platform
+        /// observed. The exit code is 1 when one is broken.
         ///
         /// Example: hibiscushinge demo --seed 7
         cmd demo {
--- a/crates/hibiscushinge/src/health.rs
+++ b/crates/hibiscushinge/src/health.rs
@@ -1,4 +1,5 @@
-//! Judges the status of daemons: what is wrong, and what the operator can do about it.
+//! Derives findings from the status of daemons: what is wrong, and what the operator can do about
+//! it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,11 +8,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Age of a load report, in milliseconds, above which nobody seems to watch the upstream. Reports
-/// are a second or two old in ordinary operation.
-const OLD_REPORT_MS: u64 = 15_000;
+/// Age above which a load report is a problem, since no node seems to watch the upstream. Reports
+/// are one or two seconds old in ordinary operation.
+const MAX_REPORT_AGE_MS: u64 = 15_000;
 
-/// Answer of `GET /admin/status`. Fields that the tool does not read are left out.
+/// Response to `GET /admin/status`. Fields that the tool does not use are left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the VM.
@@ -22,27 +23,27 @@
     pub phase: String,
     /// Identifier of this run of the daemon. Ids of its requests start with it.
     pub incarnation: String,
-    /// Configuration in force.
+    /// Current configuration.
     pub configuration: ConfigurationStatus,
     /// The platform's log as this node sees it.
     pub log: LogStatus,
-    /// Scopes and their leases.
+    /// Leases by scope.
     pub leases: Vec<LeaseStatus>,
-    /// Requests in progress.
+    /// Requests in flight and queued.
     pub requests: RequestStatus,
-    /// Fingerprints of requests that were in flight at a crash.
+    /// Number of suspects: request fingerprints that were in flight when an upstream crashed.
     pub suspects: u64,
-    /// Fingerprints of requests that are blocked.
+    /// Number of convictions: request fingerprints that are blocked after a second crash.
     pub convicted: u64,
-    /// Messages of peers that were malformed, since the start.
+    /// Malformed messages of peers that were dropped, since the start.
     pub malformed_peer_messages: u64,
-    /// Other entry VMs.
+    /// Other entry VMs, as this node sees them.
     pub peers: Vec<PeerStatus>,
-    /// Upstreams.
+    /// Upstreams, as this node sees them.
     pub upstreams: Vec<UpstreamStatus>,
 }
 
-/// Configuration in force on a node.
+/// Current configuration of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStatus {
     /// Environment of the node.
@@ -51,48 +52,49 @@
     pub version: u64,
     /// Whether the version came from a peer and the log has not confirmed it.
     pub possibly_stale: bool,
-    /// Whether the node refuses all keys, because it may not have heard of withdrawn ones.
+    /// Whether the node refuses all keys, because it is isolated and may not know which were
+    /// withdrawn.
     pub refusing_keys: bool,
 }
 
 /// The platform's log as a node sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
-    /// Whether the log does not answer.
+    /// Whether the log does not respond.
     pub down: bool,
-    /// Time since its last answer, in milliseconds.
+    /// Time since its last response, in milliseconds.
     pub silence_ms: u64,
-    /// Records that wait to be appended.
+    /// Records that are buffered until they can be appended.
     pub buffered_records: u64,
     /// Malformed records that were skipped, since the start.
     pub malformed: u64,
-    /// Gaps that were found, since the start.
+    /// Gaps in the offsets read, since the start.
     pub gaps: u64,
 }
 
-/// A scope and its lease.
+/// The lease of one scope, as a node sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// A zone, `usage` or `fleet`.
     pub scope: String,
-    /// Fencing number when this node holds the lease.
+    /// Fencing token of the lease if this node holds it.
     pub held: Option<u64>,
-    /// Fencing number of the last valid claim of any node.
+    /// Fencing token of the last valid claim by any node.
     pub in_force: Option<u64>,
     /// Orders without a known outcome.
     pub open_orders: u64,
 }
 
-/// Requests in progress on a node.
+/// Requests on a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStatus {
-    /// Number of requests.
+    /// Requests that were accepted and have not ended.
     pub in_flight: u64,
-    /// Estimated tokens of the requests that wait in the fair queues.
+    /// Estimated tokens of the requests in the fair queues.
     pub queued_tokens: u64,
 }
 
-/// Another entry VM.
+/// Another entry VM, as a node sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// Name of the VM.
@@ -103,68 +105,68 @@
     pub state: String,
 }
 
-/// An upstream.
+/// An upstream, as a node sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// Name, or address when the document lists it.
+    /// Name, or the address if the document lists the upstream.
     pub upstream: String,
     /// `Serving`, `Leaving(..)` or `Unreachable`.
     pub phase: String,
-    /// Requests that run on it.
+    /// Requests running on it.
     pub running: u64,
-    /// Weight version that it reports.
+    /// Weight version in its latest load report.
     pub version: u64,
-    /// Age of the report, in milliseconds.
+    /// Age of its latest load report, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a daemon answered, or why it did not.
+/// Admin address of a daemon with its status, or with the error of the request for it.
 pub type NodeAnswer = (SocketAddr, Result<NodeStatus, String>);
 
-/// Weight of a [`Finding`].
+/// Severity of a [`Finding`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FindingKind {
-    /// Something needs an operator or must pass.
+    /// Something is wrong. An operator must act, or wait until it has passed.
     Problem,
-    /// Worth knowing, and part of ordinary operation.
+    /// A state of ordinary operation that is worth knowing.
     Notice,
 }
 
-/// Something that an operator should know.
+/// A state of the deployment that an operator should know of.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Weight of the finding.
+    /// Severity.
     pub kind: FindingKind,
-    /// The VM, address or scope concerned.
+    /// The VM, address, upstream, environment or lease concerned.
     pub subject: String,
-    /// What was seen.
+    /// What was observed.
     pub seen: String,
-    /// What to do now.
+    /// What the operator should do now.
     pub advice: &'static str,
 }
 
-/// Judges the answers of some daemons, problems first. Daemons that were not asked are judged only
-/// by what the asked ones say of them.
+/// Returns the findings about some daemons, problems first. Of daemons that are not among `nodes`,
+/// only what these report of them is known.
 #[must_use]
 pub fn assess(nodes: &[NodeAnswer]) -> Vec<Finding> {
     let mut findings = FindingList::default();
-    for (address, answer) in nodes {
-        match answer {
-            Ok(status) => findings.node(status),
+    for (address, result) in nodes {
+        match result {
+            Ok(status) => findings.check_node(status),
             Err(error) => findings.problem(
                 address.to_string(),
                 format!("the daemon does not answer: {error}"),
-                "Check the address and the daemon's log. The balancer has moved its callers.",
+                "Check the address and the daemon's log. The load balancer has moved its callers.",
             ),
         }
     }
-    let answered = nodes.iter().filter_map(|(_, answer)| answer.as_ref().ok());
-    let answered = answered.collect::<Vec<_>>();
-    findings.versions(&answered);
-    findings.leases(&answered);
-    findings.peers(&answered);
-    findings.upstreams(&answered);
+    let statuses = nodes.iter().filter_map(|(_, result)| result.as_ref().ok());
+    let statuses = statuses.collect::<Vec<_>>();
+    findings.check_versions(&statuses);
+    findings.check_leases(&statuses);
+    findings.check_peers(&statuses);
+    findings.check_upstreams(&statuses);
     let mut found = findings.0;
     found.sort_by_key(|finding| finding.kind);
     found
@@ -186,14 +188,14 @@
         self.add(FindingKind::Notice, subject, seen, advice);
     }
 
-    fn node(&mut self, status: &NodeStatus) {
+    fn check_node(&mut self, status: &NodeStatus) {
         let vm = || status.vm.clone();
         let NodeStatus { configuration, log, .. } = status;
         match status.phase.as_str() {
             "starting" => self.problem(
                 vm(),
-                format!("no document of {} is in force", configuration.environment),
-                "Put one in with `hibiscushinge edit`, or wait until the log can be read.",
+                format!("no document of environment {} is in force", configuration.environment),
+                "Create one with `hibiscushinge edit`, or wait until the log can be read.",
             ),
             "draining" => self.notice(
                 vm(),
@@ -206,36 +208,53 @@
             self.problem(
                 vm(),
                 format!(
-                    "the platform's log has been silent for {} ms, {} records wait",
+                    "the platform's log has not responded for {} ms, {} records are buffered",
                     log.silence_ms, log.buffered_records
                 ),
-                "Serving goes on without claims, orders and reports. Ask the platform's operators, \
-                 and do not restart daemons: their waiting records would be lost.",
+                "Requests are served, but leases and idempotency keys cannot be claimed, and there \
+                 are no orders and usage reports. Ask the platform's operators, and do not restart \
+                 daemons: their buffered records would be lost.",
             );
         }
         if configuration.possibly_stale {
             self.problem(
                 vm(),
-                format!("version {} came from a peer", configuration.version),
-                "It ends when the log answers. Compare with `hibiscushinge show`.",
+                format!(
+                    "version {} came from a peer and is not confirmed by the log",
+                    configuration.version
+                ),
+                "This ends when the log responds. Compare with `hibiscushinge show`.",
             );
         }
         if configuration.refusing_keys {
             self.problem(
                 vm(),
                 String::from("the node is isolated and refuses all keys"),
-                "Restore its network. `keys_when_isolated` states how long keys work without it.",
+                "Restore its network. The setting `keys_when_isolated` bounds how long keys are \
+                 accepted without it.",
             );
         }
         let counters = [
-            (log.malformed, "malformed log records were skipped", "See event 1104 for offsets."),
-            (log.gaps, "gaps were found in the log", "See event 1103. Snapshots filled them in."),
+            (
+                log.malformed,
+                "malformed log records were skipped",
+                "See event 1104 for their offsets.",
+            ),
+            (
+                log.gaps,
+                "gaps were found in the log",
+                "See event 1103. The state was restored from snapshots.",
+            ),
             (
                 status.malformed_peer_messages,
                 "malformed messages of peers were skipped",
-                "See event 1503 for senders. Mixed versions of the daemon are a usual cause.",
+                "See event 1503 for senders. A usual cause is different versions of the daemon.",
+            ),
+            (
+                status.suspects,
+                "requests are crash suspects",
+                "Each runs alone on an upstream. See event 2101.",
             ),
-            (status.suspects, "requests are crash suspects", "They run alone. See event 2101."),
             (
                 status.convicted,
                 "requests are blocked because they crashed upstreams",
@@ -249,7 +268,7 @@
         }
     }
 
-    fn versions(&mut self, nodes: &[&NodeStatus]) {
+    fn check_versions(&mut self, nodes: &[&NodeStatus]) {
         let mut versions = BTreeMap::<_, BTreeMap<u64, Vec<&str>>>::new();
         for status in nodes {
             let configuration = &status.configuration;
@@ -264,13 +283,14 @@
                 self.problem(
                     environment,
                     format!("nodes differ: {}", parts.collect::<Vec<_>>().join("; ")),
-                    "A change takes about 2 s. If it stays, the nodes behind cannot hear the log.",
+                    "A change reaches all nodes in about 2 s. If this persists, the nodes with the \
+                     older version cannot read the log.",
                 );
             }
         }
     }
 
-    fn leases(&mut self, nodes: &[&NodeStatus]) {
+    fn check_leases(&mut self, nodes: &[&NodeStatus]) {
         let mut holders = BTreeMap::<&str, Vec<&str>>::new();
         for status in nodes {
             for lease in &status.leases {
@@ -285,74 +305,80 @@
                 [_] => {}
                 [] => self.notice(
                     format!("lease {scope}"),
-                    String::from("no asked node holds it"),
-                    "A successor claims within about 20 s. Ask all nodes of the zone to be sure.",
+                    String::from("none of the nodes asked holds it"),
+                    "A successor claims it in about 20 s. Ask all nodes of the zone to be sure.",
                 ),
                 several => self.problem(
                     format!("lease {scope}"),
-                    format!("{} say that they hold it", several.join(", ")),
-                    "Ask again: the answers were not read at one time. Keep both logs if it stays.",
+                    format!("{} report that they hold it", several.join(", ")),
+                    "Repeat the command: the nodes were not asked at the same instant. If this \
+                     persists, save their logs.",
                 ),
             }
         }
     }
 
-    fn peers(&mut self, nodes: &[&NodeStatus]) {
+    fn check_peers(&mut self, nodes: &[&NodeStatus]) {
         let mut seen = BTreeMap::<(&str, &str), Vec<&str>>::new();
         for status in nodes {
             for peer in status.peers.iter().filter(|peer| peer.state != "live") {
                 seen.entry((&peer.vm, &peer.state)).or_default().push(&status.vm);
             }
         }
-        for ((vm, state), by) in seen {
-            let text = format!("{state} in the eyes of {}", by.join(", "));
+        for ((vm, state), observers) in seen {
+            let text = format!("{state}, as seen by {}", observers.join(", "));
             if state == "suspect" {
                 self.problem(
                     String::from(vm),
                     text,
-                    "Ask again after 10 s. If several VMs of one zone are suspect, the zone is cut \
-                     off.",
+                    "Repeat the command after 10 s. If several VMs of one zone are suspect, the \
+                     zone is cut off from the others.",
                 );
             } else {
-                self.notice(String::from(vm), text, "Its callers and leases move by themselves.");
+                self.notice(
+                    String::from(vm),
+                    text,
+                    "Its callers and leases move to other VMs without intervention.",
+                );
             }
         }
     }
 
-    fn upstreams(&mut self, nodes: &[&NodeStatus]) {
-        let mut names = BTreeSet::new();
+    fn check_upstreams(&mut self, nodes: &[&NodeStatus]) {
+        let mut reported = BTreeSet::new();
         for status in nodes {
             for upstream in &status.upstreams {
                 let UpstreamStatus { upstream: name, phase, age_ms, .. } = upstream;
-                if phase == "Unreachable" && names.insert((name, "down")) {
+                if phase == "Unreachable" && reported.insert((name, "down")) {
                     self.problem(
                         name.clone(),
                         format!("the upstream does not answer (seen by {})", status.vm),
-                        "Work goes to others. If it does not return, look at events 1504 and 2101.",
+                        "Requests go to others. If it does not recover, see events 1504 and 2101.",
                     );
-                } else if phase.starts_with("Leaving") && names.insert((name, "leaving")) {
+                } else if phase.starts_with("Leaving") && reported.insert((name, "leaving")) {
                     self.notice(
                         name.clone(),
                         format!("the upstream is leaving: {phase}"),
-                        "It finishes its work and takes none.",
+                        "It finishes its requests and gets no new ones.",
                     );
-                } else if *age_ms > OLD_REPORT_MS && names.insert((name, "old")) {
+                } else if *age_ms > MAX_REPORT_AGE_MS && reported.insert((name, "old")) {
                     self.problem(
                         name.clone(),
                         format!("its load report is {age_ms} ms old on {}", status.vm),
-                        "Its watcher may be cut off from this node. Compare with other nodes.",
+                        "The node that watches it may be cut off. Compare with other nodes.",
                     );
                 }
             }
         }
-        let serving = |status: &&&NodeStatus| {
-            status.phase == "serving" && !status.upstreams.iter().any(|one| one.phase == "Serving")
+        let lacks_upstream = |status: &&&NodeStatus| {
+            status.phase == "serving"
+                && !status.upstreams.iter().any(|upstream| upstream.phase == "Serving")
         };
-        for status in nodes.iter().filter(serving) {
+        for status in nodes.iter().filter(lacks_upstream) {
             self.problem(
                 status.vm.clone(),
-                String::from("no upstream serves"),
-                "Requests are refused as not run. Look at the pools of the document and at orders.",
+                String::from("no upstream is serving"),
+                "Requests are refused as `not-run`. Check the document's pools and the orders.",
             );
         }
     }
--- a/crates/hibiscushinge/src/lib.rs
+++ b/crates/hibiscushinge/src/lib.rs
@@ -1,4 +1,5 @@
-//! Operators' access to the documents in the platform's log and to the daemons.
+//! Client library of the operators' tool: reads and changes the documents in the platform's log,
+//! and reads the status of daemons.
 
 mod admin;
 mod health;
--- a/crates/hibiscushinge/src/main.rs
+++ b/crates/hibiscushinge/src/main.rs
@@ -1,7 +1,7 @@
 //! The operators' tool.
 //!
-//! Exit codes: 0 the command did what was asked, 1 it failed, 2 the command line is wrong, 3 another
-//! operator's change came first.
+//! Exit codes: 0 success, 1 failure or problems found, 2 invalid command line, 3 conflict with
+//! another operator's change.
 
 mod commands;
 mod demo;
--- a/crates/hibiscushinge/src/operator.rs
+++ b/crates/hibiscushinge/src/operator.rs
@@ -1,4 +1,5 @@
-//! Edits and promotions, settled by the order of the platform's log.
+//! Edits and promotions of documents. Their order in the platform's log decides which of two
+//! concurrent changes is accepted.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -15,57 +16,57 @@
 use protocol::{decode_record, encode_record};
 use record_log::{DecodedPage, DecodedRecord, LogReader, ReaderAction, ReaderSettings};
 
-/// Records asked for in one read.
-const PAGE: u32 = 500;
+/// Records requested in one read of the log. A shorter page is the last one.
+const PAGE_RECORDS: u32 = 500;
 
-/// Attempts of an append whose answer was lost. Each sends the same record id.
+/// Most attempts of an append. Each sends the same record id, so a repetition has no second effect.
 const APPEND_ATTEMPTS: u32 = 5;
 
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 derive_value! {
-    /// What became of an edit or a promotion.
+    /// Outcome of an edit or a promotion.
     pub enum EditOutcome {
-        /// The document has this version.
+        /// The change was made, and the document now has this version.
         Accepted(ConfigVersion),
-        /// Another operator's change came first.
+        /// Another operator's change came first, and this one was not made.
         Conflict(ConflictReport),
-        /// The document is invalid, with all its problems.
+        /// The change was refused, and nothing was changed. Holds all problems, separated by `; `.
         Invalid(String),
     }
 
     /// Why the documents could not be read or changed.
     pub enum OperatorError {
-        /// The platform's log does not answer. A change may have been made.
+        /// The platform's log did not respond. A change may have been made.
         LogUnavailable(String),
-        /// The log no longer holds the records that tell the documents, and no snapshot of them.
+        /// The log no longer holds the records that make up the documents, nor a snapshot of them.
         HistoryLost,
-        /// The change was not found in the log after it was appended.
+        /// The change was appended, but reading the log afterwards did not yield it.
         NotReadBack,
     }
 }
 
-/// Reads and changes documents.
+/// Reads and changes the documents in the platform's log.
 #[derive(Debug)]
 pub struct OperatorClient {
     platform: PlatformClient,
-    /// Writer of this run's records.
+    /// Writer part of the ids of the records that this client appends.
     writer: Incarnation,
     last_sequence: u64,
 }
 
 type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
 
-/// Documents as the whole stream tells them.
-struct ReadHistory {
+/// Result of reading the whole stream of configuration records.
+struct ReplayedLog {
     registry: ConfigRegistry<DocumentCheckFn>,
-    /// What became of the record that was asked for.
+    /// Outcome of the awaited record, if it was found.
     outcome: Option<ConfigOutcome>,
 }
 
 impl OperatorClient {
     /// Creates a client of the platform. `writer` must differ from that of every other process; a
-    /// random number does.
+    /// random number is sufficient.
     #[must_use]
     pub fn new(platform: SocketAddr, writer: Incarnation) -> Self {
         let http = HttpClient::new(Span::from_secs(1));
@@ -77,17 +78,18 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the log does not answer or has lost the documents.
+    /// Returns an error when the log does not respond or no longer holds the documents.
     pub async fn documents(&self) -> Result<Vec<VersionedDocument>, OperatorError> {
-        let read = self.read(None).await?;
-        Ok(read.registry.documents().into_iter().cloned().collect())
+        let replayed = self.replay(None).await?;
+        Ok(replayed.registry.documents().into_iter().cloned().collect())
     }
 
-    /// Replaces the document of an environment, building on the version `base`.
+    /// Replaces the document of an environment if it is at the version `base`. 0 stands for no
+    /// document.
     ///
     /// # Errors
     ///
-    /// Returns an error when the log does not answer; the edit may have been made then.
+    /// Returns an error when the log does not respond; the edit may have been made nevertheless.
     pub async fn edit(
         &mut self,
         environment: &str,
@@ -100,15 +102,16 @@
         }
         let id = self.next_id();
         let edit = ConfigEdit { id, environment, base, text: String::from(text) };
-        self.change(id, &ConfigRecord::Edit(edit)).await
+        self.submit(id, &ConfigRecord::Edit(edit)).await
     }
 
-    /// Copies the document `source_version` of one environment to another, building on the version
-    /// `target_base` there.
+    /// Copies the document of one environment to another, if the source is at the version
+    /// `source_version` and the target at `target_base`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the log does not answer; the promotion may have been made then.
+    /// Returns an error when the log does not respond; the promotion may have been made
+    /// nevertheless.
     pub async fn promote(
         &mut self,
         (source, source_version): (&str, ConfigVersion),
@@ -117,16 +120,17 @@
         let id = self.next_id();
         let (source, target) = (EnvironmentName::from(source), EnvironmentName::from(target));
         let promote = ConfigPromote { id, source, source_version, target, target_base };
-        self.change(id, &ConfigRecord::Promote(promote)).await
+        self.submit(id, &ConfigRecord::Promote(promote)).await
     }
 
-    async fn change(
+    /// Appends a change, then reads the log to learn its outcome.
+    async fn submit(
         &self,
         id: RecordId,
         record: &ConfigRecord,
     ) -> Result<EditOutcome, OperatorError> {
         self.append(id, record).await?;
-        match self.read(Some(id)).await?.outcome {
+        match self.replay(Some(id)).await?.outcome {
             Some(ConfigOutcome::Accepted { version, .. }) => Ok(EditOutcome::Accepted(version)),
             Some(ConfigOutcome::Conflict(report)) => Ok(EditOutcome::Conflict(report)),
             Some(ConfigOutcome::Refused(RefusedReason::Invalid(problem))) => {
@@ -150,28 +154,31 @@
         }
     }
 
-    async fn read(&self, wanted: Option<RecordId>) -> Result<ReadHistory, OperatorError> {
+    /// Reads the log from its oldest record to its end, and notes the outcome of the awaited
+    /// record.
+    async fn replay(&self, awaited: Option<RecordId>) -> Result<ReplayedLog, OperatorError> {
         let check = check_document as DocumentCheckFn;
-        let mut read = ReadHistory { registry: ConfigRegistry::new(check), outcome: None };
+        let mut replayed = ReplayedLog { registry: ConfigRegistry::new(check), outcome: None };
         let mut reader = LogReader::new(ReaderSettings::default(), LogOffset(0));
         loop {
-            let page = self.platform.read(CONFIG_STREAM, reader.next_offset(), PAGE).await?;
-            let is_last = page.records.len() < PAGE as usize;
-            read.registry.note_retention(page.first);
+            let page =
+                self.platform.read(CONFIG_STREAM, reader.next_offset(), PAGE_RECORDS).await?;
+            let is_last = page.records.len() < PAGE_RECORDS as usize;
+            replayed.registry.note_retention(page.first);
             for action in reader.handle(decode(page)) {
                 let ReaderAction::Deliver { offset, id, record } = action else { continue };
-                let outcome = read.registry.apply(offset, &record);
-                if wanted == Some(id) {
-                    read.outcome = Some(outcome);
+                let outcome = replayed.registry.apply(offset, &record);
+                if awaited == Some(id) {
+                    replayed.outcome = Some(outcome);
                 }
             }
             if !is_last {
                 continue;
             }
-            if read.registry.next_offset().is_none() {
+            if replayed.registry.next_offset().is_none() {
                 return Err(OperatorError::HistoryLost);
             }
-            return Ok(read);
+            return Ok(replayed);
         }
     }
 
@@ -201,8 +208,12 @@
             Self::LogUnavailable(reason) => {
                 write!(f, "the platform's log is unavailable: {reason}")
             }
-            Self::HistoryLost => f.write_str("the log no longer holds the documents"),
-            Self::NotReadBack => f.write_str("the change was appended but not found in the log"),
+            Self::HistoryLost => {
+                f.write_str("the log no longer holds the documents or a snapshot of them")
+            }
+            Self::NotReadBack => f.write_str(
+                "the change was appended but not found in the log; check with `hibiscushinge show`",
+            ),
         }
     }
 }
--- a/crates/hibiscushinge/src/output.rs
+++ b/crates/hibiscushinge/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print, and how they fail.
+//! Output of commands as text or JSON, and their failures.
 
 use std::{fmt, future::Future};
 
@@ -8,14 +8,14 @@
 
 use crate::exit::ExitStatus;
 
-/// Form of a command's output.
+/// Format of a command's output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OutputFormat {
     Text,
     Json,
 }
 
-/// Why a command could not do what was asked.
+/// Failure of a command, with its exit code.
 #[derive(Debug)]
 pub(crate) struct CommandFailure {
     status: ExitStatus,
@@ -24,7 +24,7 @@
 
 impl OutputFormat {
     /// Returns the format that the switch `--json` asks for.
-    pub(crate) const fn of(json: bool) -> Self {
+    pub(crate) const fn from_flag(json: bool) -> Self {
         if json { Self::Json } else { Self::Text }
     }
 }
@@ -34,9 +34,9 @@
         Self { status: ExitStatus::Failed, message: message.into() }
     }
 
-    /// Reports arguments that cannot mean anything.
-    pub(crate) fn wrong_use(message: impl Into<String>) -> Self {
-        Self { status: ExitStatus::WrongUse, message: message.into() }
+    /// Reports an invalid argument that `xflags` does not detect.
+    pub(crate) fn usage_error(message: impl Into<String>) -> Self {
+        Self { status: ExitStatus::UsageError, message: message.into() }
     }
 }
 
@@ -52,7 +52,8 @@
     }
 }
 
-/// Runs a command to its end and reports its failure.
+/// Runs a command to its end. A failure is printed to standard error, or as JSON to standard
+/// output.
 pub(crate) fn run(
     json: bool,
     command: impl Future<Output = Result<ExitStatus, CommandFailure>>,
@@ -60,7 +61,7 @@
     match actix_rt::System::new().block_on(command) {
         Ok(status) => status,
         Err(failure) => {
-            match OutputFormat::of(json) {
+            match OutputFormat::from_flag(json) {
                 OutputFormat::Text => eprintln!("hibiscushinge: {failure}"),
                 OutputFormat::Json => print_json(&json!({ "error": failure.message })),
             }
@@ -73,7 +74,8 @@
     println!("{}", serde_json::to_string_pretty(value).expect("plain data serializes"));
 }
 
-/// Prints what became of a change of the document of `environment`.
+/// Prints the outcome of an edit or promotion of the document of `environment`, and returns the
+/// exit code.
 pub(crate) fn print_outcome(
     format: OutputFormat,
     environment: &str,
@@ -88,7 +90,7 @@
                     "outcome": "accepted", "environment": environment, "version": version,
                 })),
             }
-            ExitStatus::Fine
+            ExitStatus::Success
         }
         EditOutcome::Conflict(report) => {
             let (changed, named, winner) = (&report.environment.0, report.named.0, report.winner.0);
--- a/crates/hibiscushinge/tests/check.rs
+++ b/crates/hibiscushinge/tests/check.rs
@@ -1,4 +1,4 @@
-//! `hibiscushinge check` as an operator runs it.
+//! `hibiscushinge check`, run as a process.
 
 use std::{
     path::Path,
@@ -22,7 +22,11 @@
 #[case::missing_file(&["check", "examples/none.toml"], 1, "reading the file failed")]
 #[case::wrong_use(&["check"], 2, "file")]
 #[case::unknown_command(&["chek"], 2, "chek")]
-fn exit_code_and_output(#[case] arguments: &[&str], #[case] code: i32, #[case] expected: &str) {
+fn check_has_its_exit_code_and_output(
+    #[case] arguments: &[&str],
+    #[case] code: i32,
+    #[case] expected: &str,
+) {
     let output = run(arguments);
     let text = [output.stdout, output.stderr].concat();
     let text = String::from_utf8(text).unwrap();
@@ -30,7 +34,7 @@
     assert!(text.contains(expected), "{text}");
 }
 
-/// Guards against JSON that loses the line or the rule of a problem.
+/// Guards against JSON output without the line or the allowed values of a problem.
 #[test]
 fn json_output_has_every_field() {
     let output = run(&["check", "--json", "examples/daemon.toml"]);
--- a/crates/hibiscushinge/tests/common/mod.rs
+++ b/crates/hibiscushinge/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment in this process, and runs of the tool against it.
+//! Helpers that start a platform and daemons in this process and run the tool against them.
 
 #![allow(dead_code)]
 
@@ -14,13 +14,13 @@
 use hibiscushinged::Daemon;
 use stand_ins::{Platform, PlatformOptions};
 
-/// Longest wait for any event. Loaded machines need far less.
-const WAIT_LIMIT: Duration = Duration::from_secs(60);
+/// Bound on each wait. Even loaded machines need far less.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 static LAST_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// A document that an operator edits.
-pub(crate) fn example() -> String {
+/// Returns the text of the example document.
+pub(crate) fn example_document() -> String {
     std::fs::read_to_string(root().join("examples/derwent.toml")).unwrap()
 }
 
@@ -28,8 +28,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Writes a file that only this test uses.
-pub(crate) fn file(text: &str) -> String {
+/// Writes a file with a unique name and returns its path.
+pub(crate) fn write_file(text: &str) -> String {
     let number = LAST_FILE.fetch_add(1, Ordering::Relaxed);
     let name = format!("tool-{}-{number}.toml", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -37,15 +37,15 @@
     path.display().to_string()
 }
 
-/// Runs the tool beside this thread, which serves the platform.
-pub(crate) async fn tool(arguments: &[&str]) -> Output {
+/// Runs the tool and waits for it on another thread, since this one serves the platform.
+pub(crate) async fn run_tool(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hibiscushinge"));
     command.current_dir(root()).args(arguments);
     actix_rt::task::spawn_blocking(move || command.output().unwrap()).await.unwrap()
 }
 
 /// Returns exit code, standard output and standard error.
-pub(crate) fn parts(output: &Output) -> (i32, String, String) {
+pub(crate) fn exit_and_output(output: &Output) -> (i32, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code().unwrap(), text(&output.stdout), text(&output.stderr))
 }
@@ -64,17 +64,17 @@
     Daemon::start(DaemonSettings::parse("daemon", &text).unwrap()).unwrap()
 }
 
-/// Calls `probe` until it returns a value.
+/// Calls `probe` until it returns a value, and panics after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_for<T, F: Future<Output = Option<T>>>(
     what: &str,
     probe: impl Fn() -> F,
 ) -> T {
-    let end = std::time::Instant::now() + WAIT_LIMIT;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = probe().await {
             return value;
         }
-        assert!(std::time::Instant::now() < end, "{what} did not come");
+        assert!(std::time::Instant::now() < end, "{what}: not seen within {WAIT_TIMEOUT:?}");
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/hibiscushinge/tests/health.rs
+++ b/crates/hibiscushinge/tests/health.rs
@@ -1,4 +1,4 @@
-//! The judgement of daemons by their status.
+//! The findings that are derived from the status of daemons.
 
 use hibiscushinge::{FindingKind, NodeStatus, assess};
 use serde_json::json;
@@ -23,7 +23,8 @@
     serde_json::from_value(status).unwrap()
 }
 
-/// Checks what one change of a status leads to, with a second daemon that is well.
+/// Checks the first finding after one change of a daemon's status, beside a second daemon without
+/// findings.
 fn check(change: impl Fn(&mut NodeStatus), expected: Option<(FindingKind, &str)>) {
     let (mut one, other) = (node("entry-1"), node("entry-2"));
     change(&mut one);
@@ -33,7 +34,7 @@
     assert_eq!(first, expected, "{findings:?}");
 }
 
-/// Guards against a fault that the status hides.
+/// Guards against a fault that is not reported as a problem.
 #[test]
 fn faults_are_problems() {
     let own = Some((FindingKind::Problem, "entry-1"));
@@ -51,9 +52,9 @@
     check(|node| node.peers[0].state = "suspect".into(), suspect);
 }
 
-/// Guards against ordinary operation shown as a fault.
+/// Guards against a state of ordinary operation that is reported as a problem.
 #[test]
-fn ordinary_operation_is_no_problem() {
+fn ordinary_operation_is_not_a_problem() {
     let own = Some((FindingKind::Notice, "entry-1"));
     check(|_| (), None);
     check(|node| node.phase = "draining".into(), own);
@@ -63,9 +64,9 @@
     check(|node| node.peers[0].state = "gone".into(), gone);
 }
 
-/// Guards against a daemon that does not answer being passed over.
+/// Guards against a daemon that does not respond and is not reported.
 #[test]
-fn silent_daemon_is_a_problem() {
+fn unreachable_daemon_is_a_problem() {
     let address = "127.0.0.1:8082".parse().unwrap();
     let findings = assess(&[(address, Err(String::from("refused")))]);
     assert_eq!(findings[0].kind, FindingKind::Problem);
--- a/crates/stand-ins/src/engine/generation.rs
+++ b/crates/stand-ins/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Generation of token streams.
+//! Generation of token streams, with queueing, prefill and a fixed rate of tokens.
 
 use std::{io, time::Instant};
 
@@ -12,24 +12,25 @@
 use super::EngineHandler;
 use crate::http::Reply;
 
-/// Bytes of a prompt that make up its cached prefix.
+/// Bytes of a prompt that make up its prefix in the cache.
 const PREFIX_BYTES: usize = 256;
 
-/// Most lines written at once. It bounds the memory of a fast stream.
-const MAX_LINES: usize = 512;
+/// Most lines in one chunk of a response. It bounds the memory of a fast stream.
+const MAX_LINES_PER_CHUNK: usize = 512;
 
 const WORDS: [&str; 16] = [
     "sleeve", "label", "plum", "cordial", "glycol", "mix", "hop", "barrel", "ink", "fold", "cut",
     "line", "dose", "stock", "sheet", "proof",
 ];
 
-/// Returns the text of one token. It depends on nothing else, so a resumed stream continues it.
+/// Returns the text of one token. It depends on the arguments only, so a stream that is resumed on
+/// another engine continues with the same text.
 #[must_use]
 pub fn token_text(seed: u64, prompt: &str, index: u32) -> String {
-    text_of(digest_of(prompt.as_bytes()), seed, index)
+    token_from_digest(digest_u64(prompt.as_bytes()), seed, index)
 }
 
-/// A generation that counts as queued or running until it is dropped.
+/// A generation, queued or running. Dropping it frees its slot or its place in the queue.
 struct Generation {
     handler: EngineHandler,
     number: u64,
@@ -48,18 +49,18 @@
 
 impl Drop for Generation {
     fn drop(&mut self) {
-        self.handler.state().leave(self.number, Instant::now());
-        self.handler.changed.notify_waiters();
+        self.handler.state().remove(self.number, Instant::now());
+        self.handler.queue_changed.notify_waiters();
     }
 }
 
 impl EngineHandler {
     pub(super) fn generate(&self, request: wire::Generate) -> Reply {
-        let number = self.state().enter(&request, Instant::now());
+        let number = self.state().enqueue(&request, Instant::now());
         let generation = Generation {
             handler: self.clone(),
             number,
-            digest: digest_of(request.prompt.as_bytes()),
+            digest: digest_u64(request.prompt.as_bytes()),
             next: request.offset,
             request,
             due: tokio::time::Instant::now(),
@@ -73,7 +74,8 @@
 }
 
 impl Generation {
-    /// Returns the lines that come next, or `None` at the end.
+    /// Returns the next lines of the stream when they are due, or `None` when it has ended or was
+    /// cancelled.
     async fn advance(&mut self) -> Option<Bytes> {
         if let Phase::Queued = self.phase {
             self.wait_for_slot().await?;
@@ -100,24 +102,24 @@
         }
         let now = tokio::time::Instant::now();
         let token_time = state.token_time();
-        // Timers have a resolution of 1 ms, so a fast engine has several tokens due at once.
-        for count in 0..MAX_LINES {
+        // Timers have a resolution of 1 ms, so several tokens of a fast engine are due at once.
+        for count in 0..MAX_LINES_PER_CHUNK {
             if self.next >= self.request.max_tokens || (count > 0 && self.due + token_time > now) {
                 break;
             }
             if count > 0 {
                 self.due += token_time;
             }
-            let token = text_of(self.digest, self.request.seed, self.next);
+            let token = token_from_digest(self.digest, self.request.seed, self.next);
             let id = self.request.id.clone();
-            let version = state.produce(self.number);
-            push(&mut lines, &wire::TokenLine::Token { id, index: self.next, token, version });
+            let version = state.record_token(self.number);
+            push_line(&mut lines, &wire::TokenLine::Token { id, index: self.next, token, version });
             self.next += 1;
         }
         if self.next >= self.request.max_tokens {
             let id = self.request.id.clone();
             let prompt_tokens = prompt_tokens(&self.request.prompt);
-            push(
+            push_line(
                 &mut lines,
                 &wire::TokenLine::End { id, end: true, tokens: self.next, prompt_tokens },
             );
@@ -126,44 +128,47 @@
         Some(lines.freeze())
     }
 
+    /// Waits until the generation may start, or returns `None` when it was cancelled meanwhile.
     async fn wait_for_slot(&self) -> Option<()> {
         loop {
-            // Registered before the check, so that no change between the two is missed.
-            let changed = self.handler.changed.notified();
+            // Registered before the check, so that a change between the two is not missed.
+            let queue_changed = self.handler.queue_changed.notified();
             {
                 let mut state = self.handler.state();
                 if state.is_cancelled(&self.request.id) {
                     return None;
                 }
-                if state.try_run(self.number, Instant::now()) {
+                if state.try_start(self.number, Instant::now()) {
                     break;
                 }
             }
-            changed.await;
+            queue_changed.await;
         }
-        // Another one that waits may have a slot too.
-        self.handler.changed.notify_waiters();
+        // Another queued generation may get a slot too.
+        self.handler.queue_changed.notify_waiters();
         Some(())
     }
 
-    /// Reads the prompt and the tokens before the offset, unless they are in a cache.
+    /// Takes the time to process the prompt and the tokens before the offset, unless the KV cache
+    /// holds them. A cached prefix covers a generation from the start only, an imported KV cache
+    /// any.
     async fn prefill(&self) {
         let request = &self.request;
         let prefix = &request.prompt.as_bytes()[..request.prompt.len().min(PREFIX_BYTES)];
-        let known = {
+        let is_cached = {
             let mut state = self.handler.state();
-            let imported = state.imported.remove(&request.id);
-            let cached = state.touch_prefix(digest_of(prefix));
+            let imported = state.imported_caches.remove(&request.id);
+            let cached = state.touch_prefix(digest_u64(prefix));
             imported || (cached && request.offset == 0)
         };
-        if !known {
+        if !is_cached {
             let tokens = prompt_tokens(&request.prompt).saturating_add(request.offset);
             sleep(self.handler.options.prefill_per_token * tokens).await;
         }
     }
 }
 
-fn push(lines: &mut BytesMut, line: &wire::TokenLine) {
+fn push_line(lines: &mut BytesMut, line: &wire::TokenLine) {
     serde_json::to_writer(lines.writer(), line).expect("plain data serializes");
     lines.put_u8(b'\n');
 }
@@ -172,12 +177,12 @@
     u32::try_from(prompt.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
-fn digest_of(bytes: &[u8]) -> u64 {
+fn digest_u64(bytes: &[u8]) -> u64 {
     let digest = Sha256::digest(bytes);
-    u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
+    u64::from_be_bytes(digest[..8].try_into().expect("a SHA-256 digest has 32 bytes"))
 }
 
-fn text_of(digest: u64, seed: u64, index: u32) -> String {
+fn token_from_digest(digest: u64, seed: u64, index: u32) -> String {
     let value = rendezvous_weight(digest ^ seed, u64::from(index));
     format!("{}{} ", WORDS[(value % 16) as usize], value / 16 % 100)
 }
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine.
+//! Stand-in of a model engine, with a queue, a batch, a prefix cache and weight versions.
 
 mod generation;
 mod state;
@@ -34,27 +34,28 @@
     pub listen: SocketAddr,
     /// Threads that serve requests.
     pub workers: usize,
-    /// Tokens per second of one generation that runs alone.
+    /// Tokens per second of a single generation.
     pub tokens_per_second: u32,
-    /// Share by which each further generation lengthens the time per token.
+    /// Increase of the time per token with each further running generation, as a fraction of the
+    /// time that a single one takes.
     pub batch_slowdown: f64,
-    /// Generations that run at once. Others wait, samples behind live ones.
+    /// Most generations that run at once. Others are queued, samples behind live requests.
     pub max_running: usize,
-    /// Time to read one prompt token that is not in the cache.
+    /// Time to process one prompt token that is not in the cache.
     pub prefill_per_token: Duration,
-    /// Prompts whose prefix is kept in the cache.
+    /// Most prefixes of prompts in the cache. The least recently used one is dropped.
     pub cached_prefixes: usize,
-    /// Time until the load report shows a change.
+    /// Time until a change shows in the load report.
     pub report_lag: Duration,
     /// Weight version at the start.
     pub version: u64,
-    /// Time to load a version beside reading it from the store.
+    /// Time to load a version, in addition to reading it from the store.
     pub load_time: Duration,
-    /// Platform whose weight store is read, if any.
+    /// Platform from whose store weights are read. Without one, loading reads nothing.
     pub platform: Option<SocketAddr>,
-    /// Number of the next weight swaps that fail.
+    /// How many of the next switches to a loaded weight version fail.
     pub failing_swaps: u32,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether weight load orders with an outdated fencing token are refused.
     pub check_fencing: bool,
     /// A prompt that contains this text crashes the engine.
     pub crash_marker: Option<String>,
@@ -73,12 +74,13 @@
 pub(crate) struct EngineHandler {
     pub(crate) options: Arc<EngineOptions>,
     pub(crate) control: ServerControl,
-    /// Wakes generations when a slot is free, and running ones when one is cancelled.
-    pub(crate) changed: Arc<Notify>,
+    /// Wakes the queued generations when a slot may be free or one of them was cancelled. Running
+    /// ones check for cancellation at each token.
+    pub(crate) queue_changed: Arc<Notify>,
     state: Arc<Mutex<EngineState>>,
 }
 
-/// Body of `POST /faults`. Fields that are left out keep their value.
+/// Body of `POST /faults`. Settings whose field is left out stay as they are.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct EngineChange {
@@ -89,7 +91,7 @@
 
 /// Body of `POST /reclaim`.
 #[derive(Debug, Clone, Copy, Deserialize)]
-struct ReclaimCall {
+struct ReclaimRequest {
     after_ms: u64,
 }
 
@@ -127,32 +129,32 @@
         let options = Arc::new(options);
         let mut handler = None;
         let control = ServerControl::start(listen, workers, |control| {
-            let built = EngineHandler { options, control, changed: Arc::default(), state };
+            let built = EngineHandler { options, control, queue_changed: Arc::default(), state };
             handler = Some(built.clone());
             built
         })?;
-        let handler = handler.expect("start calls the closure");
+        let handler = handler.expect("`ServerControl::start` calls the closure when it succeeds");
         Ok(Self { control, handler })
     }
 
-    /// Returns the address.
+    /// Returns the address that the engine listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Returns what `GET /inspect` answers.
+    /// Returns the body of `GET /inspect`: counters and what the engine received.
     #[must_use]
     pub fn inspect(&self) -> Value {
         self.handler.state().inspect()
     }
 
-    /// Drops all connections and stays down for `time`.
+    /// Drops all connections, refuses new ones for `time`, then serves again.
     pub fn crash(&self, time: Duration) {
         self.control.crash(CrashAction::StayDown(time));
     }
 
-    /// Stops the engine.
+    /// Stops the engine and closes its connections.
     pub async fn stop(&self) {
         self.control.stop().await;
     }
@@ -167,7 +169,7 @@
             (Method::POST, "/generate") => call.json().map(|request| self.generate(request)),
             (Method::POST, "/cancel") => call.json().map(|stream: wire::StreamId| {
                 self.state().cancel(stream.id);
-                self.changed.notify_waiters();
+                self.queue_changed.notify_waiters();
                 Reply::status(StatusCode::OK)
             }),
             (Method::GET, "/load") => Ok(Reply::json(self.state().load.get(Instant::now()))),
@@ -176,7 +178,7 @@
             }
             (Method::POST, "/kv/export") => call.json().map(|stream| self.export(stream)),
             (Method::POST, "/kv/import") => call.json().map(|cache: wire::Kv| {
-                self.state().imported.insert(cache.id);
+                self.state().imported_caches.insert(cache.id);
                 Reply::status(StatusCode::OK)
             }),
             (Method::POST, "/reclaim") => call.json().map(|reclaim| self.reclaim(reclaim)),
@@ -190,7 +192,7 @@
 
 impl EngineHandler {
     pub(crate) fn state(&self) -> MutexGuard<'_, EngineState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while it holds the state")
     }
 
     fn export(&self, stream: wire::StreamId) -> Reply {
@@ -214,8 +216,8 @@
         Reply::status(StatusCode::OK)
     }
 
-    /// Announces that the engine goes, and stops it after the notice.
-    fn reclaim(&self, reclaim: ReclaimCall) -> Reply {
+    /// Reports the engine as leaving, and stops it after the announced time.
+    fn reclaim(&self, reclaim: ReclaimRequest) -> Reply {
         self.state().set_leaving(Instant::now());
         let control = self.control.clone();
         actix_rt::spawn(async move {
--- a/crates/stand-ins/src/engine/weights.rs
+++ b/crates/stand-ins/src/engine/weights.rs
@@ -9,10 +9,11 @@
 use super::EngineHandler;
 use crate::http::Reply;
 
-/// Attempts to read a version from the store before the load counts as failed.
-const MAX_READS: u32 = 60;
+/// Attempts to read a version from the rate-limited store before the load fails.
+const MAX_READ_ATTEMPTS: u32 = 60;
 
-/// A load in progress. Dropping it before the swap, as a crash does, lets it be ordered again.
+/// A load in progress. When it is dropped before the swap, as by a crash, the version can be
+/// ordered again.
 struct PendingLoad {
     handler: EngineHandler,
     version: u64,
@@ -31,11 +32,11 @@
             return Reply::status(StatusCode::CONFLICT);
         }
         state.highest_fencing = state.highest_fencing.max(order.fencing);
-        // The target is wanted already, so the order has no further effect.
-        if state.wanted_version == order.version {
+        // Idempotent: the version is in use or being loaded.
+        if state.target_version == order.version {
             return Reply::status(StatusCode::ACCEPTED);
         }
-        state.wanted_version = order.version;
+        state.target_version = order.version;
         drop(state);
         let load = PendingLoad { handler: self.clone(), version: order.version };
         actix_rt::spawn(async move {
@@ -47,14 +48,15 @@
         Reply::status(StatusCode::ACCEPTED)
     }
 
-    /// Reads the weights from the platform's store, as its rate limit admits.
+    /// Reads the weights from the platform's store and returns whether that succeeded. Waits as the
+    /// store says when it refuses a read for its rate limit.
     async fn read_weights(&self, order: &wire::LoadVersion) -> bool {
         let Some(platform) = self.options.platform else {
             return true;
         };
         let http = HttpClient::new(Span::from_secs(1));
         let client = PlatformClient::new(http, platform, PlatformTimeouts::default());
-        for _ in 0..MAX_READS {
+        for _ in 0..MAX_READ_ATTEMPTS {
             match client.fetch_weights(&order.model, WeightVersion(order.version)).await {
                 Ok(WeightFetch::Fetched(_)) => return true,
                 Ok(WeightFetch::RateLimited(pause)) => {
@@ -62,7 +64,11 @@
                     actix_rt::time::sleep(pause).await;
                 }
                 Err(error) => {
-                    tracing::warn!(%error, version = order.version, "reading weights failed");
+                    tracing::warn!(
+                        %error,
+                        version = order.version,
+                        "reading weights from the store failed; the version can be ordered again"
+                    );
                     return false;
                 }
             }
--- a/crates/stand-ins/src/flags.rs
+++ b/crates/stand-ins/src/flags.rs
@@ -12,41 +12,41 @@
         cmd platform {
             /// Address to listen on; port 0 takes a free one.
             required --listen address: SocketAddr
-            /// Records that each log stream retains.
+            /// Newest records that each log stream retains; older ones are dropped.
             optional --retain records: usize
-            /// Appends accepted per second.
+            /// Appends accepted per second over all streams; others are refused with status 429.
             optional --appends rate: u32
-            /// Accepts orders and reports with an old fencing number.
+            /// Accepts orders and usage reports with an outdated fencing token.
             optional --ignore-fencing
-            /// Service whose ordered upstreams are engines in this process.
+            /// Service whose upstreams are engines; an order starts them in this process.
             repeated --engine-service name: String
-            /// Tokens per second of one generation that runs alone on an ordered engine.
+            /// Tokens per second of a single generation on an engine that an order started.
             optional --engine-speed tokens: u32
-            /// Service whose ordered upstreams are plain services in this process.
+            /// Service whose upstreams are plain services; an order starts them in this process.
             repeated --plain-service name: String
         }
         /// Runs a model engine.
         cmd engine {
             /// Address to listen on; port 0 takes a free one.
             required --listen address: SocketAddr
-            /// Platform whose weight store is read.
+            /// Platform from whose store weights are read; without it, loading reads nothing.
             optional --platform address: SocketAddr
-            /// Tokens per second of one generation that runs alone.
+            /// Tokens per second of a single generation; concurrent ones are slower.
             optional --speed tokens: u32
-            /// Delay of the load report in milliseconds.
+            /// Time until a change shows in the load report, in milliseconds.
             optional --report-lag millis: u64
-            /// Text in a prompt that makes the engine exit.
+            /// A prompt that contains this text makes the process exit with status 70.
             optional --crash-marker text: String
-            /// Accepts orders with an old fencing number.
+            /// Accepts weight load orders with an outdated fencing token.
             optional --ignore-fencing
         }
         /// Runs a plain service.
         cmd plain {
             /// Address to listen on; port 0 takes a free one.
             required --listen address: SocketAddr
-            /// Time to answer in milliseconds.
+            /// Time from a request to its response, in milliseconds.
             optional --service-time millis: u64
-            /// Text in a body that makes the service exit.
+            /// A request body that contains this text makes the process exit with status 70.
             optional --crash-marker text: String
         }
     }
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP serving shared by the stand-ins: routing input, answers, lost answers, crashes and restarts.
+//! HTTP server shared by the stand-ins: requests, responses, injected connection failures, crashes
+//! and restarts.
 
 use std::{convert::Infallible, future::Future, io, net::SocketAddr, pin::Pin, time::Duration};
 
@@ -16,88 +17,88 @@
     sync::{mpsc, oneshot},
 };
 
-/// Longest request body accepted.
-const MAX_BODY: usize = 16 << 20;
+/// Longest request body accepted. A longer one is refused with status 413.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What a crash does beside dropping all connections.
+/// What a crash does besides dropping all connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashAction {
-    /// The stand-in refuses connections for this time, then serves again.
+    /// The stand-in refuses connections for this time, then serves again at the same address.
     StayDown(Duration),
     /// The process exits with status 70. Only the binary uses this.
     ExitProcess,
 }
 
-/// A request that has been read completely.
+/// An HTTP request whose body has been read completely.
 #[derive(Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path without query.
+    /// Path without the query string.
     pub path: String,
-    /// Query, without the question mark.
+    /// Query string, without the question mark.
     pub query: String,
-    /// Headers with their names in lower case.
+    /// Names, in lower case, and values of the headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body, empty when there is none.
     pub body: Bytes,
 }
 
-/// Parts of an answer as they come.
+/// Chunks of a response body, sent as they become available.
 pub type ByteStream = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
 
-/// An answer.
+/// An HTTP response, or a connection failure in its place.
 pub enum Reply {
-    /// A body with its length.
+    /// A complete body with `Content-Length` and the content type `application/json`.
     Whole {
-        /// Status.
+        /// Status of the response.
         status: StatusCode,
-        /// Seconds after which the caller may come back.
+        /// Value of `Retry-After` in seconds. The header is left out when there is none.
         retry_after: Option<u64>,
-        /// Body.
+        /// Response body.
         body: Bytes,
     },
-    /// A body with headers of its own.
+    /// A response with the given headers only.
     Marked {
-        /// Status.
+        /// Status of the response.
         status: StatusCode,
         /// Names and values of the headers.
         headers: Vec<(&'static str, String)>,
-        /// Body, whole or as it comes.
+        /// Response body, complete or streamed.
         body: ReplyBody,
     },
-    /// Lines that are sent as they come.
+    /// A streamed body of JSON lines, `application/x-ndjson`, with status 200.
     Lines(ByteStream),
-    /// A body that breaks off after these bytes although its head states more.
+    /// A body that ends before its `Content-Length`; then the connection is closed.
     Truncated {
-        /// Bytes that the head states.
+        /// Value of `Content-Length`.
         stated: usize,
-        /// Bytes that are sent.
+        /// Bytes sent before the connection is closed.
         body: Bytes,
     },
-    /// The connection is closed without an answer.
+    /// The connection is closed without a complete response.
     Lost,
 }
 
-/// Body of an answer.
+/// Body of [`Reply::Marked`].
 pub enum ReplyBody {
-    /// All at once, with its length.
+    /// Complete, with `Content-Length`.
     Whole(Bytes),
-    /// As it comes, in chunks.
+    /// Streamed with chunked transfer encoding.
     Parts(ByteStream),
 }
 
-/// Serves requests. Clones share their state.
+/// Handles the requests of a server. Each worker thread has a clone, and clones share their state.
 pub trait CallHandler: Clone + Send + 'static {
-    /// Answers a request.
+    /// Returns the response to a request.
     fn handle(&self, call: Call) -> impl Future<Output = Reply>;
 }
 
-/// A running HTTP server that can crash and come back at the same address.
+/// Handle of a running HTTP server that can crash and restart at the same address.
 #[derive(Debug, Clone)]
 pub struct ServerControl {
     address: SocketAddr,
-    commands: mpsc::UnboundedSender<Command>,
+    command_tx: mpsc::UnboundedSender<Command>,
 }
 
 #[derive(Debug)]
@@ -107,44 +108,44 @@
 }
 
 impl Call {
-    /// Reads the body as JSON, or returns the answer that refuses it.
+    /// Parses the body as JSON, or returns a response with status 400 and the parse error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body)
             .map_err(|error| Reply::text(StatusCode::BAD_REQUEST, &error.to_string()))
     }
 
-    /// Returns a number of the query string.
+    /// Returns a parameter of the query string as a number, if it is one.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
     }
 
-    /// Returns the value of a header.
+    /// Returns the first value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
     }
 }
 
 impl Reply {
-    /// Answers 200 with a JSON body.
+    /// Creates a response with status 200 and a JSON body.
     pub fn json<T: Serialize>(value: &T) -> Self {
         let body = serde_json::to_vec(value).expect("plain data serializes");
         Self::Whole { status: StatusCode::OK, retry_after: None, body: Bytes::from(body) }
     }
 
-    /// Answers with a text.
+    /// Creates a response with a text as its body.
     pub fn text(status: StatusCode, text: &str) -> Self {
         let body = Bytes::copy_from_slice(text.as_bytes());
         Self::Whole { status, retry_after: None, body }
     }
 
-    /// Answers with a status alone.
+    /// Creates a response without a body.
     pub fn status(status: StatusCode) -> Self {
         Self::text(status, "")
     }
 
-    /// Refuses a request that exceeds a rate.
-    pub(crate) fn too_many() -> Self {
+    /// Refuses a request that exceeds a rate limit, with `Retry-After: 1`.
+    pub(crate) fn too_many_requests() -> Self {
         let status = StatusCode::TOO_MANY_REQUESTS;
         Self::Whole { status, retry_after: Some(1), body: Bytes::new() }
     }
@@ -168,7 +169,8 @@
                 let mut response = Response::with_body(status, body);
                 for (name, value) in headers {
                     let name = HeaderName::from_static(name);
-                    let value = HeaderValue::from_str(&value).expect("headers are plain text");
+                    let value = HeaderValue::from_str(&value)
+                        .expect("header values of stand-ins are visible ASCII");
                     response.headers_mut().insert(name, value);
                 }
                 response
@@ -181,12 +183,17 @@
                 response
             }
             Self::Truncated { stated, body } => {
-                let parts = stream::iter([Ok(body), Err(io::Error::other("answer cut short"))]);
+                let parts = stream::iter([
+                    Ok(body),
+                    Err(io::Error::other("response body truncated as requested")),
+                ]);
                 let body = actix_http::body::SizedStream::new(stated as u64, parts.boxed_local());
                 Response::with_body(StatusCode::OK, body.boxed())
             }
             Self::Lost => {
-                let parts = stream::iter([Err::<Bytes, _>(io::Error::other("answer lost"))]);
+                let parts = stream::iter([Err::<Bytes, _>(io::Error::other(
+                    "connection closed instead of a response, as requested",
+                ))]);
                 Response::with_body(StatusCode::OK, BodyStream::new(parts).boxed())
             }
         }
@@ -194,24 +201,28 @@
 }
 
 impl ServerControl {
-    /// Starts a server. `build` gets its control and returns the handler.
+    /// Starts a server. `build` receives the server's handle and returns its request handler.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error when the address cannot be bound.
     pub fn start<H: CallHandler>(
         listen: SocketAddr,
         workers: usize,
         build: impl FnOnce(Self) -> H,
     ) -> io::Result<Self> {
-        // This socket never listens. It keeps the port while the server is down after a crash.
-        let holder = TcpSocket::new_v4()?;
-        holder.set_reuseaddr(true)?;
-        holder.bind(listen)?;
-        let address = holder.local_addr()?;
-        let (commands, mut received) = mpsc::unbounded_channel();
-        let control = Self { address, commands };
+        // This socket never listens. It reserves the port while the server is down after a crash.
+        let port_guard = TcpSocket::new_v4()?;
+        port_guard.set_reuseaddr(true)?;
+        port_guard.bind(listen)?;
+        let address = port_guard.local_addr()?;
+        let (command_tx, mut command_rx) = mpsc::unbounded_channel();
+        let control = Self { address, command_tx };
         let handler = build(control.clone());
         let mut handle = serve(address, workers, handler.clone())?;
         actix_rt::spawn(async move {
-            let _holder = holder;
-            while let Some(command) = received.recv().await {
+            let _port_guard = port_guard;
+            while let Some(command) = command_rx.recv().await {
                 match command {
                     Command::Stop(done) => {
                         handle.stop(false).await;
@@ -221,13 +232,17 @@
                     Command::Crash(CrashAction::ExitProcess) => std::process::exit(70),
                     Command::Crash(CrashAction::StayDown(time)) => {
                         handle.stop(false).await;
-                        if wait_down(time, &mut received).await {
+                        if wait_while_down(time, &mut command_rx).await {
                             return;
                         }
                         match serve(address, workers, handler.clone()) {
                             Ok(restarted) => handle = restarted,
                             Err(error) => {
-                                tracing::error!(%address, %error, "restart after a crash failed");
+                                tracing::error!(
+                                    %address,
+                                    %error,
+                                    "restart after a crash failed; the server stays down"
+                                );
                                 return;
                             }
                         }
@@ -238,31 +253,35 @@
         Ok(control)
     }
 
-    /// Returns the address in use.
+    /// Returns the address that the server listens on, with the port that it was given.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Drops all connections.
+    /// Drops all connections, then does as `action` says. Returns before that has happened.
     pub fn crash(&self, action: CrashAction) {
         // Sending fails only when the server has stopped already.
-        let _ = self.commands.send(Command::Crash(action));
+        let _ = self.command_tx.send(Command::Crash(action));
     }
 
-    /// Closes the listener and all connections.
+    /// Closes the listener and all connections, and returns when that is done.
     pub async fn stop(&self) {
         let (done, stopped) = oneshot::channel();
-        if self.commands.send(Command::Stop(done)).is_ok() {
+        if self.command_tx.send(Command::Stop(done)).is_ok() {
             let _ = stopped.await;
         }
     }
 }
 
-/// Waits until `time` has passed and returns `false`, or returns `true` when asked to stop.
-async fn wait_down(time: Duration, received: &mut mpsc::UnboundedReceiver<Command>) -> bool {
+/// Waits for the downtime of a crash. Returns `true` when the server is to stop meanwhile, and
+/// `false` when it is to restart. Further crashes do not prolong the downtime.
+async fn wait_while_down(
+    time: Duration,
+    command_rx: &mut mpsc::UnboundedReceiver<Command>,
+) -> bool {
     let end = actix_rt::time::Instant::now() + time;
     loop {
-        match tokio::time::timeout_at(end, received.recv()).await {
+        match tokio::time::timeout_at(end, command_rx.recv()).await {
             Ok(Some(Command::Stop(done))) => {
                 let _ = done.send(());
                 return true;
@@ -286,7 +305,7 @@
             .tcp_nodelay(true)
             .finish(move |request: Request| {
                 let handler = handler.clone();
-                async move { Ok::<_, Infallible>(answer(&handler, request).await) }
+                async move { Ok::<_, Infallible>(respond(&handler, request).await) }
             })
             .tcp()
     };
@@ -297,14 +316,14 @@
     Ok(handle)
 }
 
-async fn answer<H: CallHandler>(handler: &H, mut request: Request) -> Response<BoxBody> {
+async fn respond<H: CallHandler>(handler: &H, mut request: Request) -> Response<BoxBody> {
     let mut body = BytesMut::new();
     let mut payload = request.take_payload();
     while let Some(chunk) = payload.next().await {
         let Ok(chunk) = chunk else {
             return Reply::Lost.into_response();
         };
-        if body.len() + chunk.len() > MAX_BODY {
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Reply::status(StatusCode::PAYLOAD_TOO_LARGE).into_response();
         }
         body.extend_from_slice(&chunk);
--- a/crates/stand-ins/src/lag.rs
+++ b/crates/stand-ins/src/lag.rs
@@ -1,11 +1,11 @@
-//! Values that are seen some time after they were set.
+//! Values whose changes become visible after a delay.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// A value whose readers see it as it was `lag` ago.
+/// A value whose readers see the state that it had `lag` ago.
 #[derive(Debug)]
 pub(crate) struct LaggingValue<T> {
     lag: Duration,
@@ -13,7 +13,7 @@
 }
 
 impl<T> LaggingValue<T> {
-    /// Holds a first value, which is visible at once.
+    /// Creates the history with a first value, which is visible at once.
     pub(crate) fn new(lag: Duration, value: T, now: Instant) -> Self {
         Self { lag, history: VecDeque::from([(now, value)]) }
     }
@@ -23,7 +23,7 @@
         self.history.push_back((now, value));
     }
 
-    /// Returns the visible value.
+    /// Returns the newest value that was set at least `lag` ago.
     pub(crate) fn get(&mut self, now: Instant) -> &T {
         self.discard_old(now);
         &self.history[0].1
--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins of the platform, of a model engine and of a plain service, for tests and the demo.
+//! Test doubles of the platform, of a model engine and of a plain service, for tests and the demo.
 //!
-//! Each serves HTTP on loopback, either in-process with `start` or as the binary `stand-in`. `start`
-//! must be called inside an `actix_rt` system.
+//! Each is an HTTP server on loopback, started in-process with `start` or as the binary `stand-in`.
+//! `start` must be called inside an `actix_rt` system.
 
 mod engine;
 pub mod http;
--- a/crates/stand-ins/src/main.rs
+++ b/crates/stand-ins/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs one stand-in until the process is ended.
+//! Runs one stand-in until the process is killed. The address in use is printed as `listening
+//! ADDR`.
 
 mod flags;
 
@@ -19,7 +20,7 @@
         std::future::pending::<io::Result<()>>().await
     });
     if let Err(error) = result {
-        eprintln!("stand-in: {error}");
+        eprintln!("stand-in: starting the server failed: {error}");
     }
     ExitCode::FAILURE
 }
--- a/crates/stand-ins/src/plain.rs
+++ b/crates/stand-ins/src/plain.rs
@@ -1,4 +1,5 @@
-//! A plain service that echoes a deterministic body and counts runs.
+//! Stand-in of a plain service. Its response is a deterministic function of path and body, and it
+//! counts how often each request ran.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,7 +16,7 @@
 
 use crate::http::{Call, CallHandler, CrashAction, Reply, ServerControl};
 
-/// Header with the id assigned by the system. Runs are counted by it.
+/// Header with the request id that the daemon assigns. Runs are counted by this id.
 const REQUEST_ID: &str = "x-request-id";
 
 /// Settings of a plain service.
@@ -25,7 +26,7 @@
     pub listen: SocketAddr,
     /// Threads that serve requests.
     pub workers: usize,
-    /// Time to answer.
+    /// Time from a request to its response.
     pub service_time: Duration,
     /// What a crash does.
     pub crash: CrashAction,
@@ -55,13 +56,14 @@
     faults: PlainFaults,
 }
 
-/// Faults of the next requests; each request takes one that is left.
+/// Faults to inject into the next requests: how many requests of each kind remain. Each request
+/// uses up at most one.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct PlainFaults {
-    /// Requests that run and then get no answer until their connection closes.
+    /// Requests that run and get no response; their connection stays open.
     stall: u32,
-    /// Requests whose answer breaks off.
+    /// Requests that run and get a truncated response.
     truncate: u32,
     /// Requests that run and then crash the service.
     crash: u32,
@@ -95,30 +97,31 @@
             handler = Some(built.clone());
             built
         })?;
-        let handler = handler.expect("start calls the closure");
+        let handler = handler.expect("`ServerControl::start` calls the closure when it succeeds");
         Ok(Self { control, handler })
     }
 
-    /// Returns the address.
+    /// Returns the address that the service listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Returns how often a request of that id has run.
+    /// Returns how often a request with this `x-request-id` has run.
     #[must_use]
     pub fn runs(&self, id: &str) -> u64 {
-        let state = self.handler.state.lock().expect("no holder panics");
+        let state = self.handler.state.lock().expect("no thread panics while it holds the state");
         state.runs.get(id).copied().unwrap_or_default()
     }
 
-    /// Stops the service.
+    /// Stops the service and closes its connections.
     pub async fn stop(&self) {
         self.control.stop().await;
     }
 }
 
-/// Returns the body with which the service answers a request.
+/// Returns the response body for a request: its path, the length of its body, and the SHA-256
+/// digest of both.
 #[must_use]
 pub fn plain_body(path: &str, body: &[u8]) -> String {
     let mut digest = Sha256::new();
@@ -129,7 +132,8 @@
     format!("{{\"path\":\"{path}\",\"bytes\":{},\"digest\":\"{digest}\"}}", body.len())
 }
 
-/// Returns the answer to a scoring call, a score below 1 that depends on the body only.
+/// Returns the response body of a scoring request, with a score of at least 0 and below 1 that
+/// depends on the request body only.
 fn score_body(body: &[u8]) -> String {
     let digest = Sha256::digest(body);
     format!("{{\"score\":{}}}", f64::from(digest[0]) / 256.0)
@@ -139,11 +143,12 @@
     async fn handle(&self, call: Call) -> Reply {
         match (call.method.clone(), call.path.as_str()) {
             (Method::GET, "/inspect") => {
-                Reply::json(&*self.state.lock().expect("no holder panics"))
+                Reply::json(&*self.state.lock().expect("no thread panics while it holds the state"))
             }
             (Method::POST, "/faults") => match call.json::<PlainFaults>() {
                 Ok(faults) => {
-                    self.state.lock().expect("no holder panics").faults = faults;
+                    self.state.lock().expect("no thread panics while it holds the state").faults =
+                        faults;
                     Reply::status(StatusCode::OK)
                 }
                 Err(reply) => reply,
@@ -155,7 +160,7 @@
 }
 
 enum PlainOutcome {
-    Answer,
+    Respond,
     Stall,
     Truncate,
     Crash,
@@ -163,7 +168,7 @@
 
 impl PlainHandler {
     async fn run(&self, call: Call) -> Reply {
-        let outcome = self.record(&call);
+        let outcome = self.record_run(&call);
         actix_rt::time::sleep(self.options.service_time).await;
         let body = match call.path.as_str() {
             "/score" => score_body(&call.body),
@@ -171,7 +176,7 @@
         };
         let body = Bytes::from(body);
         match outcome {
-            PlainOutcome::Answer => {
+            PlainOutcome::Respond => {
                 Reply::Whole { status: StatusCode::OK, retry_after: None, body }
             }
             PlainOutcome::Stall => std::future::pending().await,
@@ -185,27 +190,27 @@
         }
     }
 
-    fn record(&self, call: &Call) -> PlainOutcome {
-        let mut state = self.state.lock().expect("no holder panics");
+    fn record_run(&self, call: &Call) -> PlainOutcome {
+        let mut state = self.state.lock().expect("no thread panics while it holds the state");
         if let Some(id) = call.header(REQUEST_ID) {
             *state.runs.entry(String::from(id)).or_default() += 1;
         }
         state.headers.extend(call.headers.iter().cloned());
         let marker = self.options.crash_marker.as_deref();
-        let marked = marker.is_some_and(|marker| {
+        let has_marker = marker.is_some_and(|marker| {
             call.body.windows(marker.len().max(1)).any(|part| part == marker.as_bytes())
         });
         let faults = &mut state.faults;
-        for (left, outcome) in [
+        for (remaining, outcome) in [
             (&mut faults.stall, PlainOutcome::Stall),
             (&mut faults.truncate, PlainOutcome::Truncate),
             (&mut faults.crash, PlainOutcome::Crash),
         ] {
-            if *left > 0 {
-                *left -= 1;
+            if *remaining > 0 {
+                *remaining -= 1;
                 return outcome;
             }
         }
-        if marked { PlainOutcome::Crash } else { PlainOutcome::Answer }
+        if has_marker { PlainOutcome::Crash } else { PlainOutcome::Respond }
     }
 }
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! The log service and its faults.
+//! The log of the platform and its injected faults.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
                 return Ok(Reply::status(StatusCode::SERVICE_UNAVAILABLE));
             }
             if !state.append_rate.take(Instant::now()) {
-                return Ok(Reply::too_many());
+                return Ok(Reply::too_many_requests());
             }
             state.appends += 1;
             let counted = state.faults.lose_append_answers > 0;
@@ -35,7 +35,8 @@
         let first = if delay == 0 {
             self.apply(stream, records)
         } else {
-            // The effect comes even when the client gives up, which drops this future.
+            // Spawned, so that the append takes effect even if the client disconnects, which drops
+            // this future.
             let handler = self.clone();
             let stream = String::from(stream);
             let effect = actix_rt::spawn(async move {
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the platform.
+//! Stand-in of the platform: log, orders for upstreams, usage reports, weight store and lists of
+//! VMs and upstreams.
 
 mod log;
 mod state;
@@ -31,36 +32,36 @@
     pub listen: SocketAddr,
     /// Threads that serve requests.
     pub workers: usize,
-    /// Records that each log stream retains.
+    /// Newest records that each log stream retains. Older ones are dropped.
     pub retained_records: usize,
-    /// Appends accepted per second, over all streams.
+    /// Appends accepted per second, over all streams. Others are refused with status 429.
     pub appends_per_second: u32,
-    /// Whether orders and reports with an old fencing number are refused.
+    /// Whether orders and usage reports with an outdated fencing token are refused.
     pub check_fencing: bool,
-    /// Time until an ordered upstream runs or is gone.
+    /// Time from accepting an order until its upstreams run or are removed.
     pub order_time: Duration,
-    /// Time until the list of VMs shows a change.
+    /// Time until a change shows in the list of VMs.
     pub vm_lag: Duration,
-    /// Reads of weights accepted per second.
+    /// Reads of weights accepted per second. Others are refused with status 429.
     pub weights_per_second: u32,
-    /// Bytes of one weight version.
+    /// Size of one weight version, in bytes.
     pub weight_bytes: usize,
-    /// What runs when an upstream of a service is ordered. Orders for other services are refused.
+    /// Services and what an order for them starts. Orders for other services are refused.
     pub services: Vec<(String, LaunchKind)>,
-    /// Upstreams that run from the start.
+    /// Upstreams that are listed from the start.
     pub upstreams: Vec<wire::Upstream>,
-    /// VMs known from the start.
+    /// VMs that are listed from the start.
     pub vms: Vec<wire::Vm>,
 }
 
-/// What runs when an upstream is ordered.
+/// What an order for a service starts.
 #[derive(Debug, Clone)]
 pub enum LaunchKind {
     /// An engine stand-in in this process.
     Engine(Box<EngineOptions>),
     /// A plain service stand-in in this process.
     Plain(PlainOptions),
-    /// Nothing; the listed address does not answer.
+    /// Nothing; connections to the listed address are refused.
     Nothing,
 }
 
@@ -113,23 +114,23 @@
             handler = Some(built.clone());
             built
         })?;
-        let handler = handler.expect("start calls the closure");
+        let handler = handler.expect("`ServerControl::start` calls the closure when it succeeds");
         Ok(Self { control, handler })
     }
 
-    /// Returns the address.
+    /// Returns the address that the platform listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// Returns what `GET /inspect` answers.
+    /// Returns the body of `GET /inspect`: what the platform received and its injected faults.
     #[must_use]
     pub fn inspect(&self) -> Value {
         self.handler.state().inspect()
     }
 
-    /// Stops the platform. Upstreams that it launched go on.
+    /// Stops the platform. Upstreams that it launched keep running.
     pub async fn stop(&self) {
         self.control.stop().await;
     }
@@ -141,15 +142,15 @@
         let reply = match (call.method.as_str(), parts.as_slice()) {
             ("POST", ["log", stream]) => self.append(stream, &call).await,
             ("GET", ["log", stream]) => Ok(self.read(stream, &call).await),
-            ("POST", ["orders"]) => self.order(&call),
+            ("POST", ["orders"]) => self.place_order(&call),
             ("GET", ["orders", id]) => Ok(self.find_order(id).await),
             ("POST", ["usage-reports"]) => self.report(&call),
             ("GET", ["weights", model, version]) => Ok(self.weights(model, version)),
-            ("POST", ["faults"]) => self.change(&call, PlatformState::change_faults),
+            ("POST", ["faults"]) => self.update_state(&call, PlatformState::change_faults),
             ("POST", ["vms"]) => {
-                self.change(&call, |state, vms| state.vms.set(Instant::now(), vms))
+                self.update_state(&call, |state, vms| state.vms.set(Instant::now(), vms))
             }
-            ("POST", ["upstreams"]) => self.change(&call, PlatformState::add_upstream),
+            ("POST", ["upstreams"]) => self.update_state(&call, PlatformState::add_upstream),
             ("POST", ["reclaims"]) => self.reclaim(&call),
             _ if call.method == Method::GET => Ok(self.list(&call.path)),
             _ => Ok(Reply::status(StatusCode::NOT_FOUND)),
@@ -160,10 +161,10 @@
 
 impl PlatformHandler {
     pub(crate) fn state(&self) -> MutexGuard<'_, PlatformState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no thread panics while it holds the state")
     }
 
-    fn change<T: DeserializeOwned>(
+    fn update_state<T: DeserializeOwned>(
         &self,
         call: &Call,
         apply: impl FnOnce(&mut PlatformState, T),
@@ -192,7 +193,7 @@
     fn weights(&self, model: &str, version: &str) -> Reply {
         let mut state = self.state();
         if !state.weight_rate.take(Instant::now()) {
-            return Reply::too_many();
+            return Reply::too_many_requests();
         }
         *state.weight_reads.entry(format!("{model}/{version}")).or_default() += 1;
         let body = vec![0; self.options.weight_bytes].into();
--- a/crates/stand-ins/src/platform/state.rs
+++ b/crates/stand-ins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform remembers.
+//! State of the platform stand-in.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -9,55 +9,63 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::{PlatformOptions, lag::LaggingValue, rate::RateBucket};
+use crate::{PlatformOptions, lag::LaggingValue, rate::TokenBucket};
 
-/// Records read in one answer at most.
-const MAX_READ: u64 = 1_000;
+/// Most records in the response to one read.
+const MAX_READ_RECORDS: u64 = 1_000;
 
 #[derive(Debug)]
 pub(crate) struct PlatformState {
     pub(crate) streams: BTreeMap<String, LogStream>,
-    pub(crate) append_rate: RateBucket,
+    pub(crate) append_rate: TokenBucket,
     pub(crate) appends: u64,
     pub(crate) reads: u64,
     pub(crate) faults: Faults,
     pub(crate) orders: Vec<ReceivedOrder>,
-    /// How often the state of an order was asked for.
-    pub(crate) asks: u64,
+    /// Number of queries for the state of an order.
+    pub(crate) order_queries: u64,
     pub(crate) upstreams: Vec<wire::Upstream>,
-    pub(crate) started: u64,
+    /// Number of upstreams started by orders. It makes their names unique.
+    pub(crate) started_upstreams: u64,
     pub(crate) reclaims: Vec<wire::Reclaim>,
     pub(crate) reports: Vec<ReceivedReport>,
     pub(crate) vms: LaggingValue<Vec<wire::Vm>>,
-    pub(crate) weight_rate: RateBucket,
+    pub(crate) weight_rate: TokenBucket,
     pub(crate) weight_reads: BTreeMap<String, u64>,
-    order_fencing: BTreeMap<String, u64>,
-    report_fencing: u64,
+    highest_order_fencing: BTreeMap<String, u64>,
+    highest_report_fencing: u64,
 }
 
 /// One stream of the log.
 #[derive(Debug, Default)]
 pub(crate) struct LogStream {
+    /// Offset of the oldest retained record.
     first: u64,
     records: VecDeque<String>,
 }
 
+/// Injected faults, as `GET /inspect` shows them.
 #[derive(Debug, Default, Clone, Serialize)]
 pub(crate) struct Faults {
+    /// Refuses appends and reads with status 503.
     pub(crate) log_down: bool,
+    /// Delay before each append and read is handled, in milliseconds.
     pub(crate) log_slow_ms: u64,
+    /// Number of the next appends that take effect but whose response is lost.
     pub(crate) lose_append_answers: u32,
-    /// Loses the answer to each append whose number this divides, unless it is 0.
+    /// Loses the response to every append whose number is a multiple of this, unless it is 0.
     pub(crate) lose_every_append: u64,
+    /// Delay until the next append takes effect, in milliseconds. Applies to one append only.
     pub(crate) delay_append_ms: u64,
+    /// Refuses all orders.
     pub(crate) refuse_orders: bool,
-    /// No cheap upstreams can be had.
+    /// Refuses orders to start upstreams of the price class cheap.
     pub(crate) refuse_cheap: bool,
-    /// Delay of the answers about the state of an order.
+    /// Delay of responses to queries for the state of an order, in milliseconds.
     pub(crate) slow_asks_ms: u64,
 }
 
-/// Body of `POST /faults`. Fields that are left out keep their value.
+/// Body of `POST /faults`. Faults whose field is left out stay as they are.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct FaultChange {
@@ -71,16 +79,16 @@
     slow_asks_ms: Option<u64>,
 }
 
-/// An order as it arrived, with its latest answer.
+/// An order as received, with its current state.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct ReceivedOrder {
     pub(crate) order: wire::Order,
     pub(crate) reply: wire::OrderReply,
-    /// How often the order arrived.
+    /// How often the order was received. Repetitions have no further effect.
     pub(crate) received: u32,
 }
 
-/// A report as it arrived.
+/// A usage report as received.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct ReceivedReport {
     report: wire::Report,
@@ -91,21 +99,21 @@
     pub(crate) fn new(options: &PlatformOptions, now: Instant) -> Self {
         Self {
             streams: BTreeMap::new(),
-            append_rate: RateBucket::new(options.appends_per_second, now),
+            append_rate: TokenBucket::new(options.appends_per_second, now),
             appends: 0,
             reads: 0,
             faults: Faults::default(),
             orders: Vec::new(),
-            asks: 0,
+            order_queries: 0,
             upstreams: options.upstreams.clone(),
-            started: 0,
+            started_upstreams: 0,
             reclaims: Vec::new(),
             reports: Vec::new(),
             vms: LaggingValue::new(options.vm_lag, options.vms.clone(), now),
-            weight_rate: RateBucket::new(options.weights_per_second, now),
+            weight_rate: TokenBucket::new(options.weights_per_second, now),
             weight_reads: BTreeMap::new(),
-            order_fencing: BTreeMap::new(),
-            report_fencing: 0,
+            highest_order_fencing: BTreeMap::new(),
+            highest_report_fencing: 0,
         }
     }
 
@@ -127,24 +135,27 @@
         self.upstreams.push(upstream);
     }
 
-    /// Takes the fencing number of an order for a zone, or returns `false` when it is old.
-    pub(crate) fn pass_order_fencing(&mut self, zone: &str, fencing: u64) -> bool {
-        let highest = self.order_fencing.entry(String::from(zone)).or_default();
-        let passed = fencing >= *highest;
+    /// Records the fencing token of an order for a zone, or returns `false` when a higher one was
+    /// seen.
+    pub(crate) fn check_order_fencing(&mut self, zone: &str, fencing: u64) -> bool {
+        let highest = self.highest_order_fencing.entry(String::from(zone)).or_default();
+        let is_current = fencing >= *highest;
         *highest = fencing.max(*highest);
-        passed
+        is_current
     }
 
-    /// Takes a report, or returns `false` when the window has other figures or the number is old.
+    /// Records a usage report and returns whether it is accepted. A window that was accepted before
+    /// is accepted again with equal figures only; another one needs a fencing token that is not
+    /// outdated.
     pub(crate) fn accept_report(&mut self, report: wire::Report, check_fencing: bool) -> bool {
         let mut known = self.reports.iter().filter(|known| known.accepted);
         let known = known.find(|known| known.report.window == report.window);
-        let fenced = check_fencing && report.fencing < self.report_fencing;
+        let is_outdated = check_fencing && report.fencing < self.highest_report_fencing;
         let accepted = match known {
             Some(known) => known.report.figures == report.figures,
-            None => !fenced,
+            None => !is_outdated,
         };
-        self.report_fencing = self.report_fencing.max(report.fencing);
+        self.highest_report_fencing = self.highest_report_fencing.max(report.fencing);
         self.reports.push(ReceivedReport { report, accepted });
         accepted
     }
@@ -157,7 +168,7 @@
             "reads": self.reads,
             "streams": streams.collect::<BTreeMap<_, _>>(),
             "orders": self.orders,
-            "asks": self.asks,
+            "asks": self.order_queries,
             "upstreams": self.upstreams,
             "reports": self.reports,
             "weight_reads": self.weight_reads,
@@ -167,7 +178,8 @@
 }
 
 impl LogStream {
-    /// Appends records and returns the offset of the first.
+    /// Appends records, drops the oldest beyond `retained`, and returns the offset of the first one
+    /// appended.
     pub(crate) fn append(&mut self, records: Vec<wire::AppendRecord>, retained: usize) -> u64 {
         let first = self.next();
         self.records.extend(records.into_iter().map(|record| record.data));
@@ -181,7 +193,7 @@
     pub(crate) fn read(&self, from: u64, max: u64) -> wire::Page {
         let start = from.clamp(self.first, self.next());
         let records = self.records.iter().skip((start - self.first) as usize);
-        let records = (start..).zip(records).take(max.min(MAX_READ) as usize);
+        let records = (start..).zip(records).take(max.min(MAX_READ_RECORDS) as usize);
         let records =
             records.map(|(offset, data)| wire::PageRecord { offset, data: data.clone() }).collect();
         wire::Page { first: self.first, next: self.next(), records }
--- a/crates/stand-ins/src/platform/upstreams.rs
+++ b/crates/stand-ins/src/platform/upstreams.rs
@@ -1,4 +1,4 @@
-//! Orders for upstreams and reclaim notices.
+//! Orders to start or stop upstreams, and notices that cheap upstreams are reclaimed.
 
 use std::{
     io,
@@ -22,36 +22,37 @@
 /// Body of `POST /reclaims`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct ReclaimCall {
+struct ReclaimRequest {
     zone: String,
     after_ms: u64,
 }
 
 impl PlatformHandler {
-    pub(super) fn order(&self, call: &Call) -> Result<Reply, Reply> {
+    pub(super) fn place_order(&self, call: &Call) -> Result<Reply, Reply> {
         let order = call.json::<wire::Order>()?;
         let mut state = self.state();
         if let Some(known) = state.orders.iter_mut().find(|known| known.order.id == order.id) {
             known.received += 1;
             return Ok(Reply::json(&known.reply));
         }
-        let fresh = state.pass_order_fencing(&order.zone, order.fencing);
+        let fencing_is_current = state.check_order_fencing(&order.zone, order.fencing);
         let known = self.options.services.iter().find(|(name, _)| *name == order.service);
         let is_unavailable = state.faults.refuse_orders
             || (order.cheap && order.kind == OrderVerb::Start && state.faults.refuse_cheap);
-        let refused = (self.options.check_fencing && !fresh) || is_unavailable;
+        let refused = (self.options.check_fencing && !fencing_is_current) || is_unavailable;
         let mut names = Vec::new();
         match order.kind {
             OrderVerb::Start if known.is_some() && !refused => {
                 for _ in 0..order.count {
-                    state.started += 1;
-                    let name = format!("{}-{}-{}", order.service, order.zone, state.started);
+                    state.started_upstreams += 1;
+                    let name =
+                        format!("{}-{}-{}", order.service, order.zone, state.started_upstreams);
                     names.push(name.clone());
                     state.upstreams.push(wire::Upstream {
                         name,
                         zone: order.zone.clone(),
                         service: order.service.clone(),
-                        // Replaced when the upstream runs.
+                        // Placeholder until the upstream runs.
                         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
                         state: UpstreamStatus::Starting,
                         cheap: order.cheap,
@@ -59,9 +60,9 @@
                 }
             }
             OrderVerb::Stop if !refused => {
-                let wanted = order.upstream.as_ref();
+                let target = order.upstream.as_ref();
                 for upstream in &mut state.upstreams {
-                    if Some(&upstream.name) == wanted && upstream.zone == order.zone {
+                    if Some(&upstream.name) == target && upstream.zone == order.zone {
                         upstream.state = UpstreamStatus::Leaving;
                         names.push(upstream.name.clone());
                     }
@@ -78,7 +79,7 @@
         });
         drop(state);
         if status == OrderStatus::Accepted {
-            actix_rt::spawn(carry_out(self.clone(), order, reply.upstreams.clone()));
+            actix_rt::spawn(execute_order(self.clone(), order, reply.upstreams.clone()));
         }
         Ok(Reply::json(&reply))
     }
@@ -86,8 +87,8 @@
     pub(super) async fn find_order(&self, id: &str) -> Reply {
         let (reply, delay) = {
             let mut state = self.state();
-            state.asks += 1;
-            (self.order_state(&state, id), state.faults.slow_asks_ms)
+            state.order_queries += 1;
+            (self.order_response(&state, id), state.faults.slow_asks_ms)
         };
         if delay > 0 {
             actix_rt::time::sleep(Duration::from_millis(delay)).await;
@@ -95,7 +96,7 @@
         reply
     }
 
-    fn order_state(&self, state: &PlatformState, id: &str) -> Reply {
+    fn order_response(&self, state: &PlatformState, id: &str) -> Reply {
         match state.orders.iter().find(|known| known.order.id == id) {
             Some(known) => Reply::json(&known.reply),
             None => Reply::status(StatusCode::NOT_FOUND),
@@ -103,7 +104,7 @@
     }
 
     pub(super) fn reclaim(&self, call: &Call) -> Result<Reply, Reply> {
-        let ReclaimCall { zone, after_ms } = call.json()?;
+        let ReclaimRequest { zone, after_ms } = call.json()?;
         let after = Duration::from_millis(after_ms);
         let at_ms = now_ms().saturating_add(i64::try_from(after_ms).unwrap_or(i64::MAX));
         let mut state = self.state();
@@ -119,18 +120,19 @@
         let handler = self.clone();
         actix_rt::spawn(async move {
             for (_, address) in &leaving {
-                tell_reclaim(*address, after).await;
+                notify_reclaim(*address, after).await;
             }
             actix_rt::time::sleep(after).await;
-            let gone = |name: &String| leaving.iter().any(|(left, _)| left == name);
-            handler.state().upstreams.retain(|upstream| !gone(&upstream.name));
+            let is_reclaimed = |name: &String| leaving.iter().any(|(left, _)| left == name);
+            handler.state().upstreams.retain(|upstream| !is_reclaimed(&upstream.name));
         });
         Ok(Reply::status(StatusCode::OK))
     }
 }
 
-/// Starts or stops the upstreams of an accepted order after the platform's delay.
-async fn carry_out(handler: PlatformHandler, order: wire::Order, names: Vec<String>) {
+/// Starts or stops the upstreams of an accepted order after the delay `order_time`, then marks the
+/// order as done.
+async fn execute_order(handler: PlatformHandler, order: wire::Order, names: Vec<String>) {
     actix_rt::time::sleep(handler.options.order_time).await;
     for name in &names {
         if order.kind == OrderVerb::Start {
@@ -142,7 +144,8 @@
             };
             match launched {
                 Ok(address) => upstream.address = address,
-                Err(error) => tracing::error!(%name, %error, "launching an upstream failed"),
+                // It stays listed, at an address that refuses connections.
+                Err(error) => tracing::error!(%name, %error, "starting an ordered upstream failed"),
             }
             if upstream.state == UpstreamStatus::Starting {
                 upstream.state = UpstreamStatus::Running;
@@ -155,7 +158,7 @@
             found.map(|index| state.upstreams.remove(index).address)
         };
         if let Some(address) = address {
-            tell_reclaim(address, Duration::ZERO).await;
+            notify_reclaim(address, Duration::ZERO).await;
         }
     }
     let mut state = handler.state();
@@ -175,20 +178,21 @@
         Some((_, LaunchKind::Plain(options))) => {
             PlainService::start(PlainOptions::clone(options)).map(|service| service.address())
         }
-        // Port 1 answers nothing on loopback.
+        // Nothing listens on port 1 of loopback.
         Some((_, LaunchKind::Nothing)) | None => Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, 1))),
     }
 }
 
-/// Tells a launched upstream that it goes down. One that is gone already needs no message.
-async fn tell_reclaim(address: SocketAddr, after: Duration) {
+/// Tells an upstream that it will be stopped after `after`. Errors are ignored, since an upstream
+/// that cannot be reached has stopped already.
+async fn notify_reclaim(address: SocketAddr, after: Duration) {
     let http = clients::HttpClient::new(base::Span::from_millis(500));
     let body = format!("{{\"after_ms\":{}}}", after.as_millis()).into();
     let request = clients::HttpRequest::post(address, "/reclaim", body);
     let _ = http.exchange(request, base::Span::from_secs(1), 1_024).await;
 }
 
-/// Returns the current civil time in milliseconds.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub(crate) fn now_ms() -> i64 {
     let passed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let millis = passed.map(|passed| passed.as_millis()).unwrap_or_default();
--- a/crates/stand-ins/tests/binary.rs
+++ b/crates/stand-ins/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The binary `stand-in` as scenarios start it.
+//! The binary `stand-in`, started as a process.
 
 use std::{
     io::{BufRead as _, BufReader},
@@ -13,7 +13,7 @@
 };
 use rstest::rstest;
 
-/// Ends the process when the test ends, also by a panic.
+/// Kills the process when it is dropped, also when the test panics.
 struct Process(Child);
 
 impl Drop for Process {
@@ -33,23 +33,23 @@
     (process, address)
 }
 
-/// Guards against a stand-in that prints its address before it serves.
+/// Guards against a stand-in that prints its address before it accepts connections.
 #[rstest]
 #[case::platform("platform")]
 #[case::engine("engine")]
 #[case::plain("plain")]
 #[actix_rt::test]
-async fn printed_address_serves(#[case] kind: &str) {
+async fn printed_address_accepts_requests(#[case] kind: &str) {
     let (_process, address) = start(&[kind]);
     let long = Span::from_secs(30);
     let request = HttpRequest::get(address, "/inspect");
-    let answer = HttpClient::new(long).exchange(request, long, 1 << 20).await.unwrap();
-    assert!(answer.status.is_success());
+    let response = HttpClient::new(long).exchange(request, long, 1 << 20).await.unwrap();
+    assert!(response.status.is_success());
 }
 
-/// Guards against an engine process that survives a request meant to crash it.
+/// Guards against an engine process that survives a prompt with the crash marker.
 #[actix_rt::test]
-async fn marked_prompt_ends_the_process() {
+async fn prompt_with_crash_marker_ends_the_process() {
     let (mut process, address) = start(&["engine", "--crash-marker", "boom"]);
     let long = Span::from_secs(30);
     let request = GenerateRequest {
--- a/crates/stand-ins/tests/platform.rs
+++ b/crates/stand-ins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as its client sees it.
+//! The platform stand-in, tested through `PlatformClient`.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -29,7 +29,7 @@
     HttpClient::new(LONG).exchange(request, LONG, 1_024).await.unwrap().error_for_status().unwrap();
 }
 
-/// Guards against offsets that shift when old records are dropped.
+/// Guards against offsets that change when old records are dropped.
 #[actix_rt::test]
 async fn retention_keeps_offsets() {
     let options = PlatformOptions { retained_records: 3, ..PlatformOptions::default() };
@@ -44,21 +44,21 @@
     assert_eq!(page.records[0].data, record(3).data);
 }
 
-/// Guards against a fault that has another effect on the log than the one it names.
+/// Guards against an injected fault that has another effect on the log than the one it names.
 #[rstest]
 #[case::down(r#"{"log_down":true}"#, CallFailure::Status(503), 0)]
-#[case::answer_lost(r#"{"lose_append_answers":1}"#, CallFailure::Disconnected, 1)]
+#[case::response_lost(r#"{"lose_append_answers":1}"#, CallFailure::Disconnected, 1)]
 #[case::slow(r#"{"log_slow_ms":3600000}"#, CallFailure::Timeout, 0)]
 #[actix_rt::test]
-async fn fault_of_the_log(
+async fn injected_fault_makes_the_append_fail(
     #[case] fault: &str,
     #[case] failure: CallFailure,
     #[case] records_after: usize,
 ) {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     post(platform.address(), "/faults", String::from(fault)).await;
-    let waits = failure == CallFailure::Timeout;
-    let writer = client(&platform, if waits { Span::from_millis(100) } else { LONG });
+    let expects_timeout = failure == CallFailure::Timeout;
+    let writer = client(&platform, if expects_timeout { Span::from_millis(100) } else { LONG });
     let error = writer.append("usage", &[record(1)]).await.unwrap_err();
     assert_eq!((error.failure, error.may_have_run()), (failure, true), "{error}");
     let clear = String::from(r#"{"log_down":false,"log_slow_ms":0}"#);
@@ -67,9 +67,9 @@
     assert_eq!(page.records.len(), records_after);
 }
 
-/// Guards against a delayed append that is lost when its writer gives up.
+/// Guards against a delayed append that is lost when its writer disconnects.
 #[actix_rt::test]
-async fn delayed_append_takes_effect_after_its_writer_has_gone() {
+async fn delayed_append_takes_effect_after_its_writer_disconnected() {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     post(platform.address(), "/faults", String::from(r#"{"delay_append_ms":200}"#)).await;
     let writer = client(&platform, LONG);
@@ -84,7 +84,7 @@
     }
 }
 
-/// Guards against an append rate that has no bound.
+/// Guards against appends that are accepted beyond the rate limit.
 #[actix_rt::test]
 async fn appends_beyond_the_rate_are_refused() {
     let options = PlatformOptions { appends_per_second: 0, ..PlatformOptions::default() };
@@ -104,7 +104,7 @@
     }
 }
 
-/// Guards against an order that takes effect twice or after a newer holder's.
+/// Guards against an order that takes effect twice, or after one with a higher fencing token.
 #[actix_rt::test]
 async fn orders_are_idempotent_and_fenced() {
     let kind = LaunchKind::Engine(Box::default());
@@ -127,8 +127,8 @@
     for upstream in upstreams {
         assert_eq!((upstream.state, upstream.cheap), (UpstreamState::Running, true));
         let request = HttpRequest::get(upstream.address, "/load");
-        let answer = HttpClient::new(LONG).exchange(request, LONG, 1_024).await.unwrap();
-        assert!(answer.status.is_success());
+        let response = HttpClient::new(LONG).exchange(request, LONG, 1_024).await.unwrap();
+        assert!(response.status.is_success());
     }
     let notice = String::from(r#"{"zone":"hobart-a","after_ms":60000}"#);
     post(platform.address(), "/reclaims", notice).await;
@@ -137,7 +137,8 @@
     assert_eq!(client.reclaims().await.unwrap()[0].zone, "hobart-a");
 }
 
-/// Guards against a window that is accepted with two different figures or from an old holder.
+/// Guards against a usage window that is accepted with two different figures or with an outdated
+/// fencing token.
 #[actix_rt::test]
 async fn usage_window_keeps_its_first_figures() {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
@@ -155,22 +156,23 @@
     assert_eq!(outcomes, [yes, yes, no, no]);
 }
 
-/// Guards against a plain service whose faults are seen as whole answers or are not counted as runs.
+/// Guards against an injected fault of a plain service that looks like a complete response, or
+/// whose request is not counted as run.
 #[rstest]
-#[case::whole("{}", true)]
+#[case::is_complete("{}", true)]
 #[case::truncated(r#"{"truncate":1}"#, false)]
 #[case::crashed(r#"{"crash":1}"#, false)]
 #[actix_rt::test]
-async fn plain_service_counts_runs(#[case] fault: &str, #[case] whole: bool) {
+async fn plain_service_counts_runs(#[case] fault: &str, #[case] is_complete: bool) {
     let service = PlainService::start(PlainOptions::default()).unwrap();
     post(service.address(), "/faults", String::from(fault)).await;
     let (name, value) = ("x-request-id".try_into().unwrap(), "r1".try_into().unwrap());
     let request = HttpRequest::post(service.address(), "/sheets", "ink".into());
     let request = request.with_header(name, value);
-    let answer = HttpClient::new(LONG).exchange(request, LONG, 1_024).await;
-    match &answer {
-        Ok(answer) => assert_eq!(answer.body, plain_body("/sheets", b"ink")),
+    let response = HttpClient::new(LONG).exchange(request, LONG, 1_024).await;
+    match &response {
+        Ok(response) => assert_eq!(response.body, plain_body("/sheets", b"ink")),
         Err(error) => assert!(error.may_have_run(), "{error}"),
     }
-    assert_eq!((answer.is_ok(), service.runs("r1")), (whole, 1));
+    assert_eq!((response.is_ok(), service.runs("r1")), (is_complete, 1));
 }
