--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -261,7 +261,7 @@
     }
 
     /// Processes the response to [`OrderAction::Send`] or [`OrderAction::Query`].
-    pub fn answer(
+    pub fn handle_response(
         &mut self,
         now: Moment,
         lease_manager: &LeaseManager,
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/order.rs
@@ -68,7 +68,7 @@
     }
 
     fn respond(&mut self, now: Moment, id: OrderId, response: OrderResponse) -> Vec<OrderAction> {
-        self.order_manager.answer(now, &self.lease_manager, id, response).to_vec()
+        self.order_manager.handle_response(now, &self.lease_manager, id, response).to_vec()
     }
 }
 
--- a/crates/experiments/src/control_cost.rs
+++ b/crates/experiments/src/control_cost.rs
@@ -143,7 +143,7 @@
         ..FleetOptions::default()
     })
     .await;
-    fleet.first_document(&["derwent"]).await;
+    fleet.apply_first_document(&["derwent"]).await;
     fleet
 }
 
--- a/crates/experiments/src/control_cost/takeover.rs
+++ b/crates/experiments/src/control_cost/takeover.rs
@@ -29,7 +29,7 @@
         wait_for_holder(fleet, begin).await?;
         times.push(begin.elapsed().as_secs_f64() * 1_000.0);
         fleet.daemons[holder] = fleet.start_daemon(holder);
-        fleet.list_vms().await;
+        fleet.publish_vms().await;
         fleet.wait_for_version(version).await;
     }
     Ok(times)
--- a/crates/experiments/src/kills/node.rs
+++ b/crates/experiments/src/kills/node.rs
@@ -71,7 +71,7 @@
         self.unbatched = 0;
         self.pending.add(now, batch.clone());
         if !self.append(&batch) {
-            self.replicas.hold(now, batch.clone(), OriginState::Gone);
+            self.replicas.hold(now, batch.clone(), OriginState::Ended);
         }
         Some(batch)
     }
--- a/crates/experiments/src/kills/world.rs
+++ b/crates/experiments/src/kills/world.rs
@@ -189,7 +189,7 @@
         for (place, incarnation, at) in self.killed.clone() {
             if now.since(at).0 / STEP.0 == GONE_AFTER.0 / STEP.0 {
                 for node in self.nodes.iter_mut().flatten() {
-                    node.replicas.origin_gone(now, incarnation);
+                    node.replicas.origin_ended(now, incarnation);
                     node.pending.holder_lost(now, incarnation);
                 }
             }
--- a/crates/experiments/src/overhead.rs
+++ b/crates/experiments/src/overhead.rs
@@ -47,15 +47,15 @@
     let fleet = TestFleet::start(FleetOptions {
         daemons: vec!["hobart-a"],
         engines: Vec::new(),
-        plain: vec![vec![String::from("--service-time"), String::from("0")]; SERVICES],
+        plain_services: vec![vec![String::from("--service-time"), String::from("0")]; SERVICES],
         traffic_threads: TRAFFIC_THREADS,
         limit_grant: "10s",
         ..FleetOptions::default()
     })
     .await;
-    fleet.first_document(&["derwent"]).await;
+    fleet.apply_first_document(&["derwent"]).await;
     let daemon = fleet.caller_address(0);
-    let services = fleet.plain.iter().map(|plain| plain.address(0)).collect::<Vec<_>>();
+    let services = fleet.plain_services.iter().map(|plain| plain.address(0)).collect::<Vec<_>>();
     let mut refused_alone = 0;
     let (direct, through) = latencies(services[0], daemon, &mut refused_alone).await?;
     let (direct_rate, _) = highest_rate(services, "/open", length).await?;
--- a/crates/hibiscushinge/src/commands/status.rs
+++ b/crates/hibiscushinge/src/commands/status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use futures_util::future::join_all;
-use hibiscushinge::{AdminClient, Finding, FindingKind, NodeAnswer, NodeStatus, assess};
+use hibiscushinge::{AdminClient, Finding, FindingKind, NodeResult, NodeStatus, assess};
 use serde_json::json;
 
 use crate::{
@@ -40,7 +40,7 @@
     Ok(if problems == 0 { ExitStatus::Success } else { ExitStatus::Failed })
 }
 
-fn print_text(nodes: &[NodeAnswer], findings: &[Finding], problems: usize) {
+fn print_text(nodes: &[NodeResult], findings: &[Finding], problems: usize) {
     match problems {
         0 => println!("well: {} daemons answer", nodes.len()),
         1 => println!("not well: 1 problem"),
--- a/crates/hibiscushinge/src/health.rs
+++ b/crates/hibiscushinge/src/health.rs
@@ -121,7 +121,7 @@
 }
 
 /// Admin address of a daemon with its status, or with the error of the request for it.
-pub type NodeAnswer = (SocketAddr, Result<NodeStatus, String>);
+pub type NodeResult = (SocketAddr, Result<NodeStatus, String>);
 
 /// Severity of a [`Finding`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -149,7 +149,7 @@
 /// Returns the findings about some daemons, problems first. Of daemons that are not among `nodes`,
 /// only what these report of them is known.
 #[must_use]
-pub fn assess(nodes: &[NodeAnswer]) -> Vec<Finding> {
+pub fn assess(nodes: &[NodeResult]) -> Vec<Finding> {
     let mut findings = FindingList::default();
     for (address, result) in nodes {
         match result {
--- a/crates/hibiscushinge/src/lib.rs
+++ b/crates/hibiscushinge/src/lib.rs
@@ -7,6 +7,6 @@
 
 pub use crate::{
     admin::AdminClient,
-    health::{Finding, FindingKind, NodeAnswer, NodeStatus, assess},
+    health::{Finding, FindingKind, NodeResult, NodeStatus, assess},
     operator::{EditOutcome, OperatorClient, OperatorError},
 };
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -59,7 +59,7 @@
 }
 
 /// How an exchange with an engine ended.
-enum ExchangeEnd {
+enum ExchangeOutcome {
     Completed,
     Failed(CallError),
     Cancelled,
@@ -125,16 +125,16 @@
                 scheduler.start(now, wall_now(), upstream, remaining_tokens, Some(fingerprint))
             };
             let id = self.stream_id(attempt, exchange);
-            let end = self.exchange(attempt, work, &id, address, &mut progress).await;
+            let exchange_outcome = self.exchange(attempt, work, &id, address, &mut progress).await;
             let tokens = progress.tracker.tokens();
-            let outcome = match end {
-                ExchangeEnd::Completed => RequestOutcome::Completed { tokens: tokens - offset },
-                ExchangeEnd::Failed(_) | ExchangeEnd::Cancelled => RequestOutcome::Failed,
+            let outcome = match exchange_outcome {
+                ExchangeOutcome::Completed => RequestOutcome::Completed { tokens: tokens - offset },
+                ExchangeOutcome::Failed(_) | ExchangeOutcome::Cancelled => RequestOutcome::Failed,
             };
             let now = self.now();
             self.shared.scheduler().finish(now, in_flight, outcome);
-            match end {
-                ExchangeEnd::Completed => {
+            match exchange_outcome {
+                ExchangeOutcome::Completed => {
                     self.handle_suspect_event(delivery::SuspectEvent::Finished {
                         upstream,
                         fingerprint,
@@ -142,7 +142,7 @@
                     self.cancel_other_attempts(now, attempt, tokens);
                     return (!self.is_stale(attempt, &progress)).then_some(progress);
                 }
-                ExchangeEnd::Cancelled => {
+                ExchangeOutcome::Cancelled => {
                     self.handle_suspect_event(delivery::SuspectEvent::Finished {
                         upstream,
                         fingerprint,
@@ -151,7 +151,7 @@
                     let _ = self.engines.cancel(address, &id).await;
                     return None;
                 }
-                ExchangeEnd::Failed(error) => {
+                ExchangeOutcome::Failed(error) => {
                     let slot = self.state().samples.slot_name(attempt.slot);
                     let upstream_name = self.upstream_name(upstream);
                     tracing::info!(
@@ -180,7 +180,7 @@
         id: &str,
         address: SocketAddr,
         progress: &mut Progress,
-    ) -> ExchangeEnd {
+    ) -> ExchangeOutcome {
         let request = GenerateRequest {
             id: String::from(id),
             prompt: work.prompt.clone(),
@@ -191,16 +191,16 @@
         };
         let opened = tokio::select! {
             opened = self.engines.generate(address, &request) => opened,
-            () = attempt.cancel.notified() => return ExchangeEnd::Cancelled,
+            () = attempt.cancel.notified() => return ExchangeOutcome::Cancelled,
         };
         let mut tokens = match opened {
             Ok(tokens) => tokens,
-            Err(error) => return ExchangeEnd::Failed(error),
+            Err(error) => return ExchangeOutcome::Failed(error),
         };
         loop {
             let event = tokio::select! {
                 event = tokens.next() => event,
-                () = attempt.cancel.notified() => return ExchangeEnd::Cancelled,
+                () = attempt.cancel.notified() => return ExchangeOutcome::Cancelled,
             };
             match event {
                 Ok(Some(TokenEvent::Token { index, text, version })) => {
@@ -215,8 +215,8 @@
                         state.samples.generation.stragglers.progress(attempt.slot, upstream, count);
                     }
                 }
-                Ok(Some(TokenEvent::End { .. }) | None) => return ExchangeEnd::Completed,
-                Err(error) => return ExchangeEnd::Failed(error),
+                Ok(Some(TokenEvent::End { .. }) | None) => return ExchangeOutcome::Completed,
+                Err(error) => return ExchangeOutcome::Failed(error),
             }
         }
     }
--- a/crates/hibiscushinged/src/control/orders.rs
+++ b/crates/hibiscushinged/src/control/orders.rs
@@ -103,8 +103,10 @@
     ) {
         let now = self.now();
         self.with_scope(scope, |driver| {
-            let actions =
-                driver.order_manager.answer(now, &driver.lease_manager, id, response).into_vec();
+            let actions = driver
+                .order_manager
+                .handle_response(now, &driver.lease_manager, id, response)
+                .into_vec();
             (Vec::new(), actions)
         });
     }
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -171,12 +171,12 @@
         record: &SampleRecord,
         mut opened: Option<StepPrompts>,
     ) {
-        let actions = self.state().samples.table.apply_at(offset, record);
+        let outcomes = self.state().samples.table.apply_at(offset, record);
         {
             let mut state = self.state();
             let samples = &mut state.samples;
             if let SampleRecord::Stated(stated) = record {
-                if let Some(shape) = stated.opened.filter(|_| actions.is_empty())
+                if let Some(shape) = stated.opened.filter(|_| outcomes.is_empty())
                     && let Some(opened) = opened.take()
                 {
                     // The trainer is unknown so far. Keeps the prompts, because its snapshot may
@@ -186,11 +186,11 @@
                 samples.generation.trainer_scheduler.set_weight(stated.trainer, 1);
                 let acknowledged = samples.table.acknowledged(stated.trainer);
                 samples.store.mark_acknowledged(stated.trainer, acknowledged);
-                samples.waiters.resolve(id, &samples.table, &actions);
+                samples.waiters.resolve(id, &samples.table, &outcomes);
             }
         }
-        for action in actions {
-            match action {
+        for outcome in outcomes {
+            match outcome {
                 SampleOutcome::StepOpened { trainer, step, slots } => {
                     tracing::info!(trainer = trainer.0, step, slots, "opened step");
                     let mut state = self.state();
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -83,12 +83,17 @@
 impl StatementWaiters {
     /// Gives the request that waits for a record its result, after the record was applied to the
     /// table.
-    pub(crate) fn resolve(&mut self, id: RecordId, table: &SampleTable, actions: &[SampleOutcome]) {
+    pub(crate) fn resolve(
+        &mut self,
+        id: RecordId,
+        table: &SampleTable,
+        outcomes: &[SampleOutcome],
+    ) {
         let Some(waiter) = self.waiting.remove(&id) else { return };
         let refused =
-            actions.iter().any(|action| matches!(action, SampleOutcome::StepRefused { .. }));
+            outcomes.iter().any(|outcome| matches!(outcome, SampleOutcome::StepRefused { .. }));
         let step = if refused { StepOutcome::Refused } else { StepOutcome::Accepted };
-        let accepted = actions.iter().find_map(|action| match action {
+        let accepted = outcomes.iter().find_map(|outcome| match outcome {
             SampleOutcome::DeliveriesReady { trainer, range } => Some((*trainer, range.statement)),
             _ => None,
         });
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -9,7 +9,7 @@
 use protocol::{PeerMessage, UsageEntry, WireBatchHold};
 use usage::{
     HoldOutcome, LedgerOutcome, LedgerSnapshot, OriginState, PendingBatches, ReplicaStore,
-    ReportAnswer, UsageBatch, UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose,
+    ReportResponse, UsageBatch, UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose,
     WindowNumber, WindowReport, WindowReporter,
 };
 
@@ -179,7 +179,7 @@
         if self.append_with_id(USAGE_STREAM, id, &entry).is_err() {
             // Kept as a replica of a process that is gone, which the store appends until the buffer
             // has space.
-            self.state().usage.replicas.hold(now, batch, OriginState::Gone);
+            self.state().usage.replicas.hold(now, batch, OriginState::Ended);
         }
     }
 
@@ -223,7 +223,7 @@
     /// that it held are sent to another holder.
     pub(crate) fn usage_peer_gone(&self, now: Moment, incarnation: Incarnation) {
         let mut state = self.state();
-        state.usage.replicas.origin_gone(now, incarnation);
+        state.usage.replicas.origin_ended(now, incarnation);
         state.usage.pending.holder_lost(now, incarnation);
     }
 
@@ -295,18 +295,18 @@
         let check = self.lease_check(&LeaseScope::Usage, report.fencing, fencing_support);
         let guarded = self.platform.guarded(check);
         let response = match guarded.report_usage(&wire_report(&report)).await {
-            Ok(ReportOutcome::Accepted) => ReportAnswer::Accepted,
+            Ok(ReportOutcome::Accepted) => ReportResponse::Accepted,
             Ok(ReportOutcome::Conflict) => {
                 tracing::error!(
                     window = window.0,
                     "the platform has different usage for this window; the report is repeated"
                 );
-                ReportAnswer::Conflict
+                ReportResponse::Conflict
             }
-            Err(_) => ReportAnswer::Lost,
+            Err(_) => ReportResponse::Lost,
         };
         let now = self.now();
-        let reported = self.state().usage.reporter.answer(now, response);
+        let reported = self.state().usage.reporter.handle_response(now, response);
         if let Some(reported) = reported {
             let record = UsageRecord::Reported(reported);
             let _ = self.append(USAGE_STREAM, &UsageEntry::Usage(record));
--- a/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -100,7 +100,7 @@
     let follower = traffic.partitions.get(0).unwrap();
     follower.load(&traffic.store, "s").await.unwrap();
     store.append(SUBMISSION_TOPIC, 0, submission().iter().map(bytes).collect());
-    store.forget();
+    store.drop_history();
     follower.catch_up(&traffic.store).await.unwrap();
     assert!(!follower.cache().is_loaded("s"));
     follower.load(&traffic.store, "s").await.unwrap();
@@ -174,7 +174,7 @@
         // A record is appended in both cases, so that the cache is behind what the store drops.
         let other = SubmissionRecord::OpenMarkerCleared { submission: String::from("other") };
         store.append(SUBMISSION_TOPIC, 0, vec![bytes(&other)]);
-        store.forget();
+        store.drop_history();
     }
 
     traffic.partitions.set_owned(&std::collections::BTreeSet::from([0]));
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -68,7 +68,7 @@
 }
 
 /// How an exchange with an engine ended.
-enum ExchangeEnd {
+enum ExchangeOutcome {
     /// The end marker arrived and the answer is complete.
     Whole,
     /// The exchange failed. The error says whether the engine may have run the request.
@@ -179,16 +179,16 @@
                 Some(self.request.fingerprint),
             );
             let offset_before = self.offset();
-            let end = self.exchange(&chosen).await;
-            let outcome = match end {
-                ExchangeEnd::Whole => {
+            let exchange_outcome = self.exchange(&chosen).await;
+            let outcome = match exchange_outcome {
+                ExchangeOutcome::Whole => {
                     RequestOutcome::Completed { tokens: self.offset() - offset_before }
                 }
                 _ => RequestOutcome::Failed,
             };
             self.worker.shared.scheduler().finish(self.now(), in_flight, outcome);
             self.update_usage();
-            match self.finish_exchange(upstream, end).await {
+            match self.finish_exchange(upstream, exchange_outcome).await {
                 AfterExchange::Done => return None,
                 AfterExchange::Refused(refusal) => return Some(refusal),
                 AfterExchange::Retry => {}
@@ -212,7 +212,7 @@
     }
 
     /// Runs one exchange with an engine and sends its tokens to the caller.
-    async fn exchange(&mut self, chosen: &ChosenUpstream) -> ExchangeEnd {
+    async fn exchange(&mut self, chosen: &ChosenUpstream) -> ExchangeOutcome {
         let request = GenerateRequest {
             id: format_request_id(self.request.id),
             prompt: self.body.prompt.clone(),
@@ -231,7 +231,7 @@
         };
         let mut tokens = match opened {
             Ok(tokens) => tokens,
-            Err(error) => return ExchangeEnd::Broken(error),
+            Err(error) => return ExchangeOutcome::Broken(error),
         };
         self.handle_attempt(AttemptEvent::Sending);
         loop {
@@ -242,7 +242,7 @@
             // Each token restarts the timer in `wait_for_interruption`, so that with fast tokens it
             // never fires.
             if !choice::key_is_valid(&worker.shared, &self.request) {
-                return ExchangeEnd::KeyWithdrawn;
+                return ExchangeOutcome::KeyWithdrawn;
             }
             let result = match event {
                 Ok(Some(TokenEvent::Token { index, text, version })) => {
@@ -251,21 +251,21 @@
                 Ok(Some(TokenEvent::End { tokens, prompt_tokens })) => {
                     self.apply_end_marker(tokens, prompt_tokens)
                 }
-                Ok(None) => return ExchangeEnd::Whole,
-                Err(error) => return ExchangeEnd::Broken(error),
+                Ok(None) => return ExchangeOutcome::Whole,
+                Err(error) => return ExchangeOutcome::Broken(error),
             };
             match result {
                 EventResult::Line { text, last } => {
                     if self.output.send(&mut self.replay_body, text).await.is_err() {
-                        return ExchangeEnd::CallerDisconnected;
+                        return ExchangeOutcome::CallerDisconnected;
                     }
                     if last {
-                        return ExchangeEnd::Whole;
+                        return ExchangeOutcome::Whole;
                     }
                 }
                 EventResult::Dropped => {}
                 EventResult::Broken => {
-                    return ExchangeEnd::Broken(choice::truncated_answer_error());
+                    return ExchangeOutcome::Broken(choice::truncated_answer_error());
                 }
             }
         }
@@ -322,27 +322,31 @@
 
     /// Waits until the caller disconnects, the deadline passes or the API key is withdrawn, and
     /// returns which of them it was.
-    async fn wait_for_interruption(&self) -> ExchangeEnd {
+    async fn wait_for_interruption(&self) -> ExchangeOutcome {
         let shared = &self.worker.shared;
         loop {
             tokio::select! {
-                () = self.output.lines.closed() => return ExchangeEnd::CallerDisconnected,
+                () = self.output.lines.closed() => return ExchangeOutcome::CallerDisconnected,
                 () = actix_rt::time::sleep(time_left(shared, self.request.deadline)) => {
-                    return ExchangeEnd::DeadlinePassed;
+                    return ExchangeOutcome::DeadlinePassed;
                 }
                 () = actix_rt::time::sleep(KEY_CHECK_PERIOD) => {}
             }
             if !choice::key_is_valid(shared, &self.request) {
-                return ExchangeEnd::KeyWithdrawn;
+                return ExchangeOutcome::KeyWithdrawn;
             }
         }
     }
 
     /// Records the end of an exchange and decides whether the generation is done, refused or
     /// retried.
-    async fn finish_exchange(&mut self, upstream: UpstreamKey, end: ExchangeEnd) -> AfterExchange {
+    async fn finish_exchange(
+        &mut self,
+        upstream: UpstreamKey,
+        exchange_outcome: ExchangeOutcome,
+    ) -> AfterExchange {
         let shared = &self.worker.shared;
-        if let ExchangeEnd::Broken(error) = &end
+        if let ExchangeOutcome::Broken(error) = &exchange_outcome
             && error.may_have_run()
         {
             // The request stays in flight in the suspect table until the control thread knows
@@ -355,25 +359,25 @@
             let actions = shared.scheduler().handle_suspect_event(self.now(), wall_now(), event);
             admitted::forward_suspect_actions(shared, actions);
         }
-        match end {
-            ExchangeEnd::Whole => {
+        match exchange_outcome {
+            ExchangeOutcome::Whole => {
                 self.handle_attempt(AttemptEvent::Answered);
                 AfterExchange::Done
             }
-            ExchangeEnd::Broken(error) => self.handle_broken_exchange(upstream, &error),
-            ExchangeEnd::CallerDisconnected => {
+            ExchangeOutcome::Broken(error) => self.handle_broken_exchange(upstream, &error),
+            ExchangeOutcome::CallerDisconnected => {
                 self.cancel_exchange(upstream, AttemptEvent::CallerDisconnected);
                 let message = "the caller disconnected before the answer was complete";
                 AfterExchange::Refused(self.refusal(RefusalCode::DeadlineExceeded, message))
             }
-            ExchangeEnd::DeadlinePassed => {
+            ExchangeOutcome::DeadlinePassed => {
                 let refusal = self.cancel_exchange(upstream, AttemptEvent::Tick);
                 let message = "the deadline passed before the answer was complete";
                 AfterExchange::Refused(
                     refusal.unwrap_or_else(|| self.refusal(RefusalCode::DeadlineExceeded, message)),
                 )
             }
-            ExchangeEnd::KeyWithdrawn => {
+            ExchangeOutcome::KeyWithdrawn => {
                 self.cancel_exchange(upstream, AttemptEvent::CallerDisconnected);
                 log_event!(StreamCutKeyWithdrawn, request = format_request_id(self.request.id));
                 let message = "the API key is no longer accepted; the answer was cut off";
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -92,7 +92,7 @@
         /// A delayed order arrives at the receiver.
         DelayedOrderArrives(usize),
         /// A process queries the state of an order by its id.
-        Ask(usize),
+        Query(usize),
         /// A process stops running, at any point.
         Pause(usize),
         /// A paused process runs again.
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -227,10 +227,14 @@
             let id = next.processes[index].queued_queries.remove(0);
             let response = self.guards.interpret_query_response(next.receiver.state(id));
             let process = &mut next.processes[index];
-            let actions =
-                process.order_manager.answer(state.now, &process.lease_manager, id, response);
+            let actions = process.order_manager.handle_response(
+                state.now,
+                &process.lease_manager,
+                id,
+                response,
+            );
             process.queue_actions(actions);
-            steps.push((AuthorityStep::Ask(index), next));
+            steps.push((AuthorityStep::Query(index), next));
         }
         if let Some(checked) = &process.checked {
             self.write_steps(state, index, checked, steps);
@@ -274,8 +278,12 @@
         next.processes[index].checked = None;
         let response = self.receive(&mut next, &checked.intent, checked.fencing);
         let process = &mut next.processes[index];
-        let actions =
-            process.order_manager.answer(now, &process.lease_manager, checked.intent.id, response);
+        let actions = process.order_manager.handle_response(
+            now,
+            &process.lease_manager,
+            checked.intent.id,
+            response,
+        );
         process.queue_actions(actions);
         steps.push((AuthorityStep::Write(index), next));
         if let Some(mut next) = self.spend_fault(state) {
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -92,9 +92,9 @@
         /// A delayed append takes effect.
         DelayedWriteLands(usize),
         /// A process appends a snapshot record.
-        Carry(usize),
+        Snapshot(usize),
         /// The append of a snapshot record is delayed and may take effect at any later time.
-        CarryDelayed(usize),
+        SnapshotDelayed(usize),
         /// Retention drops all records below this offset, which a snapshot in the log covers.
         Retain(u64),
         /// A process adopts the state and the documents in force of a peer.
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -178,11 +178,11 @@
         let entry = Rc::new(ConfigEntry(entry));
         let mut next = ConfigModelState { snapshots_left, ..state.clone() };
         next.log.push(Rc::clone(&entry));
-        steps.push((ConfigStep::Carry(index), next));
+        steps.push((ConfigStep::Snapshot(index), next));
         if let Some(mut next) = self.spend_fault(state) {
             next.snapshots_left = snapshots_left;
             next.delayed.push(entry);
-            steps.push((ConfigStep::CarryDelayed(index), next));
+            steps.push((ConfigStep::SnapshotDelayed(index), next));
         }
     }
 
--- a/crates/model-check/src/usage/process.rs
+++ b/crates/model-check/src/usage/process.rs
@@ -6,7 +6,7 @@
 };
 
 use ::usage::{
-    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount,
+    LedgerOutcome, OriginState, PendingBatches, ReplicaStore, ReportResponse, UsageAmount,
     UsageBatch, UsageByCustomer, UsageLedger, UsageRecord, WindowClose, WindowNumber, WindowReport,
     WindowReporter,
 };
@@ -344,7 +344,7 @@
         if let Some(report) = process.unchecked_report.take() {
             match process.lease_manager.held_token(now) {
                 Some(_) => process.checked_report = Some(report),
-                None => drop(process.reporter.answer(now, ReportAnswer::Lost)),
+                None => drop(process.reporter.handle_response(now, ReportResponse::Lost)),
             }
             steps.push((UsageStep::CheckClock(index), next));
             return;
@@ -352,18 +352,22 @@
         let Some(report) = process.checked_report.take() else { return };
         if let Some(mut next) = self.spend_fault(&next) {
             self.receive(&mut next, &report);
-            Rc::make_mut(&mut next.processes[index]).reporter.answer(now, ReportAnswer::Lost);
+            Rc::make_mut(&mut next.processes[index])
+                .reporter
+                .handle_response(now, ReportResponse::Lost);
             steps.push((UsageStep::ReportAnswerLost(index), next));
         }
         if let Some(mut next) = self.spend_fault(&next) {
             let due = now + Self::LEASE.order_timeout;
             next.in_transit.push(ReportInTransit { report: report.clone(), due });
-            Rc::make_mut(&mut next.processes[index]).reporter.answer(now, ReportAnswer::Lost);
+            Rc::make_mut(&mut next.processes[index])
+                .reporter
+                .handle_response(now, ReportResponse::Lost);
             steps.push((UsageStep::ReportDelayed(index), next));
         }
-        let answer = self.receive(&mut next, &report);
+        let response = self.receive(&mut next, &report);
         let process = Rc::make_mut(&mut next.processes[index]);
-        if let Some(reported) = process.reporter.answer(now, answer) {
+        if let Some(reported) = process.reporter.handle_response(now, response) {
             process.queue_usage(UsageRecord::Reported(reported));
         }
         steps.push((UsageStep::Report(index), next));
@@ -408,7 +412,7 @@
         for (other, process) in next.processes.iter_mut().enumerate() {
             if other != index {
                 let process = Rc::make_mut(process);
-                process.replicas.origin_gone(state.now, ended);
+                process.replicas.origin_ended(state.now, ended);
                 process.pending_batches.holder_lost(state.now, ended);
             }
         }
--- a/crates/model-check/src/usage/sink.rs
+++ b/crates/model-check/src/usage/sink.rs
@@ -1,6 +1,6 @@
 //! Receiver of usage reports, as the platform implements it.
 
-use ::usage::{ReportAnswer, UsageByCustomer, WindowNumber, WindowReport};
+use ::usage::{ReportResponse, UsageByCustomer, WindowNumber, WindowReport};
 use authority::FencingSupport;
 use base::{FencingToken, Moment};
 
@@ -63,7 +63,7 @@
 impl<G: UsageGuards> UsageModel<G> {
     /// Receives a report and returns the platform's response. Records the invariant that this
     /// violates, if any.
-    pub(crate) fn receive(&self, state: &mut UsageState, report: &WindowReport) -> ReportAnswer {
+    pub(crate) fn receive(&self, state: &mut UsageState, report: &WindowReport) -> ReportResponse {
         if state.holders() > 1 {
             state.broken_invariant = state.broken_invariant.or(Some(ONE_REPORTER));
         }
@@ -71,13 +71,13 @@
         match known {
             Some((_, usage)) if *usage != report.usage => {
                 state.broken_invariant = state.broken_invariant.or(Some(ONE_USAGE_PER_WINDOW));
-                return ReportAnswer::Conflict;
+                return ReportResponse::Conflict;
             }
             Some(_) => {}
             None => state.sink.arrived.push((report.window, report.usage.clone())),
         }
         if !self.guards.accepts(&state.sink, report.fencing) {
-            return ReportAnswer::Lost;
+            return ReportResponse::Lost;
         }
         if report.fencing < state.sink.highest_token
             && state.sink.fencing_support == FencingSupport::Checked
@@ -88,6 +88,6 @@
         if !state.sink.accepted.contains(&report.window) {
             state.sink.accepted.push(report.window);
         }
-        ReportAnswer::Accepted
+        ReportResponse::Accepted
     }
 }
--- a/crates/process-tests/src/fleet.rs
+++ b/crates/process-tests/src/fleet.rs
@@ -24,7 +24,7 @@
     /// Additional command line arguments of each model engine.
     pub engines: Vec<Vec<String>>,
     /// Additional command line arguments of each upstream of the plain service.
-    pub plain: Vec<Vec<String>>,
+    pub plain_services: Vec<Vec<String>>,
     /// Additional command line arguments of the platform stand-in.
     pub platform: Vec<String>,
     /// TOML lines that are added to the settings of every daemon.
@@ -48,7 +48,7 @@
     /// Model engines, all in zone `hobart-a`.
     pub engines: Vec<ProcessHandle>,
     /// Upstreams of the plain service, all in zone `hobart-a`.
-    pub plain: Vec<ProcessHandle>,
+    pub plain_services: Vec<ProcessHandle>,
     /// Daemons. Address 0 is for callers, 1 for peers, 2 for operators.
     pub daemons: Vec<ProcessHandle>,
     options: FleetOptions,
@@ -76,7 +76,7 @@
     text.push_str("[[services]]\nname = \"draft-models\"\nkind = \"model\"\n");
     text.push_str("[[services]]\nname = \"dieline-index\"\nkind = \"plain\"\n");
     push_pool(&mut text, "draft-models", &fleet.engines);
-    push_pool(&mut text, "dieline-index", &fleet.plain);
+    push_pool(&mut text, "dieline-index", &fleet.plain_services);
     push_route(&mut text, "draft", "draft-models", "idempotent = true");
     push_route(&mut text, "order", "dieline-index", "idempotent = false");
     push_route(&mut text, "open", "dieline-index", "idempotent = true\nopen = true");
@@ -129,7 +129,7 @@
         Self {
             daemons: vec!["hobart-a", "hobart-b", "kingston-c"],
             engines: vec![Vec::new(), Vec::new()],
-            plain: vec![Vec::new()],
+            plain_services: vec![Vec::new()],
             platform: Vec::new(),
             settings: String::new(),
             traffic_threads: 1,
@@ -155,15 +155,17 @@
         let engines = options.engines.iter().enumerate();
         let engines = engines.map(|(index, extra)| start_stand_in(&folder, "engine", index, extra));
         let engines = engines.collect();
-        let plain = options.plain.iter().enumerate();
-        let plain =
-            plain.map(|(index, extra)| start_stand_in(&folder, "plain", index, extra)).collect();
-        let mut fleet = Self { platform, engines, plain, daemons: Vec::new(), options, folder };
+        let plain_services = options.plain_services.iter().enumerate();
+        let plain_services = plain_services
+            .map(|(index, extra)| start_stand_in(&folder, "plain", index, extra))
+            .collect();
+        let mut fleet =
+            Self { platform, engines, plain_services, daemons: Vec::new(), options, folder };
         for index in 0..fleet.options.daemons.len() {
             let daemon = fleet.start_daemon(index);
             fleet.daemons.push(daemon);
         }
-        fleet.list_vms().await;
+        fleet.publish_vms().await;
         fleet
     }
 
@@ -211,7 +213,7 @@
 
     /// Makes the platform list the daemons as live VMs at their present addresses. A restarted
     /// daemon has new ports.
-    pub async fn list_vms(&self) {
+    pub async fn publish_vms(&self) {
         let vms = self.daemons.iter().enumerate().map(|(index, daemon)| {
             json!({
                 "name": format!("entry-{index}"),
@@ -236,7 +238,7 @@
     /// # Panics
     ///
     /// Panics when the document is refused.
-    pub async fn first_document(&self, customers: &[&str]) {
+    pub async fn apply_first_document(&self, customers: &[&str]) {
         let text = document_text(self, customers);
         let edit = self.operator(1).edit("production", ConfigVersion(0), &text).await;
         assert_eq!(edit, Ok(EditOutcome::Accepted(ConfigVersion(1))));
--- a/crates/process-tests/src/lib.rs
+++ b/crates/process-tests/src/lib.rs
@@ -19,5 +19,5 @@
     },
     process::{ProcessHandle, wait_for},
     relay::{RelayFlow, TcpRelay},
-    site::{GatewayProcess, SiteFleet, SiteShape, submission},
+    site::{GatewayProcess, SiteFleet, SiteOptions, submission_body},
 };
--- a/crates/process-tests/src/relay.rs
+++ b/crates/process-tests/src/relay.rs
@@ -20,7 +20,7 @@
     flow: watch::Sender<RelayFlow>,
 }
 
-/// What a relay does with the bytes of its connections. A request goes to the target, an answer
+/// What a relay does with the bytes of its connections. A request goes to the target, a response
 /// comes from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayFlow {
@@ -31,9 +31,9 @@
     /// Bytes to the target are held up, those from it pass.
     HoldRequests,
     /// Bytes from the target are held up, those to it pass.
-    HoldAnswers,
+    HoldResponses,
     /// Bytes of both directions are held up. New connections are still accepted.
-    Silent,
+    HoldAll,
 }
 
 impl TcpRelay {
@@ -69,7 +69,7 @@
     }
 
     /// Closes all open connections. New ones are forwarded.
-    pub fn reset(&self) {
+    pub fn close_connections(&self) {
         self.is_cut.send_replace(true);
         self.is_cut.send_replace(false);
     }
@@ -145,8 +145,8 @@
         let passes = |flow: &RelayFlow| match flow {
             RelayFlow::Pass | RelayFlow::Delay(_) => true,
             RelayFlow::HoldRequests => direction == Direction::FromTarget,
-            RelayFlow::HoldAnswers => direction == Direction::ToTarget,
-            RelayFlow::Silent => false,
+            RelayFlow::HoldResponses => direction == Direction::ToTarget,
+            RelayFlow::HoldAll => false,
         };
         let current_flow = tokio::select! {
             current_flow = flow.wait_for(passes) => current_flow.map(|flow| *flow),
--- a/crates/process-tests/src/site.rs
+++ b/crates/process-tests/src/site.rs
@@ -28,7 +28,7 @@
 
 /// Size of a [`SiteFleet`] and options of its stand-ins.
 #[derive(Debug, Clone)]
-pub struct SiteShape {
+pub struct SiteOptions {
     /// Number of gateways.
     pub gateways: usize,
     /// Number of model engines.
@@ -66,7 +66,7 @@
     address: IpAddr,
 }
 
-impl Default for SiteShape {
+impl Default for SiteOptions {
     fn default() -> Self {
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
@@ -80,10 +80,10 @@
                 zone: String::from("zone-a"),
                 models: vec![String::from("m0")],
                 slots: 8,
-                event_time: Duration::from_millis(20),
+                event_interval: Duration::from_millis(20),
                 events: 10,
                 load_time: Duration::from_millis(300),
-                break_every: 0,
+                break_stream_every: 0,
                 lease: Duration::from_secs(3),
             },
             service: ServiceOptions {
@@ -92,8 +92,8 @@
                 service: String::from("portal"),
                 zone: String::from("zone-a"),
                 slots: 8,
-                work: Duration::from_millis(5),
-                lose_every: 0,
+                service_time: Duration::from_millis(5),
+                lose_response_every: 0,
             },
             store: StoreOptions::default(),
         }
@@ -107,28 +107,30 @@
     /// # Panics
     ///
     /// Panics when a part cannot be started or a gateway does not become ready within 60 s.
-    pub async fn start(shape: SiteShape) -> Self {
-        let store = SiteStore::start(shape.store.clone())
+    pub async fn start(options: SiteOptions) -> Self {
+        let store = SiteStore::start(options.store.clone())
             .expect("the store stand-in can listen on loopback");
         let mut engines = Vec::new();
-        for index in 0..shape.engines {
-            let options = EngineOptions { id: format!("engine-{index}"), ..shape.engine.clone() };
-            let engine =
-                SiteEngine::start(options).expect("the engine stand-in can listen on loopback");
+        for index in 0..options.engines {
+            let engine_options =
+                EngineOptions { id: format!("engine-{index}"), ..options.engine.clone() };
+            let engine = SiteEngine::start(engine_options)
+                .expect("the engine stand-in can listen on loopback");
             store.put_upstream(engine.id(), &engine.entry());
             engines.push(engine);
         }
         let mut services = Vec::new();
-        for index in 0..shape.services {
-            let options = ServiceOptions { id: format!("portal-{index}"), ..shape.service.clone() };
-            let service = SiteService::start(options)
+        for index in 0..options.services {
+            let service_options =
+                ServiceOptions { id: format!("portal-{index}"), ..options.service.clone() };
+            let service = SiteService::start(service_options)
                 .expect("the plain service stand-in can listen on loopback");
             store.put_upstream(service.id(), &service.entry());
             services.push(service);
         }
-        store.put_operator("config", &Self::config(1, &["key-1"]));
+        store.put_operator_key("config", &Self::config(1, &["key-1"]));
         let gateways =
-            (0..shape.gateways).map(|index| GatewayProcess::start(store.address(), index, true));
+            (0..options.gateways).map(|index| GatewayProcess::start(store.address(), index, true));
         let fleet = Self { gateways: gateways.collect(), store, engines, services };
         for gateway in &fleet.gateways {
             gateway.wait_ready().await;
@@ -183,7 +185,7 @@
 /// Returns the body of a submission whose items are scored by the plain service. No token may come
 /// from weights older than `min_version`. Each four consecutive items form a group.
 #[must_use]
-pub fn submission(id: &str, items: usize, min_version: u64) -> Value {
+pub fn submission_body(id: &str, items: usize, min_version: u64) -> Value {
     let items = (0..items).map(|index| {
         json!({
             "id": format!("{id}-{index}"),
@@ -267,19 +269,19 @@
 
     /// Returns the address for callers.
     #[must_use]
-    pub const fn callers(&self) -> SocketAddr {
+    pub const fn caller_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, CALLER_PORT)
     }
 
     /// Returns the address of the readiness check.
     #[must_use]
-    pub const fn ready(&self) -> SocketAddr {
+    pub const fn ready_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, READY_PORT)
     }
 
     /// Returns the address of the metrics page.
     #[must_use]
-    pub const fn metrics(&self) -> SocketAddr {
+    pub const fn metrics_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, METRICS_PORT)
     }
 
@@ -293,9 +295,9 @@
 
     /// Waits until the readiness check of the gateway succeeds.
     pub async fn wait_ready(&self) {
-        let ready = self.ready();
+        let ready_address = self.ready_address();
         wait_for("status 200 from the gateway's readiness check", || async move {
-            let response = crate::get(ready, "/readyz", &[]).await;
+            let response = crate::get(ready_address, "/readyz", &[]).await;
             (response.status == 200).then_some(())
         })
         .await;
--- a/crates/process-tests/tests/edge.rs
+++ b/crates/process-tests/tests/edge.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use process_tests::{SiteFleet, SiteShape, call};
+use process_tests::{SiteFleet, SiteOptions, call};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -60,14 +60,14 @@
 }
 
 async fn start_one_gateway() -> SiteFleet {
-    SiteFleet::start(SiteShape { gateways: 1, ..Default::default() }).await
+    SiteFleet::start(SiteOptions { gateways: 1, ..Default::default() }).await
 }
 
 /// Checks that the gateway still serves requests and that the store has seen no violation of its
 /// protocol.
 async fn check_still_serving(fleet: &SiteFleet) {
     let headers = SiteFleet::headers("after");
-    let response = call(fleet.gateways[0].callers(), "/fetch/proof", &headers, "body").await;
+    let response = call(fleet.gateways[0].caller_address(), "/fetch/proof", &headers, "body").await;
     assert_eq!(response.status, 200, "{response:?}");
     assert_eq!(fleet.store.violations(), Vec::new());
 }
@@ -76,7 +76,7 @@
 #[actix_rt::test]
 async fn request_split_at_any_byte_is_answered() {
     let fleet = start_one_gateway().await;
-    let address = fleet.gateways[0].callers();
+    let address = fleet.gateways[0].caller_address();
     let length = request("split-000").len();
     for position in 1..length {
         let bytes = request(&format!("split-{position:03}"));
@@ -129,7 +129,7 @@
          POST /fetch/hidden HTTP/1.1\r\n{head}\r\nx-request-id: hidden\r\nconnection: close\r\n\
          content-length: 0\r\n\r\n"
     );
-    exchange(fleet.gateways[0].callers(), &[bytes.as_bytes()]).await;
+    exchange(fleet.gateways[0].caller_address(), &[bytes.as_bytes()]).await;
 }
 
 /// Guards against requests with random damage that stop the gateway, keep a connection without end,
@@ -138,7 +138,7 @@
 #[actix_rt::test]
 async fn damaged_requests_end_and_the_gateway_still_serves(#[values(1, 2, 3)] seed: u64) {
     let fleet = start_one_gateway().await;
-    let address = fleet.gateways[0].callers();
+    let address = fleet.gateways[0].caller_address();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut sent = Vec::new();
     for index in 0..150 {
--- a/crates/process-tests/tests/gateway.rs
+++ b/crates/process-tests/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! Gateways on the users' platform, as separate processes.
 
-use process_tests::{SiteFleet, SiteShape, call, get, submission, wait_for};
+use process_tests::{SiteFleet, SiteOptions, call, get, submission_body, wait_for};
 use rstest::rstest;
 use serde_json::Value;
 use site_stand_in::StoreFault;
@@ -13,11 +13,11 @@
 /// report.
 #[actix_rt::test]
 async fn request_is_answered_and_billed() {
-    let fleet = SiteFleet::start(SiteShape::default()).await;
+    let fleet = SiteFleet::start(SiteOptions::default()).await;
     for index in 0..6 {
         let headers = SiteFleet::headers(&format!("r{index}"));
         let gateway = &fleet.gateways[index % 2];
-        let response = call(gateway.callers(), "/fetch/proof", &headers, "body").await;
+        let response = call(gateway.caller_address(), "/fetch/proof", &headers, "body").await;
         assert_eq!(response.status, 200, "{response:?}");
         let body: Value = serde_json::from_str(&response.body).unwrap();
         assert_eq!(body["customer"], "brewer");
@@ -42,13 +42,13 @@
 #[case::submission_without_items("/draft/1", "Token key-1", 400)]
 #[actix_rt::test]
 async fn refusal_has_its_status(#[case] path: &str, #[case] key: &str, #[case] status: u16) {
-    let fleet = SiteFleet::start(SiteShape { gateways: 1, ..Default::default() }).await;
+    let fleet = SiteFleet::start(SiteOptions { gateways: 1, ..Default::default() }).await;
     let headers = [
         ("host", String::from("studio.example")),
         ("x-request-id", String::from("r")),
         ("authorization", String::from(key)),
     ];
-    let response = call(fleet.gateways[0].callers(), path, &headers, "{}").await;
+    let response = call(fleet.gateways[0].caller_address(), path, &headers, "{}").await;
     assert_eq!(response.status, status, "{response:?}");
 }
 
@@ -57,7 +57,7 @@
     wait_for("all results of the submission", || async {
         for gateway in &fleet.gateways {
             let path = format!("/lots/{id}?after=0");
-            let response = get(gateway.callers(), &path, &SiteFleet::headers("read")).await;
+            let response = get(gateway.caller_address(), &path, &SiteFleet::headers("read")).await;
             let Ok(body) = serde_json::from_str::<Value>(&response.body) else { continue };
             let Some(results) = body["results"].as_array() else { continue };
             if results.len() == items {
@@ -95,16 +95,19 @@
 #[case::broken_runs(false, 5)]
 #[case::owner_killed(true, 7)]
 #[actix_rt::test]
-async fn results_of_a_submission_are_complete(#[case] kill_owner: bool, #[case] break_every: u64) {
-    let mut shape = SiteShape { gateways: 3, ..Default::default() };
-    shape.engine.break_every = break_every;
-    let mut fleet = SiteFleet::start(shape).await;
-    let body = submission("s", 24, 1).to_string();
+async fn results_of_a_submission_are_complete(
+    #[case] kill_owner: bool,
+    #[case] break_stream_every: u64,
+) {
+    let mut options = SiteOptions { gateways: 3, ..Default::default() };
+    options.engine.break_stream_every = break_stream_every;
+    let mut fleet = SiteFleet::start(options).await;
+    let body = submission_body("s", 24, 1).to_string();
     let response =
-        call(fleet.gateways[0].callers(), "/draft/s", &SiteFleet::headers("s"), &body).await;
+        call(fleet.gateways[0].caller_address(), "/draft/s", &SiteFleet::headers("s"), &body).await;
     assert_eq!(response.status, 202, "{response:?}");
     let repeated =
-        call(fleet.gateways[1].callers(), "/draft/s", &SiteFleet::headers("s"), &body).await;
+        call(fleet.gateways[1].caller_address(), "/draft/s", &SiteFleet::headers("s"), &body).await;
     assert_eq!(
         repeated.status, 202,
         "the repeated submission was not accepted as the same one: {repeated:?}"
@@ -118,7 +121,7 @@
         })
         .await;
         fleet.gateways[owner].kill();
-        fleet.store.forget();
+        fleet.store.drop_history();
     }
     let results = read_all(&fleet, "s", 24).await;
     check_results("s", &results);
@@ -134,9 +137,9 @@
 /// was killed.
 #[actix_rt::test]
 async fn new_weights_are_loaded_after_the_lease_holder_is_killed() {
-    let mut fleet = SiteFleet::start(SiteShape { gateways: 3, ..Default::default() }).await;
+    let mut fleet = SiteFleet::start(SiteOptions { gateways: 3, ..Default::default() }).await;
     let model_version = |version: u64| serde_json::json!({ "model": "m0", "version": version });
-    fleet.store.put_operator("version/m0", &model_version(2));
+    fleet.store.put_operator_key("version/m0", &model_version(2));
     let all_loaded = |fleet: &SiteFleet, version| {
         fleet.engines.iter().all(|engine| engine.version("m0") == Some(version))
     };
@@ -148,7 +151,7 @@
     let holder =
         fleet.gateways.iter().position(holds_lease).expect("a gateway has logged LeaseAcquired");
     fleet.gateways[holder].kill();
-    fleet.store.put_operator("version/m0", &model_version(3));
+    fleet.store.put_operator_key("version/m0", &model_version(3));
     wait_for("weight version 3 on all engines", || async { all_loaded(&fleet, 3).then_some(()) })
         .await;
     for engine in &fleet.engines {
@@ -160,10 +163,10 @@
 /// end with code 0.
 #[actix_rt::test]
 async fn planned_stop_finishes_requests() {
-    let mut shape = SiteShape { gateways: 2, ..Default::default() };
-    shape.service.work = std::time::Duration::from_millis(800);
-    let mut fleet = SiteFleet::start(shape).await;
-    let address = fleet.gateways[0].callers();
+    let mut options = SiteOptions { gateways: 2, ..Default::default() };
+    options.service.service_time = std::time::Duration::from_millis(800);
+    let mut fleet = SiteFleet::start(options).await;
+    let address = fleet.gateways[0].caller_address();
     let headers = SiteFleet::headers("long");
     let running = actix_rt::spawn(async move { call(address, "/fetch/x", &headers, "").await });
     wait_for("an upstream to run the request", || async {
@@ -174,7 +177,7 @@
     let response = running.await.unwrap();
     assert_eq!(response.status, 200, "{response:?}");
     wait_for("a failed readiness check", || async {
-        let ready = get(fleet.gateways[0].ready(), "/readyz", &[]).await;
+        let ready = get(fleet.gateways[0].ready_address(), "/readyz", &[]).await;
         (ready.status != 200).then_some(())
     })
     .await;
@@ -191,10 +194,10 @@
 /// last usage totals are written. Found with the scenario `pairs.toml --vary --seed 931014434654`.
 #[actix_rt::test]
 async fn requests_that_arrive_during_a_planned_stop_are_answered() {
-    let mut shape = SiteShape { gateways: 1, ..Default::default() };
-    shape.service.work = std::time::Duration::from_millis(150);
-    let fleet = SiteFleet::start(shape).await;
-    let address = fleet.gateways[0].callers();
+    let mut options = SiteOptions { gateways: 1, ..Default::default() };
+    options.service.service_time = std::time::Duration::from_millis(150);
+    let fleet = SiteFleet::start(options).await;
+    let address = fleet.gateways[0].caller_address();
     fleet.store.set_fault(StoreFault::Silent);
     fleet.gateways[0].signal("TERM");
     let mut answered = 0;
@@ -227,11 +230,11 @@
 /// Guards against a retry of a non-idempotent request after its response was lost.
 #[actix_rt::test]
 async fn non_idempotent_request_runs_once_when_its_response_is_lost() {
-    let mut shape = SiteShape { gateways: 1, ..Default::default() };
-    shape.service.lose_every = 1;
-    let fleet = SiteFleet::start(shape).await;
+    let mut options = SiteOptions { gateways: 1, ..Default::default() };
+    options.service.lose_response_every = 1;
+    let fleet = SiteFleet::start(options).await;
     let headers = SiteFleet::headers("once");
-    let response = call(fleet.gateways[0].callers(), "/once/x", &headers, "").await;
+    let response = call(fleet.gateways[0].caller_address(), "/once/x", &headers, "").await;
     assert!(![429, 503, 408, 421, 200].contains(&response.status), "{response:?}");
     let runs: u64 = fleet.services.iter().map(site_stand_in::SiteService::served).sum();
     assert_eq!(runs, 1);
--- a/crates/process-tests/tests/malformed.rs
+++ b/crates/process-tests/tests/malformed.rs
@@ -63,7 +63,7 @@
 async fn records_after_malformed_ones_are_read() {
     let options = FleetOptions { daemons: vec!["hobart-a"], ..FleetOptions::default() };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     let holds_lease = |status: &Value, scope: &str| {
         let leases = status["leases"].as_array().cloned().unwrap_or_default();
         leases.iter().any(|lease| lease["scope"] == scope && lease["held"].is_u64())
@@ -136,7 +136,7 @@
 async fn malformed_peer_messages_are_counted_and_valid_ones_still_handled() {
     let options = FleetOptions { daemons: vec!["hobart-a", "hobart-b"], ..FleetOptions::default() };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     let peer = fleet.daemons[0].address(1);
     for body in ["\u{1}", "no message", ""] {
         assert_eq!(call(peer, "/peer/1", &[], body).await.status, 200);
--- a/crates/process-tests/tests/operations.rs
+++ b/crates/process-tests/tests/operations.rs
@@ -1,7 +1,7 @@
 //! The log lines and metrics with which docs/OPERATIONS.md explains what happened to a request or
 //! an item.
 
-use process_tests::{GatewayProcess, SiteFleet, SiteShape, call, get, submission, wait_for};
+use process_tests::{GatewayProcess, SiteFleet, SiteOptions, call, get, submission_body, wait_for};
 use serde_json::Value;
 
 /// Returns the fields of the log lines with this event number that have `value` in the field `key`.
@@ -13,9 +13,9 @@
 /// Guards against a refusal whose cause cannot be found by the request's identifier.
 #[actix_rt::test]
 async fn refusal_is_explained_by_the_log() {
-    let fleet = SiteFleet::start(SiteShape { gateways: 1, ..Default::default() }).await;
+    let fleet = SiteFleet::start(SiteOptions { gateways: 1, ..Default::default() }).await;
     let headers = SiteFleet::headers("lost");
-    call(fleet.gateways[0].callers(), "/nowhere/", &headers, "").await;
+    call(fleet.gateways[0].caller_address(), "/nowhere/", &headers, "").await;
     let found = wait_for("the log line of the refusal", || async {
         log_lines(&fleet.gateways[0], 2002, "request", "lost").pop()
     })
@@ -29,11 +29,11 @@
 /// Guards against a late response whose attempts and their upstreams cannot be found.
 #[actix_rt::test]
 async fn attempts_of_a_late_response_are_explained_by_the_log() {
-    let mut shape = SiteShape { gateways: 1, ..Default::default() };
-    shape.service.work = std::time::Duration::from_millis(400);
-    let fleet = SiteFleet::start(shape).await;
+    let mut options = SiteOptions { gateways: 1, ..Default::default() };
+    options.service.service_time = std::time::Duration::from_millis(400);
+    let fleet = SiteFleet::start(options).await;
     let headers = SiteFleet::headers("late");
-    let response = call(fleet.gateways[0].callers(), "/fetch/x", &headers, "").await;
+    let response = call(fleet.gateways[0].caller_address(), "/fetch/x", &headers, "").await;
     assert_eq!(response.status, 200);
     let attempts = wait_for("the log lines of both attempts", || async {
         let attempts = log_lines(&fleet.gateways[0], 2006, "request", "late");
@@ -50,14 +50,15 @@
 /// Guards against an item that cannot be traced from the submission to its result.
 #[actix_rt::test]
 async fn item_is_traced_from_submission_to_result_by_the_log() {
-    let mut shape = SiteShape { gateways: 1, ..Default::default() };
-    shape.engine.break_every = 2;
-    let fleet = SiteFleet::start(shape).await;
+    let mut options = SiteOptions { gateways: 1, ..Default::default() };
+    options.engine.break_stream_every = 2;
+    let fleet = SiteFleet::start(options).await;
     let gateway = &fleet.gateways[0];
-    let body = submission("s", 4, 1).to_string();
-    call(gateway.callers(), "/draft/s", &SiteFleet::headers("s"), &body).await;
+    let body = submission_body("s", 4, 1).to_string();
+    call(gateway.caller_address(), "/draft/s", &SiteFleet::headers("s"), &body).await;
     wait_for("all results of the submission", || async {
-        let response = get(gateway.callers(), "/lots/s?after=0", &SiteFleet::headers("r")).await;
+        let response =
+            get(gateway.caller_address(), "/lots/s?after=0", &SiteFleet::headers("r")).await;
         let body: Value = serde_json::from_str(&response.body).ok()?;
         (body["results"].as_array()?.len() == 4).then_some(())
     })
@@ -81,12 +82,12 @@
 /// Guards against a metrics page that lacks a metric which docs/OPERATIONS.md names.
 #[actix_rt::test]
 async fn metrics_are_served() {
-    let fleet = SiteFleet::start(SiteShape { gateways: 1, ..Default::default() }).await;
+    let fleet = SiteFleet::start(SiteOptions { gateways: 1, ..Default::default() }).await;
     let headers = SiteFleet::headers("m");
-    call(fleet.gateways[0].callers(), "/fetch/x", &headers, "").await;
+    call(fleet.gateways[0].caller_address(), "/fetch/x", &headers, "").await;
     // A counter with labels is on the page only after its first increment.
-    call(fleet.gateways[0].callers(), "/nowhere/", &headers, "").await;
-    let page = get(fleet.gateways[0].metrics(), "/metrics", &[]).await.body;
+    call(fleet.gateways[0].caller_address(), "/nowhere/", &headers, "").await;
+    let page = get(fleet.gateways[0].metrics_address(), "/metrics", &[]).await.body;
     for name in [
         "answers_total",
         "answer_seconds",
--- a/crates/process-tests/tests/partition.rs
+++ b/crates/process-tests/tests/partition.rs
@@ -39,7 +39,7 @@
         fleet.start_daemon_through(2, "kingston-c", to_platform.address(), &settings);
     to_peer.set_target(partitioned_daemon.address(1));
     fleet.daemons.push(partitioned_daemon);
-    fleet.first_document(&["cordial", "brewer"]).await;
+    fleet.apply_first_document(&["cordial", "brewer"]).await;
     for daemon in 0..3 {
         wait_for("status 200 for a request", || async {
             (call_status(&fleet, daemon, "cordial").await == 200).then_some(())
--- a/crates/process-tests/tests/path.rs
+++ b/crates/process-tests/tests/path.rs
@@ -17,7 +17,7 @@
         ..Default::default()
     };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
 
     let body = r#"{"prompt": "a sleeve for cordial", "max_tokens": 20}"#;
     let headers = [("authorization", format!("Bearer {}", caller_key("cordial")))];
--- a/crates/process-tests/tests/samples.rs
+++ b/crates/process-tests/tests/samples.rs
@@ -174,7 +174,7 @@
 #[actix_rt::test]
 async fn all_samples_of_a_step_are_delivered_once(#[case] trainer: &str) {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, trainer, 1).await;
     let mut received = ReceivedEntries::default();
     fetch_all(&fleet, &[1, 2], trainer, 1, &mut received).await;
@@ -201,7 +201,7 @@
 #[actix_rt::test]
 async fn samples_of_a_killed_daemon_are_delivered_once() {
     let mut fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     wait_for_all_numbers(&fleet, 0, "layouts").await;
     fleet.daemons[1].kill();
@@ -226,7 +226,7 @@
         ..Default::default()
     };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     fleet.daemons[1].kill();
     let mut received = ReceivedEntries::default();
@@ -239,7 +239,7 @@
 #[actix_rt::test]
 async fn new_version_is_loaded_and_stale_samples_are_replaced() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     wait_for_all_numbers(&fleet, 2, "layouts").await;
     // Two versions newer than the samples, while the staleness bound is 1.
@@ -262,7 +262,7 @@
 #[actix_rt::test]
 async fn failed_weight_load_is_ordered_again() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     let engine = fleet.engines[0].address(0);
     let status = post_json(engine, "/faults", &json!({ "failing_swaps": 1 })).await;
     assert_eq!(status, 200);
@@ -285,7 +285,7 @@
         ..Default::default()
     };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     let mut received = ReceivedEntries::default();
     fetch_all(&fleet, &[0, 1], "layouts", 1, &mut received).await;
@@ -302,7 +302,7 @@
     assert_eq!(repeated.entries, received.entries);
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon(1);
-    fleet.list_vms().await;
+    fleet.publish_vms().await;
     fleet.wait_for_version(1).await;
 
     let mut late = ReceivedEntries::default();
@@ -337,7 +337,7 @@
     // service needs two engines for this after the crash.
     let options = FleetOptions { engines: vec![slow_engine; 3], ..Default::default() };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     wait_for_tokens(&fleet).await;
     fleet.engines[0].kill();
@@ -358,7 +358,7 @@
         ..Default::default()
     };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     open_first_step(&fleet, 0, "layouts", 1).await;
     let engine = wait_for_tokens(&fleet).await;
     let status = post_json(engine, "/faults", &json!({ "tokens_per_second": 1 })).await;
--- a/crates/process-tests/tests/state.rs
+++ b/crates/process-tests/tests/state.rs
@@ -49,7 +49,7 @@
 #[actix_rt::test]
 async fn usage_of_a_killed_daemon_is_billed_once() {
     let mut fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 0).await;
     wait_for("the token of the first request in the usage", || async {
         (billed_tokens(&fleet, 1).await? == 1).then_some(())
@@ -84,7 +84,7 @@
 #[actix_rt::test]
 async fn daemon_learns_the_configuration_from_peers_while_the_log_is_down() {
     let mut fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     let text = document_text(&fleet, &["cordial", "brewer"]);
     let edit = fleet.operator(2).edit("production", ConfigVersion(1), &text).await;
     assert_eq!(edit, Ok(EditOutcome::Accepted(ConfigVersion(2))));
@@ -93,7 +93,7 @@
     fleet.fault(&json!({ "log_down": true })).await;
     fleet.daemons[2].kill();
     fleet.daemons[2] = fleet.start_daemon(2);
-    fleet.list_vms().await;
+    fleet.publish_vms().await;
     let admin = fleet.daemons[2].address(2);
     wait_for("the version from a peer, marked as possibly stale", || async move {
         let status = get_json(admin, "/admin/status").await?;
@@ -119,7 +119,7 @@
 #[actix_rt::test]
 async fn daemon_starts_from_its_initial_peers_while_the_platform_is_down() {
     let mut fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     fleet.platform.kill();
     let peers = format!("initial_peers = [\"{}\"]\n", fleet.daemons[0].address(1));
     let new_daemon = fleet.start_daemon_with(3, "hobart-a", &peers);
@@ -139,7 +139,7 @@
 #[actix_rt::test]
 async fn one_of_two_concurrent_edits_is_accepted_when_append_responses_are_lost() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     fleet.fault(&json!({ "lose_append_answers": 2 })).await;
     let (mut first, mut second) = (fleet.operator(10), fleet.operator(11));
     let first_text = document_text(&fleet, &["cordial", "brewer"]);
@@ -173,7 +173,7 @@
         ..FleetOptions::default()
     };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 0).await;
     fleet.fault(&json!({ "log_down": true })).await;
     wait_for("a refusal because the daemon is isolated", || async {
--- a/crates/process-tests/tests/traffic.rs
+++ b/crates/process-tests/tests/traffic.rs
@@ -86,7 +86,7 @@
 async fn withdrawn_key_ends_streams_and_is_refused_everywhere() {
     let options = FleetOptions { engines: slow_engines(2), ..Default::default() };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial", "brewer"]).await;
+    fleet.apply_first_document(&["cordial", "brewer"]).await;
     wait_until_admitted(&fleet, 0, "cordial").await;
     let body = String::from(r#"{"prompt": "long", "max_tokens": 5000}"#);
     let stream = spawn_call(&fleet, 0, DRAFT_PATH, auth_headers("cordial"), body);
@@ -115,7 +115,7 @@
 #[actix_rt::test]
 async fn keys_are_checked_and_never_leave_the_daemon() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 0, "cordial").await;
     let address = fleet.caller_address(0);
     let order = r#"{"labels": 3}"#;
@@ -127,7 +127,7 @@
     assert_eq!(call(address, "/v1/open", &unneeded_key, order).await.status, 200);
     assert_eq!(call(address, ORDER_PATH, &auth_headers("cordial"), order).await.status, 200);
 
-    for upstream in fleet.engines.iter().chain(&fleet.plain) {
+    for upstream in fleet.engines.iter().chain(&fleet.plain_services) {
         let state = get_json(upstream.address(0), "/inspect")
             .await
             .expect("the upstream responds to GET /inspect");
@@ -145,7 +145,7 @@
 async fn stream_is_complete_when_its_engine_is_killed() {
     let options = FleetOptions { engines: slow_engines(3), ..Default::default() };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 1, "cordial").await;
     let body = String::from(r#"{"prompt": "resumed", "max_tokens": 120, "seed": 4}"#);
     let stream = spawn_call(&fleet, 1, DRAFT_PATH, auth_headers("cordial"), body);
@@ -166,7 +166,7 @@
 #[actix_rt::test]
 async fn idempotency_key_runs_a_request_once_across_daemons() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     for daemon in 0..3 {
         wait_until_admitted(&fleet, daemon, "cordial").await;
     }
@@ -203,7 +203,7 @@
 
 /// Returns the number of runs on the first upstream of the plain service.
 async fn plain_runs(fleet: &TestFleet) -> u64 {
-    let state = get_json(fleet.plain[0].address(0), "/inspect")
+    let state = get_json(fleet.plain_services[0].address(0), "/inspect")
         .await
         .expect("the upstream responds to GET /inspect");
     let runs = state["runs"].as_object().expect("the state lists runs by request");
@@ -214,11 +214,12 @@
 /// connection broke.
 #[actix_rt::test]
 async fn broken_call_without_idempotency_key_is_not_retried() {
-    let options = FleetOptions { plain: vec![Vec::new(), Vec::new()], ..FleetOptions::default() };
+    let options =
+        FleetOptions { plain_services: vec![Vec::new(), Vec::new()], ..FleetOptions::default() };
     let fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 0, "cordial").await;
-    for service in &fleet.plain {
+    for service in &fleet.plain_services {
         let status = post_json(service.address(0), "/faults", &json!({ "truncate": 1 })).await;
         assert_eq!(status, 200);
     }
@@ -226,7 +227,7 @@
     assert_eq!(response.status, 502, "{}", response.body);
     assert!(response.body.contains("may-have-run"), "{}", response.body);
     let mut runs = 0;
-    for service in &fleet.plain {
+    for service in &fleet.plain_services {
         let state = get_json(service.address(0), "/inspect")
             .await
             .expect("the upstream responds to GET /inspect");
@@ -244,7 +245,7 @@
     let engines = (0..5).map(|_| marker()).collect();
     let options = FleetOptions { engines, ..FleetOptions::default() };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial", "brewer"]).await;
+    fleet.apply_first_document(&["cordial", "brewer"]).await;
     for daemon in 0..3 {
         wait_until_admitted(&fleet, daemon, "brewer").await;
         wait_until_admitted(&fleet, daemon, "cordial").await;
@@ -273,7 +274,7 @@
 async fn planned_stop_finishes_streams() {
     let options = FleetOptions { engines: slow_engines(2), ..Default::default() };
     let mut fleet = TestFleet::start(options).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     wait_until_admitted(&fleet, 2, "cordial").await;
     let body = String::from(r#"{"prompt": "drain", "max_tokens": 100}"#);
     let stream = spawn_call(&fleet, 2, DRAFT_PATH, auth_headers("cordial"), body);
@@ -302,7 +303,7 @@
 #[actix_rt::test]
 async fn leaving_upstream_gets_no_new_requests() {
     let fleet = TestFleet::start(FleetOptions::default()).await;
-    fleet.first_document(&["cordial"]).await;
+    fleet.apply_first_document(&["cordial"]).await;
     for daemon in 0..3 {
         wait_until_admitted(&fleet, daemon, "cordial").await;
     }
--- a/crates/rollout/tests/book.rs
+++ b/crates/rollout/tests/samples.rs
@@ -69,9 +69,9 @@
         Trainer::default().open(&mut table, 1);
         let mut record = filled(0, 0, 1, spans);
         record.tokens = tokens;
-        let actions = table.apply(&SampleRecord::Filled(record));
+        let outcomes = table.apply(&SampleRecord::Filled(record));
         assert!(
-            matches!(&actions[0], SampleOutcome::FillRefused { reason, .. } if *reason == expected)
+            matches!(&outcomes[0], SampleOutcome::FillRefused { reason, .. } if *reason == expected)
         );
     }
     check(&[(10, 4)], 5, FillRefusal::Malformed);
@@ -183,8 +183,8 @@
     trainer.fetch(&mut table, 0, 10);
     trainer.fetch(&mut table, 1, 12);
     let before = table.clone();
-    let actions = table.apply(&SampleRecord::Stated(late));
-    assert!(matches!(actions.as_slice(), [SampleOutcome::StatementRefused { statements: 3, .. }]));
+    let outcomes = table.apply(&SampleRecord::Stated(late));
+    assert!(matches!(outcomes.as_slice(), [SampleOutcome::StatementRefused { statements: 3, .. }]));
     assert_eq!(table, before);
     assert_eq!(table.stated_version(trainer.id), Some((WeightVersion(12), 2)));
 }
@@ -221,8 +221,8 @@
 #[test]
 fn step_with_too_many_slots_is_refused() {
     let mut table = SampleTable::default();
-    let actions = Trainer::default().open(&mut table, u32::MAX);
-    assert!(matches!(actions[0], SampleOutcome::StepRefused { step: 1, .. }));
+    let outcomes = Trainer::default().open(&mut table, u32::MAX);
+    assert!(matches!(outcomes[0], SampleOutcome::StepRefused { step: 1, .. }));
     assert_eq!(table.lost_samples(|_: Incarnation| true), []);
 }
 
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -34,7 +34,7 @@
         let id = format!("{kind}-{caller}-{number}");
         let path = if idempotent { "/fetch/x" } else { "/once/x" };
         let node = (caller + number) % testbed.options.gateways;
-        let address = testbed.nodes.borrow()[node].process.callers();
+        let address = testbed.nodes.borrow()[node].process.caller_address();
         let mut request = HttpRequest::post(address, path, Bytes::from(id.clone().into_bytes()));
         for (name, value) in SiteFleet::headers(&id) {
             let name = name.parse().expect("header names of the test fleet are valid");
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -75,8 +75,8 @@
     let flow = match random.random_range(0..4) {
         0 => RelayFlow::Delay(Duration::from_millis(random.random_range(20..300))),
         1 => RelayFlow::HoldRequests,
-        2 => RelayFlow::HoldAnswers,
-        _ => RelayFlow::Silent,
+        2 => RelayFlow::HoldResponses,
+        _ => RelayFlow::HoldAll,
     };
     match random.random_range(0..16) {
         0 | 1 => FaultKind::Kill(node),
@@ -84,9 +84,9 @@
         3 => FaultKind::Terminate(node),
         4 | 5 => FaultKind::StorePath(node, flow),
         6 => FaultKind::StoreReset(node),
-        7 => FaultKind::StoreAway(StoreFault::Busy),
-        8 => FaultKind::StoreAway(StoreFault::LostAnswers),
-        9 => FaultKind::StoreAway(StoreFault::Slow(random.random_range(50..300))),
+        7 => FaultKind::StoreAway(StoreFault::Unavailable),
+        8 => FaultKind::StoreAway(StoreFault::LostResponses),
+        9 => FaultKind::StoreAway(StoreFault::Delayed(random.random_range(50..300))),
         10 => FaultKind::StoreForgets,
         11 => FaultKind::PartitionsDealt,
         12 => FaultKind::EnginePath(engine, flow),
@@ -124,24 +124,24 @@
             tokio::time::sleep(duration).await;
             testbed.nodes.borrow()[node].store_relay.set_flow(RelayFlow::Pass);
         }
-        FaultKind::StoreReset(node) => testbed.nodes.borrow()[node].store_relay.reset(),
+        FaultKind::StoreReset(node) => testbed.nodes.borrow()[node].store_relay.close_connections(),
         FaultKind::StoreAway(fault) => {
             testbed.store.set_fault(fault);
             tokio::time::sleep(duration).await;
             testbed.store.set_fault(StoreFault::None);
         }
-        FaultKind::StoreForgets => testbed.store.forget(),
-        FaultKind::PartitionsDealt => testbed.store.deal(),
+        FaultKind::StoreForgets => testbed.store.drop_history(),
+        FaultKind::PartitionsDealt => testbed.store.reassign_partitions(),
         FaultKind::EnginePath(engine, flow) => {
             testbed.engines[engine].relay.set_flow(flow);
             tokio::time::sleep(duration).await;
             testbed.engines[engine].relay.set_flow(RelayFlow::Pass);
         }
-        FaultKind::EngineReset(engine) => testbed.engines[engine].relay.reset(),
+        FaultKind::EngineReset(engine) => testbed.engines[engine].relay.close_connections(),
         FaultKind::EngineSlow(engine) => {
-            testbed.engines[engine].upstream.set_event_time(Duration::from_millis(80));
+            testbed.engines[engine].upstream.set_event_interval(Duration::from_millis(80));
             tokio::time::sleep(duration).await;
-            testbed.engines[engine].upstream.set_event_time(Duration::from_millis(20));
+            testbed.engines[engine].upstream.set_event_interval(Duration::from_millis(20));
         }
         FaultKind::ServicePath(service, flow) => {
             testbed.services[service].relay.set_flow(flow);
@@ -154,7 +154,7 @@
                 2 + report.faults.len() as u64
             };
             let config = process_tests::SiteFleet::config(version, &["key-1", "key-2"]);
-            testbed.store.put_operator("config", &config);
+            testbed.store.put_operator_key("config", &config);
         }
     }
 }
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, collections::BTreeMap, fmt, rc::Rc, time::Duration};
 
-use process_tests::{GatewayProcess, SiteFleet, SiteShape, TcpRelay};
+use process_tests::{GatewayProcess, SiteFleet, SiteOptions, TcpRelay};
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 use site_stand_in::{EngineOptions, ServiceOptions, SiteEngine, SiteService, SiteStore};
@@ -60,12 +60,13 @@
 impl SoakTestbed {
     /// Starts the stand-ins, relays and gateways, and waits until the gateways are ready.
     pub(crate) async fn start(options: SoakOptions) -> Rc<Self> {
-        let shape = SiteShape::default();
-        let store =
-            SiteStore::start(shape.store.clone()).expect("the store stand-in does not start");
+        let site_options = SiteOptions::default();
+        let store = SiteStore::start(site_options.store.clone())
+            .expect("the store stand-in does not start");
         let mut engines = Vec::new();
         for index in 0..options.engines {
-            let engine = EngineOptions { id: format!("engine-{index}"), ..shape.engine.clone() };
+            let engine =
+                EngineOptions { id: format!("engine-{index}"), ..site_options.engine.clone() };
             let upstream = SiteEngine::start(engine).expect("an engine stand-in does not start");
             let relay = TcpRelay::start().await;
             relay.set_target(upstream.address());
@@ -75,15 +76,15 @@
         for index in 0..2 {
             let service = ServiceOptions {
                 id: format!("portal-{index}"),
-                lose_every: 23,
-                ..shape.service.clone()
+                lose_response_every: 23,
+                ..site_options.service.clone()
             };
             let upstream = SiteService::start(service).expect("a service stand-in does not start");
             let relay = TcpRelay::start().await;
             relay.set_target(upstream.address());
             services.push(SoakUpstream { upstream, relay });
         }
-        store.put_operator("config", &SiteFleet::config(1, &["key-1"]));
+        store.put_operator_key("config", &SiteFleet::config(1, &["key-1"]));
         let mut nodes = Vec::new();
         for index in 0..options.gateways {
             let store_relay = TcpRelay::start().await;
@@ -103,7 +104,7 @@
         };
         testbed.write_entries();
         let addresses: Vec<_> =
-            testbed.nodes.borrow().iter().map(|node| node.process.ready()).collect();
+            testbed.nodes.borrow().iter().map(|node| node.process.ready_address()).collect();
         for address in addresses {
             process_tests::wait_for("a gateway that is ready", || async move {
                 let response = process_tests::get(address, "/readyz", &[]).await;
@@ -188,7 +189,8 @@
                 self.report_violation(format!("{}: {violation}", engine.upstream.id()));
             }
         }
-        let repeated = self.services.iter().flat_map(|service| service.upstream.repeated());
+        let repeated =
+            self.services.iter().flat_map(|service| service.upstream.repeated_requests());
         for request in repeated.filter(|request| request.starts_with("once-")) {
             self.report_violation(format!(
                 "non-idempotent request {request} ran more than once on one upstream"
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use process_tests::{SiteFleet, call, get, submission};
+use process_tests::{SiteFleet, call, get, submission_body};
 use serde_json::{Value, json};
 use site_stand_in::event_data;
 
@@ -73,13 +73,13 @@
 fn publish_version(testbed: &SoakTestbed) {
     let mut version = testbed.weight_version.borrow_mut();
     *version += 1;
-    testbed.store.put_operator("version/m0", &json!({ "model": "m0", "version": *version }));
+    testbed.store.put_operator_key("version/m0", &json!({ "model": "m0", "version": *version }));
 }
 
 /// Hands in a submission, and retries on another node until one accepts it. Returns whether it was
 /// accepted.
 async fn submit(testbed: &SoakTestbed, seen: &SeenSubmission) -> bool {
-    let body = submission(&seen.id, ITEMS_PER_SUBMISSION, seen.min_version).to_string();
+    let body = submission_body(&seen.id, ITEMS_PER_SUBMISSION, seen.min_version).to_string();
     let path = format!("/draft/{}", seen.id);
     for attempt in 0.. {
         if testbed.is_stopping() && attempt > 200 {
@@ -110,7 +110,7 @@
 
 fn address(testbed: &SoakTestbed, attempt: usize) -> std::net::SocketAddr {
     let nodes = testbed.nodes.borrow();
-    nodes[attempt % nodes.len()].process.callers()
+    nodes[attempt % nodes.len()].process.caller_address()
 }
 
 /// Reads until all results are there or the timeout has passed while faults are injected, then ends
--- a/crates/stand-ins/src/engine/generation.rs
+++ b/crates/stand-ins/src/engine/generation.rs
@@ -10,7 +10,7 @@
 use sha2::{Digest as _, Sha256};
 
 use super::EngineHandler;
-use crate::http::Reply;
+use crate::http::ServerResponse;
 
 /// Bytes of a prompt that make up its prefix in the cache.
 const PREFIX_BYTES: usize = 256;
@@ -55,7 +55,7 @@
 }
 
 impl EngineHandler {
-    pub(super) fn generate(&self, request: wire::Generate) -> Reply {
+    pub(super) fn generate(&self, request: wire::Generate) -> ServerResponse {
         let number = self.state().enqueue(&request, Instant::now());
         let generation = Generation {
             handler: self.clone(),
@@ -66,10 +66,13 @@
             due: tokio::time::Instant::now(),
             phase: Phase::Queued,
         };
-        Reply::Lines(Box::pin(stream::unfold(generation, |mut generation| async move {
-            let lines = generation.advance().await?;
-            Some((Ok::<_, io::Error>(lines), generation))
-        })))
+        ServerResponse::JsonLines(Box::pin(stream::unfold(
+            generation,
+            |mut generation| async move {
+                let lines = generation.advance().await?;
+                Some((Ok::<_, io::Error>(lines), generation))
+            },
+        )))
     }
 }
 
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     engine::state::EngineState,
-    http::{Call, CallHandler, CrashAction, Reply, ServerControl},
+    http::{CrashAction, ReceivedRequest, RequestHandler, ServerControl, ServerResponse},
 };
 
 pub use crate::engine::generation::token_text;
@@ -160,33 +160,35 @@
     }
 }
 
-impl CallHandler for EngineHandler {
-    async fn handle(&self, call: Call) -> Reply {
-        if call.path != "/faults" && call.path != "/inspect" {
-            self.state().record_headers(&call.headers);
+impl RequestHandler for EngineHandler {
+    async fn handle(&self, request: ReceivedRequest) -> ServerResponse {
+        if request.path != "/faults" && request.path != "/inspect" {
+            self.state().record_headers(&request.headers);
         }
-        let reply = match (call.method.clone(), call.path.as_str()) {
-            (Method::POST, "/generate") => call.json().map(|request| self.generate(request)),
-            (Method::POST, "/cancel") => call.json().map(|stream: wire::StreamId| {
+        let response = match (request.method.clone(), request.path.as_str()) {
+            (Method::POST, "/generate") => request.json().map(|body| self.generate(body)),
+            (Method::POST, "/cancel") => request.json().map(|stream: wire::StreamId| {
                 self.state().cancel(stream.id);
                 self.queue_changed.notify_waiters();
-                Reply::status(StatusCode::OK)
+                ServerResponse::status(StatusCode::OK)
             }),
-            (Method::GET, "/load") => Ok(Reply::json(self.state().load.get(Instant::now()))),
+            (Method::GET, "/load") => {
+                Ok(ServerResponse::json(self.state().load.get(Instant::now())))
+            }
             (Method::POST, "/load-version") => {
-                call.json().map(|order: wire::LoadVersion| self.load_version(order))
+                request.json().map(|order: wire::LoadVersion| self.load_version(order))
             }
-            (Method::POST, "/kv/export") => call.json().map(|stream| self.export(stream)),
-            (Method::POST, "/kv/import") => call.json().map(|cache: wire::Kv| {
+            (Method::POST, "/kv/export") => request.json().map(|stream| self.export(stream)),
+            (Method::POST, "/kv/import") => request.json().map(|cache: wire::Kv| {
                 self.state().imported_caches.insert(cache.id);
-                Reply::status(StatusCode::OK)
+                ServerResponse::status(StatusCode::OK)
             }),
-            (Method::POST, "/reclaim") => call.json().map(|reclaim| self.reclaim(reclaim)),
-            (Method::POST, "/faults") => call.json().map(|change| self.change(change)),
-            (Method::GET, "/inspect") => Ok(Reply::json(&self.state().inspect())),
-            _ => Ok(Reply::status(StatusCode::NOT_FOUND)),
+            (Method::POST, "/reclaim") => request.json().map(|reclaim| self.reclaim(reclaim)),
+            (Method::POST, "/faults") => request.json().map(|change| self.change(change)),
+            (Method::GET, "/inspect") => Ok(ServerResponse::json(&self.state().inspect())),
+            _ => Ok(ServerResponse::status(StatusCode::NOT_FOUND)),
         };
-        reply.unwrap_or_else(|refusal| refusal)
+        response.unwrap_or_else(|refusal| refusal)
     }
 }
 
@@ -195,35 +197,35 @@
         self.state.lock().expect("no thread panics while it holds the state")
     }
 
-    fn export(&self, stream: wire::StreamId) -> Reply {
+    fn export(&self, stream: wire::StreamId) -> ServerResponse {
         let state = self.state();
         match state.progress_of(&stream.id) {
             Some(index) => {
                 let data = base16::encode(&index.to_be_bytes());
-                Reply::json(&wire::Kv { id: stream.id, data })
+                ServerResponse::json(&wire::Kv { id: stream.id, data })
             }
-            None => Reply::status(StatusCode::NOT_FOUND),
+            None => ServerResponse::status(StatusCode::NOT_FOUND),
         }
     }
 
-    fn change(&self, change: EngineChange) -> Reply {
+    fn change(&self, change: EngineChange) -> ServerResponse {
         let mut state = self.state();
         state.failing_swaps = change.failing_swaps.unwrap_or(state.failing_swaps);
         state.tokens_per_second = change.tokens_per_second.unwrap_or(state.tokens_per_second);
         if let Some(time) = change.crash_ms {
             self.control.crash(CrashAction::StayDown(Duration::from_millis(time)));
         }
-        Reply::status(StatusCode::OK)
+        ServerResponse::status(StatusCode::OK)
     }
 
     /// Reports the engine as leaving, and stops it after the announced time.
-    fn reclaim(&self, reclaim: ReclaimRequest) -> Reply {
+    fn reclaim(&self, reclaim: ReclaimRequest) -> ServerResponse {
         self.state().set_leaving(Instant::now());
         let control = self.control.clone();
         actix_rt::spawn(async move {
             actix_rt::time::sleep(Duration::from_millis(reclaim.after_ms)).await;
             control.stop().await;
         });
-        Reply::status(StatusCode::OK)
+        ServerResponse::status(StatusCode::OK)
     }
 }
--- a/crates/stand-ins/src/engine/weights.rs
+++ b/crates/stand-ins/src/engine/weights.rs
@@ -7,7 +7,7 @@
 use clients::{HttpClient, PlatformClient, PlatformTimeouts, WeightFetch, WeightStore as _, wire};
 
 use super::EngineHandler;
-use crate::http::Reply;
+use crate::http::ServerResponse;
 
 /// Attempts to read a version from the rate-limited store before the load fails.
 const MAX_READ_ATTEMPTS: u32 = 60;
@@ -26,15 +26,15 @@
 }
 
 impl EngineHandler {
-    pub(super) fn load_version(&self, order: wire::LoadVersion) -> Reply {
+    pub(super) fn load_version(&self, order: wire::LoadVersion) -> ServerResponse {
         let mut state = self.state();
         if self.options.check_fencing && order.fencing < state.highest_fencing {
-            return Reply::status(StatusCode::CONFLICT);
+            return ServerResponse::status(StatusCode::CONFLICT);
         }
         state.highest_fencing = state.highest_fencing.max(order.fencing);
         // Idempotent: the version is in use or being loaded.
         if state.target_version == order.version {
-            return Reply::status(StatusCode::ACCEPTED);
+            return ServerResponse::status(StatusCode::ACCEPTED);
         }
         state.target_version = order.version;
         drop(state);
@@ -45,7 +45,7 @@
                 load.handler.state().swap(order.version, Instant::now());
             }
         });
-        Reply::status(StatusCode::ACCEPTED)
+        ServerResponse::status(StatusCode::ACCEPTED)
     }
 
     /// Reads the weights from the platform's store and returns whether that succeeded. Waits as the
--- a/crates/stand-ins/src/http.rs
+++ b/crates/stand-ins/src/http.rs
@@ -31,7 +31,7 @@
 
 /// An HTTP request whose body has been read completely.
 #[derive(Debug)]
-pub struct Call {
+pub struct ReceivedRequest {
     /// HTTP method.
     pub method: Method,
     /// Path without the query string.
@@ -45,12 +45,12 @@
 }
 
 /// Chunks of a response body, sent as they become available.
-pub type ByteStream = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
+pub type BodyChunks = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
 
 /// An HTTP response, or a connection failure in its place.
-pub enum Reply {
+pub enum ServerResponse {
     /// A complete body with `Content-Length` and the content type `application/json`.
-    Whole {
+    Json {
         /// Status of the response.
         status: StatusCode,
         /// Value of `Retry-After` in seconds. The header is left out when there is none.
@@ -59,7 +59,7 @@
         body: Bytes,
     },
     /// A response with the given headers only.
-    Marked {
+    WithHeaders {
         /// Status of the response.
         status: StatusCode,
         /// Names and values of the headers.
@@ -68,30 +68,30 @@
         body: ReplyBody,
     },
     /// A streamed body of JSON lines, `application/x-ndjson`, with status 200.
-    Lines(ByteStream),
+    JsonLines(BodyChunks),
     /// A body that ends before its `Content-Length`; then the connection is closed.
     Truncated {
         /// Value of `Content-Length`.
-        stated: usize,
+        content_length: usize,
         /// Bytes sent before the connection is closed.
         body: Bytes,
     },
     /// The connection is closed without a complete response.
-    Lost,
+    Dropped,
 }
 
-/// Body of [`Reply::Marked`].
+/// Body of [`ServerResponse::WithHeaders`].
 pub enum ReplyBody {
     /// Complete, with `Content-Length`.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Streamed with chunked transfer encoding.
-    Parts(ByteStream),
+    Streamed(BodyChunks),
 }
 
 /// Handles the requests of a server. Each worker thread has a clone, and clones share their state.
-pub trait CallHandler: Clone + Send + 'static {
+pub trait RequestHandler: Clone + Send + 'static {
     /// Returns the response to a request.
-    fn handle(&self, call: Call) -> impl Future<Output = Reply>;
+    fn handle(&self, request: ReceivedRequest) -> impl Future<Output = ServerResponse>;
 }
 
 /// Handle of a running HTTP server that can crash and restart at the same address.
@@ -107,11 +107,11 @@
     Stop(oneshot::Sender<()>),
 }
 
-impl Call {
+impl ReceivedRequest {
     /// Parses the body as JSON, or returns a response with status 400 and the parse error.
-    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, ServerResponse> {
         serde_json::from_slice(&self.body)
-            .map_err(|error| Reply::text(StatusCode::BAD_REQUEST, &error.to_string()))
+            .map_err(|error| ServerResponse::text(StatusCode::BAD_REQUEST, &error.to_string()))
     }
 
     /// Returns a parameter of the query string as a number, if it is one.
@@ -126,17 +126,17 @@
     }
 }
 
-impl Reply {
+impl ServerResponse {
     /// Creates a response with status 200 and a JSON body.
     pub fn json<T: Serialize>(value: &T) -> Self {
         let body = serde_json::to_vec(value).expect("plain data serializes");
-        Self::Whole { status: StatusCode::OK, retry_after: None, body: Bytes::from(body) }
+        Self::Json { status: StatusCode::OK, retry_after: None, body: Bytes::from(body) }
     }
 
     /// Creates a response with a text as its body.
     pub fn text(status: StatusCode, text: &str) -> Self {
         let body = Bytes::copy_from_slice(text.as_bytes());
-        Self::Whole { status, retry_after: None, body }
+        Self::Json { status, retry_after: None, body }
     }
 
     /// Creates a response without a body.
@@ -147,12 +147,12 @@
     /// Refuses a request that exceeds a rate limit, with `Retry-After: 1`.
     pub(crate) fn too_many_requests() -> Self {
         let status = StatusCode::TOO_MANY_REQUESTS;
-        Self::Whole { status, retry_after: Some(1), body: Bytes::new() }
+        Self::Json { status, retry_after: Some(1), body: Bytes::new() }
     }
 
     fn into_response(self) -> Response<BoxBody> {
         match self {
-            Self::Whole { status, retry_after, body } => {
+            Self::Json { status, retry_after, body } => {
                 let mut response = Response::with_body(status, body.boxed());
                 let headers = response.headers_mut();
                 headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
@@ -161,10 +161,10 @@
                 }
                 response
             }
-            Self::Marked { status, headers, body } => {
+            Self::WithHeaders { status, headers, body } => {
                 let body = match body {
-                    ReplyBody::Whole(bytes) => bytes.boxed(),
-                    ReplyBody::Parts(parts) => BodyStream::new(parts).boxed(),
+                    ReplyBody::Complete(bytes) => bytes.boxed(),
+                    ReplyBody::Streamed(parts) => BodyStream::new(parts).boxed(),
                 };
                 let mut response = Response::with_body(status, body);
                 for (name, value) in headers {
@@ -175,22 +175,23 @@
                 }
                 response
             }
-            Self::Lines(lines) => {
+            Self::JsonLines(lines) => {
                 let mut response =
                     Response::with_body(StatusCode::OK, BodyStream::new(lines).boxed());
                 let value = HeaderValue::from_static("application/x-ndjson");
                 response.headers_mut().insert(CONTENT_TYPE, value);
                 response
             }
-            Self::Truncated { stated, body } => {
+            Self::Truncated { content_length, body } => {
                 let parts = stream::iter([
                     Ok(body),
                     Err(io::Error::other("response body truncated as requested")),
                 ]);
-                let body = actix_http::body::SizedStream::new(stated as u64, parts.boxed_local());
+                let body =
+                    actix_http::body::SizedStream::new(content_length as u64, parts.boxed_local());
                 Response::with_body(StatusCode::OK, body.boxed())
             }
-            Self::Lost => {
+            Self::Dropped => {
                 let parts = stream::iter([Err::<Bytes, _>(io::Error::other(
                     "connection closed instead of a response, as requested",
                 ))]);
@@ -206,7 +207,7 @@
     /// # Errors
     ///
     /// Returns an error when the address cannot be bound.
-    pub fn start<H: CallHandler>(
+    pub fn start<H: RequestHandler>(
         listen: SocketAddr,
         workers: usize,
         build: impl FnOnce(Self) -> H,
@@ -293,7 +294,7 @@
     }
 }
 
-fn serve<H: CallHandler>(
+fn serve<H: RequestHandler>(
     address: SocketAddr,
     workers: usize,
     handler: H,
@@ -316,27 +317,27 @@
     Ok(handle)
 }
 
-async fn respond<H: CallHandler>(handler: &H, mut request: Request) -> Response<BoxBody> {
+async fn respond<H: RequestHandler>(handler: &H, mut request: Request) -> Response<BoxBody> {
     let mut body = BytesMut::new();
     let mut payload = request.take_payload();
     while let Some(chunk) = payload.next().await {
         let Ok(chunk) = chunk else {
-            return Reply::Lost.into_response();
+            return ServerResponse::Dropped.into_response();
         };
         if body.len() + chunk.len() > MAX_BODY_BYTES {
-            return Reply::status(StatusCode::PAYLOAD_TOO_LARGE).into_response();
+            return ServerResponse::status(StatusCode::PAYLOAD_TOO_LARGE).into_response();
         }
         body.extend_from_slice(&chunk);
     }
     let headers = request.head().headers.iter().map(|(name, value)| {
         (String::from(name.as_str()), String::from_utf8_lossy(value.as_bytes()).into_owned())
     });
-    let call = Call {
+    let received = ReceivedRequest {
         method: request.method().clone(),
         path: String::from(request.path()),
         query: String::from(request.uri().query().unwrap_or_default()),
         headers: headers.collect(),
         body: body.freeze(),
     };
-    handler.handle(call).await.into_response()
+    handler.handle(received).await.into_response()
 }
--- a/crates/stand-ins/src/plain.rs
+++ b/crates/stand-ins/src/plain.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-use crate::http::{Call, CallHandler, CrashAction, Reply, ServerControl};
+use crate::http::{CrashAction, ReceivedRequest, RequestHandler, ServerControl, ServerResponse};
 
 /// Header with the request id that the daemon assigns. Runs are counted by this id.
 const REQUEST_ID: &str = "x-request-id";
@@ -139,22 +139,22 @@
     format!("{{\"score\":{}}}", f64::from(digest[0]) / 256.0)
 }
 
-impl CallHandler for PlainHandler {
-    async fn handle(&self, call: Call) -> Reply {
-        match (call.method.clone(), call.path.as_str()) {
-            (Method::GET, "/inspect") => {
-                Reply::json(&*self.state.lock().expect("no thread panics while it holds the state"))
-            }
-            (Method::POST, "/faults") => match call.json::<PlainFaults>() {
+impl RequestHandler for PlainHandler {
+    async fn handle(&self, request: ReceivedRequest) -> ServerResponse {
+        match (request.method.clone(), request.path.as_str()) {
+            (Method::GET, "/inspect") => ServerResponse::json(
+                &*self.state.lock().expect("no thread panics while it holds the state"),
+            ),
+            (Method::POST, "/faults") => match request.json::<PlainFaults>() {
                 Ok(faults) => {
                     self.state.lock().expect("no thread panics while it holds the state").faults =
                         faults;
-                    Reply::status(StatusCode::OK)
+                    ServerResponse::status(StatusCode::OK)
                 }
-                Err(reply) => reply,
+                Err(response) => response,
             },
-            (Method::POST, _) => self.run(call).await,
-            _ => Reply::status(StatusCode::NOT_FOUND),
+            (Method::POST, _) => self.run(request).await,
+            _ => ServerResponse::status(StatusCode::NOT_FOUND),
         }
     }
 }
@@ -167,22 +167,23 @@
 }
 
 impl PlainHandler {
-    async fn run(&self, call: Call) -> Reply {
-        let outcome = self.record_run(&call);
+    async fn run(&self, request: ReceivedRequest) -> ServerResponse {
+        let outcome = self.record_run(&request);
         actix_rt::time::sleep(self.options.service_time).await;
-        let body = match call.path.as_str() {
-            "/score" => score_body(&call.body),
-            path => plain_body(path, &call.body),
+        let body = match request.path.as_str() {
+            "/score" => score_body(&request.body),
+            path => plain_body(path, &request.body),
         };
         let body = Bytes::from(body);
         match outcome {
             PlainOutcome::Respond => {
-                Reply::Whole { status: StatusCode::OK, retry_after: None, body }
+                ServerResponse::Json { status: StatusCode::OK, retry_after: None, body }
             }
             PlainOutcome::Stall => std::future::pending().await,
-            PlainOutcome::Truncate => {
-                Reply::Truncated { stated: body.len(), body: body.slice(..body.len() / 2) }
-            }
+            PlainOutcome::Truncate => ServerResponse::Truncated {
+                content_length: body.len(),
+                body: body.slice(..body.len() / 2),
+            },
             PlainOutcome::Crash => {
                 self.control.crash(self.options.crash);
                 std::future::pending().await
@@ -190,15 +191,15 @@
         }
     }
 
-    fn record_run(&self, call: &Call) -> PlainOutcome {
+    fn record_run(&self, request: &ReceivedRequest) -> PlainOutcome {
         let mut state = self.state.lock().expect("no thread panics while it holds the state");
-        if let Some(id) = call.header(REQUEST_ID) {
+        if let Some(id) = request.header(REQUEST_ID) {
             *state.runs.entry(String::from(id)).or_default() += 1;
         }
-        state.headers.extend(call.headers.iter().cloned());
+        state.headers.extend(request.headers.iter().cloned());
         let marker = self.options.crash_marker.as_deref();
         let has_marker = marker.is_some_and(|marker| {
-            call.body.windows(marker.len().max(1)).any(|part| part == marker.as_bytes())
+            request.body.windows(marker.len().max(1)).any(|part| part == marker.as_bytes())
         });
         let faults = &mut state.faults;
         for (remaining, outcome) in [
--- a/crates/stand-ins/src/platform/log.rs
+++ b/crates/stand-ins/src/platform/log.rs
@@ -6,24 +6,28 @@
 use clients::{NewRecord, wire};
 
 use super::{PlatformHandler, state::LogStream};
-use crate::http::{Call, Reply};
+use crate::http::{ReceivedRequest, ServerResponse};
 
 impl PlatformHandler {
-    pub(super) async fn append(&self, stream: &str, call: &Call) -> Result<Reply, Reply> {
-        let records = call.json::<Vec<wire::AppendRecord>>()?;
+    pub(super) async fn append(
+        &self,
+        stream: &str,
+        request: &ReceivedRequest,
+    ) -> Result<ServerResponse, ServerResponse> {
+        let records = request.json::<Vec<wire::AppendRecord>>()?;
         for record in &records {
             if let Err(error) = NewRecord::try_from(record.clone()) {
-                return Ok(Reply::text(StatusCode::BAD_REQUEST, &error.to_string()));
+                return Ok(ServerResponse::text(StatusCode::BAD_REQUEST, &error.to_string()));
             }
         }
         self.slow_down().await;
         let (delay, lost) = {
             let mut state = self.state();
             if state.faults.log_down {
-                return Ok(Reply::status(StatusCode::SERVICE_UNAVAILABLE));
+                return Ok(ServerResponse::status(StatusCode::SERVICE_UNAVAILABLE));
             }
             if !state.append_rate.take(Instant::now()) {
-                return Ok(Reply::too_many_requests());
+                return Ok(ServerResponse::too_many_requests());
             }
             state.appends += 1;
             let counted = state.faults.lose_append_answers > 0;
@@ -45,24 +49,28 @@
             });
             match effect.await {
                 Ok(first) => first,
-                Err(_) => return Ok(Reply::Lost),
+                Err(_) => return Ok(ServerResponse::Dropped),
             }
         };
-        Ok(if lost { Reply::Lost } else { Reply::json(&wire::Appended { first }) })
+        Ok(if lost {
+            ServerResponse::Dropped
+        } else {
+            ServerResponse::json(&wire::Appended { first })
+        })
     }
 
-    pub(super) async fn read(&self, stream: &str, call: &Call) -> Reply {
+    pub(super) async fn read(&self, stream: &str, request: &ReceivedRequest) -> ServerResponse {
         self.slow_down().await;
         let mut state = self.state();
         state.reads += 1;
         if state.faults.log_down {
-            return Reply::status(StatusCode::SERVICE_UNAVAILABLE);
+            return ServerResponse::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let from = call.query_number("from").unwrap_or_default();
-        let max = call.query_number("max").unwrap_or(u64::MAX);
+        let from = request.query_number("from").unwrap_or_default();
+        let max = request.query_number("max").unwrap_or(u64::MAX);
         match state.streams.get(stream) {
-            Some(stream) => Reply::json(&stream.read(from, max)),
-            None => Reply::json(&LogStream::default().read(from, max)),
+            Some(stream) => ServerResponse::json(&stream.read(from, max)),
+            None => ServerResponse::json(&LogStream::default().read(from, max)),
         }
     }
 
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     EngineOptions, PlainOptions,
-    http::{Call, CallHandler, Reply, ServerControl},
+    http::{ReceivedRequest, RequestHandler, ServerControl, ServerResponse},
     platform::state::PlatformState,
 };
 
@@ -39,7 +39,7 @@
     /// Whether orders and usage reports with an outdated fencing token are refused.
     pub check_fencing: bool,
     /// Time from accepting an order until its upstreams run or are removed.
-    pub order_time: Duration,
+    pub order_delay: Duration,
     /// Time until a change shows in the list of VMs.
     pub vm_lag: Duration,
     /// Reads of weights accepted per second. Others are refused with status 429.
@@ -87,7 +87,7 @@
             retained_records: 100_000,
             appends_per_second: 300,
             check_fencing: true,
-            order_time: Duration::from_millis(500),
+            order_delay: Duration::from_millis(500),
             vm_lag: Duration::from_secs(2),
             weights_per_second: 50,
             weight_bytes: 64 << 10,
@@ -136,26 +136,26 @@
     }
 }
 
-impl CallHandler for PlatformHandler {
-    async fn handle(&self, call: Call) -> Reply {
-        let parts = call.path.trim_start_matches('/').split('/').collect::<Vec<_>>();
-        let reply = match (call.method.as_str(), parts.as_slice()) {
-            ("POST", ["log", stream]) => self.append(stream, &call).await,
-            ("GET", ["log", stream]) => Ok(self.read(stream, &call).await),
-            ("POST", ["orders"]) => self.place_order(&call),
+impl RequestHandler for PlatformHandler {
+    async fn handle(&self, request: ReceivedRequest) -> ServerResponse {
+        let parts = request.path.trim_start_matches('/').split('/').collect::<Vec<_>>();
+        let response = match (request.method.as_str(), parts.as_slice()) {
+            ("POST", ["log", stream]) => self.append(stream, &request).await,
+            ("GET", ["log", stream]) => Ok(self.read(stream, &request).await),
+            ("POST", ["orders"]) => self.place_order(&request),
             ("GET", ["orders", id]) => Ok(self.find_order(id).await),
-            ("POST", ["usage-reports"]) => self.report(&call),
+            ("POST", ["usage-reports"]) => self.report(&request),
             ("GET", ["weights", model, version]) => Ok(self.weights(model, version)),
-            ("POST", ["faults"]) => self.update_state(&call, PlatformState::change_faults),
+            ("POST", ["faults"]) => self.update_state(&request, PlatformState::change_faults),
             ("POST", ["vms"]) => {
-                self.update_state(&call, |state, vms| state.vms.set(Instant::now(), vms))
+                self.update_state(&request, |state, vms| state.vms.set(Instant::now(), vms))
             }
-            ("POST", ["upstreams"]) => self.update_state(&call, PlatformState::add_upstream),
-            ("POST", ["reclaims"]) => self.reclaim(&call),
-            _ if call.method == Method::GET => Ok(self.list(&call.path)),
-            _ => Ok(Reply::status(StatusCode::NOT_FOUND)),
+            ("POST", ["upstreams"]) => self.update_state(&request, PlatformState::add_upstream),
+            ("POST", ["reclaims"]) => self.reclaim(&request),
+            _ if request.method == Method::GET => Ok(self.list(&request.path)),
+            _ => Ok(ServerResponse::status(StatusCode::NOT_FOUND)),
         };
-        reply.unwrap_or_else(|refusal| refusal)
+        response.unwrap_or_else(|refusal| refusal)
     }
 }
 
@@ -166,37 +166,37 @@
 
     fn update_state<T: DeserializeOwned>(
         &self,
-        call: &Call,
+        request: &ReceivedRequest,
         apply: impl FnOnce(&mut PlatformState, T),
-    ) -> Result<Reply, Reply> {
-        apply(&mut self.state(), call.json()?);
-        Ok(Reply::status(StatusCode::OK))
+    ) -> Result<ServerResponse, ServerResponse> {
+        apply(&mut self.state(), request.json()?);
+        Ok(ServerResponse::status(StatusCode::OK))
     }
 
-    fn list(&self, path: &str) -> Reply {
+    fn list(&self, path: &str) -> ServerResponse {
         let mut state = self.state();
         match path {
-            "/upstreams" => Reply::json(&state.upstreams),
-            "/reclaims" => Reply::json(&state.reclaims),
-            "/vms" => Reply::json(state.vms.get(Instant::now())),
-            "/inspect" => Reply::json(&state.inspect()),
-            _ => Reply::status(StatusCode::NOT_FOUND),
+            "/upstreams" => ServerResponse::json(&state.upstreams),
+            "/reclaims" => ServerResponse::json(&state.reclaims),
+            "/vms" => ServerResponse::json(state.vms.get(Instant::now())),
+            "/inspect" => ServerResponse::json(&state.inspect()),
+            _ => ServerResponse::status(StatusCode::NOT_FOUND),
         }
     }
 
-    fn report(&self, call: &Call) -> Result<Reply, Reply> {
-        let report = call.json::<wire::Report>()?;
+    fn report(&self, request: &ReceivedRequest) -> Result<ServerResponse, ServerResponse> {
+        let report = request.json::<wire::Report>()?;
         let accepted = self.state().accept_report(report, self.options.check_fencing);
-        Ok(Reply::status(if accepted { StatusCode::OK } else { StatusCode::CONFLICT }))
+        Ok(ServerResponse::status(if accepted { StatusCode::OK } else { StatusCode::CONFLICT }))
     }
 
-    fn weights(&self, model: &str, version: &str) -> Reply {
+    fn weights(&self, model: &str, version: &str) -> ServerResponse {
         let mut state = self.state();
         if !state.weight_rate.take(Instant::now()) {
-            return Reply::too_many_requests();
+            return ServerResponse::too_many_requests();
         }
         *state.weight_reads.entry(format!("{model}/{version}")).or_default() += 1;
         let body = vec![0; self.options.weight_bytes].into();
-        Reply::Whole { status: StatusCode::OK, retry_after: None, body }
+        ServerResponse::Json { status: StatusCode::OK, retry_after: None, body }
     }
 }
--- a/crates/stand-ins/src/platform/upstreams.rs
+++ b/crates/stand-ins/src/platform/upstreams.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     Engine, EngineOptions, PlainOptions, PlainService,
-    http::{Call, Reply},
+    http::{ReceivedRequest, ServerResponse},
 };
 
 /// Body of `POST /reclaims`.
@@ -28,12 +28,15 @@
 }
 
 impl PlatformHandler {
-    pub(super) fn place_order(&self, call: &Call) -> Result<Reply, Reply> {
-        let order = call.json::<wire::Order>()?;
+    pub(super) fn place_order(
+        &self,
+        request: &ReceivedRequest,
+    ) -> Result<ServerResponse, ServerResponse> {
+        let order = request.json::<wire::Order>()?;
         let mut state = self.state();
         if let Some(known) = state.orders.iter_mut().find(|known| known.order.id == order.id) {
             known.received += 1;
-            return Ok(Reply::json(&known.reply));
+            return Ok(ServerResponse::json(&known.reply));
         }
         let fencing_is_current = state.check_order_fencing(&order.zone, order.fencing);
         let known = self.options.services.iter().find(|(name, _)| *name == order.service);
@@ -81,11 +84,11 @@
         if status == OrderStatus::Accepted {
             actix_rt::spawn(execute_order(self.clone(), order, reply.upstreams.clone()));
         }
-        Ok(Reply::json(&reply))
+        Ok(ServerResponse::json(&reply))
     }
 
-    pub(super) async fn find_order(&self, id: &str) -> Reply {
-        let (reply, delay) = {
+    pub(super) async fn find_order(&self, id: &str) -> ServerResponse {
+        let (response, delay) = {
             let mut state = self.state();
             state.order_queries += 1;
             (self.order_response(&state, id), state.faults.slow_asks_ms)
@@ -93,18 +96,21 @@
         if delay > 0 {
             actix_rt::time::sleep(Duration::from_millis(delay)).await;
         }
-        reply
+        response
     }
 
-    fn order_response(&self, state: &PlatformState, id: &str) -> Reply {
+    fn order_response(&self, state: &PlatformState, id: &str) -> ServerResponse {
         match state.orders.iter().find(|known| known.order.id == id) {
-            Some(known) => Reply::json(&known.reply),
-            None => Reply::status(StatusCode::NOT_FOUND),
+            Some(known) => ServerResponse::json(&known.reply),
+            None => ServerResponse::status(StatusCode::NOT_FOUND),
         }
     }
 
-    pub(super) fn reclaim(&self, call: &Call) -> Result<Reply, Reply> {
-        let ReclaimRequest { zone, after_ms } = call.json()?;
+    pub(super) fn reclaim(
+        &self,
+        request: &ReceivedRequest,
+    ) -> Result<ServerResponse, ServerResponse> {
+        let ReclaimRequest { zone, after_ms } = request.json()?;
         let after = Duration::from_millis(after_ms);
         let at_ms = now_ms().saturating_add(i64::try_from(after_ms).unwrap_or(i64::MAX));
         let mut state = self.state();
@@ -126,14 +132,14 @@
             let is_reclaimed = |name: &String| leaving.iter().any(|(left, _)| left == name);
             handler.state().upstreams.retain(|upstream| !is_reclaimed(&upstream.name));
         });
-        Ok(Reply::status(StatusCode::OK))
+        Ok(ServerResponse::status(StatusCode::OK))
     }
 }
 
-/// Starts or stops the upstreams of an accepted order after the delay `order_time`, then marks the
+/// Starts or stops the upstreams of an accepted order after the delay `order_delay`, then marks the
 /// order as done.
 async fn execute_order(handler: PlatformHandler, order: wire::Order, names: Vec<String>) {
-    actix_rt::time::sleep(handler.options.order_time).await;
+    actix_rt::time::sleep(handler.options.order_delay).await;
     for name in &names {
         if order.kind == OrderVerb::Start {
             let launched = launch(&handler, &order.service);
--- a/crates/stand-ins/tests/platform.rs
+++ b/crates/stand-ins/tests/platform.rs
@@ -109,8 +109,8 @@
 async fn orders_are_idempotent_and_fenced() {
     let kind = LaunchKind::Engine(Box::default());
     let services = vec![(String::from("drafts"), kind)];
-    let order_time = Duration::ZERO;
-    let options = PlatformOptions { services, order_time, ..PlatformOptions::default() };
+    let order_delay = Duration::ZERO;
+    let options = PlatformOptions { services, order_delay, ..PlatformOptions::default() };
     let platform = Platform::start(options).unwrap();
     let client = client(&platform, LONG);
     assert_eq!(client.find_order("o1").await.unwrap(), None);
--- a/crates/usage/src/lib.rs
+++ b/crates/usage/src/lib.rs
@@ -18,7 +18,7 @@
     meter::UsageMeter,
     pending::PendingBatches,
     replica::{HoldOutcome, OriginState, ReplicaStore},
-    report::{ReportAnswer, WindowReport, WindowReporter},
+    report::{ReportResponse, WindowReport, WindowReporter},
     seen::{SeenRecords, SequenceRange},
     totals::{
         CustomerCounts, TotalsPhase, WindowAggregator, WindowTotals, sum_counts, window_end,
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -13,7 +13,7 @@
         /// takes longer than the takeover timeout.
         Live,
         /// The process has ended; the replica holder appends its batches.
-        Gone,
+        Ended,
     }
 
     /// Response to a request to hold a replica of a batch.
@@ -65,7 +65,7 @@
         }
         let append_at = match origin {
             OriginState::Live => now + self.takeover_timeout,
-            OriginState::Gone => now,
+            OriginState::Ended => now,
         };
         self.held.insert(batch.id, HeldBatch { batch, append_at });
         HoldOutcome::Held
@@ -77,7 +77,7 @@
     }
 
     /// Makes the batches of a process that has ended due for append.
-    pub fn origin_gone(&mut self, now: Moment, origin: Incarnation) {
+    pub fn origin_ended(&mut self, now: Moment, origin: Incarnation) {
         for held in self.held.values_mut() {
             if held.batch.id.writer == origin {
                 held.append_at = held.append_at.min(now);
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -19,7 +19,7 @@
 
 derive_copy! {
     /// Response of the platform to a report.
-    pub enum ReportAnswer {
+    pub enum ReportResponse {
         /// The platform has stored this usage for the window.
         Accepted,
         /// The platform has stored other usage for the window.
@@ -61,18 +61,22 @@
         Some(report)
     }
 
-    /// Handles the platform's response, which is [`ReportAnswer::Lost`] after a timeout. Returns
+    /// Handles the platform's response, which is [`ReportResponse::Lost`] after a timeout. Returns
     /// the record to append to the log for an accepted report.
     ///
     /// The window stays pending until that record is read back from the log, so the delay applies
     /// after an acceptance too. A conflicting report is sent again until an operator has resolved
     /// the conflict.
-    pub fn answer(&mut self, now: Moment, answer: ReportAnswer) -> Option<WindowReported> {
+    pub fn handle_response(
+        &mut self,
+        now: Moment,
+        response: ReportResponse,
+    ) -> Option<WindowReported> {
         let reported = self.in_flight.take()?;
         self.not_before = Some(now + self.retry_delay);
-        match answer {
-            ReportAnswer::Accepted => Some(reported),
-            ReportAnswer::Conflict | ReportAnswer::Lost => None,
+        match response {
+            ReportResponse::Accepted => Some(reported),
+            ReportResponse::Conflict | ReportResponse::Lost => None,
         }
     }
 
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -134,7 +134,7 @@
         let crashed = std::mem::replace(&mut self.nodes[index], Node::new(self.next_incarnation));
         self.next_incarnation += 1;
         for node in &mut self.nodes {
-            node.store.origin_gone(Moment(0), crashed.incarnation);
+            node.store.origin_ended(Moment(0), crashed.incarnation);
             node.pending.holder_lost(Moment(0), crashed.incarnation);
         }
     }
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -2,8 +2,8 @@
 
 use base::{FencingToken, Incarnation, LogOffset, Moment, RecordId, Span};
 use usage::{
-    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportAnswer, UsageAmount, UsageBatch,
-    UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
+    HoldOutcome, OriginState, PendingBatches, ReplicaStore, ReportResponse, UsageAmount,
+    UsageBatch, UsageByCustomer, UsageLedger, UsageMeter, UsageRecord, WindowClose, WindowNumber,
     WindowReporter,
 };
 
@@ -47,11 +47,11 @@
     assert_eq!(store.hold(Moment(0), batch(1), OriginState::Live), HoldOutcome::Held);
     assert_eq!(store.hold(Moment(0), batch(1), OriginState::Live), HoldOutcome::Held);
     assert_eq!(store.poll(Moment(5)), []);
-    store.origin_gone(Moment(10), Incarnation(1));
+    store.origin_ended(Moment(10), Incarnation(1));
     assert_eq!(store.poll(Moment(10)), [batch(1)]);
     assert_eq!(store.poll(Moment(11)), []);
     assert_eq!(store.poll(Moment(10) + SECOND), [batch(1)]);
-    assert_eq!(store.hold(Moment(20), batch(2), OriginState::Gone), HoldOutcome::Held);
+    assert_eq!(store.hold(Moment(20), batch(2), OriginState::Ended), HoldOutcome::Held);
     assert_eq!(store.hold(Moment(20), batch(3), OriginState::Live), HoldOutcome::Full);
     store.mark_committed(id(1));
     assert_eq!(store.poll(Moment(20)), [batch(2)]);
@@ -96,12 +96,12 @@
     let mut reporter = WindowReporter::new(SECOND);
     let first = reporter.poll(Moment(0), &ledger, fencing).unwrap();
     assert_eq!(reporter.poll(Moment(0), &ledger, fencing), None);
-    assert_eq!(reporter.answer(Moment(1), ReportAnswer::Lost), None);
+    assert_eq!(reporter.handle_response(Moment(1), ReportResponse::Lost), None);
     assert_eq!(reporter.poll(Moment(2), &ledger, fencing), None);
     let repeated = reporter.poll(Moment(1) + SECOND, &ledger, fencing).unwrap();
     assert_eq!(repeated, first);
     assert_eq!(repeated.usage, batch(1).usage);
-    let reported = reporter.answer(Moment(3), ReportAnswer::Accepted).unwrap();
+    let reported = reporter.handle_response(Moment(3), ReportResponse::Accepted).unwrap();
     ledger.apply(LogOffset(8), &UsageRecord::Reported(reported), Some(fencing));
     assert_eq!(ledger.pending_report(fencing), None);
     assert_eq!(ledger.window_to_close(WindowNumber(9)), Some(WindowNumber(8)));
