--- a/crates/hibiscushinged/src/accept.rs
+++ b/crates/hibiscushinged/src/accept.rs
@@ -36,7 +36,7 @@
                 });
             }
             Err(error) => {
-                tracing::warn!(%error, "could not accept a connection; retrying after a short delay");
+                tracing::warn!(%error, "could not accept a connection; retrying shortly");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -163,8 +163,9 @@
         next
     }
 
-    /// Adopts the documents of a peer that has a newer version: its snapshot of the log, if any,
-    /// and its documents in force. The latter count as possibly stale until the log confirms them.
+    /// Adopts the documents of a peer that are newer than the own ones, and its snapshot of the log
+    /// if this node needs one after a gap. Documents that are newer than this node's state of the
+    /// log count as possibly stale until the log confirms them.
     pub(crate) fn adopt_config(
         self: &Rc<Self>,
         snapshot: Option<&ConfigSnapshot>,
--- a/crates/hibiscushinged/src/control/fleet/pools.rs
+++ b/crates/hibiscushinged/src/control/fleet/pools.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Returns the listed upstreams of a zone that can be started and stopped by orders and are not
-/// leaving.
+/// Returns the listed upstreams of a zone that can be started and stopped by orders and that the
+/// platform does not list as leaving.
 pub(crate) fn orderable<'l>(
     document: &'l EnvironmentDocument,
     zone: &'l str,
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -29,8 +29,8 @@
 /// Most records requested in one read.
 const MAX_PAGE_RECORDS: u32 = 500;
 
-/// Time without a response of the log after which it counts as down. Requests that need it are then
-/// refused at once instead of waiting.
+/// Time without a response of the log after which it counts as down. New claims of idempotency keys
+/// and requests of trainers are then refused at once instead of waiting for it.
 const DOWN_TIMEOUT: Span = Span::from_secs(3);
 
 /// Responses and errors of the log.
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -159,7 +159,7 @@
                         upstream = upstream_name,
                         tokens,
                         %error,
-                        "token stream failed; trying another engine"
+                        "token stream failed; the attempt resumes if it may use another engine"
                     );
                     self.state().samples.generation.stragglers.failed(attempt.slot, upstream);
                     self.check_crash(upstream, fingerprint).await;
--- a/crates/hibiscushinged/src/control/limits.rs
+++ b/crates/hibiscushinged/src/control/limits.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Answers a peer's grant requests. A node that is not the delegate answers `Missing`.
+    /// Handles a peer's grant requests. A node that is not the delegate responds with `Missing`.
     pub(crate) fn grant_limits(&self, requests: Vec<WireLimitAsk>) -> PeerMessage {
         let now = self.now();
         self.update_allocator(now);
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -23,7 +23,8 @@
 /// Time between two attempts to reach the initial peers.
 const INITIAL_CONTACT_PERIOD: Duration = Duration::from_secs(2);
 
-/// HTTP path of messages between nodes. The number is the protocol version.
+/// HTTP path of messages between nodes. The number is the protocol version, which changes with
+/// incompatible messages.
 pub(crate) const PEER_PATH: &str = "/peer/1";
 
 /// Membership and load of the upstreams, as this node knows them.
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -64,8 +64,8 @@
 }
 
 impl Control {
-    /// Drops the sample state, which lacks the records of a gap, and starts again at `offset`, the
-    /// oldest retained record. Running slots are stopped.
+    /// Drops the sample state, which may lack records now, and starts again at `offset`, the oldest
+    /// retained record. Running slots are stopped.
     pub(crate) fn restart_samples_at(&self, offset: LogOffset) {
         let slots = {
             let mut state = self.state();
--- a/crates/hibiscushinged/src/control/suspects.rs
+++ b/crates/hibiscushinged/src/control/suspects.rs
@@ -89,8 +89,8 @@
                         expires_at_ms = conviction.expires_at.0
                     );
                     convictions.push(WireConviction::from(&conviction));
-                    // A failed append is ignored. Peers get the conviction directly too, so without
-                    // the log only distant zones learn of it later.
+                    // A failed append is ignored: the conviction is also broadcast below, so
+                    // without the log only nodes that the broadcast does not reach miss it.
                     let _ = self.append(CONVICTION_STREAM, &conviction);
                 }
                 SuspectAction::Reserve(notice) => reserved.push(self.wire_isolation(&notice)),
--- a/crates/hibiscushinged/src/control/transfer.rs
+++ b/crates/hibiscushinged/src/control/transfer.rs
@@ -14,7 +14,8 @@
     pub(crate) log: TransferCounter,
     /// Other calls to the platform.
     pub(crate) platform: TransferCounter,
-    /// Load reports of engines and probes of plain services.
+    /// Calls to engines and plain services, such as load reports, probes and weight loads. The
+    /// streamed responses of sample generations are not counted.
     pub(crate) upstreams: TransferCounter,
 }
 
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -299,7 +299,8 @@
             Ok(ReportOutcome::Conflict) => {
                 tracing::error!(
                     window = window.0,
-                    "the platform has different usage for this window; the report is repeated"
+                    "the platform has different usage for this window; the report is repeated \
+                     until an operator resolves the conflict"
                 );
                 ReportAnswer::Conflict
             }
--- a/crates/hibiscushinged/src/control_message.rs
+++ b/crates/hibiscushinged/src/control_message.rs
@@ -10,7 +10,7 @@
 /// A message to the control thread, which handles messages in the order of their arrival.
 #[derive(Debug)]
 pub(crate) enum ControlMessage {
-    /// Usage of finished requests, to be added to the current usage window.
+    /// Usage of finished requests, to be added to the current usage batch.
     UsageMetered(UsageByCustomer),
     /// A request asks for the claim of its idempotency key before it runs.
     Claim { request: ClaimRequest, reply: oneshot::Sender<ClaimDecision> },
--- a/crates/hibiscushinged/src/lib.rs
+++ b/crates/hibiscushinged/src/lib.rs
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when an address cannot be bound, the socket for metrics cannot be opened or
-    /// a thread cannot be started.
+    /// Returns an error when an address cannot be bound, a listener cannot be registered, the
+    /// socket for metrics cannot be opened or a thread cannot be started.
     pub fn start(mut settings: DaemonSettings) -> io::Result<Self> {
         let (listener, listen) = bind(settings.listen)?;
         let (peer_listener, peer) = bind(settings.peer)?;
--- a/crates/hibiscushinged/src/metrics.rs
+++ b/crates/hibiscushinged/src/metrics.rs
@@ -64,7 +64,7 @@
         self.client.gauge_with_tags("requests.queued_tokens", queued_tokens).send();
     }
 
-    /// Sends the time since the log last answered this node and the records that wait to be
+    /// Sends the time since the log last responded to this node and the records that wait to be
     /// appended.
     pub(crate) fn gauge_log(&self, silence: Span, buffered_records: usize) {
         self.client.gauge_with_tags("log.silence_ms", silence.as_millis()).send();
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -144,7 +144,7 @@
         self.table.set_node_count(self.live_nodes);
     }
 
-    /// Sets the customer's weight in the fair queues of all services.
+    /// Sets the customer's weight in the fair queues of all services that have an upstream by now.
     pub(crate) fn set_weight(&mut self, now: Moment, customer: CustomerKey, weight: u32) {
         for service in self.services.values_mut() {
             let event = QueueEvent::WeightChanged { customer, weight };
@@ -280,8 +280,8 @@
         self.picker.pick(now, &self.table, &service_queue.candidates, request, &mut self.rng)
     }
 
-    /// Counts a request as in flight on an upstream, with its estimated tokens. A fingerprint makes
-    /// it known to the suspect table, which blames it if the upstream crashes.
+    /// Counts a request as in flight on an upstream, with its estimated tokens. The suspect table
+    /// records its fingerprint, if there is one, and makes it a suspect if the upstream crashes.
     pub(crate) fn start(
         &mut self,
         now: Moment,
--- a/crates/hibiscushinged/src/trace.rs
+++ b/crates/hibiscushinged/src/trace.rs
@@ -5,13 +5,14 @@
 use base::EventCode;
 use serde_json::{Value, json};
 
-/// Bound on the requests, samples and orders whose events are kept.
+/// Bound on the subjects, such as requests, samples and orders, whose events are kept.
 const MAX_SUBJECTS: usize = 2_000;
 
 /// One numbered event of a request, sample or order.
 #[derive(Debug, Clone)]
 pub(crate) struct DecisionEvent {
-    /// Id of the request, sample or order.
+    /// Id of the request, sample or order; name of the engine for a weight load; or
+    /// `fleet/ZONE/SERVICE` for a fleet plan.
     pub(crate) subject: String,
     pub(crate) code: EventCode,
     pub(crate) detail: String,
--- a/crates/hibiscushinged/src/traffic/admitted.rs
+++ b/crates/hibiscushinged/src/traffic/admitted.rs
@@ -23,8 +23,8 @@
     view::ResolvedRoute,
 };
 
-/// An admitted request. Dropping it ends its claim and, through the other fields, releases its
-/// admission and its place among the requests in flight.
+/// An admitted request. Dropping it ends its claim. The drop of its fields releases the admission
+/// ticket and ends the count as a request in flight.
 pub(crate) struct CallerRequest {
     pub(crate) id: RequestId,
     pub(crate) route: ResolvedRoute,
@@ -129,8 +129,8 @@
 /// Passes actions of the suspect table to the control thread, which informs the other nodes.
 pub(crate) fn forward_suspect_actions(shared: &SharedState, actions: Vec<delivery::SuspectAction>) {
     if !actions.is_empty() {
-        // If the channel is full, the message is dropped: the other nodes get the same state later,
-        // with the next heartbeat.
+        // If the channel is full, the message is dropped, so that the request does not wait. The
+        // other nodes then do not learn of these actions, which are not sent again.
         let _ = shared.control.try_send(ControlMessage::Suspicion(actions));
     }
 }
--- a/crates/hibiscushinged/src/view.rs
+++ b/crates/hibiscushinged/src/view.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// Customer key of all callers on open routes, who have no customer. They share one queue and have
-/// no limit.
+/// Customer key of all callers on open routes, who have no customer. The fair queues treat them as
+/// one customer, and they have no limit.
 pub(crate) const OPEN_ROUTE_CUSTOMER: CustomerKey = CustomerKey(0);
 
 /// Cost of one call to a plain service in tokens, as limits, queues and the choice of upstream
