--- a/crates/dispatch/src/balancer.rs
+++ b/crates/dispatch/src/balancer.rs
@@ -12,7 +12,7 @@
         /// The store removed it while this node was following the store.
         Left,
         /// It is missing after this node could not reach the store for a time, or after the store
-        /// was down. The upstream may register again.
+        /// was down. Such an entry may come back.
         Lapsed,
     }
 
@@ -97,8 +97,8 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Tells whether an upstream may be given requests: its entry is ready, and was not removed or
-    /// lapsed only a short time ago.
+    /// Tells whether an upstream may be given requests: its last entry is ready, and is still in
+    /// the store or lapsed only a short time ago.
     #[must_use]
     pub fn is_usable(&self, now: Moment, upstream: UpstreamKey) -> bool {
         let stats = &self.upstreams[upstream];
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -73,13 +73,13 @@
 const MAX_JITTER: f64 = 0.15;
 
 /// Factor on the cost of an upstream to which an idle connection is open. Opening a new one costs a
-/// round trip, and connections are themselves a cost.
+/// round trip, and connections are priced.
 const CONNECTED_FACTOR: f64 = 0.8;
 
 /// A running generation is migrated when the other engine's time between events is below this part
 /// of the current one's. A migration costs some milliseconds for reading the prompt and text again,
-/// and the connection. Engines of the slower kinds stay above this bound, so their runs are not
-/// migrated.
+/// and the connection, which is priced. Engines of the slower kinds stay above this bound, so their
+/// runs are not migrated.
 const MAX_MIGRATION_INTERVAL_RATIO: f64 = 0.4;
 
 /// An engine that has the shared prompt in its cache is preferred while its cost is at most that of
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -77,8 +77,8 @@
 
 /// Pattern: a zone is cut off, its connections are reset, and items are waiting.
 ///
-/// Guards against waiting items that are sent to an engine which refuses connections every 25 ms;
-/// 4,885 runs once failed to start that way.
+/// Guards against sending a waiting item every 25 ms to an engine that refuses connections; 4,885
+/// runs once failed to start that way.
 #[test]
 fn unreachable_engine_gets_few_runs_while_suspended() {
     let (mut balancer, keys) = balancer(1, 8);
@@ -219,7 +219,7 @@
     balancer.update(entry("u0", 6));
     assert!(
         balancer.is_usable(now, keys[0]),
-        "an upstream that has registered again must be usable"
+        "an upstream whose entry has come back must be usable"
     );
 }
 
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
     telemetry::log_event,
 };
 
-/// Timeout for connecting to an upstream. A network round trip takes one or two milliseconds.
+/// Timeout for connecting to an upstream. A network hop takes one or two milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Largest body of a response that is not streamed.
--- a/crates/hibiscushinged/src/gateway/channel/tests.rs
+++ b/crates/hibiscushinged/src/gateway/channel/tests.rs
@@ -61,8 +61,8 @@
     result
 }
 
-/// Guards against passing on a truncated response as complete: a response without a length, whose
-/// body ends with the connection, was taken as empty.
+/// Guards against passing on an incomplete response as complete: a response without a length, whose
+/// body ends with the connection, was taken as empty (seed 119100376770).
 #[rstest]
 #[case::without_length("200 OK", "", ServerAction::Close, Some(("whole body", false)))]
 #[case::without_length_reset("200 OK", "", ServerAction::Reset, None)]
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -19,8 +19,8 @@
     telemetry::log_event,
 };
 
-/// Timeout for the first event of an engine and between two events. A weight load takes 0.9 s and
-/// blocks the runs of its engine.
+/// Timeout for the head of an engine's response, and for each further chunk of its event stream. A
+/// weight load takes 0.9 s and blocks the runs of its engine.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// Responses with status 500 after which an item is resolved as errored, if its route sets no
--- a/crates/hibiscushinged/src/gateway/holder.rs
+++ b/crates/hibiscushinged/src/gateway/holder.rs
@@ -15,8 +15,8 @@
 /// Interval between renewals. Three may fail before the lease expires.
 pub(crate) const LEASE_RENEWAL_PERIOD: Span = Span::from_millis(500);
 
-/// Safety margin for clock differences: the holder stops this long before the term ends, and a
-/// successor waits this much longer.
+/// Safety margin: the holder stops this long before the term ends, and a successor waits this much
+/// longer.
 const LEASE_MARGIN: Span = Span::from_millis(300);
 
 /// Timeout of a call to an engine or to the receiver of usage reports. It also bounds the time from
--- a/crates/hibiscushinged/src/gateway/job.rs
+++ b/crates/hibiscushinged/src/gateway/job.rs
@@ -15,7 +15,8 @@
 
 use crate::clock::wall_now;
 
-/// Delay that each rank of route priority adds to the due time of its items in the queue.
+/// Delay that each rank of route priority adds to the due time of its items in the queue. A higher
+/// rank is less urgent.
 const PRIORITY_DELAY: Span = Span::from_millis(1_500);
 
 /// Completion objective of a submission if its route sets none.
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -139,7 +139,7 @@
         ) {
             // The lease holder then waits for this process until the report is nearly due.
             tracing::warn!(
-                "the last usage totals were not stored in time; the process may stop without them"
+                "last usage totals not stored within 400 ms; the process may exit without them"
             );
         }
     }
--- a/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower/tests.rs
@@ -70,7 +70,7 @@
 }
 
 /// Guards against treating the cache as complete after one response of the store, which holds a
-/// bounded number of bytes. Requests for a submission beyond it got status 404.
+/// bounded number of bytes. Requests for a submission beyond it got status 404 (seed 251781471259).
 #[actix_rt::test]
 async fn cache_is_read_to_the_end_of_the_partition() {
     let options = StoreOptions { read_bytes: 2_000, ..Default::default() };
@@ -142,9 +142,9 @@
 /// Pattern: a node that was cut off from the store is assigned a partition again whose submissions
 /// have ended meanwhile.
 ///
-/// Guards against a new owner that starts items of an ended submission from its outdated cache. The
-/// last two cases repeat this with a store that has dropped the records of the end, so that the
-/// cache cannot catch up and must be reset.
+/// Guards against a new owner that starts items of an ended submission from its outdated cache
+/// (seed 656040433454). The last two cases repeat this with a store that has dropped the records of
+/// the end, so that the cache cannot catch up and must be reset.
 #[rstest::rstest]
 #[case::ended(true, false, 0)]
 #[case::open(false, false, ITEMS as usize)]
--- a/crates/hibiscushinged/src/gateway/relay.rs
+++ b/crates/hibiscushinged/src/gateway/relay.rs
@@ -93,7 +93,7 @@
     match tokio::time::timeout(timeout, open_exchange(traffic, call)).await {
         Ok(result) => result,
         Err(_) => {
-            let reason = String::from("no response before the deadline");
+            let reason = String::from("the upstream sent no response before the deadline");
             Err((AttemptError::MaybeRun(reason), ExchangeOutcome::TimedOut))
         }
     }
--- a/crates/hibiscushinged/src/gateway/reward.rs
+++ b/crates/hibiscushinged/src/gateway/reward.rs
@@ -68,7 +68,14 @@
             }
             CallOutcome::NoRoute => {
                 let (request, host, path) = (&reward.id, &reward.host, &reward.path);
-                log_event!(warn, RequestRefused, request, host, path, reason = "no route");
+                log_event!(
+                    warn,
+                    RequestRefused,
+                    request,
+                    host,
+                    path,
+                    reason = "no route leads to a service; the item is resolved as errored"
+                );
                 traffic.items.resolve(job, ItemResult::errored(job.item.id.as_str()));
                 return;
             }
--- a/crates/hibiscushinged/src/gateway/runner.rs
+++ b/crates/hibiscushinged/src/gateway/runner.rs
@@ -282,7 +282,7 @@
     if stored.is_ok() {
         return;
     }
-    // The results could not be stored, so they are kept and the append is repeated.
+    // The append was not confirmed, so the results are kept and appended again.
     let mut state = traffic.items.state.borrow_mut();
     state.results.entry(partition).or_default().extend(results);
     drop(state);
--- a/crates/hibiscushinged/src/gateway/store.rs
+++ b/crates/hibiscushinged/src/gateway/store.rs
@@ -12,7 +12,7 @@
 /// Idle timeout of a connection. The followers use theirs all the time.
 const IDLE_TIMEOUT: Span = Span::from_secs(4);
 
-/// Timeout for connecting to the store. A network round trip takes a millisecond.
+/// Timeout for connecting to the store. A network hop takes a millisecond.
 const CONNECT_TIMEOUT: Span = Span::from_millis(500);
 
 /// Timeout of a call, on top of the wait that it asks for. A slow store takes a quarter of a
--- a/crates/hibiscushinged/src/gateway/usage.rs
+++ b/crates/hibiscushinged/src/gateway/usage.rs
@@ -17,7 +17,7 @@
 /// Topic of usage totals and reports.
 pub(crate) const USAGE_TOPIC: &str = "keyed.usage";
 
-/// Interval between writes. A crash loses the requests that began after the last one.
+/// Interval between writes. A crash loses the requests that began after the last write.
 const WRITE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Number of windows whose totals are kept in memory for repeated writes.
--- a/crates/routebook/tests/book.rs
+++ b/crates/routebook/tests/book.rs
@@ -58,7 +58,8 @@
     assert_eq!(config.route(host, path).map(|route| route.name.as_str()), expected);
 }
 
-/// Guards against a key that is accepted for another customer, or for none.
+/// Guards against a key that is accepted for another customer than its own, or that is accepted
+/// although no customer has it.
 #[rstest]
 #[case("k1", Some("brewer"))]
 #[case("k2", Some("brewer"))]
--- a/crates/submissions/src/cache.rs
+++ b/crates/submissions/src/cache.rs
@@ -163,7 +163,8 @@
         self.table = SubmissionTable::default();
     }
 
-    /// Tells whether all open submissions are loaded, so that this node may run their items.
+    /// Tells whether all open submissions are loaded and the ends of the others are known, so that
+    /// this node may run items.
     #[must_use]
     pub const fn is_scanned(&self) -> bool {
         self.scanned
--- a/crates/submissions/tests/book.rs
+++ b/crates/submissions/tests/book.rs
@@ -161,8 +161,8 @@
 
 /// Pattern: two submissions wait for engines, and one item finds none.
 ///
-/// Guards against head-of-line blocking by an item without an engine, and against running items of
-/// later groups before the first group is complete.
+/// Guards against head-of-line blocking by an item without an engine, and against placing items of
+/// later groups before those of the first, so that groups stay incomplete for longer.
 #[test]
 fn queue_runs_due_groups_first_without_head_of_line_blocking() {
     let mut queue = ItemQueue::default();
