--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -17,9 +17,11 @@
         pub term: Span,
         /// Time from sending one lease record to sending the next renewal.
         pub renewal: Span,
-        /// The holder stops this long before the term ends, and a successor waits this long after it.
+        /// The holder stops this long before the term ends, and a successor waits this long after
+        /// it.
         pub margin: Span,
-        /// Maximum time from the clock check before an order until the receiver has acted on the order.
+        /// Maximum time from the clock check before an order until the receiver has acted on the
+        /// order.
         pub order_timeout: Span,
         /// Wait from acquisition to the first order to a receiver that ignores fencing tokens.
         pub extra_wait: Span,
@@ -49,7 +51,7 @@
         Succeeded,
         /// This process released the lease.
         Released,
-        /// The log dropped records that this process had not read, and one of them may be a claim.
+        /// Records of the stream are lost to this process, and one of them may be a claim.
         GapInLog,
     }
 
@@ -57,7 +59,8 @@
     pub enum PermitDenial {
         /// This process does not hold the lease.
         NotHeld,
-        /// The receiver ignores fencing tokens, and [`LeaseSettings::extra_wait`] ends at this moment.
+        /// The receiver ignores fencing tokens, and [`LeaseSettings::extra_wait`] ends at this
+        /// moment.
         ExtraWait(Moment),
         /// No order of this id is due to be sent.
         NotWaiting,
@@ -139,14 +142,14 @@
         self.role = role;
     }
 
-    /// Sets how long this process waits after the earliest moment at which it may claim. Each node has
-    /// another delay, so that they do not all append a claim at the same time.
+    /// Sets how long this process waits after the earliest moment at which it may claim. Each node
+    /// has another delay, so that they do not all append a claim at the same time.
     pub const fn set_claim_delay(&mut self, delay: Span) {
         self.claim_delay = delay;
     }
 
-    /// Starts reading at `first`, the oldest retained offset, or continues there after a gap. A lease
-    /// that this process holds is lost, since the gap may contain a claim of another process.
+    /// Starts reading at `first`, the oldest retained offset, or continues there after a gap. A
+    /// lease that this process holds is lost, since the gap may contain a claim of another process.
     pub fn restart_from(&mut self, now: Moment, first: LogOffset) -> SmallVec<[LeaseAction; 4]> {
         self.lease_records = Some(LeaseRecords::new(first, now));
         self.pending = None;
@@ -218,8 +221,8 @@
         }))]
     }
 
-    /// Releases the lease and becomes an observer, as in a planned stop. The driver calls this when all
-    /// its orders have their responses.
+    /// Releases the lease and becomes an observer, as in a planned stop. The driver calls this when
+    /// all its orders have their responses.
     pub fn resign(&mut self) -> SmallVec<[LeaseAction; 4]> {
         self.role = LeaseRole::Observer;
         let Some(held) = self.held else { return SmallVec::new() };
@@ -228,15 +231,15 @@
         actions
     }
 
-    /// Records that the log writer did not accept the record of the last [`LeaseAction::Append`]. A later
-    /// [`LeaseManager::tick`] tries again.
+    /// Records that the log writer did not accept the record of the last [`LeaseAction::Append`]. A
+    /// later [`LeaseManager::tick`] tries again.
     pub const fn append_refused(&mut self) {
         self.pending = None;
     }
 
-    /// Checks whether the lease is held at `now` and returns its fencing token, which the order carries.
-    /// This is the last step before an order is sent: the driver reads its monotonic clock, calls this
-    /// function and sends at once.
+    /// Checks whether the lease is held at `now` and returns its fencing token, which the order
+    /// carries. This is the last step before an order is sent: the driver reads its monotonic
+    /// clock, calls this function and sends at once.
     ///
     /// # Errors
     ///
@@ -263,14 +266,15 @@
         self.permit(now, FencingSupport::Checked).ok()
     }
 
-    /// Returns the claim in force by log order, of any process, or `None` when there is none or it is not
-    /// known because the beginning of the stream is no longer retained.
+    /// Returns the claim in force by log order, of any process, or `None` when there is none or it
+    /// is not known because the beginning of the stream is no longer retained.
     #[must_use]
     pub fn claim_in_force(&self) -> Option<FencingToken> {
         self.lease_records.as_ref().and_then(LeaseRecords::claim_in_force)
     }
 
-    /// Returns whether a record with the token `fencing` is void at the present position in the log.
+    /// Returns whether a record with the token `fencing` is void at the present position in the
+    /// log.
     #[must_use]
     pub fn is_superseded(&self, fencing: FencingToken) -> bool {
         match &self.lease_records {
@@ -281,8 +285,8 @@
         }
     }
 
-    /// Returns when [`LeaseManager::tick`] must be called next, or `None` while only a record of the log
-    /// can change the state.
+    /// Returns when [`LeaseManager::tick`] must be called next, or `None` while only a record of
+    /// the log can change the state.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         let lease_records = self.lease_records.as_ref()?;
@@ -360,8 +364,8 @@
         }))
     }
 
-    /// Ends the lease if this process holds it. A pending renewal is dropped, since it has no lease to
-    /// extend.
+    /// Ends the lease if this process holds it. A pending renewal is dropped, since it has no lease
+    /// to extend.
     fn drop_lease(&mut self, cause: LossCause) -> Option<LeaseAction> {
         let held = self.held.take()?;
         self.pending = None;
@@ -387,7 +391,8 @@
             Self::NotHeld => f.write_str("this process does not hold the lease"),
             Self::ExtraWait(until) => write!(
                 f,
-                "the receiver ignores fencing tokens: no order may be sent before {} us on the monotonic clock",
+                "the receiver ignores fencing tokens: no order may be sent before {} us on the \
+                 monotonic clock",
                 until.0
             ),
             Self::NotWaiting => f.write_str("the order is not due to be sent"),
--- a/crates/authority/src/lease_records.rs
+++ b/crates/authority/src/lease_records.rs
@@ -1,9 +1,9 @@
 //! Decides which lease records of a stream are valid.
 //!
 //! Validity is a function of the log prefix, so all readers agree on it. A reader that starts after
-//! the beginning of the stream lacks a part of the prefix. Where it cannot decide whether a record is
-//! valid, it makes the safe assumption: valid if that makes it wait longer, void if the record would
-//! give it the lease.
+//! the beginning of the stream lacks a part of the prefix. Where it cannot decide whether a record
+//! is valid, it makes the safe assumption: valid if that makes it wait longer, void if the record
+//! would give it the lease.
 
 use base::{FencingToken, Incarnation, LogOffset, Moment, Span, derive_copy};
 
@@ -79,9 +79,10 @@
         self.last.map_or(self.first_read, |record| record.offset.next())
     }
 
-    /// Returns when a candidate may claim: at once after a release or when the stream never had a record,
-    /// else after the longer of its own `term` and the record's term, plus `wait`, counted from when it
-    /// read the last record, or started to read a stream whose beginning it does not know.
+    /// Returns when a candidate may claim: at once after a release or when the stream never had a
+    /// record, else after the longer of its own `term` and the record's term, plus `wait`, counted
+    /// from when it read the last record, or started to read a stream whose beginning it does not
+    /// know.
     pub(crate) fn claimable_at(&self, term: Span, wait: Span) -> Moment {
         match self.last {
             Some(LastRecord { state: LeaseState::Released, read_at, .. }) => read_at,
@@ -174,8 +175,8 @@
         RecordValidity::Valid
     }
 
-    /// Stores a record that may be valid, so that this reader waits until the lease would have ended. The
-    /// longest term so far counts.
+    /// Stores a record that may be valid, so that this reader waits until the lease would have
+    /// ended. The longest term so far counts.
     fn wait_for_undecided(&mut self, record: LastRecord) -> RecordValidity {
         let term = self.last.map_or(record.term, |last| last.term.max(record.term));
         self.last = Some(LastRecord { term, ..record });
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -44,10 +44,11 @@
         OutcomePending,
     }
 
-    /// Whether this process knows what the attempts of an order have done. While it is unknown for any
-    /// order, no new order is accepted.
+    /// Whether this process knows what the attempts of an order have done. While it is unknown for
+    /// any order, no new order is accepted.
     enum EffectKnowledge {
-        /// No attempt can have reached the platform, or its response is still awaited, or it has come.
+        /// No attempt can have reached the platform, or its response is still awaited, or it has
+        /// come.
         Known,
         /// An attempt may have reached the platform, and no response to it came.
         Unknown,
@@ -67,15 +68,15 @@
     pub enum OrderAction {
         /// Append the record to the stream of the scope.
         Append(AuthorityRecord),
-        /// Call [`OrderManager::permit`] with the present time and, when it permits, send the order at
-        /// once with the fencing token that it returned.
+        /// Call [`OrderManager::permit`] with the present time and, when it permits, send the order
+        /// at once with the fencing token that it returned.
         Send(OrderIntent),
         /// Ask the platform for the state of the order.
         Query(OrderId),
         /// The outcome of an order is in the log.
         Settled(OrderOutcome),
-        /// The intent of an order of this process reached the log under a later lease, so it is void. The
-        /// order was not sent and is dropped.
+        /// The intent of an order of this process reached the log under a later lease, so it is
+        /// void. The order was not sent and is dropped.
         Voided(OrderId),
     }
 
@@ -108,10 +109,10 @@
 
 /// Takes the orders of one scope from intent through sending to outcome.
 ///
-/// Every process follows the records of the scope. A new holder of the lease first reconciles the open
-/// orders of earlier holders: it queries the platform for each by its id, and sends an order that the
-/// platform does not know again under the same id. Since the platform carries out one order per id, a
-/// delayed request of the earlier holder then has no second effect.
+/// Every process follows the records of the scope. A new holder of the lease first reconciles the
+/// open orders of earlier holders: it queries the platform for each by its id, and sends an order
+/// that the platform does not know again under the same id. Since the platform carries out one
+/// order per id, a delayed request of the earlier holder then has no second effect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OrderManager {
     settings: OrderSettings,
@@ -198,8 +199,8 @@
         actions
     }
 
-    /// Returns the orders to send, the queries and the outcome records that are due at `now`. Returns none
-    /// while this process does not hold the lease.
+    /// Returns the orders to send, the queries and the outcome records that are due at `now`.
+    /// Returns none while this process does not hold the lease.
     pub fn tick(
         &mut self,
         now: Moment,
@@ -235,14 +236,14 @@
         actions
     }
 
-    /// Checks whether one order may be sent at `now` and returns the fencing token that it carries. This
-    /// is the last step before the order is sent: the driver reads its monotonic clock, calls this
-    /// function and sends at once.
+    /// Checks whether one order may be sent at `now` and returns the fencing token that it carries.
+    /// This is the last step before the order is sent: the driver reads its monotonic clock, calls
+    /// this function and sends at once.
     ///
     /// # Errors
     ///
-    /// Returns why the order must not be sent. It stays open, and a later tick sends it or queries its
-    /// state.
+    /// Returns why the order must not be sent. It stays open, and a later tick sends it or queries
+    /// its state.
     pub fn permit(
         &self,
         now: Moment,
@@ -294,8 +295,9 @@
         self.tick(now, lease_manager)
     }
 
-    /// Records that the log writer did not accept the record of an [`OrderAction::Append`]. The order of
-    /// an intent is dropped, since it was never sent; an outcome is appended again by a later tick.
+    /// Records that the log writer did not accept the record of an [`OrderAction::Append`]. The
+    /// order of an intent is dropped, since it was never sent; an outcome is appended again by a
+    /// later tick.
     pub fn append_refused(&mut self, record: &AuthorityRecord) {
         match record {
             AuthorityRecord::Intent(intent) => {
@@ -312,7 +314,8 @@
         }
     }
 
-    /// Returns the first order whose outcome is unknown. No new order is accepted while there is one.
+    /// Returns the first order whose outcome is unknown. No new order is accepted while there is
+    /// one.
     #[must_use]
     pub fn unknown_outcome(&self) -> Option<OrderId> {
         self.open
@@ -327,8 +330,8 @@
         self.open.len()
     }
 
-    /// Returns when [`OrderManager::tick`] must be called next, or `None` while this process does not hold
-    /// the lease or waits only for records of the log.
+    /// Returns when [`OrderManager::tick`] must be called next, or `None` while this process does
+    /// not hold the lease or waits only for records of the log.
     #[must_use]
     pub fn next_deadline(&self, now: Moment, lease_manager: &LeaseManager) -> Option<Moment> {
         let fencing = lease_manager.held_token(now)?;
@@ -354,8 +357,8 @@
         earliest
     }
 
-    /// Schedules a query for every open order when `fencing` is a new lease: a request that was sent under
-    /// an earlier lease may still take effect, and its response no longer counts.
+    /// Schedules a query for every open order when `fencing` is a new lease: a request that was
+    /// sent under an earlier lease may still take effect, and its response no longer counts.
     fn requery_under_new_lease(&mut self, now: Moment, fencing: FencingToken) {
         if self.staged_under == Some(fencing) {
             return;
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -49,8 +49,8 @@
         Fleet,
     }
 
-    /// Claims the lease. Valid if there is no valid claim, renewal or release from `clear_from` up to the
-    /// claim itself, so that a claim which reaches the log late is void.
+    /// Claims the lease. Valid if there is no valid claim, renewal or release from `clear_from` up
+    /// to the claim itself, so that a claim which reaches the log late is void.
     pub struct LeaseClaim {
         /// Scope of the lease.
         pub scope: LeaseScope,
@@ -58,10 +58,11 @@
         pub holder: Incarnation,
         /// Number of the record among the lease records of its holder.
         pub attempt: u32,
-        /// Time for which the claim gives the lease, counted by the holder from before it sent the claim.
+        /// Time for which the claim gives the lease, counted by the holder from before it sent the
+        /// claim.
         pub term: Span,
-        /// Offset after the last lease record that the claimant knows. It has read all records before this
-        /// offset, or they are no longer retained.
+        /// Offset after the last lease record that the claimant knows. It has read all records
+        /// before this offset, or they are no longer retained.
         pub clear_from: LogOffset,
     }
 
@@ -75,8 +76,8 @@
         pub attempt: u32,
         /// Claim that won the lease.
         pub claim: FencingToken,
-        /// Time for which the renewal gives the lease, counted by the holder from before it sent the
-        /// renewal.
+        /// Time for which the renewal gives the lease, counted by the holder from before it sent
+        /// the renewal.
         pub term: Span,
     }
 
@@ -116,7 +117,8 @@
         pub service: String,
         /// What the order asks for.
         pub kind: OrderKind,
-        /// Fencing token of the writer. The intent is void if another lease is in force at its offset.
+        /// Fencing token of the writer. The intent is void if another lease is in force at its
+        /// offset.
         pub fencing: FencingToken,
     }
 
@@ -126,7 +128,8 @@
         pub id: OrderId,
         /// Scope of the order.
         pub scope: LeaseScope,
-        /// Fencing token of the writer. The outcome is void if another lease is in force at its offset.
+        /// Fencing token of the writer. The outcome is void if another lease is in force at its
+        /// offset.
         pub fencing: FencingToken,
         /// State of the order by the platform's response.
         pub state: OrderState,
--- a/crates/authority/tests/desk.rs
+++ b/crates/authority/tests/desk.rs
@@ -76,8 +76,8 @@
     OrderResponse::State { state, upstreams: vec!["draft-models-3".to_owned()] }
 }
 
-/// Builds a process that has taken over the lease from another process, which left an intent without
-/// outcome. Returns it with the time of the acquisition and the intent.
+/// Builds a process that has taken over the lease from another process, which left an intent
+/// without outcome. Returns it with the time of the acquisition and the intent.
 fn successor(fencing_support: FencingSupport) -> (Process, Moment, OrderIntent) {
     let mut process = Process::new(fencing_support);
     let claim = LeaseClaim {
@@ -101,8 +101,8 @@
     (process, now, intent)
 }
 
-/// Guards against an order that is sent before its intent is in the log, and against an order that is
-/// settled before its outcome is in the log.
+/// Guards against an order that is sent before its intent is in the log, and against an order that
+/// is settled before its outcome is in the log.
 #[test]
 fn an_order_goes_from_intent_through_sending_to_outcome() {
     let mut process = Process::new(FencingSupport::Checked);
@@ -143,8 +143,8 @@
     assert!(process.order(at(6)).is_ok());
 }
 
-/// Guards against a successor that submits new orders before it knows the outcome of the orders of the
-/// former holder.
+/// Guards against a successor that submits new orders before it knows the outcome of the orders of
+/// the former holder.
 #[rstest]
 #[case::known(FencingSupport::Checked, Some(OrderState::Accepted))]
 #[case::refused(FencingSupport::Checked, Some(OrderState::Refused))]
@@ -188,8 +188,8 @@
     assert_eq!(process.order_manager.unknown_outcome(), None);
 }
 
-/// Renews the lease of a copy of `lease_manager` until it lasts to `until`. Returns the copy and the
-/// offset of the next record.
+/// Renews the lease of a copy of `lease_manager` until it lasts to `until`. Returns the copy and
+/// the offset of the next record.
 fn with_renewals(
     lease_manager: &LeaseManager,
     next: LogOffset,
@@ -207,7 +207,8 @@
     (lease_manager, next)
 }
 
-/// Guards against an effect of a former holder's records that reach the log after its successor's claim.
+/// Guards against an effect of a former holder's records that reach the log after its successor's
+/// claim.
 #[test]
 fn records_of_a_former_holder_are_void() {
     let (mut process, now, intent) = successor(FencingSupport::Checked);
@@ -244,8 +245,8 @@
     assert_eq!(process.order_manager.open_orders(), 0);
 }
 
-/// Guards against an order that stays open, or an outcome that is lost, when the log writer's buffer is
-/// full.
+/// Guards against an order that stays open, or an outcome that is lost, when the log writer's
+/// buffer is full.
 #[test]
 fn refused_appends_are_dropped_or_repeated() {
     let mut process = Process::new(FencingSupport::Checked);
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against two readers that disagree on the holder, in particular when an append takes effect
-/// late or twice.
+/// Guards against two readers that disagree on the holder, in particular when an append takes
+/// effect late or twice.
 #[rstest]
 #[case::first_claim_wins(&[claim(OTHER_PROCESS, 1, 0), claim(THIRD_PROCESS, 1, 0)], Some(0))]
 #[case::successor(&[claim(OTHER_PROCESS, 1, 0), claim(THIRD_PROCESS, 1, 1)], Some(1))]
@@ -167,8 +167,8 @@
     assert_eq!(lease_manager.held_token(at(2)), None);
 }
 
-/// Guards against a reader without the beginning of the stream that takes the lease although a record
-/// whose validity it could not decide precedes its claim.
+/// Guards against a reader without the beginning of the stream that takes the lease although a
+/// record whose validity it could not decide precedes its claim.
 #[test]
 fn an_undecided_record_voids_the_own_claim() {
     let mut lease_manager = lease_manager(7);
--- a/crates/base/src/arena.rs
+++ b/crates/base/src/arena.rs
@@ -41,14 +41,15 @@
         K::from_index(index)
     }
 
-    /// Returns the item of `key`, or `None` when `key` comes from another arena and is out of range.
+    /// Returns the item of `key`, or `None` when `key` comes from another arena and is out of
+    /// range.
     #[must_use]
     pub fn get(&self, key: K) -> Option<&T> {
         self.items.get(key.index())
     }
 
-    /// Returns the item of `key` for modification, or `None` when `key` comes from another arena and is
-    /// out of range.
+    /// Returns the item of `key` for modification, or `None` when `key` comes from another arena
+    /// and is out of range.
     pub fn get_mut(&mut self, key: K) -> Option<&mut T> {
         self.items.get_mut(key.index())
     }
--- a/crates/base/src/derives.rs
+++ b/crates/base/src/derives.rs
@@ -8,7 +8,8 @@
     };
 }
 
-/// Derives `Debug`, `Clone`, `Copy`, the comparisons and `Hash`, for small values that serve as map keys.
+/// Derives `Debug`, `Clone`, `Copy`, the comparisons and `Hash`, for small values that serve as map
+/// keys.
 #[macro_export]
 macro_rules! derive_copy {
     ($($item:item)*) => {
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -40,7 +40,8 @@
     /// Random identifier of one run of one daemon. A daemon has a new one after each restart.
     pub struct Incarnation(pub u64);
 
-    /// Identifier of a log record, chosen by its writer. Readers drop a record whose id they have seen.
+    /// Identifier of a log record, chosen by its writer. Readers drop a record whose id they have
+    /// seen.
     pub struct RecordId {
         /// Run of the process that wrote the record.
         pub writer: Incarnation,
@@ -51,8 +52,8 @@
     /// Position of a record in one stream of the platform's log.
     pub struct LogOffset(pub u64);
 
-    /// Fencing token of a lease: the log offset of the claim that won it. A receiver refuses an order
-    /// whose token is below the highest that it has seen.
+    /// Fencing token of a lease: the log offset of the claim that won it. A receiver refuses an
+    /// order whose token is below the highest that it has seen.
     pub struct FencingToken(pub u64);
 
     /// Version of a model's weights. The trainer numbers its versions in ascending order.
--- a/crates/base/src/refusal.rs
+++ b/crates/base/src/refusal.rs
@@ -5,7 +5,8 @@
 use crate::{Span, derive_copy, derive_value};
 
 derive_copy! {
-    /// Whether a refused request may have run, so that a caller knows whether a retry can run it twice.
+    /// Whether a refused request may have run, so that a caller knows whether a retry can run it
+    /// twice.
     pub enum Execution {
         /// No byte of the request can have reached an upstream.
         NotRun,
@@ -31,12 +32,13 @@
         UpstreamFailed,
         /// The request's deadline has passed.
         DeadlineExceeded,
-        /// The platform's log is unavailable, and the request needs a record in it, for example the claim
-        /// that lets it run at most once.
+        /// The platform's log is unavailable, and the request needs a record in it, for example the
+        /// claim that lets it run at most once.
         LogUnavailable,
         /// Another request with the same idempotency key has run or is running.
         AlreadyClaimed,
-        /// Requests with this fingerprint have crashed several upstreams and are blocked for a time.
+        /// Requests with this fingerprint have crashed several upstreams and are blocked for a
+        /// time.
         Convicted,
         /// The daemon is draining before it stops.
         Draining,
@@ -57,8 +59,8 @@
         pub code: RefusalCode,
         /// Whether the request may have run.
         pub execution: Execution,
-        /// Value of `Retry-After`: how long the caller waits before it retries, or `None` when a retry
-        /// cannot succeed.
+        /// Value of `Retry-After`: how long the caller waits before it retries, or `None` when a
+        /// retry cannot succeed.
         pub retry_after: Option<Span>,
         /// Explanation for people. It never contains a caller's API key.
         pub message: String,
--- a/crates/base/tests/digest.rs
+++ b/crates/base/tests/digest.rs
@@ -1,5 +1,5 @@
-//! Guards against key digests that match other keys or that appear whole in logs, and against uneven
-//! rendezvous hashing.
+//! Guards against key digests that match other keys or that appear whole in logs, and against
+//! uneven rendezvous hashing.
 
 use base::{KeyDigest, rendezvous_weight};
 
@@ -14,8 +14,8 @@
     assert!(!format!("{digest:?}").contains(&digest.to_string()));
 }
 
-/// Guards against rendezvous weights that give some nodes more items than others: each of 8 nodes must
-/// own 850 to 1149 of 8000 items.
+/// Guards against rendezvous weights that give some nodes more items than others: each of 8 nodes
+/// must own 850 to 1149 of 8000 items.
 #[test]
 fn rendezvous_spreads_items_evenly() {
     let mut owned = [0_u32; 8];
--- a/crates/clients/src/wire/mod.rs
+++ b/crates/clients/src/wire/mod.rs
@@ -1,6 +1,6 @@
 //! JSON messages of the platform's and the engines' interfaces.
 //!
-//! Sections 6.1 and 6.2 of the design page specify the fields.
+//! docs/design.md, sections 6.1 and 6.2, specifies the fields.
 
 mod convert;
 
--- a/crates/clients/tests/failures.rs
+++ b/crates/clients/tests/failures.rs
@@ -24,7 +24,7 @@
     Close(String),
     /// Writes these bytes and keeps the connection.
     Keep(String),
-    /// Never answers the first connection, and answers the later ones with these bytes.
+    /// Never responds on the first connection, and responds on the later ones with these bytes.
     StallFirst(String),
 }
 
--- a/crates/configuration/src/isolation.rs
+++ b/crates/configuration/src/isolation.rs
@@ -1,4 +1,5 @@
-//! Decides whether a node accepts API keys while it is isolated and may not learn of withdrawn ones.
+//! Decides whether a node accepts API keys while it is isolated and may not learn of withdrawn
+//! ones.
 
 use base::{Moment, Span, derive_copy};
 
@@ -24,8 +25,8 @@
 
 /// Tracks the last contact with the platform or with a peer of another zone.
 ///
-/// A message from a peer of the own zone is no contact in itself, only the contact that it reports
-/// counts: the nodes of an isolated zone receive each other's messages and still cannot learn of
+/// A message from a peer of the own zone is no contact in itself; only the contact that it reports
+/// counts. The nodes of an isolated zone receive each other's messages and still cannot learn of
 /// withdrawn keys. Where the document names a single zone, the caller counts every peer as contact.
 #[derive(Debug, Clone)]
 pub struct IsolationTracker {
@@ -40,12 +41,13 @@
 }
 
 impl IsolationTracker {
-    /// Time without contact after which the node counts as isolated. It equals the heartbeat timeout of
-    /// peers, so that one lost heartbeat does not make the node refuse keys.
+    /// Time without contact after which the node counts as isolated. It equals the heartbeat
+    /// timeout of peers, so that one lost heartbeat does not make the node refuse keys.
     pub const ISOLATION_TIMEOUT: Span = Span::from_secs(10);
 
-    /// Added to the age of a contact that a peer reports, for the unknown transit time of the message.
-    /// Without it, two isolated peers could report each other's contact as fresh without end.
+    /// Added to the age of a contact that a peer reports, for the unknown transit time of the
+    /// message. Without it, two isolated peers could report each other's contact as fresh without
+    /// end.
     pub const PEER_CONTACT_ALLOWANCE: Span = Span::from_secs(1);
 
     /// Creates the tracker of a node that starts at `now`, which counts as its first contact.
--- a/crates/configuration/src/keys.rs
+++ b/crates/configuration/src/keys.rs
@@ -84,7 +84,8 @@
         KeyCheck::Withdrawn
     }
 
-    /// Returns whether a stream that was checked against `version` must be checked against this set.
+    /// Returns whether a stream that was checked against `version` must be checked against this
+    /// set.
     #[must_use]
     pub fn supersedes(&self, version: ConfigVersion) -> bool {
         self.version > version
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,5 +1,5 @@
-//! Configuration documents as the log accepts them, the customers' API keys, and what an isolated node
-//! does with keys.
+//! Configuration documents as the log accepts them, the customers' API keys, and what an isolated
+//! node does with keys.
 
 mod isolation;
 mod keys;
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -27,7 +27,8 @@
         pub text: String,
     }
 
-    /// Replaces the document of an environment. Refused when the version is no longer [`ConfigEdit::base`].
+    /// Replaces the document of an environment. Refused when the version is no longer
+    /// [`ConfigEdit::base`].
     pub struct ConfigEdit {
         /// Id that the operator's tool chose.
         pub id: RecordId,
@@ -53,8 +54,8 @@
         pub target_base: ConfigVersion,
     }
 
-    /// Snapshot of the documents of all environments. It is appended again before the log's retention
-    /// drops the records that produced them.
+    /// Snapshot of the documents of all environments. It is appended again before the log's
+    /// retention drops the records that produced them.
     pub struct ConfigSnapshotRecord {
         /// Documents that the records below the offset `snapshot.next` produce.
         pub snapshot: ConfigSnapshot,
--- a/crates/configuration/src/registry.rs
+++ b/crates/configuration/src/registry.rs
@@ -38,8 +38,8 @@
         Invalid(String),
         /// The registry has read the log without a gap and needs no snapshot.
         NotNeeded,
-        /// Retention dropped records that the registry has not read, and no snapshot that includes them has
-        /// come yet.
+        /// Retention dropped records that the registry has not read, and no snapshot that includes
+        /// them has come yet.
         AwaitsSnapshot,
     }
 
@@ -92,13 +92,14 @@
 /// Current documents of all environments.
 ///
 /// The documents from the log are a pure function of the log prefix. Documents from peers may have
-/// higher versions, which this node has not read yet. The higher version of the two is in force, so the
-/// version in force never decreases.
+/// higher versions, which this node has not read yet. The higher version of the two is in force, so
+/// the version in force never decreases.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigRegistry<C> {
     check: C,
     log: ConfigSnapshot,
-    // Oldest retained offset after a gap, until a snapshot that includes all records below it comes.
+    // Oldest retained offset after a gap, until a snapshot that includes all records below it
+    // comes.
     awaits_snapshot_from: Option<LogOffset>,
     // Documents whose versions are above those from the log: from peers, or in force before a gap.
     ahead: ConfigSnapshot,
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Applies a peer's snapshot. It ends the wait after a gap if it includes all records below the oldest
-    /// retained one. Documents with higher versions come into force in any case.
+    /// Applies a peer's snapshot. It ends the wait after a gap if it includes all records below the
+    /// oldest retained one. Documents with higher versions come into force in any case.
     pub fn adopt_snapshot(&mut self, snapshot: &ConfigSnapshot) -> ConfigOutcome {
         for document in &snapshot.documents {
             self.adopt_peer_document(document);
@@ -168,7 +169,8 @@
         self.restore(oldest, snapshot)
     }
 
-    /// Adopts a document that is in force on a peer if its version is higher than the one in force here.
+    /// Adopts a document that is in force on a peer if its version is higher than the one in force
+    /// here.
     pub fn adopt_peer_document(&mut self, document: &VersionedDocument) -> PeerOutcome {
         if document.version <= self.version(&document.environment) {
             return PeerOutcome::NotNewer;
@@ -225,18 +227,18 @@
         }
     }
 
-    /// Returns the documents from the log, for a peer or a snapshot record, or `None` while a snapshot is
-    /// awaited.
+    /// Returns the documents from the log, for a peer or a snapshot record, or `None` while a
+    /// snapshot is awaited.
     #[must_use]
     pub fn snapshot(&self) -> Option<&ConfigSnapshot> {
         self.awaits_snapshot_from.is_none().then_some(&self.log)
     }
 
-    /// Returns the documents in force as a snapshot that ends before the oldest retained record, or `None`
-    /// unless a snapshot is awaited.
+    /// Returns the documents in force as a snapshot that ends before the oldest retained record, or
+    /// `None` unless a snapshot is awaited.
     ///
-    /// The holder of the `fleet` lease appends it when retention dropped records and no node has a snapshot
-    /// that includes all of them.
+    /// The holder of the `fleet` lease appends it when retention dropped records and no node has a
+    /// snapshot that includes all of them.
     #[must_use]
     pub fn rebuilt_snapshot(&self) -> Option<ConfigSnapshot> {
         let next = self.awaits_snapshot_from?;
@@ -256,8 +258,8 @@
             }
             log.put(document.clone());
         }
-        // A higher version that was in force stays in force, even if the node that built the snapshot had
-        // not read it.
+        // A higher version that was in force stays in force, even if the node that built the
+        // snapshot had not read it.
         for document in std::mem::replace(&mut self.log, log).documents {
             if document.version > self.version(&document.environment) {
                 self.ahead.put(document);
--- a/crates/configuration/src/snapshot_schedule.rs
+++ b/crates/configuration/src/snapshot_schedule.rs
@@ -16,8 +16,8 @@
 /// Decides when the holder of the `fleet` lease appends the next snapshot.
 ///
 /// The log's retention goes by time, so even an idle stream loses its last record. Snapshots are
-/// therefore appended periodically. The schedule uses the monotonic clock only: the age of a record that
-/// was read while catching up is unknown, and the next snapshot is then due at once.
+/// therefore appended periodically. The schedule uses the monotonic clock only: the age of a record
+/// that was read while catching up is unknown, and the next snapshot is then due at once.
 #[derive(Debug, Clone)]
 pub struct SnapshotSchedule {
     period: Span,
@@ -28,8 +28,9 @@
 }
 
 impl SnapshotSchedule {
-    /// Creates a schedule. `period` must be well below the log's retention time, for example a quarter of
-    /// it. `retry_interval` is the wait before an append is repeated that the log has not shown.
+    /// Creates a schedule. `period` must be well below the log's retention time, for example a
+    /// quarter of it. `retry_interval` is the wait before an append is repeated that the log has
+    /// not shown.
     #[must_use]
     pub fn new(period: Span, retry_interval: Span) -> Self {
         Self {
@@ -55,7 +56,8 @@
         self.last_attempt_at = None;
     }
 
-    /// Records the oldest retained offset. If the snapshot lies below it, the next one is due at once.
+    /// Records the oldest retained offset. If the snapshot lies below it, the next one is due at
+    /// once.
     pub fn note_retention(&mut self, oldest: LogOffset) {
         if self.snapshot_offset.is_some_and(|offset| offset < oldest) {
             self.age = SnapshotAge::Unknown;
--- a/crates/configuration/tests/history.rs
+++ b/crates/configuration/tests/history.rs
@@ -1,5 +1,5 @@
-//! Versions of configuration documents on nodes that follow the log, receive documents from peers and
-//! meet gaps, under random schedules and in single cases.
+//! Versions of configuration documents on nodes that follow the log, receive documents from peers
+//! and meet gaps, under random schedules and in single cases.
 
 use std::collections::BTreeMap;
 
@@ -49,8 +49,8 @@
     })
 }
 
-/// Builds a log in which some edits and promotions name an outdated version, some documents are invalid,
-/// and some snapshots are older than the records before them.
+/// Builds a log in which some edits and promotions name an outdated version, some documents are
+/// invalid, and some snapshots are older than the records before them.
 fn log_with_conflicts(rng: &mut ChaCha8Rng) -> Vec<ConfigRecord> {
     let mut reader = registry();
     let mut snapshots: Vec<ConfigSnapshot> = Vec::new();
@@ -148,8 +148,8 @@
     }
 }
 
-/// Guards against an edit or promotion that is accepted although it builds on an outdated version, and
-/// against a conflict report that does not name the current version and its record.
+/// Guards against an edit or promotion that is accepted although it builds on an outdated version,
+/// and against a conflict report that does not name the current version and its record.
 #[test]
 fn conflict_report_names_the_current_version() {
     let mut node = registry();
@@ -179,8 +179,8 @@
     assert_eq!(node.in_force(&"production".into()).unwrap().document.text, "one");
 }
 
-/// Guards against a peer's document that counts as confirmed before the log has shown it, or that older
-/// records of the log replace.
+/// Guards against a peer's document that counts as confirmed before the log has shown it, or that
+/// older records of the log replace.
 #[test]
 fn document_of_a_peer_is_possibly_stale_until_the_log_confirms_it() {
     let trial = "trial".into();
@@ -229,8 +229,8 @@
     assert_eq!(node.in_force(&trial), complete.in_force(&trial));
 }
 
-/// Guards against a version that decreases because the only snapshot comes from a node that had read
-/// less of the log.
+/// Guards against a version that decreases because the only snapshot comes from a node that had
+/// read less of the log.
 #[test]
 fn rebuilt_snapshot_does_not_revert_a_higher_version() {
     let trial = "trial".into();
--- a/crates/configuration/tests/keys.rs
+++ b/crates/configuration/tests/keys.rs
@@ -27,7 +27,8 @@
     assert!(KeySet::build(ConfigVersion(3), [(kept, "portal"), (kept, "trainer")]).is_err());
 }
 
-/// Guards against an isolated node that refuses keys too early, or accepts a withdrawn key for too long.
+/// Guards against an isolated node that refuses keys too early, or accepts a withdrawn key for too
+/// long.
 #[rstest]
 #[case(IsolationPolicy::default(), 9, IsolationStatus::Connected)]
 #[case(IsolationPolicy::default(), 10, IsolationStatus::ServingUntil(secs(300)))]
@@ -43,7 +44,8 @@
     assert_eq!(state.status(secs(silence)), expected);
 }
 
-/// Guards against two peers in an isolated zone that report each other's contact as fresh without end.
+/// Guards against two peers in an isolated zone that report each other's contact as fresh without
+/// end.
 #[test]
 fn reported_contact_only_ages() {
     let mut nodes = [0, 1].map(|_| IsolationTracker::new(IsolationPolicy::default(), Moment(0)));
--- a/crates/delivery/src/attempt.rs
+++ b/crates/delivery/src/attempt.rs
@@ -34,7 +34,7 @@
         ConnectionBroken,
         /// The answer ended before its declared length or its end marker.
         AnswerTruncated,
-        /// The upstream refused the request because it is overloaded.
+        /// The upstream responded that it cannot serve the request now (status 503).
         UpstreamBusy,
     }
 
@@ -44,7 +44,8 @@
         pub max_attempts: u8,
         /// A failed attempt is retried only if more than this time is left before the deadline.
         pub min_attempt_time: Span,
-        /// Retry-After of the refusal when the attempts are exhausted or the deadline has passed.
+        /// Retry-After of the refusal after a failed attempt that is not retried, or after the
+        /// deadline.
         pub retry_after: Span,
     }
 }
@@ -221,7 +222,9 @@
             FailureCause::AnswerTruncated => {
                 (RefusalCode::UpstreamFailed, "the upstream's answer was truncated")
             }
-            FailureCause::UpstreamBusy => (RefusalCode::Overloaded, "the upstream is overloaded"),
+            FailureCause::UpstreamBusy => {
+                (RefusalCode::Overloaded, "the upstream responded with status 503")
+            }
         };
         let is_safe = self.idempotency == RequestIdempotency::Idempotent
             || self.execution == Execution::NotRun;
--- a/crates/document/src/environment.rs
+++ b/crates/document/src/environment.rs
@@ -151,7 +151,7 @@
     pub struct CustomerEntry {
         /// Name, unique in the document.
         pub name: String,
-        /// SHA-256 digests of the customer's API keys. A key that is removed here is revoked.
+        /// SHA-256 digests of the customer's API keys. A key that is removed here is withdrawn.
         pub keys: Vec<KeyDigest>,
         /// Weight in weighted fair queueing.
         pub weight: u32,
--- a/crates/document/src/section.rs
+++ b/crates/document/src/section.rs
@@ -360,8 +360,7 @@
     }
 }
 
-/// A span whose default is zero.
-/// A duration with a default, which [`Section::parsed`] requires and [`Span`] lacks.
+/// A duration whose default is zero, which [`Section::parsed`] requires and [`Span`] lacks.
 struct ParsedSpan(Span);
 
 impl Default for ParsedSpan {
--- a/crates/document/tests/checks.rs
+++ b/crates/document/tests/checks.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Guards against defaults of optional keys that change unnoticed.
+/// Guards against defaults of optional keys that differ from those in docs/design.md.
 #[test]
 fn small_document_and_settings_load_with_defaults() {
     let document = EnvironmentDocument::parse("trial.toml", SMALL_DOCUMENT).unwrap();
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -88,8 +88,8 @@
         self.insert(now, update);
     }
 
-    /// Merges an update from a peer. Returns whether it changed the table: its measurement is newer,
-    /// or it reports for the first time that the upstream is leaving.
+    /// Merges an update from a peer. Returns whether it changed the table: its measurement is
+    /// newer, or it reports for the first time that the upstream is leaving.
     pub fn merge(&mut self, now: Moment, update: LoadUpdate) -> bool {
         let measured_at = now - update.age;
         if let Some(known) = self.entries.get(&update.upstream) {
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -30,8 +30,8 @@
 
 impl std::error::Error for MalformedMessage {}
 
-/// Encodes a message. Field names are part of the encoding, so that a daemon can skip fields that a
-/// later release added.
+/// Encodes a message. Field names are part of the encoding, so that daemons of two releases can
+/// exchange messages: a daemon skips fields that it does not know.
 ///
 /// # Panics
 ///
--- a/crates/record-log/src/lib.rs
+++ b/crates/record-log/src/lib.rs
@@ -1,7 +1,7 @@
 //! Idempotent appends to streams of the platform's log, and ordered reads from them.
 //!
-//! [`LogWriter`] and [`LogReader`] are state machines without I/O: their driver sends the requests and
-//! passes in the responses and the time.
+//! [`LogWriter`] and [`LogReader`] are state machines without I/O: their driver sends the requests
+//! and passes in the responses and the time.
 
 mod reader;
 mod writer;
--- a/crates/record-log/src/reader.rs
+++ b/crates/record-log/src/reader.rs
@@ -30,8 +30,9 @@
 
     /// What the driver has to do about a page. Actions are in the order of the offsets.
     pub enum ReaderAction<T> {
-        /// The log no longer has the records from `expected` (inclusive) to `resumed` (exclusive). The
-        /// driver must rebuild its state from a snapshot record or from a peer.
+        /// The records from `expected` (inclusive) to `resumed` (exclusive) are lost to this
+        /// reader: the log no longer retains them, or the page lacks them. The driver must rebuild
+        /// its state from a snapshot record or from a peer.
         Gap {
             /// Offset that should have come next.
             expected: LogOffset,
--- a/crates/record-log/src/writer.rs
+++ b/crates/record-log/src/writer.rs
@@ -11,7 +11,8 @@
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
-/// Number of acknowledged record ids that each stream remembers, so that a repeated append is dropped.
+/// Number of acknowledged record ids that each stream remembers, so that a repeated append is
+/// dropped.
 const MAX_ACKNOWLEDGED_IDS: usize = 4_096;
 
 derive_value! {
@@ -19,13 +20,15 @@
     pub struct WriterSettings {
         /// Maximum number of records in one batch.
         pub batch_records: usize,
-        /// Maximum bytes of the records in one batch. A larger record is sent in a batch of its own.
+        /// Maximum bytes of the records in one batch. A larger record is sent in a batch of its
+        /// own.
         pub batch_bytes: usize,
         /// Maximum number of buffered records of all streams together, in flight or waiting.
         pub buffer_records: usize,
         /// Maximum bytes of the buffered records of all streams together, in flight or waiting.
         pub buffer_bytes: usize,
-        /// Time without a response after which an attempt counts as failed and the batch is retried.
+        /// Time without a response after which an attempt counts as failed and the batch is
+        /// retried.
         pub ack_timeout: Span,
         /// Upper bound of the backoff before the first retry. It doubles with each further attempt.
         pub initial_backoff: Span,
@@ -147,7 +150,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`BufferFull`] when the record does not fit. The writer does not keep the record then.
+    /// Returns [`BufferFull`] when the record does not fit. The writer does not keep the record
+    /// then.
     pub fn append(&mut self, stream: &str, data: Vec<u8>) -> Result<RecordId, BufferFull> {
         let last = self.streams.get(stream).map_or(0, |queue| queue.last_sequence);
         let id = RecordId { writer: self.incarnation, sequence: last + 1 };
@@ -155,13 +159,14 @@
         Ok(self.next_id(stream))
     }
 
-    /// Buffers a record under an id that is already chosen, for example when a node appends a batch that
-    /// it holds as a replica for another node. A record whose id is buffered or was recently
+    /// Buffers a record under an id that is already chosen, for example when a node appends a batch
+    /// that it holds as a replica for another node. A record whose id is buffered or was recently
     /// acknowledged is not sent again.
     ///
     /// # Errors
     ///
-    /// Returns [`BufferFull`] when the record does not fit. The writer does not keep the record then.
+    /// Returns [`BufferFull`] when the record does not fit. The writer does not keep the record
+    /// then.
     pub fn append_with_id(
         &mut self,
         stream: &str,
@@ -186,8 +191,8 @@
         Ok(())
     }
 
-    /// Sends new batches, and retries batches whose backoff has passed. A batch without a response after
-    /// `ack_timeout` counts as failed and starts its backoff.
+    /// Sends new batches, and retries batches whose backoff has passed. A batch without a response
+    /// after `ack_timeout` counts as failed and starts its backoff.
     pub fn tick(&mut self, now: Moment) -> SmallVec<[WriterAction; 4]> {
         let mut actions = SmallVec::new();
         for (stream, queue) in &mut self.streams {
@@ -223,8 +228,9 @@
         actions
     }
 
-    /// Records that the log has stored the batch from offset `first` on, and sends what can be sent now.
-    /// The response to an earlier attempt counts as well, since all attempts carry the same records.
+    /// Records that the log has stored the batch from offset `first` on, and sends what can be sent
+    /// now. The response to an earlier attempt counts as well, since all attempts carry the same
+    /// records.
     pub fn acknowledge(
         &mut self,
         now: Moment,
@@ -254,8 +260,9 @@
         actions
     }
 
-    /// Records that an attempt failed or that its response was lost. The log may have stored the batch
-    /// nevertheless; it is sent again with the same ids. The failure of an earlier attempt is ignored.
+    /// Records that an attempt failed or that its response was lost. The log may have stored the
+    /// batch nevertheless; it is sent again with the same ids. The failure of an earlier attempt is
+    /// ignored.
     pub fn fail(&mut self, now: Moment, stream: &str, ticket: BatchTicket) {
         let Some(queue) = self.streams.get_mut(stream) else { return };
         let Some(batch) = &mut queue.in_flight else { return };
@@ -332,8 +339,8 @@
         }
     }
 
-    /// Schedules the retry with exponential backoff. The jitter (half to all of the bound) spreads the
-    /// retries of many nodes after an outage that ended for all of them at the same time.
+    /// Schedules the retry with exponential backoff. The jitter (half to all of the bound) spreads
+    /// the retries of many nodes after an outage that ended for all of them at the same time.
     fn back_off(&mut self, now: Moment, settings: &WriterSettings, rng: &mut ChaCha8Rng) {
         let doublings = (self.ticket.attempt - 1).min(20);
         let max_wait =
--- a/crates/record-log/tests/follower.rs
+++ b/crates/record-log/tests/follower.rs
@@ -6,7 +6,8 @@
 
 const MALFORMED: u64 = 0;
 
-/// Builds a page from the sequence numbers of its records. [`MALFORMED`] stands for a malformed record.
+/// Builds a page from the sequence numbers of its records. [`MALFORMED`] stands for a malformed
+/// record.
 fn page(first_retained: u64, start: u64, sequences: &[u64]) -> DecodedPage<u64> {
     let mut records = Vec::new();
     for (offset, sequence) in (start..).map(LogOffset).zip(sequences) {
@@ -25,8 +26,8 @@
     }
 }
 
-/// Guards against a reader that delivers records twice, out of order or not at all, and against a gap
-/// that it does not report.
+/// Guards against a reader that delivers records twice, out of order or not at all, and against a
+/// gap that it does not report.
 #[rstest]
 #[case::in_order(vec![page(0, 0, &[1, 2]), page(0, 2, &[3])], "1@0 2@1 3@2", 3)]
 #[case::repeated_id(vec![page(0, 0, &[1, 2, 1, 3, 2])], "1@0 2@1 3@3", 5)]
--- a/crates/record-log/tests/schedules.rs
+++ b/crates/record-log/tests/schedules.rs
@@ -120,8 +120,8 @@
     Faulty,
 }
 
-/// Guards against accepted records that are lost, delivered twice or out of order when responses are
-/// lost, appends take effect late, and the buffer overflows.
+/// Guards against accepted records that are lost, delivered twice or out of order when responses
+/// are lost, appends take effect late, and the buffer overflows.
 #[rstest]
 fn each_accepted_record_is_delivered_once(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut schedule = Schedule::new(seed);
--- a/crates/record-log/tests/writer.rs
+++ b/crates/record-log/tests/writer.rs
@@ -20,8 +20,8 @@
     batches
 }
 
-/// Guards against batches above the bounds, and against a second batch in flight on one stream, which
-/// could take effect before the first.
+/// Guards against batches above the bounds, and against a second batch in flight on one stream,
+/// which could take effect before the first.
 #[rstest]
 #[case::by_count(&[10; 130], &[64, 64, 2])]
 #[case::by_bytes(&[30_000, 30_000, 30_000, 10], &[2, 2])]
--- a/crates/rollout/src/samples/snapshot.rs
+++ b/crates/rollout/src/samples/snapshot.rs
@@ -11,7 +11,7 @@
 };
 
 /// Maximum number of records buffered until a snapshot of their trainer is read. This is half an
-/// hour of records of two trainers as in section 8 of the design, whose steps of 2,048 samples
+/// hour of records of two trainers (docs/design.md, section 8), whose steps of 2,048 samples
 /// write about 4,200 records each.
 const MAX_BUFFERED_RECORDS: usize = 32_768;
 
--- a/crates/rollout/src/samples/trainer.rs
+++ b/crates/rollout/src/samples/trainer.rs
@@ -19,7 +19,7 @@
 const MAX_RETAINED_STEPS: usize = 4;
 
 /// Maximum number of slots in a step. Bounds the memory that one statement can allocate. Steps have
-/// 2,048 samples in section 8 of the design.
+/// 2,048 samples in docs/design.md, section 8.
 const MAX_SLOTS: usize = 65_536;
 
 /// Maximum number of unfinished steps of one trainer.
--- a/crates/rollout/src/weights.rs
+++ b/crates/rollout/src/weights.rs
@@ -206,8 +206,8 @@
     /// `trainer_version`, which is expected to be `lead` versions higher when the sample is
     /// delivered.
     ///
-    /// The engine may not while it loads weights, or if its version would then be further behind
-    /// than `staleness_bound` versions.
+    /// The engine may not while it loads weights, before it has reported a version, or if its
+    /// version would then be further behind than `staleness_bound` versions.
     #[must_use]
     pub fn may_take(
         &self,
