--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -143,7 +143,7 @@
     }
 
     /// Sets how long this process waits after the earliest moment at which it may claim. Each node
-    /// has another delay, so that they do not all append a claim at the same time.
+    /// has a different delay, so that they do not all append a claim at the same time.
     pub const fn set_claim_delay(&mut self, delay: Span) {
         self.claim_delay = delay;
     }
--- a/crates/clients/src/types.rs
+++ b/crates/clients/src/types.rs
@@ -234,7 +234,8 @@
     pub enum ReportOutcome {
         /// The platform has stored this usage for the window, from this report or an equal one.
         Accepted,
-        /// The platform has other usage for the window, or a report with a higher fencing token.
+        /// The platform has different usage for the window, or a report with a higher fencing
+        /// token.
         Conflict,
     }
 
--- a/crates/configuration/src/isolation.rs
+++ b/crates/configuration/src/isolation.rs
@@ -25,9 +25,10 @@
 
 /// Tracks the last contact with the platform or with a peer of another zone.
 ///
-/// A message from a peer of the own zone is no contact in itself; only the contact that it reports
-/// counts. The nodes of an isolated zone receive each other's messages and still cannot learn of
-/// withdrawn keys. Where the document names a single zone, the caller counts every peer as contact.
+/// A message from a peer of the node's zone is no contact in itself; only the contact that it
+/// reports counts. The nodes of an isolated zone receive each other's messages and still cannot
+/// learn of withdrawn keys. Where the document names a single zone, the caller counts every peer as
+/// contact.
 #[derive(Debug, Clone)]
 pub struct IsolationTracker {
     policy: IsolationPolicy,
@@ -41,8 +42,9 @@
 }
 
 impl IsolationTracker {
-    /// Time without contact after which the node counts as isolated. It equals the heartbeat
-    /// timeout of peers, so that one lost heartbeat does not make the node refuse keys.
+    /// Time without contact after which the node counts as isolated. It equals the default silence
+    /// after which a peer counts as gone, so that one lost heartbeat does not make the node refuse
+    /// keys.
     pub const ISOLATION_TIMEOUT: Span = Span::from_secs(10);
 
     /// Added to the age of a contact that a peer reports, for the unknown transit time of the
@@ -66,7 +68,7 @@
         self.contact = self.contact.max(now);
     }
 
-    /// Records that a peer of the own zone reported its last contact to be `age` old.
+    /// Records that a peer of the node's zone reported its last contact to be `age` old.
     pub fn note_peer_contact(&mut self, now: Moment, age: Span) {
         self.note_contact(now - (age + Self::PEER_CONTACT_ALLOWANCE));
     }
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -25,8 +25,8 @@
     pub struct ClaimTaken {
         /// The claimed key.
         pub claim: ClaimKey,
-        /// Fingerprint of the request. A request with the same key and another fingerprint is not a
-        /// resend and is refused.
+        /// Fingerprint of the request. A request with the same key and a different fingerprint is
+        /// not a resend and is refused.
         pub fingerprint: Fingerprint,
         /// The request that claims the key.
         pub holder: RequestId,
--- a/crates/document/src/gateway.rs
+++ b/crates/document/src/gateway.rs
@@ -113,7 +113,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first problem of syntax or type, or else all values that are out of range.
+    /// Returns the first problem of syntax or type, or else all values that are out of range, each
+    /// with line 1.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<DocumentProblem>> {
         let wire: WireGateway = toml::from_str(text).map_err(|error| {
             let offset = error.span().map_or(0, |span| span.start);
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -67,7 +67,7 @@
         pub means: Vec<u32>,
     }
 
-    /// A snapshot has another time zone or number of slots than the model.
+    /// A snapshot has a different time zone or number of slots than the model.
     pub struct SnapshotMismatch {
         /// The series.
         pub key: DemandKey,
@@ -219,7 +219,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`SnapshotMismatch`] when the snapshot has another time zone or number of slots.
+    /// Returns [`SnapshotMismatch`] when the snapshot has a different time zone or number of
+    /// slots.
     pub fn restore(&mut self, snapshot: &DemandSnapshot) -> Result<(), SnapshotMismatch> {
         let slots = snapshot.means.len();
         let is_same_zone = snapshot.time_zone == self.clock.name();
--- a/crates/membership/src/change.rs
+++ b/crates/membership/src/change.rs
@@ -67,7 +67,7 @@
 
     /// Output of [`crate::PeerTable::handle`], which the caller must carry out.
     pub enum PeerAction {
-        /// Send a heartbeat to a VM. The receiver is usually of the own zone; it may be a gone VM
+        /// Send a heartbeat to a VM. The receiver is usually of the same zone; it may be a gone VM
         /// that is probed, or a VM of another zone that needs one peer update at once.
         SendHeartbeat {
             /// The receiver.
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -34,9 +34,9 @@
 
     /// Queues this node's own finding that a VM is suspect or gone.
     ///
-    /// A node that hears none of its peers is more likely cut off than right about them, so it does
-    /// not send the finding within its zone. It still tells other zones of a gone VM, because it
-    /// may also be the last VM of its zone that runs.
+    /// A node that hears none of its peers is more likely isolated than right about them, so it
+    /// does not send the finding within its zone. It still tells other zones of a gone VM, because
+    /// it may also be the last VM of its zone that runs.
     pub(crate) fn queue_detected_failure(&mut self, vm: VmKey) {
         if !self.hears_no_peer {
             self.queue_update(vm);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -73,7 +73,7 @@
             hears_no_peer: false,
         };
         table.own = table.add(now, own, PeerState::Live);
-        table.vms.get_mut(table.own).expect("the record of the own VM was just added").heard = true;
+        table.vms.get_mut(table.own).expect("the record of this VM was just added").heard = true;
         table.queue_update(table.own);
         table
     }
@@ -124,7 +124,7 @@
         self.by_name.get(name).copied()
     }
 
-    /// Iterates over all known VMs, gone ones and the own one included.
+    /// Iterates over all known VMs, including gone ones and the VM of this node.
     pub fn iter(&self) -> impl Iterator<Item = (VmKey, &VmRecord)> {
         self.vms.iter()
     }
@@ -153,9 +153,9 @@
         self.delegate(&self.own_identity().zone) == Some(self.own)
     }
 
-    /// Returns the VM that holds replicas for this node: one of another zone, or one of the own
-    /// zone when no other zone has a live VM. VMs that are listed as leaving are not chosen. `None`
-    /// when no candidate is left.
+    /// Returns the VM that holds replicas for this node: a live VM of another zone, or one of the
+    /// same zone when there is none elsewhere. VMs that are listed as leaving are not chosen.
+    /// `None` when no candidate is left.
     #[must_use]
     pub fn replica_holder(&self) -> Option<VmKey> {
         let own = self.own_identity();
@@ -249,7 +249,7 @@
         true
     }
 
-    /// Rebuilds the ring of the own zone. Gone VMs stay on it while the platform lists them, so
+    /// Rebuilds the ring of this node's zone. Gone VMs stay on it while the platform lists them, so
     /// that they are probed.
     pub(crate) fn rebuild_ring(&mut self) {
         let zone = &self.own_identity().zone;
@@ -326,7 +326,7 @@
             }
             let since = *record.monitored_since.get_or_insert(now);
             // Exponential backoff, at most 16 times the base: where only the link to this node is
-            // broken, it would otherwise accuse a peer that others hear again and again.
+            // broken, it would otherwise suspect a peer that others hear again and again.
             let suspicion_timeout = Span(suspect_after.0 << record.refuted_accusations.min(4));
             if now.since(record.evidence_at.max(since)) <= suspicion_timeout {
                 continue;
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -146,8 +146,8 @@
     }
 }
 
-/// Guards against a snapshot from which a node that starts late builds another sample table than
-/// the nodes that applied all records.
+/// Guards against a snapshot from which a node that starts late builds a different sample table
+/// than the nodes that applied all records.
 #[test]
 fn sample_entries_are_unchanged_by_encoding_and_decoding() {
     let trainer = TrainerId::from_name("layouts");
--- a/crates/rollout/src/records.rs
+++ b/crates/rollout/src/records.rs
@@ -55,8 +55,8 @@
         pub trainer: TrainerId,
         /// Name of the trainer, as in its requests.
         pub name: String,
-        /// Number of valid statements of this trainer before this one. A record with another number
-        /// is ignored, so an append that takes effect late cannot undo a later statement.
+        /// Number of valid statements of this trainer before this one. A record with a different
+        /// number is ignored, so an append that takes effect late cannot undo a later statement.
         pub follows: u64,
         /// Current weight version of the trainer.
         pub version: WeightVersion,
@@ -73,7 +73,7 @@
     pub struct SampleFilled {
         /// The slot.
         pub slot: SlotKey,
-        /// How many samples of this slot became void before. A record with another number is
+        /// How many samples of this slot became void before. A record with a different number is
         /// refused.
         pub generation: u32,
         /// Identifier of the sample, which is the id of this record.
--- a/crates/rollout/src/samples.rs
+++ b/crates/rollout/src/samples.rs
@@ -112,7 +112,7 @@
     pub enum FillRefusal {
         /// The trainer has not opened this slot.
         SlotUnknown,
-        /// An earlier record filled the slot, or the record states another generation.
+        /// An earlier record filled the slot, or the record states a different generation.
         SlotTaken,
         /// The spans do not cover every token exactly once, or no node holds the bytes.
         Malformed,
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -22,7 +22,7 @@
     pub enum ReportAnswer {
         /// The platform has stored this usage for the window.
         Accepted,
-        /// The platform has stored other usage for the window.
+        /// The platform has stored different usage for the window.
         Conflict,
         /// No response arrived. The report may have been accepted and is sent again.
         Lost,
--- a/crates/usage/tests/billing.rs
+++ b/crates/usage/tests/billing.rs
@@ -195,8 +195,8 @@
     closed + ledger.open_usage().get("portal").requests
 }
 
-/// Guards against a batch that is billed twice or dropped, by whichever process and however often
-/// it is appended.
+/// Guards against a batch that is billed twice or dropped when several processes append it, or one
+/// process appends it several times.
 #[rstest]
 fn each_batch_in_the_log_is_billed_once(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut simulation = Simulation::new(seed);
@@ -214,7 +214,8 @@
     assert!(missing.is_empty(), "seed {seed}: {missing:?}");
 }
 
-/// Guards against a new lease holder that computes other usage after it started from a snapshot.
+/// Guards against a new lease holder that computes different usage after it started from a
+/// snapshot.
 #[rstest]
 fn snapshot_and_replay_agree(#[values(11, 12, 13, 14)] seed: u64) {
     let mut simulation = Simulation::new(seed);
--- a/crates/usage/tests/meter.rs
+++ b/crates/usage/tests/meter.rs
@@ -83,7 +83,8 @@
     assert!(pending.is_empty());
 }
 
-/// Guards against a window that is skipped, or reported with other usage, after a lost response.
+/// Guards against a window that is skipped, or reported with different usage, after a lost
+/// response.
 #[test]
 fn lost_report_is_repeated_with_equal_usage() {
     let fencing = FencingToken(4);
