--- a/crates/delivery/src/suspect/isolation.rs
+++ b/crates/delivery/src/suspect/isolation.rs
@@ -74,7 +74,7 @@
         crashed: &[UpstreamKey],
     ) -> SuspectActions {
         if self.peer_notices.keys().any(|notice| notice.fingerprint == request.fingerprint) {
-            let message = "another node is running the same suspect request in isolation";
+            let message = "another node runs or will run the same suspect request in isolation";
             return SuspectActions::from_iter([refuse(&request, self.run_time, message)]);
         }
         let Some(upstream) = self.choose_upstream(&request, crashed) else {
@@ -166,7 +166,7 @@
             return SuspectActions::new();
         }
         // Two nodes announced the same upstream or suspect at the same time. The node with the
-        // lower incarnation keeps it.
+        // lower incarnation keeps it, but an isolated run that has started continues.
         let mut actions = SuspectActions::new();
         if let Some(slot) = self.slots.get(&notice.upstream)
             && slot.running.is_none()
@@ -178,7 +178,7 @@
             actions.extend(self.requeue(now, notice.upstream, slot.waiting));
         }
         for request in self.remove_requests(notice.fingerprint, &mut actions) {
-            let message = "another node is running the same suspect request in isolation";
+            let message = "another node runs or will run the same suspect request in isolation";
             actions.push(refuse(&request, self.run_time, message));
         }
         actions.extend(self.tick(now));
