--- a/crates/experiments/src/control_cost/takeover.rs
+++ b/crates/experiments/src/control_cost/takeover.rs
@@ -1,4 +1,4 @@
-//! Time until another daemon holds a lease whose holder was killed.
+//! Time until another daemon takes over a lease whose holder was killed.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,17 @@
 use super::statuses;
 use crate::{RunFailed, RunResult};
 
+/// Lease scope whose holder is killed, as `/admin/status` names it.
 const SCOPE: &str = "usage";
 
-/// The default lease term is 10 s and a successor may wait 30 s beyond it.
-const LIMIT: Duration = Duration::from_secs(90);
+/// Well beyond the slowest takeover: the default lease term is 10 s, and a successor may wait 30 s
+/// after it.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Kills the holder `kills` times and returns the milliseconds until a survivor holds the lease.
+/// Kills the lease holder `kills` times. Returns the milliseconds of each takeover, until another
+/// daemon holds the lease.
 ///
-/// Each killed daemon is started again before the next kill.
+/// Before the next kill, the killed daemon is started again and has loaded document `version`.
 pub(crate) async fn time_takeovers(
     fleet: &mut TestFleet,
     kills: usize,
@@ -35,20 +38,25 @@
     Ok(times)
 }
 
-/// Waits until a daemon says that it holds the lease. One that was killed does not answer.
+/// Waits until the status of a daemon says that it holds the lease, at most `TAKEOVER_TIMEOUT` from
+/// `begin`. A killed daemon does not answer, so it is never returned.
 async fn wait_for_holder(fleet: &TestFleet, begin: Instant) -> RunResult<usize> {
     loop {
         let statuses = statuses(fleet).await;
         if let Some(holder) = statuses.iter().position(|status| holds(status, SCOPE)) {
             return Ok(holder);
         }
-        if begin.elapsed() > LIMIT {
-            return Err(RunFailed(format!("taking the scope {SCOPE} within {LIMIT:?}")).into());
+        if begin.elapsed() > TAKEOVER_TIMEOUT {
+            return Err(RunFailed(format!(
+                "no daemon held the lease of scope {SCOPE} within {TAKEOVER_TIMEOUT:?}"
+            ))
+            .into());
         }
         actix_rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
+/// Tells whether a daemon's status shows that it holds the lease of `scope`.
 pub(crate) fn holds(status: &Value, scope: &str) -> bool {
     let leases = status["leases"].as_array().map(Vec::as_slice).unwrap_or_default();
     leases.iter().any(|lease| lease["scope"] == scope && !lease["held"].is_null())
--- a/crates/experiments/src/control_cost/tests.rs
+++ b/crates/experiments/src/control_cost/tests.rs
@@ -6,27 +6,31 @@
     takeover::holds,
 };
 
-/// Guards against reading other fields when the name of the process contains separators.
+/// Guards against reading the wrong fields when the name of the process contains spaces or
+/// parentheses.
 #[test]
-fn processor_time_is_found_behind_any_name() {
+fn cpu_time_is_found_behind_any_process_name() {
     let stat = "7 (a) b (c)) S 1 7 7 0 -1 4194560 100 0 0 0 150 50 0 0 20 0 3 0 100 1 1";
     assert_eq!(cpu_seconds(stat), Some(2.0));
     assert_eq!(cpu_seconds("7 (a) S 1"), None);
     assert_eq!(resident_mb("VmHWM:\t9 kB\nVmRSS:\t  1000 kB\n"), Some(1.024));
 }
 
-/// Guards against a fit that mixes up slope and intercept, or divides by zero with one point.
+/// Guards against a fit that swaps slope and intercept, or divides by zero with one point.
 #[rstest]
 #[case(&[(5.0, 17.0), (10.0, 32.0), (20.0, 62.0)], (3.0, 2.0))]
 #[case(&[(5.0, 7.0)], (0.0, 7.0))]
-fn line_fits_exact_points(#[case] points: &[(f64, f64)], #[case] expected: (f64, f64)) {
+fn least_squares_fits_points_on_a_line(
+    #[case] points: &[(f64, f64)],
+    #[case] expected: (f64, f64),
+) {
     let (slope, intercept) = least_squares(points);
     assert!((slope - expected.0).abs() < 1e-9 && (intercept - expected.1).abs() < 1e-9);
 }
 
 /// Guards against counting a claim of another scope, or one not held, as a takeover.
 #[test]
-fn only_the_holder_of_the_scope_counts() {
+fn only_a_held_lease_of_the_scope_counts() {
     let lease = |scope: &str, held| json!({ "leases": [{ "scope": scope, "held": held }] });
     assert!(holds(&lease("usage", Some(4)), "usage"));
     assert!(!holds(&lease("usage", None::<u64>), "usage"));
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleet: spending against service, clock changes and cheap upstreams, in virtual time.
+//! Fleet experiments in virtual time: spending and unserved demand of several kinds of fleet, weeks
+//! with a clock change, and reclaims of cheap upstreams.
 
 #[cfg(test)]
 mod tests;
@@ -17,7 +18,8 @@
 
 const DAY_MILLIS: i64 = 86_400_000;
 
-/// Scenario file of the subcommand. Demand is in streams in service.
+/// Scenario file of the subcommand. Demand is in concurrent streams, and the prices are per hour
+/// and upstream.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FleetScenario {
@@ -52,7 +54,7 @@
 }
 
 pub(crate) fn run(flags: &flags::Fleet) -> RunResult {
-    let failed = || RunFailed(format!("reading {}", flags.scenario.display()));
+    let failed = || RunFailed(format!("cannot read scenario {}", flags.scenario.display()));
     let text = std::fs::read_to_string(&flags.scenario).change_context_lazy(failed)?;
     let scenario: FleetScenario = toml::from_str(&text).change_context_lazy(failed)?;
     let clock = CivilClock::named(&scenario.time_zone).change_context_lazy(failed)?;
@@ -88,20 +90,25 @@
         table.push(name, outcome.values());
         outcome
     };
-    let fixed = run("static, sized for the peak", FleetKind::Static);
+    let static_fleet = run("static, sized for the peak", FleetKind::Static);
     run("reactive", FleetKind::Reactive);
     run("plan, regular only", FleetKind::RegularPlan);
     let plan = run("plan", FleetKind::Plan);
     report.tables.push(table);
     let target = |name, bound, measured| TargetLine::new(name, TargetBound::Below, bound, measured);
-    report.targets.push(target("spending against static", 0.75, plan.spending / fixed.spending));
-    // "The same service" as a static fleet leaves no more than a hundredth of a percent.
-    let unserved = plan.unserved_percent() - fixed.unserved_percent();
+    report.targets.push(target(
+        "spending against static",
+        0.75,
+        plan.spending / static_fleet.spending,
+    ));
+    // Counts as the same service as a static fleet: at most 0.01 percentage points more of the live
+    // demand unserved.
+    let unserved = plan.unserved_percent() - static_fleet.unserved_percent();
     report.targets.push(target("unserved live % above static", 0.01, unserved));
     report.targets.push(target("live harmed by reclaims %", 0.01, plan.harmed_percent()));
 }
 
-/// Runs the week around each change, from three days before it to four days after it.
+/// Runs the week around each clock change, from three days before it to four days after it.
 fn report_changes(scenario: &FleetScenario, seed: u64, report: &mut RunReport) -> RunResult<()> {
     let columns = [
         "unserved live %",
@@ -113,7 +120,7 @@
     ];
     let mut table = ReportTable::new("week around a clock change", &columns);
     for ClockChange { time_zone, change } in &scenario.clock_changes {
-        let failed = || RunFailed(format!("using time zone {time_zone}"));
+        let failed = || RunFailed(format!("cannot load time zone {time_zone} of the scenario"));
         let clock = CivilClock::named(time_zone).change_context_lazy(failed)?;
         let start = WallTime(change.as_millisecond() - 3 * DAY_MILLIS);
         let run = |kind| run_week(scenario, &clock, start, 7, kind, seed);
--- a/crates/experiments/src/fleet/week.rs
+++ b/crates/experiments/src/fleet/week.rs
@@ -1,4 +1,4 @@
-//! One fleet over some days in steps of a minute.
+//! Simulates one fleet over some days, minute by minute.
 
 use base::{Moment, Span, WallTime, ZoneKey};
 use fleet::{
@@ -14,59 +14,66 @@
 const MINUTE_MILLIS: i64 = 60_000;
 const DAY_MINUTES: i64 = 24 * 60;
 
-/// Upper bound of every pool, far above what the scenarios need.
-const POOL_MAX: u32 = 1_000;
+/// Maximum of upstreams in every pool, far above what the scenarios need.
+const MAX_POOL_SIZE: u32 = 1_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FleetKind {
-    /// Enough regular upstreams for the largest demand, at all times.
+    /// Enough regular upstreams for the peak of the mean demand, at all times.
     Static,
-    /// Follows the demand seen now, with the same pools as the plan.
+    /// The planner with the present demand in place of a forecast.
     Reactive,
-    /// The plan without cheap upstreams.
+    /// The planner without cheap upstreams.
     RegularPlan,
+    /// The planner with forecasts.
     Plan,
-    /// The plan with the offset from UTC that held when learning began.
+    /// The planner, whose forecasts keep the offset from UTC of the time when learning began.
     PlanWithoutClockChange,
 }
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WeekOutcome {
+    // Prices are per hour. Demand is summed over minutes.
     pub(crate) spending: f64,
+    /// Minutes with any unserved live demand.
     pub(crate) short_minutes: u64,
     live: f64,
     unserved: f64,
     /// Unserved live demand while upstreams that replace reclaimed ones start.
-    harmed: f64,
+    unserved_after_reclaim: f64,
     samples: f64,
     samples_delayed: f64,
     served: f64,
     on_cheap: f64,
     reclaims: u64,
+    /// Starts and stops that the planner ordered, refused ones included.
     orders: u64,
 }
 
-/// Upstreams of one zone and kind.
+/// Upstreams of one zone and price class.
 #[derive(Debug, Clone, Default)]
 struct Pool {
     running: u32,
-    /// When each starting upstream is ready.
+    /// When each starting upstream will run.
     starting: Vec<Moment>,
 }
 
 struct Week<'a> {
     scenario: &'a FleetScenario,
     clock: &'a CivilClock,
-    rng: ChaCha8Rng,
-    /// Draws reclaims apart from the noise, so that every fleet meets the same ones.
-    reclaims: ChaCha8Rng,
+    noise_rng: ChaCha8Rng,
+    /// A generator of its own, so that every kind of fleet meets the same reclaims.
+    reclaim_rng: ChaCha8Rng,
+    /// Regular and cheap upstreams of each zone.
     pools: Vec<[Pool; 2]>,
-    /// Until when no cheap upstream can be had in each zone.
-    unavailable: Vec<Moment>,
+    /// Per zone: until when orders for cheap upstreams are refused.
+    cheap_unavailable_until: Vec<Moment>,
+    /// Until when the replacements of the last reclaimed upstreams start.
     replacing_until: Moment,
     outcome: WeekOutcome,
 }
 
+/// Runs a fleet of `kind` for `days` from `start`. The outcome depends only on the arguments.
 pub(crate) fn run_week(
     scenario: &FleetScenario,
     clock: &CivilClock,
@@ -79,10 +86,10 @@
     let mut week = Week {
         scenario,
         clock,
-        rng: ChaCha8Rng::seed_from_u64(seed),
-        reclaims: ChaCha8Rng::seed_from_u64(seed ^ 1),
+        noise_rng: ChaCha8Rng::seed_from_u64(seed),
+        reclaim_rng: ChaCha8Rng::seed_from_u64(seed ^ 1),
         pools: vec![<[Pool; 2]>::default(); zones],
-        unavailable: vec![Moment(0); zones],
+        cheap_unavailable_until: vec![Moment(0); zones],
         replacing_until: Moment(0),
         outcome: WeekOutcome::default(),
     };
@@ -98,41 +105,42 @@
             _ => self.clock.clone(),
         };
         let mut model = DemandModel::new(clock);
-        let keys = self.keys();
+        let keys = self.demand_keys();
         for minute in (0..self.scenario.learn_weeks * 7 * DAY_MINUTES).step_by(5) {
             self.observe(&mut model, &keys, WallTime(learn_from.0 + minute * MINUTE_MILLIS));
         }
         let mut planner = FleetPlanner::new((0..).map(ZoneKey).take(self.pools.len()));
         planner.set_service(self.settings(kind));
-        self.start_static(kind);
+        self.start_static_fleet(kind);
         for minute in 0..days * DAY_MINUTES {
             let wall = WallTime(start.0 + minute * MINUTE_MILLIS);
             let now = Moment(0) + Span::from_secs(60 * minute.unsigned_abs());
-            let seen = self.observe(&mut model, &keys, wall);
-            self.ready(now);
+            let demand = self.observe(&mut model, &keys, wall);
+            self.complete_starts(now);
             if minute > 0 {
                 self.reclaim(now, &mut planner);
             }
             if kind != FleetKind::Static {
                 let forecasts = match kind {
-                    FleetKind::Reactive => seen.clone(),
+                    FleetKind::Reactive => demand.clone(),
                     _ => self.forecasts(&model, &keys, wall, planner.lookahead(SERVICE)),
                 };
-                // A refused order for cheap upstreams is replaced in the same minute.
-                while self.order(now, &mut planner, &forecasts) {}
+                // After a refused order for cheap upstreams, the planner runs again in the same
+                // minute.
+                while self.execute_plan(now, &mut planner, &forecasts) {}
             }
             if minute == 0 {
-                // Every fleet starts the week with what it wants already running.
-                self.ready(Moment(u64::MAX));
+                // Every fleet starts the week with its desired upstreams running.
+                self.complete_starts(Moment(u64::MAX));
             }
-            self.account(now, &seen);
+            self.account(now, &demand);
         }
         self.outcome.clone()
     }
 
     fn settings(&self, kind: FleetKind) -> ServiceSettings {
         let scenario = self.scenario;
-        let cheap_max = if kind == FleetKind::RegularPlan { 0 } else { POOL_MAX };
+        let cheap_max = if kind == FleetKind::RegularPlan { 0 } else { MAX_POOL_SIZE };
         let startup = Span::from_secs(scenario.start_up_seconds);
         let pools = (0..).map(ZoneKey).take(self.pools.len()).flat_map(|zone| {
             let pool = |kind, min, max, price| PoolSettings {
@@ -144,7 +152,7 @@
                 startup,
             };
             [
-                pool(PriceClass::Regular, 1, POOL_MAX, scenario.regular_price),
+                pool(PriceClass::Regular, 1, MAX_POOL_SIZE, scenario.regular_price),
                 pool(PriceClass::Cheap, 0, cheap_max, scenario.cheap_price),
             ]
         });
@@ -152,7 +160,7 @@
         ServiceSettings { utilization: scenario.utilization, ..settings }
     }
 
-    fn start_static(&mut self, kind: FleetKind) {
+    fn start_static_fleet(&mut self, kind: FleetKind) {
         if kind != FleetKind::Static {
             return;
         }
@@ -164,7 +172,7 @@
         }
     }
 
-    fn keys(&self) -> Vec<[DemandKey; 2]> {
+    fn demand_keys(&self) -> Vec<[DemandKey; 2]> {
         let key = |zone: usize, class| DemandKey {
             service: String::from(SERVICE),
             zone: format!("zone-{zone}"),
@@ -174,7 +182,7 @@
         zones.map(|zone| [key(zone, WorkClass::Live), key(zone, WorkClass::Samples)]).collect()
     }
 
-    /// Draws the demand at `wall` and shows it to the model.
+    /// Draws the demand at `wall` and gives it to the demand model.
     fn observe(
         &mut self,
         model: &mut DemandModel,
@@ -183,22 +191,22 @@
     ) -> Vec<ZoneForecast> {
         let scenario = self.scenario;
         let live = scenario.live_peak * self.activity(wall);
-        let mut seen = Vec::new();
+        let mut demand = Vec::new();
         for (index, (share, [live_key, samples_key])) in
             (0..).zip(scenario.zone_shares.iter().zip(keys))
         {
-            let mut noisy = || 1.0 + self.rng.random_range(-scenario.noise..=scenario.noise);
+            let mut noisy = || 1.0 + self.noise_rng.random_range(-scenario.noise..=scenario.noise);
             let live = live * share * noisy();
             let samples = scenario.samples * share * noisy();
             model.observe(wall, live_key, live);
             model.observe(wall, samples_key, samples);
             let service = String::from(SERVICE);
-            seen.push(ZoneForecast { service, zone: ZoneKey(index), live, samples });
+            demand.push(ZoneForecast { service, zone: ZoneKey(index), live, samples });
         }
-        seen
+        demand
     }
 
-    /// Returns the share of the peak at the local time of `wall`.
+    /// Returns the live demand at the local time of `wall` as a share of its peak.
     fn activity(&self, wall: WallTime) -> f64 {
         let scenario = self.scenario;
         let slot = self.clock.slot(wall).0;
@@ -228,23 +236,26 @@
         (0..).zip(keys).map(forecast).collect()
     }
 
-    fn ready(&mut self, now: Moment) {
+    fn complete_starts(&mut self, now: Moment) {
         for pool in self.pools.iter_mut().flatten() {
-            let ready = pool.starting.extract_if(.., |at| *at <= now).count();
-            pool.running += ready as u32;
+            let started = pool.starting.extract_if(.., |at| *at <= now).count();
+            pool.running += started as u32;
         }
     }
 
+    /// Takes all cheap upstreams of a random zone away at `reclaims_per_week`, and refuses new ones
+    /// for a while.
     fn reclaim(&mut self, now: Moment, planner: &mut FleetPlanner) {
         let per_minute = self.scenario.reclaims_per_week / (7 * DAY_MINUTES) as f64;
-        let (draw, zone) = (
-            self.reclaims.random_bool(per_minute),
-            self.reclaims.random_range(0..self.pools.len()),
+        let (is_reclaim, zone) = (
+            self.reclaim_rng.random_bool(per_minute),
+            self.reclaim_rng.random_range(0..self.pools.len()),
         );
-        if !draw {
+        if !is_reclaim {
             return;
         }
-        self.unavailable[zone] = now + Span::from_secs(60 * self.scenario.unavailable_minutes);
+        self.cheap_unavailable_until[zone] =
+            now + Span::from_secs(60 * self.scenario.unavailable_minutes);
         let cheap = std::mem::take(&mut self.pools[zone][1]);
         if cheap.running == 0 && cheap.starting.is_empty() {
             return;
@@ -254,8 +265,9 @@
         planner.record_reclaim(now, ZoneKey(zone as u32));
     }
 
-    /// Carries the plan's orders out. Returns whether an order for cheap upstreams was refused.
-    fn order(
+    /// Runs the planner and executes its orders. Returns whether an order for cheap upstreams was
+    /// refused.
+    fn execute_plan(
         &mut self,
         now: Moment,
         planner: &mut FleetPlanner,
@@ -268,7 +280,8 @@
             match action {
                 FleetAction::Start { zone, price_class, count, .. } => {
                     let index = zone.0 as usize;
-                    if price_class == PriceClass::Cheap && now < self.unavailable[index] {
+                    if price_class == PriceClass::Cheap && now < self.cheap_unavailable_until[index]
+                    {
                         planner.record_cheap_refusal(now, zone);
                         was_refused = true;
                         continue;
@@ -306,14 +319,14 @@
         counts
     }
 
-    /// Adds up one minute. Live callers go first and use regular upstreams first; samples use what
-    /// is left, cheap ones first.
-    fn account(&mut self, now: Moment, seen: &[ZoneForecast]) {
+    /// Adds one minute to the outcome. Live demand is served first, on regular upstreams as far as
+    /// they suffice; samples use what is left, cheap upstreams first.
+    fn account(&mut self, now: Moment, demand: &[ZoneForecast]) {
         let scenario = self.scenario;
-        let live: f64 = seen.iter().map(|zone| zone.live).sum();
-        let samples: f64 = seen.iter().map(|zone| zone.samples).sum();
-        let capacity = |kind: usize| {
-            let running: u32 = self.pools.iter().map(|pools| pools[kind].running).sum();
+        let live: f64 = demand.iter().map(|zone| zone.live).sum();
+        let samples: f64 = demand.iter().map(|zone| zone.samples).sum();
+        let capacity = |class: usize| {
+            let running: u32 = self.pools.iter().map(|pools| pools[class].running).sum();
             f64::from(running) * scenario.capacity
         };
         let (regular, cheap) = (capacity(0), capacity(1));
@@ -331,13 +344,13 @@
         outcome.on_cheap += live_on_cheap + samples_on_cheap;
         outcome.served += live - unserved + samples_on_cheap + samples_on_regular;
         if now < self.replacing_until {
-            outcome.harmed += unserved;
+            outcome.unserved_after_reclaim += unserved;
         }
         for pools in &self.pools {
             let prices = [scenario.regular_price, scenario.cheap_price];
             for (pool, price) in pools.iter().zip(prices) {
-                let paid = f64::from(pool.running) + pool.starting.len() as f64;
-                outcome.spending += paid * f64::from(price) / 60.0;
+                let upstreams = f64::from(pool.running) + pool.starting.len() as f64;
+                outcome.spending += upstreams * f64::from(price) / 60.0;
             }
         }
     }
@@ -349,7 +362,7 @@
     }
 
     pub(crate) fn harmed_percent(&self) -> f64 {
-        100.0 * self.harmed / self.live
+        100.0 * self.unserved_after_reclaim / self.live
     }
 
     pub(crate) fn values(&self) -> Vec<f64> {
--- a/crates/experiments/src/kills.rs
+++ b/crates/experiments/src/kills.rs
@@ -1,4 +1,4 @@
-//! Usage answered to callers against usage billed, under kills of nodes and of a zone.
+//! Compares the usage of answered requests with the usage billed while nodes or a zone are killed.
 
 mod node;
 #[cfg(test)]
@@ -11,9 +11,10 @@
     report::{ReportTable, RunReport, TargetBound, TargetLine},
 };
 
+/// Schedules of each kind.
 const DEFAULT_SEEDS: u64 = 200;
 
-const KINDS: [(KillKind, &str); 4] = [
+const KILL_KINDS: [(KillKind, &str); 4] = [
     (KillKind::None, "no kill"),
     (KillKind::Single, "single kill"),
     (KillKind::Double, "double kill"),
@@ -26,47 +27,48 @@
         "requests lost",
         &["schedules", "answered", "max", "mean", "oldest s", "max unreplicated"],
     );
-    let (mut beyond, mut double, mut excess, mut without_kill) = (0, 0, 0, 0);
-    for (kind, name) in KINDS {
+    let (mut over_bound, mut billed_twice, mut billed_unanswered, mut lost_without_kill) =
+        (0, 0, 0, 0);
+    for (kind, name) in KILL_KINDS {
         let results = (1..=seeds).map(|seed| run_schedule(kind, ReplicaUse::OtherZone, seed));
         let results = results.collect::<Vec<_>>();
         let baseline = (1..=seeds).map(|seed| run_schedule(kind, ReplicaUse::Unused, seed).lost());
-        let max_baseline = baseline.max().unwrap_or(0);
-        beyond += count(&results, |result| result.lost_beyond_bound > 0);
-        double += count(&results, |result| result.billed_twice > 0);
-        excess += count(&results, |result| result.billed_unanswered > 0);
+        let max_unreplicated = baseline.max().unwrap_or(0);
+        over_bound += count(&results, |result| result.lost_beyond_bound > 0);
+        billed_twice += count(&results, |result| result.billed_twice > 0);
+        billed_unanswered += count(&results, |result| result.billed_unanswered > 0);
         if kind == KillKind::None {
-            without_kill += count(&results, |result| result.lost() > 0);
+            lost_without_kill += count(&results, |result| result.lost() > 0);
         }
         let lost = results.iter().map(ScheduleResult::lost);
-        let sum = lost.clone().sum::<u64>() as f64;
+        let total_lost = lost.clone().sum::<u64>() as f64;
         table.push(
             name,
             vec![
                 seeds as f64,
                 results.iter().map(|result| result.answered).sum::<u64>() as f64,
                 lost.max().unwrap_or(0) as f64,
-                sum / seeds.max(1) as f64,
+                total_lost / seeds.max(1) as f64,
                 results.iter().map(|result| result.oldest_lost.as_secs_f64()).fold(0.0, f64::max),
-                max_baseline as f64,
+                max_unreplicated as f64,
             ],
         );
     }
-    let none =
+    let zero_target =
         |name: &str, found: u64| TargetLine::new(name, TargetBound::AtMost, 0.0, found as f64);
     Ok(RunReport {
         title: format!("{seeds} seeded schedules of each kind, with log outages and lost answers"),
         tables: vec![table],
         targets: vec![
-            none("schedules that lost more than the bound", beyond),
-            none("schedules that billed a batch twice", double),
-            none("schedules that billed more than was answered", excess),
-            none("schedules without a kill that lost usage", without_kill),
+            zero_target("schedules that lost more than the bound", over_bound),
+            zero_target("schedules that billed a batch twice", billed_twice),
+            zero_target("schedules that billed more than was answered", billed_unanswered),
+            zero_target("schedules without a kill that lost usage", lost_without_kill),
         ],
         plot: None,
     })
 }
 
-fn count(results: &[ScheduleResult], is_found: impl Fn(&ScheduleResult) -> bool) -> u64 {
-    results.iter().filter(|result| is_found(result)).count() as u64
+fn count(results: &[ScheduleResult], is_counted: impl Fn(&ScheduleResult) -> bool) -> u64 {
+    results.iter().filter(|result| is_counted(result)).count() as u64
 }
--- a/crates/experiments/src/kills/node.rs
+++ b/crates/experiments/src/kills/node.rs
@@ -1,4 +1,5 @@
-//! A node with the real machines of usage.
+//! A simulated node that drives the daemon's state machines for usage: meter, pending batches,
+//! replicas and log writer.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +12,28 @@
 
 pub(crate) const STREAM: &str = "usage";
 
-/// The daemon's times and bounds.
-const RETRY: Span = Span::from_secs(2);
-const TAKEOVER: Span = Span::from_secs(20);
+/// Interval at which a batch that is not confirmed yet is sent or appended again. This and the next
+/// two values are those of the daemon.
+const RETRY_INTERVAL: Span = Span::from_secs(2);
+/// A held batch that the log does not show by then is appended by its replica holder, even if the
+/// process that made it counts as alive.
+const TAKEOVER_DELAY: Span = Span::from_secs(20);
 const REPLICA_CAPACITY: usize = 4_096;
 
-/// One run of one process.
+/// One process. A node that is started again is a new one with the next incarnation.
 pub(crate) struct UsageNode {
     pub(crate) incarnation: Incarnation,
     pub(crate) meter: UsageMeter,
     pub(crate) pending: PendingBatches,
     pub(crate) replicas: ReplicaStore,
     pub(crate) writer: LogWriter,
-    /// Records of the log that were read.
-    pub(crate) read: usize,
-    /// Requests answered that no batch contains yet, with the time of the first.
+    /// Number of log records that this process has read.
+    pub(crate) read_records: usize,
+    /// Answered requests that are in no batch yet, and the time of the first of them.
     pub(crate) unbatched: u64,
     pub(crate) unbatched_since: Moment,
-    /// Copies of batches on this process: own ones and those held for others.
+    /// Requests of each batch of which this process has a copy: its own batches and those held for
+    /// others.
     pub(crate) copies: BTreeMap<RecordId, u64>,
 }
 
@@ -39,18 +44,19 @@
         Self {
             incarnation,
             meter: UsageMeter::new(UsageMeter::DEFAULT_PERIOD),
-            pending: PendingBatches::new(RETRY),
-            replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY, TAKEOVER),
+            pending: PendingBatches::new(RETRY_INTERVAL),
+            replicas: ReplicaStore::new(REPLICA_CAPACITY, RETRY_INTERVAL, TAKEOVER_DELAY),
             writer: LogWriter::new(settings, incarnation, incarnation.0),
-            read: 0,
+            read_records: 0,
             unbatched: 0,
             unbatched_since: Moment(0),
             copies: BTreeMap::new(),
         }
     }
 
-    /// Customer under which this process meters, so that each process is billed for itself.
-    pub(crate) fn customer(incarnation: Incarnation) -> String {
+    /// Returns the customer name under which a process meters. Each process has its own, so that
+    /// its billed usage can be told apart.
+    pub(crate) fn customer_name(incarnation: Incarnation) -> String {
         format!("customer of {}", incarnation.0)
     }
 
@@ -60,14 +66,16 @@
         }
         self.unbatched += 1;
         let amount = UsageAmount { requests: 1, prompt_tokens: 200, generated_tokens: 300 };
-        let customer = Self::customer(self.incarnation);
-        self.meter.record(now, &customer, amount).expect("a batch fits in 64 bits");
+        let customer = Self::customer_name(self.incarnation);
+        self.meter
+            .record(now, &customer, amount)
+            .expect("the counters of a batch do not overflow 64 bits");
     }
 
-    /// Cuts a batch when it is due and returns it.
-    pub(crate) fn cut(&mut self, now: Moment) -> Option<UsageBatch> {
+    /// Closes the current batch if it is due, appends it to the log and returns it.
+    pub(crate) fn close_batch(&mut self, now: Moment) -> Option<UsageBatch> {
         let batch = self.meter.poll(now, || self.writer.next_id(STREAM))?;
-        self.copies.insert(batch.id, requests(&batch));
+        self.copies.insert(batch.id, request_count(&batch));
         self.unbatched = 0;
         self.pending.add(now, batch.clone());
         if !self.append(&batch) {
@@ -76,6 +84,7 @@
         Some(batch)
     }
 
+    /// Gives a batch to the log writer. Returns false if the writer takes no more records.
     pub(crate) fn append(&mut self, batch: &UsageBatch) -> bool {
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
         self.writer.append_with_id(STREAM, batch.id, encode_record(batch.id, &entry)).is_ok()
@@ -88,6 +97,6 @@
     }
 }
 
-pub(crate) fn requests(batch: &UsageBatch) -> u64 {
+pub(crate) fn request_count(batch: &UsageBatch) -> u64 {
     batch.usage.0.values().map(|amount| amount.requests).sum()
 }
--- a/crates/experiments/src/kills/tests.rs
+++ b/crates/experiments/src/kills/tests.rs
@@ -1,10 +1,11 @@
-//! Guards the accounting of kill schedules.
+//! Checks the usage accounting of the kill schedules.
 
 use rstest::rstest;
 
 use super::world::{KillKind, ReplicaUse, run_schedule};
 
-/// Guards against usage that is billed twice, lost beyond the stated bound, or invented.
+/// Guards against usage that is billed twice, lost beyond the stated bound, or billed without an
+/// answered request.
 #[rstest]
 #[case(KillKind::None)]
 #[case(KillKind::Single)]
@@ -20,8 +21,8 @@
     }
 }
 
-/// Guards against schedules that lose nothing for want of faults: without replica holders the loss
-/// must be larger.
+/// Guards against schedules whose kills have no effect: without replica holders they must lose more
+/// than twice as much.
 #[test]
 fn nodes_without_replica_holders_lose_more() {
     let lost = |replica_use| {
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,7 +1,8 @@
-//! Measures policies against baselines.
+//! Load, fault and cost experiments. They drive the state machines and processes of the daemon and
+//! compare the results with baselines and targets.
 //!
 //! Each subcommand is a module with a function `run` that takes its flags and returns a
-//! [`report::RunReport`]. The module `report` prints it as a table or JSON and draws the plot.
+//! [`report::RunReport`], which is printed as tables or JSON. Its plot, if any, is written as SVG.
 
 mod control_cost;
 mod flags;
@@ -24,13 +25,13 @@
     report::RunReport,
 };
 
-/// An experiment could not be run.
+/// An experiment could not be run. Holds the whole message: what failed, and with which value.
 #[derive(Debug)]
 pub(crate) struct RunFailed(pub(crate) String);
 
 impl std::fmt::Display for RunFailed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} failed", self.0)
+        write!(f, "{}", self.0)
     }
 }
 
@@ -65,5 +66,5 @@
     let Some(file) = &flags.plot else { return Ok(()) };
     let svg = report.to_svg()?;
     std::fs::write(file, svg)
-        .change_context_lazy(|| RunFailed(format!("writing {}", file.display())))
+        .change_context_lazy(|| RunFailed(format!("cannot write the plot to {}", file.display())))
 }
--- a/crates/experiments/src/overhead.rs
+++ b/crates/experiments/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What the daemon adds to a call of a plain service, and its highest rate of small requests.
+//! Latency that the daemon adds to a call of a plain service, and its highest rate of small
+//! requests.
 
 use std::{
     net::SocketAddr,
@@ -21,21 +22,22 @@
 
 const TRAFFIC_THREADS: u32 = 2;
 const SERVICES: usize = 4;
-const CALLS: usize = 5_000;
+/// Measured calls of each kind, one at a time.
+const MEASURED_CALLS: usize = 5_000;
 const WARM_UP_CALLS: usize = 500;
 const CLIENT_THREADS: usize = 3;
 const CONNECTIONS_PER_THREAD: usize = 16;
-const CALL_LIMIT: Span = Span::from_secs(10);
+const CALL_TIMEOUT: Span = Span::from_secs(10);
 
-/// What became of a call.
+/// Result of a call that got an expected response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallOutcome {
     Answered,
-    /// The daemon was overloaded by its own estimate.
+    /// Status 503: the daemon refused the call as overload by its own estimate.
     Refused,
 }
 
-/// An open route, so that no customer's limit bounds the rate.
+/// An open route: it needs no key, so no customer's limit bounds the rate.
 const ROUTE: &str = "/v1/open";
 
 pub(crate) fn run(flags: &Overhead) -> RunResult {
@@ -56,30 +58,30 @@
     fleet.first_document(&["derwent"]).await;
     let daemon = fleet.caller_address(0);
     let services = fleet.plain.iter().map(|plain| plain.address(0)).collect::<Vec<_>>();
-    let mut refused_alone = 0;
-    let (direct, through) = latencies(services[0], daemon, &mut refused_alone).await?;
-    let (direct_rate, _) = highest_rate(services, "/open", length).await?;
-    let (daemon_rate, refused) = highest_rate(vec![daemon], ROUTE, length).await?;
+    let mut refused_single = 0;
+    let (direct, via_daemon) = latencies(services[0], daemon, &mut refused_single).await?;
+    let (direct_rate, _) = max_rate(services, "/open", length).await?;
+    let (daemon_rate, refused) = max_rate(vec![daemon], ROUTE, length).await?;
     let millis = |latency: &Histogram<u64>, quantile: f64| {
         latency.value_at_quantile(quantile) as f64 / 1_000.0
     };
     let mut latency = ReportTable::new("one call at a time", &["p50 ms", "p99 ms", "calls"]);
-    for (name, histogram) in [("direct", &direct), ("through the daemon", &through)] {
+    for (name, histogram) in [("direct", &direct), ("through the daemon", &via_daemon)] {
         let values = vec![millis(histogram, 0.5), millis(histogram, 0.99), histogram.len() as f64];
         latency.push(name, values);
     }
     let mut rate = ReportTable::new("closed loop", &["requests/s", "share of direct", "refused"]);
     rate.push("direct", vec![direct_rate, 1.0, 0.0]);
     rate.push("through the daemon", vec![daemon_rate, daemon_rate / direct_rate, refused as f64]);
-    let added = millis(&through, 0.5) - millis(&direct, 0.5);
+    let added_p50_ms = millis(&via_daemon, 0.5) - millis(&direct, 0.5);
     let targets = vec![
-        TargetLine::new("added p50 in ms", TargetBound::Below, 0.3, added),
+        TargetLine::new("added p50 in ms", TargetBound::Below, 0.3, added_p50_ms),
         TargetLine::new("requests/s on 2 threads", TargetBound::AtLeast, 10_000.0, daemon_rate),
         TargetLine::new(
             "refused, one call at a time",
             TargetBound::AtMost,
             0.0,
-            refused_alone as f64,
+            refused_single as f64,
         ),
         TargetLine::new("refused, closed loop", TargetBound::AtMost, 0.0, refused as f64),
     ];
@@ -90,47 +92,53 @@
     Ok(RunReport { title, tables: vec![latency, rate], targets, plot: None })
 }
 
-/// Calls both in turn, so that other work on the machine disturbs both alike.
+/// Measures direct calls and calls through the daemon in turn, so that other work on the machine
+/// affects both alike. Adds the refused calls to `refused`.
 async fn latencies(
     service: SocketAddr,
     daemon: SocketAddr,
     refused: &mut u64,
 ) -> RunResult<(Histogram<u64>, Histogram<u64>)> {
     let http = HttpClient::new(Span::from_secs(5));
-    let new = || {
-        Histogram::<u64>::new_with_bounds(1, CALL_LIMIT.0, 3)
-            .change_context_lazy(|| RunFailed(String::from("building the histogram")))
+    let new_histogram = || {
+        Histogram::<u64>::new_with_bounds(1, CALL_TIMEOUT.0, 3)
+            .change_context_lazy(|| RunFailed(String::from("cannot create the latency histogram")))
     };
-    let (mut direct, mut through) = (new()?, new()?);
-    for number in 0..CALLS + WARM_UP_CALLS {
+    let (mut direct, mut via_daemon) = (new_histogram()?, new_histogram()?);
+    for number in 0..MEASURED_CALLS + WARM_UP_CALLS {
         for (address, path, histogram) in
-            [(service, "/open", &mut direct), (daemon, ROUTE, &mut through)]
+            [(service, "/open", &mut direct), (daemon, ROUTE, &mut via_daemon)]
         {
             let begin = Instant::now();
             let outcome = call(&http, address, path).await?;
             *refused += u64::from(outcome == CallOutcome::Refused);
             if number >= WARM_UP_CALLS && outcome == CallOutcome::Answered {
-                // Nanoseconds are lost, which is below a hundredth of the target.
+                // Rounding to microseconds costs less than a hundredth of the target of 0.3 ms.
                 histogram.saturating_record(begin.elapsed().as_micros() as u64);
             }
         }
     }
-    Ok((direct, through))
+    Ok((direct, via_daemon))
 }
 
 async fn call(http: &HttpClient, address: SocketAddr, path: &str) -> RunResult<CallOutcome> {
     let request = HttpRequest::post(address, path, Bytes::from_static(b"{}"));
-    let answer = http.exchange(request, CALL_LIMIT, 1 << 20).await;
-    let answer = answer.change_context_lazy(|| RunFailed(format!("a call to {address}")))?;
-    match answer.status.as_u16() {
+    let response = http.exchange(request, CALL_TIMEOUT, 1 << 20).await;
+    let response =
+        response.change_context_lazy(|| RunFailed(format!("call to {address}{path} failed")))?;
+    match response.status.as_u16() {
         200 => Ok(CallOutcome::Answered),
         503 => Ok(CallOutcome::Refused),
-        status => Err(RunFailed(format!("a call with the status {status}")).into()),
+        status => Err(RunFailed(format!(
+            "call to {address}{path} returned status {status}, expected 200 or 503"
+        ))
+        .into()),
     }
 }
 
-/// Returns the answers a second with all connections busy, and the number of refusals.
-async fn highest_rate(
+/// Returns the answered requests per second with all connections busy (closed loop), and the number
+/// of refusals.
+async fn max_rate(
     addresses: Vec<SocketAddr>,
     path: &'static str,
     length: Duration,
@@ -166,11 +174,13 @@
     let joined = actix_rt::task::spawn_blocking(move || {
         let rates = threads.into_iter().map(|thread| match thread.join() {
             Ok(rate) => rate,
-            Err(_) => Err(RunFailed(String::from("a client thread")).into()),
+            Err(_) => Err(RunFailed(String::from("a client thread panicked")).into()),
         });
         let rates = rates.collect::<RunResult<Vec<_>>>()?;
         let rate = rates.iter().map(|(rate, _)| rate).sum();
         RunResult::Ok((rate, rates.iter().map(|(_, refused)| refused).sum()))
     });
-    joined.await.change_context_lazy(|| RunFailed(String::from("waiting for the clients")))?
+    joined.await.change_context_lazy(|| {
+        RunFailed(String::from("the task that waits for the client threads failed"))
+    })?
 }
--- a/crates/experiments/src/pick_cost.rs
+++ b/crates/experiments/src/pick_cost.rs
@@ -1,4 +1,4 @@
-//! Time of one choice among many upstreams, measured on this machine.
+//! Time of one pick among many upstreams, measured on this machine.
 
 use std::time::Instant;
 
@@ -23,13 +23,19 @@
     let upstreams = flags.upstreams.unwrap_or(600);
     let choices = flags.choices.unwrap_or(2_000_000);
     let mut table = ReportTable::new("policy", &["us per choice"]);
-    let picker = time(&mut UpstreamPicker::default(), upstreams, choices);
+    let picker = mean_micros(&mut UpstreamPicker::default(), upstreams, choices);
     table.push("route picker", vec![picker]);
-    // The baselines scan all upstreams, so fewer choices give a steady mean.
-    let fewer = (choices / 20).max(1);
-    table.push("least outstanding", vec![time(&mut LeastOutstanding, upstreams, fewer)]);
-    table.push("random", vec![time(&mut RandomPick, upstreams, fewer)]);
-    table.push("round robin", vec![time(&mut RoundRobin::default(), upstreams, fewer)]);
+    // The baselines scan all upstreams, so each pick takes longer and fewer give a stable mean.
+    let baseline_choices = (choices / 20).max(1);
+    table.push(
+        "least outstanding",
+        vec![mean_micros(&mut LeastOutstanding, upstreams, baseline_choices)],
+    );
+    table.push("random", vec![mean_micros(&mut RandomPick, upstreams, baseline_choices)]);
+    table.push(
+        "round robin",
+        vec![mean_micros(&mut RoundRobin::default(), upstreams, baseline_choices)],
+    );
     let name = format!("microseconds per choice among {upstreams} upstreams");
     RunReport {
         title: format!("{choices} choices, prefix affinity and updates of the table included"),
@@ -39,8 +45,9 @@
     }
 }
 
-/// Returns the mean time of a choice in microseconds, with starting and finishing the request.
-fn time(policy: &mut impl PickPolicy, upstreams: u32, choices: u64) -> f64 {
+/// Returns the mean time of a pick in microseconds, including the table updates when the request
+/// starts and finishes.
+fn mean_micros(policy: &mut impl PickPolicy, upstreams: u32, choices: u64) -> f64 {
     let zone_latencies = (0..u64::from(ZONES)).map(Span::from_millis).collect();
     let mut table = UpstreamTable::new(TableSettings::default(), zone_latencies);
     for index in 0..upstreams {
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! Result of a run: tables, targets and a plot.
+//! Result of an experiment: tables, targets and an optional plot, as text, JSON or SVG.
 
 mod plot;
 #[cfg(test)]
@@ -11,7 +11,7 @@
 
 use crate::{RunFailed, RunResult};
 
-/// Everything that a subcommand measured.
+/// Results of one subcommand. The field names are the keys of the JSON output.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct RunReport {
     pub(crate) title: String,
@@ -21,7 +21,7 @@
     pub(crate) plot: Option<PlotFrame>,
 }
 
-/// A table whose first column names the row.
+/// A table of numbers. The title heads the column of row names.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct ReportTable {
     pub(crate) title: String,
@@ -35,7 +35,7 @@
     pub(crate) values: Vec<f64>,
 }
 
-/// A target with its measured figure.
+/// A target and the measured value that is compared with it.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct TargetLine {
     pub(crate) name: String,
@@ -45,7 +45,7 @@
     pub(crate) met: bool,
 }
 
-/// Side of the target on which a figure meets it.
+/// How the measured value must relate to the target to meet it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum TargetBound {
@@ -119,7 +119,7 @@
         for line in &self.targets {
             let TargetLine { name, target, bound, measured, met } = line;
             let (bound, met) = (bound.as_str(), if *met { "met" } else { "NOT MET" });
-            let (target, measured) = (number(*target), number(*measured));
+            let (target, measured) = (format_number(*target), format_number(*measured));
             writeln!(text, "  {name}: {measured} ({bound} {target}): {met}")
                 .expect("writing to a string succeeds");
         }
@@ -128,18 +128,20 @@
 
     /// # Errors
     ///
-    /// Fails when a figure cannot be written as JSON.
+    /// Fails when the report cannot be serialized.
     pub(crate) fn to_json(&self) -> RunResult<String> {
         serde_json::to_string_pretty(self)
-            .change_context_lazy(|| RunFailed(String::from("writing JSON")))
+            .change_context_lazy(|| RunFailed(String::from("cannot serialize the report as JSON")))
     }
 
     /// # Errors
     ///
-    /// Fails when the run has no plot, or the plot cannot be drawn.
+    /// Fails when the experiment has no plot, or the plot cannot be drawn.
     pub(crate) fn to_svg(&self) -> RunResult<String> {
         let Some(frame) = &self.plot else {
-            return Err(RunFailed(String::from("drawing a plot, which this run has not,")).into());
+            return Err(
+                RunFailed(String::from("this experiment has no plot; no SVG is written")).into()
+            );
         };
         plot::draw(frame)
     }
@@ -148,30 +150,31 @@
 impl ReportTable {
     fn write_to(&self, text: &mut String) {
         let names = self.rows.iter().map(|row| row.name.len());
-        let first = names.chain([self.title.len()]).max().unwrap_or(0);
-        let width = |column: usize| {
+        let name_width = names.chain([self.title.len()]).max().unwrap_or(0);
+        let column_width = |column: usize| {
             let values = self.rows.iter().filter_map(|row| row.values.get(column));
-            let widest = values.map(|value| number(*value).len()).max().unwrap_or(0);
+            let widest = values.map(|value| format_number(*value).len()).max().unwrap_or(0);
             widest.max(self.columns[column].len())
         };
-        let widths = (0..self.columns.len()).map(width).collect::<Vec<_>>();
-        let mut line = |name: &str, cells: &mut dyn Iterator<Item = String>| {
-            let mut line = format!("{name:first$}");
+        let widths = (0..self.columns.len()).map(column_width).collect::<Vec<_>>();
+        let mut push_line = |name: &str, cells: &mut dyn Iterator<Item = String>| {
+            let mut line = format!("{name:name_width$}");
             for (cell, width) in cells.zip(&widths) {
                 write!(line, "  {cell:>width$}").expect("writing to a string succeeds");
             }
             text.push_str(line.trim_end());
             text.push('\n');
         };
-        line(&self.title, &mut self.columns.iter().cloned());
+        push_line(&self.title, &mut self.columns.iter().cloned());
         for row in &self.rows {
-            line(&row.name, &mut row.values.iter().map(|value| number(*value)));
+            push_line(&row.name, &mut row.values.iter().map(|value| format_number(*value)));
         }
     }
 }
 
-/// Three significant digits for small figures, whole numbers for large ones.
-fn number(value: f64) -> String {
+/// Formats a value with three decimals below 10, two below 100 and one below 1,000. Whole numbers
+/// and larger values have none.
+fn format_number(value: f64) -> String {
     if value.fract() == 0.0 || value.abs() >= 1_000.0 {
         return format!("{value:.0}");
     }
--- a/crates/experiments/src/report/plot.rs
+++ b/crates/experiments/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Drawing of a plot as SVG.
+//! Draws a plot as SVG.
 
 use error_stack::ResultExt as _;
 use plotters::prelude::{
@@ -9,11 +9,13 @@
 use super::PlotFrame;
 use crate::{RunFailed, RunResult};
 
-const SIZE: (u32, u32) = (960, 540);
+/// Width and height.
+const SIZE_PIXELS: (u32, u32) = (960, 540);
 
 pub(super) fn draw(frame: &PlotFrame) -> RunResult<String> {
     let mut svg = String::new();
-    draw_into(frame, &mut svg).change_context_lazy(|| RunFailed(String::from("drawing a plot")))?;
+    draw_into(frame, &mut svg)
+        .change_context_lazy(|| RunFailed(String::from("cannot draw the plot as SVG")))?;
     Ok(svg)
 }
 
@@ -22,19 +24,19 @@
     svg: &mut String,
 ) -> Result<(), plotters::drawing::DrawingAreaErrorKind<std::io::Error>> {
     let points = || frame.series.iter().flat_map(|series| &series.points);
-    let (mut right, mut top) = (f64::MIN_POSITIVE, f64::MIN_POSITIVE);
+    let (mut max_x, mut max_y) = (f64::MIN_POSITIVE, f64::MIN_POSITIVE);
     for (x, y) in points() {
-        right = right.max(*x);
-        top = top.max(*y);
+        max_x = max_x.max(*x);
+        max_y = max_y.max(*y);
     }
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(&frame.title, ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..right, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y * 1.05)?;
     chart.configure_mesh().x_desc(&frame.x_label).y_desc(&frame.y_label).draw()?;
     for (index, series) in frame.series.iter().enumerate() {
         let color = Palette99::pick(index).mix(1.0);
--- a/crates/experiments/src/report/tests.rs
+++ b/crates/experiments/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! Guards the forms in which figures leave the program.
+//! Checks the text, JSON and SVG output of a report.
 
 use super::{PlotFrame, PlotSeries, ReportTable, RunReport, TargetBound, TargetLine};
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn text_aligns_columns_and_names_missed_targets() {
+fn text_aligns_columns_and_marks_missed_targets() {
     let expected = "run\n\n\
                     policy  p50 ms  p99 ms\n\
                     random   12.50    1234\n\
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn json_carries_figures_and_verdicts() {
+fn json_contains_values_and_whether_targets_are_met() {
     let json = report().to_json().expect("the report is plain data");
     let value: serde_json::Value = serde_json::from_str(&json).expect("the text is JSON");
     assert_eq!(value["tables"][0]["rows"][0]["values"][1], 1_234.5);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn plot_holds_a_line_and_its_name() {
+fn svg_contains_the_line_and_the_name_of_a_series() {
     let svg = report().to_svg().expect("the report has a plot");
     assert!(svg.contains("<polyline") && svg.contains("random"), "{svg}");
     let without = RunReport { plot: None, ..report() };
--- a/crates/experiments/src/rollout.rs
+++ b/crates/experiments/src/rollout.rs
@@ -1,4 +1,5 @@
-//! Rollout: trainer idle time with stragglers, and exactly-once delivery under faults.
+//! Rollout experiments: trainer idle time under several rerun rules, and exactly-once delivery of
+//! samples under faults.
 
 mod faults;
 mod steps;
@@ -28,7 +29,7 @@
 }
 
 pub(crate) fn run(flags: &flags::Rollout) -> RunResult {
-    let failed = || RunFailed(format!("reading {}", flags.scenario.display()));
+    let failed = || RunFailed(format!("cannot read scenario {}", flags.scenario.display()));
     let text = std::fs::read_to_string(&flags.scenario).change_context_lazy(failed)?;
     let scenario: RolloutScenario = toml::from_str(&text).change_context_lazy(failed)?;
     let title = format!("{} with seed {}", flags.scenario.display(), flags.seed);
@@ -72,41 +73,41 @@
     let no_rerun = run_steps(scenario, seed, NoRerun);
     push("no re-run", &no_rerun);
     push("fixed time limit", &run_steps(scenario, seed, FixedTimeoutRule { timeout }));
-    let gain = run_steps(scenario, seed, rule);
-    push("gain over cost", &gain);
+    let cost_benefit = run_steps(scenario, seed, rule);
+    push("gain over cost", &cost_benefit);
     report.tables.push(table);
-    let idle = gain.idle_per_step / no_rerun.idle_per_step.max(1e-9);
-    let extra = 100.0 * gain.extra_share;
+    let idle_ratio = cost_benefit.idle_per_step / no_rerun.idle_per_step.max(1e-9);
+    let extra_percent = 100.0 * cost_benefit.extra_share;
     let target = |name, bound, measured| TargetLine::new(name, TargetBound::Below, bound, measured);
-    report.targets.push(target("trainer idle time against no re-run", 0.5, idle));
-    report.targets.push(target("extra tokens %", 5.0, extra));
+    report.targets.push(target("trainer idle time against no re-run", 0.5, idle_ratio));
+    report.targets.push(target("extra tokens %", 5.0, extra_percent));
 }
 
 fn report_faults(scenario: &FaultScenario, first_seed: u64, report: &mut RunReport) {
-    let mut sum = FaultOutcome::default();
+    let mut total = FaultOutcome::default();
     for seed in first_seed..first_seed + scenario.schedules {
         let outcome = run_schedule(scenario, seed);
         if !outcome.is_clean() {
-            sum.dirty_schedules += 1;
+            total.dirty_schedules += 1;
             eprintln!("schedule with seed {seed}: {outcome:?}");
         }
-        sum.add(&outcome);
+        total.add(&outcome);
     }
     let title = format!("{} fault schedules", scenario.schedules);
     let mut table = ReportTable::new(title, &["count"]);
-    for (name, count) in sum.rows() {
+    for (name, count) in total.rows() {
         table.push(name, vec![count as f64]);
     }
     report.tables.push(table);
-    let bad = [
-        ("stale samples", sum.stale),
-        ("double samples", sum.double),
-        ("lost samples", sum.lost),
-        ("numbers bound twice", sum.rebound),
-        ("samples with wrong versions", sum.wrong_spans),
-        ("books that differ", sum.different_books),
+    let violations = [
+        ("stale samples", total.stale),
+        ("double samples", total.double),
+        ("lost samples", total.lost),
+        ("numbers bound twice", total.rebound),
+        ("samples with wrong versions", total.wrong_spans),
+        ("books that differ", total.different_books),
     ];
-    for (name, count) in bad {
+    for (name, count) in violations {
         report.targets.push(TargetLine::new(name, TargetBound::Below, 1.0, count as f64));
     }
 }
--- a/crates/experiments/src/rollout/faults.rs
+++ b/crates/experiments/src/rollout/faults.rs
@@ -1,4 +1,5 @@
-//! Seeded fault schedules: several nodes follow one log, and a trainer counts what it gets.
+//! Seeded fault schedules: several nodes follow one log, and a trainer counts stale, double, lost
+//! and wrong samples among those it receives.
 
 mod node;
 mod trainer;
@@ -25,28 +26,30 @@
     pub(crate) limit_seconds: f64,
 }
 
-/// What one schedule, or several added up, did and what the trainer counted.
+/// Violations that the trainer counted and faults that were injected, of one schedule or summed
+/// over several.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct FaultOutcome {
-    /// Samples used beyond the staleness bound, by the versions that the engines really had.
+    /// Samples delivered beyond the staleness bound, by the weight versions that the engines really
+    /// had.
     pub(crate) stale: u64,
-    /// Slots of which the trainer has two valid samples.
+    /// Slots of which the trainer held two valid samples at once.
     pub(crate) double: u64,
     /// Slots without a sample at the end.
     pub(crate) lost: u64,
-    /// Delivery numbers that named two samples.
+    /// Delivery numbers that were bound to two samples.
     pub(crate) rebound: u64,
-    /// Samples whose spans differ from what the engines really did.
+    /// Samples whose version spans differ from the versions that the engines really used.
     pub(crate) wrong_spans: u64,
-    /// Nodes whose book differed from that of another node at the end.
+    /// Nodes whose sample table differed from that of the first node at the end.
     pub(crate) different_books: u64,
-    /// Schedules with any of the above.
+    /// Schedules with any of the violations above.
     pub(crate) dirty_schedules: u64,
-    /// Samples used.
+    /// Samples delivered.
     pub(crate) delivered: u64,
-    /// Void numbers that the trainer was told of.
+    /// Void delivery numbers that the trainer received.
     pub(crate) voids: u64,
-    /// Faults injected.
+    /// This and the following fields count injected faults.
     pub(crate) holders_killed: u64,
     pub(crate) nodes_cut_off: u64,
     pub(crate) appends_late: u64,
@@ -55,15 +58,17 @@
     pub(crate) swaps_in_stream: u64,
     pub(crate) engines_reclaimed: u64,
     pub(crate) outages: u64,
+    /// Returns of the trainer to its checkpoint.
     pub(crate) asked_again: u64,
     pub(crate) scoring_failures: u64,
 }
 
 impl FaultOutcome {
-    /// Tells whether the trainer got every slot once, fresh and with its true versions.
+    /// Tells whether the trainer received every slot exactly once, within the staleness bound and
+    /// with the true weight versions, and all nodes agree on the sample table.
     pub(crate) const fn is_clean(&self) -> bool {
-        let wrong = self.stale + self.double + self.lost + self.rebound + self.wrong_spans;
-        wrong + self.different_books == 0
+        let violations = self.stale + self.double + self.lost + self.rebound + self.wrong_spans;
+        violations + self.different_books == 0
     }
 
     pub(crate) const fn add(&mut self, other: &Self) {
@@ -87,7 +92,8 @@
         self.scoring_failures += other.scoring_failures;
     }
 
-    /// Returns the counts of what was delivered and injected.
+    /// Returns the rows of the report: deliveries and injected faults. The other violations are
+    /// reported as targets.
     pub(crate) fn rows(&self) -> Vec<(&'static str, u64)> {
         vec![
             ("schedules with a wrong count", self.dirty_schedules),
--- a/crates/experiments/src/rollout/faults/world.rs
+++ b/crates/experiments/src/rollout/faults/world.rs
@@ -1,4 +1,5 @@
-//! The log, the engines and the faults around the nodes, in ticks of virtual time.
+//! Simulates the log, the engines and the trainer around the nodes, and injects faults, in ticks of
+//! virtual time.
 
 use std::collections::BTreeMap;
 
@@ -14,16 +15,17 @@
 
 use crate::rollout::faults::{
     FaultOutcome, FaultScenario,
-    node::{Fetch, Node, statement},
+    node::{Fetch, Node, new_statement},
     trainer::FaultTrainer,
 };
 
 const TICK: Span = Span::from_millis(50);
 const SERVICE: &str = "draft-models";
 
-/// Time after which peers believe a silent node gone, as in membership.
+/// Time without a heartbeat after which peers count a node as gone.
 const GONE_AFTER: Span = Span::from_secs(3);
 
+/// One attempt of a slot on an engine.
 #[derive(Debug)]
 struct Stream {
     node: Incarnation,
@@ -32,15 +34,16 @@
     length: u32,
     tokens: f64,
     spans: SpanTracker,
-    /// What the engine really did, kept apart from the tracker under test.
-    real: Vec<VersionSpan>,
+    /// Versions that the engine really used, kept apart from the tracker under test.
+    actual_spans: Vec<VersionSpan>,
 }
 
 #[derive(Debug)]
 struct Engine {
     version: WeightVersion,
     loading: Option<(Moment, WeightVersion)>,
-    away_until: Moment,
+    /// The reclaimed engine is replaced then.
+    absent_until: Moment,
     streams: Vec<Stream>,
 }
 
@@ -49,24 +52,29 @@
     rng: ChaCha8Rng,
     now: Moment,
     log: Vec<(RecordId, SampleRecord)>,
-    late: Vec<(Moment, RecordId, SampleRecord)>,
+    /// Appends that take effect at the given time.
+    late_appends: Vec<(Moment, RecordId, SampleRecord)>,
     log_down_until: Moment,
     store_down_until: Moment,
     nodes: Vec<Node>,
-    /// When each vanished node was last heard of.
-    died: BTreeMap<Incarnation, Moment>,
-    revive: Vec<Moment>,
-    incarnations: u64,
+    /// When each killed node was last heard of.
+    killed_at: BTreeMap<Incarnation, Moment>,
+    /// When a new node replaces each killed one.
+    restarts: Vec<Moment>,
+    last_incarnation: u64,
     engines: Vec<Engine>,
     weights: WeightScheduler,
+    /// Scoring calls that succeed: when, on which node, and for which sample.
     scoring: Vec<(Moment, Incarnation, RecordId)>,
-    replies: Vec<(Moment, u64, Vec<Delivery>)>,
+    /// Responses on their way to the trainer, with arrival time and request number.
+    responses: Vec<(Moment, u64, Vec<Delivery>)>,
     trainer: FaultTrainer,
-    truth: BTreeMap<RecordId, Vec<VersionSpan>>,
+    /// Version spans that the engines really generated, by sample.
+    actual_spans: BTreeMap<RecordId, Vec<VersionSpan>>,
     outcome: FaultOutcome,
 }
 
-/// Runs one schedule and returns what the trainer counted.
+/// Runs one schedule. The outcome depends only on the arguments.
 pub(crate) fn run_schedule(scenario: &FaultScenario, seed: u64) -> FaultOutcome {
     let mut world = World::new(scenario, seed);
     let end = Moment(0) + Span::from_micros((scenario.limit_seconds * 1e6) as u64);
@@ -74,15 +82,15 @@
     while world.now < end && world.trainer.step <= scenario.steps {
         world.now += TICK;
         if world.now < faults_end {
-            world.inject();
+            world.inject_faults();
         }
-        world.revive_nodes();
+        world.replace_lost();
         world.load_weights();
         world.run_engines();
         world.deliver_appends();
         world.follow_log();
-        world.score();
-        world.place();
+        world.run_scoring();
+        world.start_open_slots();
         world.void_lost();
         world.drive_trainer();
     }
@@ -101,7 +109,7 @@
             weights.engine_joined(upstream, SERVICE, ZoneKey(0));
             weights.reported(upstream, WeightVersion(1));
             let version = WeightVersion(1);
-            engines.push(Engine { version, loading: None, away_until: now, streams: Vec::new() });
+            engines.push(Engine { version, loading: None, absent_until: now, streams: Vec::new() });
         }
         let count = scenario.nodes as u64;
         Self {
@@ -109,62 +117,64 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
             log: Vec::new(),
-            late: Vec::new(),
+            late_appends: Vec::new(),
             log_down_until: now,
             store_down_until: now,
             nodes: (1..=count).map(|n| Node::new(Incarnation(n))).collect(),
-            died: BTreeMap::new(),
-            revive: Vec::new(),
-            incarnations: count,
+            killed_at: BTreeMap::new(),
+            restarts: Vec::new(),
+            last_incarnation: count,
             engines,
             weights,
             scoring: Vec::new(),
-            replies: Vec::new(),
+            responses: Vec::new(),
             trainer: FaultTrainer::new(TrainerId::from_name("trainer")),
-            truth: BTreeMap::new(),
+            actual_spans: BTreeMap::new(),
             outcome: FaultOutcome::default(),
         }
     }
 
-    fn after(&mut self, millis: std::ops::Range<u64>) -> Moment {
+    /// Returns a random time from now, within the given milliseconds.
+    fn random_time(&mut self, millis: std::ops::Range<u64>) -> Moment {
         self.now + Span::from_millis(self.rng.random_range(millis))
     }
 
-    fn inject(&mut self) {
-        // A holder of an unacknowledged sample dies, or both holders do.
+    fn inject_faults(&mut self) {
+        // Kills the first node that holds bytes of samples, and at times the next one too, so that
+        // samples may lose both holders.
         if self.rng.random_bool(0.006) && self.nodes.len() > 2 {
-            let holders = self.nodes.iter().position(|node| !node.bytes.is_empty());
+            let holders = self.nodes.iter().position(|node| !node.held_samples.is_empty());
             let both = self.rng.random_bool(0.4);
             if let Some(index) = holders {
                 self.kill(index);
                 if both && self.nodes.len() > 2 {
-                    let next = self.nodes.iter().position(|node| !node.bytes.is_empty());
+                    let next = self.nodes.iter().position(|node| !node.held_samples.is_empty());
                     self.kill(next.unwrap_or(0));
                 }
             }
         }
         if self.rng.random_bool(0.004) {
             let index = self.rng.random_range(0..self.nodes.len());
-            self.nodes[index].cut_until = self.after(500..8_000);
+            self.nodes[index].isolated_until = self.random_time(500..8_000);
             self.outcome.nodes_cut_off += 1;
         }
         if self.rng.random_bool(0.004) {
             let index = self.rng.random_range(0..self.engines.len());
             let lost = self.engines[index].streams.drain(..).collect::<Vec<_>>();
-            self.engines[index].away_until = self.after(2_000..10_000);
+            self.engines[index].absent_until = self.random_time(2_000..10_000);
             self.engines[index].loading = None;
             self.weights.engine_left(UpstreamKey(index as u32));
             self.outcome.engines_reclaimed += 1;
             for stream in lost {
-                self.forget_attempt(stream.node, stream.slot);
+                self.remove_attempt(stream.node, stream.slot);
             }
         }
         if self.rng.random_bool(0.002) {
-            self.log_down_until = self.after(500..5_000);
+            self.log_down_until = self.random_time(500..5_000);
             self.outcome.outages += 1;
         }
         if self.rng.random_bool(0.002) {
-            self.store_down_until = self.after(1_000..8_000);
+            self.store_down_until = self.random_time(1_000..8_000);
             self.outcome.outages += 1;
         }
         if self.rng.random_bool(0.002) {
@@ -175,26 +185,26 @@
 
     fn kill(&mut self, index: usize) {
         let node = self.nodes.remove(index);
-        self.died.insert(node.incarnation, self.now);
-        let back = self.after(1_000..5_000);
-        self.revive.push(back);
+        self.killed_at.insert(node.incarnation, self.now);
+        let restart_at = self.random_time(1_000..5_000);
+        self.restarts.push(restart_at);
         self.outcome.holders_killed += 1;
         for engine in &mut self.engines {
             engine.streams.retain(|stream| stream.node != node.incarnation);
         }
     }
 
-    fn revive_nodes(&mut self) {
+    fn replace_lost(&mut self) {
         let now = self.now;
-        let due = self.revive.extract_if(.., |at| *at <= now).count();
+        let due = self.restarts.extract_if(.., |at| *at <= now).count();
         for _ in 0..due {
-            self.incarnations += 1;
-            self.nodes.push(Node::new(Incarnation(self.incarnations)));
+            self.last_incarnation += 1;
+            self.nodes.push(Node::new(Incarnation(self.last_incarnation)));
         }
         for (index, engine) in (0..).zip(&mut self.engines) {
             let upstream = UpstreamKey(index);
-            if engine.away_until <= now && self.weights.engine(upstream).is_none() {
-                // The replacement starts with the first version and must load.
+            if engine.absent_until <= now && self.weights.engine(upstream).is_none() {
+                // The replacement starts with version 1 and must load the current one.
                 engine.version = WeightVersion(1);
                 self.weights.engine_joined(upstream, SERVICE, ZoneKey(0));
                 self.weights.reported(upstream, WeightVersion(1));
@@ -207,13 +217,13 @@
         for action in self.weights.poll(self.now) {
             let WeightAction::Load { upstream, version } = action else { continue };
             if self.now < self.store_down_until || self.rng.random_bool(0.1) {
-                // Half of the failed loads are never reported as failed.
+                // Half of the failures are not reported, so that the load runs into its timeout.
                 if self.rng.random_bool(0.5) {
                     self.weights.load_failed(self.now, upstream);
                 }
                 continue;
             }
-            let done = self.after(200..600);
+            let done = self.random_time(200..600);
             self.engines[upstream.0 as usize].loading = Some((done, version));
         }
         for (index, engine) in (0..).zip(&mut self.engines) {
@@ -237,10 +247,13 @@
                 let from = stream.spans.tokens();
                 let to = (stream.tokens as u32).min(stream.length);
                 let version = engine.version;
-                stream.spans.append(from, to - from, version).expect("pieces are in order");
-                match stream.real.last_mut() {
+                stream
+                    .spans
+                    .append(from, to - from, version)
+                    .expect("the spans of a stream are appended in token order");
+                match stream.actual_spans.last_mut() {
                     Some(last) if last.version == version => last.to = to,
-                    _ if to > from => stream.real.push(VersionSpan { version, from, to }),
+                    _ if to > from => stream.actual_spans.push(VersionSpan { version, from, to }),
                     _ => {}
                 }
             }
@@ -254,14 +267,14 @@
     fn finish_stream(&mut self, stream: Stream) {
         let Some(index) = self.node_index(stream.node) else { return };
         let sample = self.nodes[index].next_id();
-        self.truth.insert(sample, stream.real);
+        self.actual_spans.insert(sample, stream.actual_spans);
         let mut holders = smallvec::smallvec![stream.node];
-        self.nodes[index].bytes.insert(sample);
+        self.nodes[index].held_samples.insert(sample);
         let peer = self.rng.random_range(0..self.nodes.len());
         let is_reachable =
-            !self.nodes[peer].is_cut(self.now) && !self.nodes[index].is_cut(self.now);
+            !self.nodes[peer].is_isolated(self.now) && !self.nodes[index].is_isolated(self.now);
         if peer != index && is_reachable {
-            self.nodes[peer].bytes.insert(sample);
+            self.nodes[peer].held_samples.insert(sample);
             holders.push(self.nodes[peer].incarnation);
         }
         let filled = SampleFilled {
@@ -281,30 +294,32 @@
         if now < self.log_down_until {
             return;
         }
-        for (_, id, record) in self.late.extract_if(.., |(at, _, _)| *at <= now) {
+        for (_, id, record) in self.late_appends.extract_if(.., |(at, _, _)| *at <= now) {
             self.log.push((id, record));
         }
         for index in 0..self.nodes.len() {
-            if self.nodes[index].is_cut(now) {
+            if self.nodes[index].is_isolated(now) {
                 continue;
             }
-            for outgoing in self.nodes[index].due_appends(now) {
+            for pending in self.nodes[index].due_appends(now) {
                 match self.rng.random_range(0..100) {
-                    // The append takes effect long after its answer was lost, and is sent again.
+                    // The response is lost and the append takes effect late, when it has been sent
+                    // again.
                     0..4 => {
-                        let at = self.after(600..6_000);
-                        self.late.push((at, outgoing.id, outgoing.record));
+                        let at = self.random_time(600..6_000);
+                        self.late_appends.push((at, pending.id, pending.record));
                         self.outcome.appends_late += 1;
                     }
-                    // The append takes effect, but its answer is lost.
+                    // The append takes effect, but its response is lost.
                     4..10 => {
-                        self.log.push((outgoing.id, outgoing.record));
+                        self.log.push((pending.id, pending.record));
                         self.outcome.append_answers_lost += 1;
                     }
+                    // The append is lost.
                     10..14 => {}
                     _ => {
-                        self.log.push((outgoing.id, outgoing.record));
-                        self.nodes[index].outgoing.retain(|other| other.id != outgoing.id);
+                        self.log.push((pending.id, pending.record));
+                        self.nodes[index].pending_appends.retain(|other| other.id != pending.id);
                     }
                 }
             }
@@ -312,9 +327,10 @@
         self.drop_repeats();
     }
 
-    /// Readers drop repeats of a record id. All do so alike, so it is done once here.
+    /// Removes records with a repeated id from the unread end of the log. In the product each
+    /// reader drops repeats; since all drop the same ones, it is done once here.
     fn drop_repeats(&mut self) {
-        let read = self.nodes.iter().map(|node| node.offset).max().unwrap_or(0);
+        let read = self.nodes.iter().map(|node| node.next_offset).max().unwrap_or(0);
         let mut index = read.min(self.log.len());
         while index < self.log.len() {
             let id = self.log[index].0;
@@ -329,43 +345,46 @@
     fn follow_log(&mut self) {
         let now = self.now;
         for index in 0..self.nodes.len() {
-            // Nodes lag behind each other by a few ticks.
-            if self.nodes[index].is_cut(now)
+            // A node skips 40% of the ticks, so that nodes lag behind each other.
+            if self.nodes[index].is_isolated(now)
                 || now < self.log_down_until
                 || self.rng.random_bool(0.4)
             {
                 continue;
             }
-            while self.nodes[index].offset < self.log.len() {
-                let (id, record) = self.log[self.nodes[index].offset].clone();
-                if let Some((request, answer)) = self.nodes[index].follow(now, id, &record) {
-                    self.reply(index, request, answer.unwrap_or_default());
+            while self.nodes[index].next_offset < self.log.len() {
+                let (id, record) = self.log[self.nodes[index].next_offset].clone();
+                if let Some((request, response)) = self.nodes[index].apply_record(now, id, &record)
+                {
+                    self.respond(index, request, response.unwrap_or_default());
                 }
             }
-            self.nodes[index].state(now);
+            self.nodes[index].append_statement(now);
         }
     }
 
-    /// Sends an answer up to the first sample whose bytes no reachable node holds.
-    fn reply(&mut self, index: usize, request: u64, answer: Vec<Delivery>) {
+    /// Sends a response to the trainer, cut before the first sample whose bytes no reachable node
+    /// holds. 8% of the responses are lost.
+    fn respond(&mut self, index: usize, request: u64, response: Vec<Delivery>) {
         let now = self.now;
         let me = self.nodes[index].incarnation;
-        let can_fetch = |entry: &Delivery| match entry {
+        let can_fetch = |delivery: &Delivery| match delivery {
             Delivery::Sample { filled, .. } => self.nodes.iter().any(|node| {
-                (node.incarnation == me || !node.is_cut(now)) && node.bytes.contains(&filled.sample)
+                (node.incarnation == me || !node.is_isolated(now))
+                    && node.held_samples.contains(&filled.sample)
             }),
             Delivery::Void { .. } | Delivery::Retired { .. } => true,
         };
-        let answer: Vec<Delivery> = answer.into_iter().take_while(can_fetch).collect();
+        let response: Vec<Delivery> = response.into_iter().take_while(can_fetch).collect();
         if self.rng.random_bool(0.08) {
             self.outcome.answers_lost += 1;
             return;
         }
-        let at = self.after(5..300);
-        self.replies.push((at, request, answer));
+        let at = self.random_time(5..300);
+        self.responses.push((at, request, response));
     }
 
-    fn score(&mut self) {
+    fn run_scoring(&mut self) {
         let now = self.now;
         for index in 0..self.nodes.len() {
             for action in self.nodes[index].scores.poll(now, 64) {
@@ -379,7 +398,7 @@
                     // The call never ends and runs into its timeout.
                     20..22 => self.outcome.scoring_failures += 1,
                     _ => {
-                        let at = self.after(50..400);
+                        let at = self.random_time(50..400);
                         self.scoring.push((at, node, sample));
                     }
                 }
@@ -393,7 +412,7 @@
         }
     }
 
-    fn place(&mut self) {
+    fn start_open_slots(&mut self) {
         let live: Vec<Incarnation> = self.nodes.iter().map(|node| node.incarnation).collect();
         for index in 0..self.nodes.len() {
             let open: Vec<_> = self.nodes[index].table.open_slots(self.trainer.id).collect();
@@ -402,7 +421,8 @@
                 let item = slot.step << 32 | u64::from(slot.group) << 16 | u64::from(slot.index);
                 let owner = live.iter().max_by_key(|n| rendezvous_weight(n.0, item)).copied();
                 let me = self.nodes[index].incarnation;
-                // Views of who owns a slot differ at times, and late slots run twice.
+                // Nodes disagree at times on who owns a slot, and stragglers are rerun: at random,
+                // a node starts a slot that another node owns.
                 if owner != Some(me) && !self.rng.random_bool(0.002) {
                     continue;
                 }
@@ -425,13 +445,13 @@
         let mean = self.scenario.mean_tokens;
         let length = self.rng.random_range(mean / 2..mean * 2);
         let node = self.nodes[index].incarnation;
-        let (spans, real) = (SpanTracker::default(), Vec::new());
-        let stream = Stream { node, slot, generation, length, tokens: 0.0, spans, real };
+        let (spans, actual_spans) = (SpanTracker::default(), Vec::new());
+        let stream = Stream { node, slot, generation, length, tokens: 0.0, spans, actual_spans };
         self.engines[engine as usize].streams.push(stream);
         self.nodes[index].running.insert(slot, generation);
     }
 
-    fn forget_attempt(&mut self, node: Incarnation, slot: SlotKey) {
+    fn remove_attempt(&mut self, node: Incarnation, slot: SlotKey) {
         if let Some(index) = self.node_index(node) {
             self.nodes[index].running.remove(&slot);
         }
@@ -439,28 +459,28 @@
 
     fn void_lost(&mut self) {
         let now = self.now;
-        let mut silent = self.died.clone();
-        for node in self.nodes.iter().filter(|node| node.is_cut(now)) {
+        let mut silent = self.killed_at.clone();
+        for node in self.nodes.iter().filter(|node| node.is_isolated(now)) {
             silent.insert(node.incarnation, now - GONE_AFTER);
         }
         let is_gone = |holder| silent.get(&holder).is_some_and(|&at| now.since(at) >= GONE_AFTER);
-        if let Some(node) = self.nodes.iter_mut().find(|node| !node.is_cut(now)) {
+        if let Some(node) = self.nodes.iter_mut().find(|node| !node.is_isolated(now)) {
             node.void_lost(now, is_gone);
         }
     }
 
     fn drive_trainer(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.replies.extract_if(.., |(at, _, _)| *at <= now).collect();
-        for (_, request, answer) in due {
-            // The trainer has closed the connections of earlier requests.
-            if request != self.trainer.request || self.trainer.asked.is_none() {
+        let due: Vec<_> = self.responses.extract_if(.., |(at, _, _)| *at <= now).collect();
+        for (_, request, response) in due {
+            // The trainer has abandoned earlier requests and closed their connections.
+            if request != self.trainer.request || self.trainer.requested_at.is_none() {
                 continue;
             }
             let bound = self.scenario.staleness_bound;
-            self.trainer.receive(&answer, bound, &self.truth, &mut self.outcome);
+            self.trainer.receive(&response, bound, &self.actual_spans, &mut self.outcome);
         }
-        if !self.trainer.must_ask(now) {
+        if !self.trainer.must_request(now) {
             return;
         }
         self.trainer.train(self.scenario, &mut self.rng);
@@ -468,10 +488,10 @@
             return;
         }
         self.trainer.request += 1;
-        self.trainer.asked = Some(now);
+        self.trainer.requested_at = Some(now);
         let opened = Some(self.trainer.shape(self.scenario));
         let index = self.rng.random_range(0..self.nodes.len());
-        let stated = statement(
+        let stated = new_statement(
             self.trainer.id,
             self.trainer.weight_version(),
             self.scenario.staleness_bound,
@@ -488,10 +508,10 @@
     }
 
     fn finish(mut self) -> FaultOutcome {
-        self.trainer.count(self.scenario, &mut self.outcome);
+        self.trainer.count_slots(self.scenario, &mut self.outcome);
         for node in &mut self.nodes {
-            while let Some((id, record)) = self.log.get(node.offset) {
-                node.follow(self.now, *id, record);
+            while let Some((id, record)) = self.log.get(node.next_offset) {
+                node.apply_record(self.now, *id, record);
             }
         }
         let first = &self.nodes[0].table;
--- a/crates/experiments/src/rollout/steps.rs
+++ b/crates/experiments/src/rollout/steps.rs
@@ -1,4 +1,5 @@
-//! Steps of several trainers on engines of which a few are slow, in virtual time.
+//! Simulates the steps of several trainers on engines of which a few are slow, in virtual time.
+//! Shows how long the trainers wait under a rerun rule.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +38,7 @@
     pub(crate) tokens_per_second_gained: f64,
 }
 
-/// Measures of one run. Times are in seconds, over all trainers.
+/// Results of one run over all trainers. Times are in seconds.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StepOutcome {
     pub(crate) idle_per_step: f64,
@@ -52,26 +53,33 @@
     pub(crate) steps: u64,
 }
 
+/// One attempt of a slot on an engine.
 #[derive(Debug)]
 struct Stream {
     slot: SlotKey,
     generation: u32,
+    /// Generated so far.
     tokens: f64,
+    /// Tokens at which the sample is complete.
     length: u32,
     spans: SpanTracker,
 }
 
 #[derive(Debug)]
 struct Engine {
+    /// Tokens per second of each stream.
     rate: f64,
     version: WeightVersion,
+    /// When the load of the given version ends. No tokens are generated meanwhile.
     loading: Option<(Moment, WeightVersion)>,
     streams: Vec<Stream>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
+    /// Waits for samples since then.
     Waiting(Moment),
+    /// Trains until then.
     Training(Moment),
 }
 
@@ -86,7 +94,8 @@
     opened_at: BTreeMap<u64, Moment>,
     received: BTreeMap<u64, usize>,
     phase: Phase,
-    idle: f64,
+    idle_seconds: f64,
+    /// Seconds from the opening of each step until all its samples were received.
     completions: Vec<f64>,
 }
 
@@ -100,26 +109,28 @@
     weights: WeightScheduler,
     engines: Vec<Engine>,
     trainers: Vec<Trainer>,
+    /// Filled samples, and when the score of each is known.
     scoring: Vec<(Moment, SampleBound)>,
+    /// Slots with at least one stream.
     running: BTreeSet<SlotKey>,
     sequence: u64,
     staleness: Vec<u64>,
     outcome: StepOutcome,
 }
 
-/// Runs every step of every trainer under `rule`.
+/// Runs every step of every trainer, with reruns as `rule` decides.
 pub(crate) fn run_steps<R: RerunRule>(scenario: &StepScenario, seed: u64, rule: R) -> StepOutcome {
     let mut run = Run::new(scenario, seed, rule);
     while run.trainers.iter().any(|trainer| trainer.step <= scenario.steps) {
         run.now += TICK;
         run.load_weights();
-        run.advance();
+        run.generate_tokens();
         run.bind_scored();
         for index in 0..run.trainers.len() {
             run.drive_trainer(index);
         }
-        run.place();
-        run.rerun();
+        run.start_open_slots();
+        run.rerun_stragglers();
     }
     run.finish()
 }
@@ -132,13 +143,13 @@
             ..WeightSettings::default()
         };
         let mut weights = WeightScheduler::new(now, settings);
-        let slow = (f64::from(scenario.engines) * scenario.slow_share).round() as u32;
+        let slow_engines = (f64::from(scenario.engines) * scenario.slow_share).round() as u32;
         let mut engines = Vec::new();
         for index in 0..scenario.engines {
             weights.engine_joined(UpstreamKey(index), SERVICE, ZoneKey(index % 3));
             weights.reported(UpstreamKey(index), WeightVersion(1));
-            let factor = if index < slow { scenario.slow_factor } else { 1.0 };
-            let rate = scenario.tokens_per_second / factor;
+            let slowdown = if index < slow_engines { scenario.slow_factor } else { 1.0 };
+            let rate = scenario.tokens_per_second / slowdown;
             let version = WeightVersion(1);
             engines.push(Engine { rate, version, loading: None, streams: Vec::new() });
         }
@@ -184,7 +195,7 @@
         }
     }
 
-    fn advance(&mut self) {
+    fn generate_tokens(&mut self) {
         let mut finished = Vec::new();
         for (index, engine) in (0..).zip(&mut self.engines) {
             if engine.loading.is_some() {
@@ -195,7 +206,10 @@
                 stream.tokens += rate * TICK.as_secs_f64();
                 let tokens = (stream.tokens as u32).min(stream.length);
                 let from = stream.spans.tokens();
-                stream.spans.append(from, tokens - from, version).expect("pieces are in order");
+                stream
+                    .spans
+                    .append(from, tokens - from, version)
+                    .expect("the spans of a stream are appended in token order");
                 self.stragglers.progress(stream.slot, UpstreamKey(index), tokens);
                 if tokens == stream.length {
                     finished.push((UpstreamKey(index), stream.slot));
@@ -209,10 +223,10 @@
 
     fn finish_stream(&mut self, upstream: UpstreamKey, slot: SlotKey) {
         // Another attempt may have finished in the same tick and cancelled this one.
-        let Some(stream) = self.take_stream(upstream, slot) else { return };
+        let Some(stream) = self.remove_stream(upstream, slot) else { return };
         for action in self.stragglers.finished(self.now, slot, upstream, stream.length) {
             let StragglerAction::Cancel { slot, upstream } = action else { continue };
-            self.take_stream(upstream, slot);
+            self.remove_stream(upstream, slot);
         }
         self.running.remove(&slot);
         self.sequence += 1;
@@ -230,7 +244,7 @@
         self.scoring.push((self.now + span(self.scenario.score_seconds), bound));
     }
 
-    fn take_stream(&mut self, upstream: UpstreamKey, slot: SlotKey) -> Option<Stream> {
+    fn remove_stream(&mut self, upstream: UpstreamKey, slot: SlotKey) -> Option<Stream> {
         let streams = &mut self.engines[upstream.0 as usize].streams;
         let position = streams.iter().position(|stream| stream.slot == slot)?;
         Some(streams.swap_remove(position))
@@ -279,7 +293,7 @@
         let slots = scenario.groups as usize * scenario.samples_per_group as usize;
         let Phase::Waiting(since) = trainer.phase else { return };
         if trainer.received.get(&trainer.step) == Some(&slots) {
-            trainer.idle += self.now.since(since).as_secs_f64();
+            trainer.idle_seconds += self.now.since(since).as_secs_f64();
             trainer.phase = Phase::Training(self.now + span(scenario.train_seconds));
         }
     }
@@ -296,9 +310,12 @@
             acknowledged: trainer.acknowledged,
             opened,
         }));
-        let answer = self.table.deliveries(trainer.id, follows + 1).expect("the last statement");
-        for entry in answer {
-            match entry {
+        let deliveries = self
+            .table
+            .deliveries(trainer.id, follows + 1)
+            .expect("the sample table has the deliveries of the statement that it just applied");
+        for delivery in deliveries {
+            match delivery {
                 Delivery::Sample { number, filled, .. } => {
                     trainer.acknowledged = number;
                     let step = filled.slot.step;
@@ -322,8 +339,8 @@
         }
     }
 
-    /// Fills free streams with open slots, sharing them between the trainers.
-    fn place(&mut self) {
+    /// Starts open slots on free streams, shared fairly between the trainers.
+    fn start_open_slots(&mut self) {
         let mut open: BTreeMap<TrainerId, Vec<_>> = BTreeMap::new();
         for trainer in &self.trainers {
             let slots = self.table.open_slots(trainer.id);
@@ -342,21 +359,24 @@
         }
     }
 
-    fn rerun(&mut self) {
+    fn rerun_stragglers(&mut self) {
         let free = self.engines.iter().map(|e| self.scenario.streams_per_engine - e.streams.len());
         let free = free.sum();
         for action in self.stragglers.poll(self.now, free) {
             let StragglerAction::Rerun { slot, avoid } = action else { continue };
             let Some(upstream) = self.free_engine(slot.trainer, Some(avoid)) else { continue };
             let streams = &self.engines[avoid.0 as usize].streams;
-            let late = streams.iter().find(|stream| stream.slot == slot);
-            let generation = late.expect("a late slot has a stream").generation;
+            let straggler = streams.iter().find(|stream| stream.slot == slot);
+            let generation = straggler
+                .expect("a slot that is rerun has a stream on the engine to avoid")
+                .generation;
             self.outcome.reruns += 1;
             self.start(upstream, slot, generation);
         }
     }
 
-    /// Returns a random engine with a free stream, so that only the policy tells slow ones apart.
+    /// Returns a random engine with a free stream. The choice does not know slow engines, so that
+    /// the difference between runs comes from the rerun rule alone.
     fn free_engine(&mut self, id: TrainerId, avoid: Option<UpstreamKey>) -> Option<UpstreamKey> {
         let trainer = self.trainers.iter().find(|trainer| trainer.id == id)?;
         let (version, bound) = (WeightVersion(trainer.version), self.scenario.staleness_bound);
@@ -364,7 +384,7 @@
         for (index, engine) in (0..).zip(&self.engines) {
             let upstream = UpstreamKey(index);
             let has_room = engine.streams.len() < self.scenario.streams_per_engine;
-            // Samples are used after the step in training, so one version later.
+            // A sample is delivered after the step that is being trained, so one version later.
             if has_room
                 && Some(upstream) != avoid
                 && self.weights.may_take(upstream, version, bound, 1)
@@ -381,9 +401,9 @@
     fn start(&mut self, upstream: UpstreamKey, slot: SlotKey, generation: u32) {
         // Samples of a group share a prompt and have similar lengths.
         let group = u64::from(slot.group) + slot.step * 1_000 + slot.trainer.0;
-        let shared: f64 = ChaCha8Rng::seed_from_u64(group).random_range(0.7..1.3);
-        let factor = shared * self.rng.random_range(0.8..1.2);
-        let length = (self.scenario.mean_tokens * factor) as u32;
+        let group_factor: f64 = ChaCha8Rng::seed_from_u64(group).random_range(0.7..1.3);
+        let length_factor = group_factor * self.rng.random_range(0.8..1.2);
+        let length = (self.scenario.mean_tokens * length_factor) as u32;
         let spans = SpanTracker::default();
         let stream = Stream { slot, generation, tokens: 0.0, length, spans };
         self.engines[upstream.0 as usize].streams.push(stream);
@@ -394,15 +414,16 @@
         let mut completions: Vec<f64> =
             self.trainers.iter().flat_map(|trainer| trainer.completions.iter().copied()).collect();
         completions.sort_by(f64::total_cmp);
-        let at =
-            |share: f64| completions[((completions.len() - 1) as f64 * share).round() as usize];
-        let idle: f64 = self.trainers.iter().map(|trainer| trainer.idle).sum();
-        let total = self.now.since(Moment(0)).as_secs_f64() * self.trainers.len() as f64;
+        let quantile = |fraction: f64| {
+            completions[((completions.len() - 1) as f64 * fraction).round() as usize]
+        };
+        let idle_seconds: f64 = self.trainers.iter().map(|trainer| trainer.idle_seconds).sum();
+        let total_seconds = self.now.since(Moment(0)).as_secs_f64() * self.trainers.len() as f64;
         let (useful, extra) = self.stragglers.tokens();
-        self.outcome.idle_per_step = idle / completions.len() as f64;
-        self.outcome.idle_share = idle / total;
-        self.outcome.completion_p50 = at(0.5);
-        self.outcome.completion_p99 = at(0.99);
+        self.outcome.idle_per_step = idle_seconds / completions.len() as f64;
+        self.outcome.idle_share = idle_seconds / total_seconds;
+        self.outcome.completion_p50 = quantile(0.5);
+        self.outcome.completion_p99 = quantile(0.99);
         self.outcome.max_staleness = self.staleness.iter().copied().max().unwrap_or(0);
         self.outcome.mean_staleness =
             self.staleness.iter().sum::<u64>() as f64 / self.staleness.len().max(1) as f64;
@@ -424,7 +445,7 @@
             opened_at: BTreeMap::new(),
             received: BTreeMap::new(),
             phase: Phase::Waiting(Moment(0)),
-            idle: 0.0,
+            idle_seconds: 0.0,
             completions: Vec::new(),
         }
     }
--- a/crates/experiments/src/rollout/tests.rs
+++ b/crates/experiments/src/rollout/tests.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn fault_schedules_deliver_every_slot_once() {
-    // With seed 73 a node repeated the refused statement of a request that its trainer had given
-    // up, and two slots came twice.
+    // Guards against a node that repeats a refused statement although the trainer has abandoned the
+    // request: with seed 73, two slots were then delivered twice.
     for seed in [1, 2, 73] {
         let outcome = run_schedule(&scenario().faults, seed);
         assert!(outcome.is_clean(), "seed {seed}: {outcome:?}");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn schedule_depends_on_its_seed_only() {
+fn equal_seeds_give_equal_outcomes() {
     let faults = scenario().faults;
     assert_eq!(run_schedule(&faults, 5), run_schedule(&faults, 5));
 }
--- a/crates/experiments/src/state_spread.rs
+++ b/crates/experiments/src/state_spread.rs
@@ -1,7 +1,8 @@
-//! Bytes of upstream state per node under three ways to spread it, on the same seeded changes.
+//! Compares three ways to spread upstream load between nodes by the bytes per node, with the same
+//! seeded changes of load.
 //!
-//! The tables and boards are those of the daemon. They are driven in virtual time, and messages
-//! arrive in the step after they were sent.
+//! The peer tables and load tables are those of the daemon. They are driven in virtual time, and a
+//! message arrives in the simulation step after the one in which it was sent.
 
 mod node;
 #[cfg(test)]
@@ -17,14 +18,14 @@
     report::{ReportTable, RunReport, TargetBound, TargetLine},
 };
 
-/// Which nodes get the state of an upstream.
+/// Which nodes receive the load of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SpreadMode {
-    /// All nodes form one ring.
+    /// All nodes form one heartbeat ring.
     ToAll,
-    /// Each zone forms a ring, and nothing leaves it.
+    /// Each zone forms a heartbeat ring, and no load leaves its zone.
     ZoneOnly,
-    /// Each zone forms a ring, and delegates exchange summaries.
+    /// Each zone forms a heartbeat ring, and the delegates of the zones exchange summaries.
     ZoneSummaries,
 }
 
@@ -36,8 +37,10 @@
     pub(crate) zones: usize,
 }
 
-const TODAY: SpreadSize = SpreadSize { nodes: 11, upstreams: 13, zones: 3 };
-const DESIGN: SpreadSize = SpreadSize { nodes: 320, upstreams: 600, zones: 11 };
+/// Size of the present deployment.
+const PRESENT_SIZE: SpreadSize = SpreadSize { nodes: 11, upstreams: 13, zones: 3 };
+/// Largest size that the service is designed for.
+const DESIGN_SIZE: SpreadSize = SpreadSize { nodes: 320, upstreams: 600, zones: 11 };
 
 const MODES: [(&str, SpreadMode); 3] = [
     ("to all", SpreadMode::ToAll),
@@ -45,7 +48,7 @@
     ("zone, summaries", SpreadMode::ZoneSummaries),
 ];
 
-/// Time until every node has heard of every other and repeats no notices of the start.
+/// Time until every node knows every other and has stopped repeating the first peer updates.
 const WARM_UP: Span = Span::from_secs(60);
 
 const COLUMNS: [&str; 7] = [
@@ -62,16 +65,21 @@
     let measured = Span::from_secs(flags.seconds.unwrap_or(60));
     let mut tables = Vec::new();
     let mut targets = Vec::new();
-    for (place, size) in [("today", TODAY), ("design size", DESIGN)] {
+    for (label, size) in [("today", PRESENT_SIZE), ("design size", DESIGN_SIZE)] {
         let SpreadSize { nodes, upstreams, zones } = size;
-        let title = format!("{place}: {nodes} nodes, {upstreams} upstreams, {zones} zones");
+        let title = format!("{label}: {nodes} nodes, {upstreams} upstreams, {zones} zones");
         let mut table = ReportTable::new(title, &COLUMNS);
         for (name, mode) in MODES {
-            eprintln!("{place}: {name}");
+            eprintln!("{label}: {name}");
             let values = SpreadWorld::new(flags.seed, size, mode).measure(WARM_UP, measured);
-            for (figure, column) in [("mean", 2), ("max", 3)] {
-                let line = format!("{place}, {name}: B/s per node with heads, {figure}");
-                targets.push(TargetLine::new(line, TargetBound::AtMost, 3_000.0, values[column]));
+            for (statistic, column) in [("mean", 2), ("max", 3)] {
+                let target_name = format!("{label}, {name}: B/s per node with heads, {statistic}");
+                targets.push(TargetLine::new(
+                    target_name,
+                    TargetBound::AtMost,
+                    3_000.0,
+                    values[column],
+                ));
             }
             table.push(name, values);
         }
--- a/crates/experiments/src/state_spread/node.rs
+++ b/crates/experiments/src/state_spread/node.rs
@@ -1,4 +1,5 @@
-//! One node: what the control thread does with upstream state, without its I/O.
+//! A simulated node: the part of the daemon's control thread that handles heartbeats, zone
+//! summaries and upstream load, without I/O.
 
 use base::{Incarnation, Moment, VmKey, WeightVersion};
 use membership::{
@@ -11,7 +12,7 @@
 
 use super::SpreadMode;
 
-/// An encoded message and its decoded content.
+/// A message on its way: its recipient, its encoded length and its content.
 pub(super) struct SentMessage {
     pub(super) to: String,
     pub(super) bytes: usize,
@@ -27,10 +28,11 @@
     pub(super) table: PeerTable,
     pub(super) load_table: LoadTable,
     pub(super) zone: String,
+    /// Indices of the upstreams whose load this node measures.
     pub(super) watched: Vec<usize>,
 }
 
-/// Load of one upstream, which changes with arrivals and ends of requests.
+/// Random walk of one upstream's load, driven by requests that arrive and end.
 pub(super) struct UpstreamWalk {
     pub(super) name: String,
     pub(super) zone: String,
@@ -39,7 +41,7 @@
 }
 
 impl SpreadNode {
-    /// Creates a node of `zone`, whose ring is that of `ring_zone`.
+    /// Creates a node of `zone` that is in the heartbeat ring of `ring_zone`.
     pub(super) fn new(name: String, zone: String, ring_zone: String, number: u64) -> Self {
         let incarnation = Incarnation(number + 1);
         let address = format!("10.0.{}.{}:7402", number / 250, number % 250 + 1);
@@ -61,11 +63,12 @@
         if now < self.table.next_deadline() {
             return Vec::new();
         }
-        self.event(now, PeerEvent::Tick, mode, walks)
+        self.handle_event(now, PeerEvent::Tick, mode, walks)
     }
 
-    pub(super) fn read_list(&mut self, listed: Vec<ListedVm>) {
-        // Messages of the first moment are left out, like everything before the measurement.
+    pub(super) fn apply_vm_list(&mut self, listed: Vec<ListedVm>) {
+        // The messages of time 0 are dropped: only messages after the warm-up are counted, and
+        // heartbeats repeat.
         let _ = self.table.handle(Moment(0), PeerEvent::ListRead(listed));
     }
 
@@ -84,14 +87,14 @@
                 (liveness, upstreams)
             }
         };
-        let sent = self.event(now, PeerEvent::MessageReceived(liveness), mode, walks);
+        let sent = self.handle_event(now, PeerEvent::MessageReceived(liveness), mode, walks);
         for entry in entries {
             self.load_table.merge(now, entry);
         }
         sent
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         now: Moment,
         event: PeerEvent,
@@ -121,7 +124,7 @@
             upstreams: self.load_table.next_delta(now),
         };
         let bytes = encode_message(&PeerMessage::Heartbeat((&heartbeat).into())).len();
-        SentMessage { to: self.name_of(to), bytes, content: MessageContent::Heartbeat(heartbeat) }
+        SentMessage { to: self.vm_name(to), bytes, content: MessageContent::Heartbeat(heartbeat) }
     }
 
     fn summary(
@@ -132,17 +135,18 @@
         walks: &[UpstreamWalk],
     ) -> SentMessage {
         let mut upstreams = self.load_table.all_updates(now);
-        // Names start with their zone here; the daemon looks the zone up.
+        // A summary holds the upstreams of the node's own zone. The zones come from the walks here,
+        // while the daemon looks them up.
         let own = walks.iter().filter(|walk| walk.zone == self.zone);
         let own = own.map(|walk| walk.name.as_str()).collect::<std::collections::BTreeSet<_>>();
         upstreams.retain(|entry| own.contains(entry.upstream.as_str()));
         let summary = ZoneSummary { liveness, config_version: 1, upstreams };
         let bytes = encode_message(&PeerMessage::Summary((&summary).into())).len();
-        SentMessage { to: self.name_of(to), bytes, content: MessageContent::Summary(summary) }
+        SentMessage { to: self.vm_name(to), bytes, content: MessageContent::Summary(summary) }
     }
 
-    fn name_of(&self, vm: VmKey) -> String {
-        self.table.vm(vm).expect("the table names its own VMs").vm.name.clone()
+    fn vm_name(&self, vm: VmKey) -> String {
+        self.table.vm(vm).expect("the peer table sends only to VMs that it holds").vm.name.clone()
     }
 }
 
@@ -161,11 +165,11 @@
         Self { name, zone, report, rng }
     }
 
-    /// Draws the next report. At 2,100 requests/s on 600 upstreams, about two requests arrive at an
-    /// upstream in half a second and as many end.
+    /// Draws the next load report. At 2,100 requests/s on 600 upstreams, about two requests arrive
+    /// at an upstream in half a second, the report period, and as many end.
     pub(super) fn next_report(&mut self) -> LoadReport {
-        let (begun, ended) = (self.rng.random_range(0..=4), self.rng.random_range(0..=4));
-        let load = (self.report.running + self.report.queued + begun).saturating_sub(ended);
+        let (arrived, ended) = (self.rng.random_range(0..=4), self.rng.random_range(0..=4));
+        let load = (self.report.running + self.report.queued + arrived).saturating_sub(ended);
         let load = load.clamp(1, 64);
         self.report.running = load.min(32);
         self.report.queued = load - self.report.running;
--- a/crates/experiments/src/state_spread/tests.rs
+++ b/crates/experiments/src/state_spread/tests.rs
@@ -8,9 +8,10 @@
     SpreadWorld::new(3, SIZE, mode).measure(Span::from_secs(20), Span::from_secs(10))
 }
 
-/// Guards against a comparison of modes in which state does not reach the nodes it should.
+/// Guards against a comparison of modes in which load reports do not reach the nodes that a mode
+/// covers.
 #[test]
-fn each_mode_reaches_its_nodes() {
+fn each_mode_reaches_the_nodes_that_it_covers() {
     for (mode, known) in [
         (SpreadMode::ToAll, 100.0),
         (SpreadMode::ZoneOnly, 100.0 / 3.0),
@@ -21,8 +22,8 @@
     }
 }
 
-/// Guards against figures that differ between runs with one seed.
+/// Guards against results that differ between two runs with one seed.
 #[test]
-fn run_repeats_with_its_seed() {
+fn equal_seeds_give_equal_results() {
     assert_eq!(row(SpreadMode::ZoneSummaries), row(SpreadMode::ZoneSummaries));
 }
--- a/crates/experiments/src/state_spread/world.rs
+++ b/crates/experiments/src/state_spread/world.rs
@@ -1,4 +1,4 @@
-//! All nodes and upstreams of a deployment in virtual time.
+//! Simulates all nodes and upstreams of a deployment in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
     node::{SentMessage, SpreadNode, UpstreamWalk},
 };
 
-/// Period of the daemon's timers.
+/// Virtual time of a simulation step, the period of the daemon's timers.
 const STEP: Span = Span::from_millis(50);
 /// Period of the daemon's load reports.
 const WATCH_PERIOD: Span = Span::from_millis(500);
 
-/// Bytes of one exchange beside the body of the message, as `clients::TransferCounter` counts them:
-/// the head of the request (133), and the head and body of the answer (126).
-const EXCHANGE_BYTES: usize = 259;
+/// Bytes of one exchange in addition to the body of the message, as `clients::TransferCounter`
+/// counts them: the head of the request (133), and the head and body of the response (126).
+const EXCHANGE_OVERHEAD_BYTES: usize = 259;
 
 pub(super) struct SpreadWorld {
     mode: SpreadMode,
     nodes: Vec<SpreadNode>,
     by_name: BTreeMap<String, usize>,
     walks: Vec<UpstreamWalk>,
-    transit: Vec<SentMessage>,
-    /// Bytes of bodies, and messages, sent and received, by node.
-    moved: Vec<(usize, usize)>,
+    in_transit: Vec<SentMessage>,
+    /// Per node: bytes of message bodies, and number of messages, sent or received.
+    transferred: Vec<(usize, usize)>,
 }
 
 impl SpreadWorld {
@@ -44,14 +44,14 @@
         let (nodes, walks) = (nodes.collect::<Vec<_>>(), walks.collect());
         let names = nodes.iter().map(|node| node.table.own_identity().name.clone());
         let by_name = names.zip(0..).collect();
-        let moved = vec![(0, 0); nodes.len()];
-        let mut world = Self { mode, nodes, by_name, walks, transit: Vec::new(), moved };
-        world.introduce();
+        let transferred = vec![(0, 0); nodes.len()];
+        let mut world = Self { mode, nodes, by_name, walks, in_transit: Vec::new(), transferred };
+        world.initialize_nodes();
         world
     }
 
-    /// Gives every node the list of VMs, and every upstream its watcher.
-    fn introduce(&mut self) {
+    /// Gives every node the list of VMs, and assigns every upstream to the node that watches it.
+    fn initialize_nodes(&mut self) {
         let listed = self.nodes.iter().map(|node| {
             let own = node.table.own_identity();
             ListedVm {
@@ -63,7 +63,7 @@
         });
         let listed = listed.collect::<Vec<_>>();
         for node in &mut self.nodes {
-            node.read_list(listed.clone());
+            node.apply_vm_list(listed.clone());
         }
         for (index, walk) in self.walks.iter().enumerate() {
             let live = self.nodes.iter().filter(|node| node.zone == walk.zone);
@@ -74,23 +74,23 @@
         }
     }
 
-    /// Returns the figures of a row: see the columns of the report.
+    /// Returns the values of a row, in the order of `COLUMNS`.
     pub(super) fn measure(mut self, warm_up: Span, measured: Span) -> Vec<f64> {
         let mut now = Moment(0);
         let begin = now + warm_up;
         let end = begin + measured;
-        let (mut known, mut asked, mut age_ms) = (0_u64, 0_u64, 0.0);
+        let (mut known, mut expected, mut age_ms) = (0_u64, 0_u64, 0.0);
         while now < end {
             if now == begin {
-                self.moved.fill((0, 0));
+                self.transferred.fill((0, 0));
             }
             if now.0.is_multiple_of(WATCH_PERIOD.0) {
-                self.watch(now);
+                self.update_loads(now);
             }
             self.step(now);
             if now >= begin && now.0.is_multiple_of(1_000_000) {
                 for node in &self.nodes {
-                    asked += self.walks.len() as u64;
+                    expected += self.walks.len() as u64;
                     for (_, view) in node.load_table.iter(now) {
                         known += 1;
                         age_ms += view.age.0 as f64 / 1_000.0;
@@ -100,25 +100,25 @@
             now += STEP;
         }
         let seconds = measured.0 as f64 / 1e6;
-        let bodies = self.moved.iter().map(|(bytes, _)| *bytes as f64 / seconds);
-        let whole = self
-            .moved
+        let bodies = self.transferred.iter().map(|(bytes, _)| *bytes as f64 / seconds);
+        let with_overhead = self
+            .transferred
             .iter()
-            .map(|(bytes, messages)| (bytes + messages * EXCHANGE_BYTES) as f64 / seconds);
-        let messages = self.moved.iter().map(|(_, messages)| *messages as f64 / seconds);
+            .map(|(bytes, messages)| (bytes + messages * EXCHANGE_OVERHEAD_BYTES) as f64 / seconds);
+        let messages = self.transferred.iter().map(|(_, messages)| *messages as f64 / seconds);
         let count = self.nodes.len() as f64;
         vec![
             bodies.clone().sum::<f64>() / count,
             bodies.fold(0.0, f64::max),
-            whole.clone().sum::<f64>() / count,
-            whole.fold(0.0, f64::max),
+            with_overhead.clone().sum::<f64>() / count,
+            with_overhead.fold(0.0, f64::max),
             messages.sum::<f64>() / count,
-            known as f64 * 100.0 / asked.max(1) as f64,
+            known as f64 * 100.0 / expected.max(1) as f64,
             age_ms / known.max(1) as f64,
         ]
     }
 
-    fn watch(&mut self, now: Moment) {
+    fn update_loads(&mut self, now: Moment) {
         let reports = self.walks.iter_mut().map(UpstreamWalk::next_report).collect::<Vec<_>>();
         for node in &mut self.nodes {
             for index in &node.watched {
@@ -128,16 +128,16 @@
     }
 
     fn step(&mut self, now: Moment) {
-        for message in std::mem::take(&mut self.transit) {
+        for message in std::mem::take(&mut self.in_transit) {
             let Some(index) = self.by_name.get(&message.to).copied() else { continue };
-            self.count(index, message.bytes);
+            self.count_message(index, message.bytes);
             let sent = self.nodes[index].receive(now, message.content, self.mode, &self.walks);
             self.send(index, sent);
         }
         for index in 0..self.nodes.len() {
-            // Processes do not start together, so their periods do not coincide either.
-            let phase = Span::from_millis(50 * (index as u64 * 7 % 20));
-            if now.0 < phase.0 {
+            // Processes start at different times, so their timers do not fire together.
+            let start_offset = Span::from_millis(50 * (index as u64 * 7 % 20));
+            if now.0 < start_offset.0 {
                 continue;
             }
             let sent = self.nodes[index].tick(now, self.mode, &self.walks);
@@ -147,13 +147,13 @@
 
     fn send(&mut self, from: usize, sent: Vec<SentMessage>) {
         for message in sent {
-            self.count(from, message.bytes);
-            self.transit.push(message);
+            self.count_message(from, message.bytes);
+            self.in_transit.push(message);
         }
     }
 
-    fn count(&mut self, node: usize, bytes: usize) {
-        let (total, messages) = &mut self.moved[node];
+    fn count_message(&mut self, node: usize, bytes: usize) {
+        let (total, messages) = &mut self.transferred[node];
         *total += bytes;
         *messages += 1;
     }
--- a/crates/experiments/src/traffic.rs
+++ b/crates/experiments/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Routing, admission and crash isolation against baselines, in virtual time.
+//! Compares routing, fair queueing and crash isolation with baselines, in virtual time.
 
 mod crash;
 mod engine;
@@ -14,10 +14,10 @@
     RunResult, flags,
     report::{PlotFrame, PlotSeries, ReportTable, RunReport, TargetBound, TargetLine},
     traffic::{
-        crash::{CrashGuard, CrashWorld},
-        measure::RunMeasure,
+        crash::{CrashProtection, CrashWorld},
+        measure::RunMeasurements,
         scenario::{ScenarioKind, TrafficScenario},
-        world::{GateKind, World},
+        world::{QueueKind, World},
     },
 };
 
@@ -42,23 +42,23 @@
     Ok(report)
 }
 
-fn play<P: PickPolicy + Clone>(
+fn simulate<P: PickPolicy + Clone>(
     scenario: &TrafficScenario,
     policy: &P,
-    gate: GateKind,
+    queue: QueueKind,
     aggressor_factor: f64,
     seed: u64,
-) -> RunMeasure {
-    World::new(scenario, policy, gate, aggressor_factor, seed).run()
+) -> RunMeasurements {
+    World::new(scenario, policy, queue, aggressor_factor, seed).run()
 }
 
 fn routing(scenario: &TrafficScenario, seed: u64) -> RunReport {
-    let gate = GateKind::Open;
+    let queue = QueueKind::None;
     let runs = [
-        ("random", play(scenario, &RandomPick, gate, 1.0, seed)),
-        ("round robin", play(scenario, &RoundRobin::default(), gate, 1.0, seed)),
-        ("least outstanding", play(scenario, &LeastOutstanding, gate, 1.0, seed)),
-        ("route picker", play(scenario, &UpstreamPicker::default(), gate, 1.0, seed)),
+        ("random", simulate(scenario, &RandomPick, queue, 1.0, seed)),
+        ("round robin", simulate(scenario, &RoundRobin::default(), queue, 1.0, seed)),
+        ("least outstanding", simulate(scenario, &LeastOutstanding, queue, 1.0, seed)),
+        ("route picker", simulate(scenario, &UpstreamPicker::default(), queue, 1.0, seed)),
     ];
     let mut table = ReportTable::new("policy", &["p50 ms", "p90 ms", "p99 ms", "goodput %"]);
     for (name, run) in &runs {
@@ -67,9 +67,9 @@
         table.push(*name, percentiles.into_iter().chain([goodput]).collect());
     }
     let (baseline, picker) = (runs[2].1.percentile(99.0), runs[3].1.percentile(99.0));
-    let cut = (1.0 - picker / baseline) * 100.0;
+    let reduction_percent = (1.0 - picker / baseline) * 100.0;
     let name = "p99 below least outstanding, %";
-    let targets = vec![TargetLine::new(name, TargetBound::AtLeast, 30.0, cut)];
+    let targets = vec![TargetLine::new(name, TargetBound::AtLeast, 30.0, reduction_percent)];
     let plot = Some(latency_plot(&scenario.name, &runs));
     RunReport { tables: vec![table], targets, plot, ..RunReport::default() }
 }
@@ -80,32 +80,35 @@
     let mut table = ReportTable::new("queue", &columns);
     let mut targets = Vec::new();
     let mut runs = Vec::new();
-    let gates = [
-        ("first come", GateKind::FirstCome),
-        ("fair, no limits", GateKind::Fair),
-        ("fair, limits at the share", GateKind::LimitedFair),
+    let queues = [
+        ("first come", QueueKind::Fifo),
+        ("fair, no limits", QueueKind::Fair),
+        ("fair, limits at the share", QueueKind::LimitedFair),
     ];
-    for (name, gate) in gates {
-        let calm = play(scenario, &picker, gate, 1.0, seed);
-        let pressed = play(scenario, &picker, gate, scenario.aggressor_factor, seed);
+    for (name, queue) in queues {
+        let without_aggressor = simulate(scenario, &picker, queue, 1.0, seed);
+        let with_aggressor = simulate(scenario, &picker, queue, scenario.aggressor_factor, seed);
         let customers = 1..scenario.customers as usize;
         let changes = customers.clone().map(|customer| {
-            let before = calm.customer_percentile(customer, 99.0);
-            (pressed.customer_percentile(customer, 99.0) / before - 1.0) * 100.0
+            let before = without_aggressor.customer_percentile(customer, 99.0);
+            (with_aggressor.customer_percentile(customer, 99.0) / before - 1.0) * 100.0
         });
-        let worst = changes.fold(f64::NEG_INFINITY, f64::max);
-        let highest = |run: &RunMeasure| {
+        let max_change = changes.fold(f64::NEG_INFINITY, f64::max);
+        let max_p99 = |run: &RunMeasurements| {
             let percentiles =
                 customers.clone().map(|customer| run.customer_percentile(customer, 99.0));
             percentiles.fold(0.0, f64::max)
         };
-        let refused = pressed.refused_percent(1);
-        table.push(name, vec![highest(&calm), highest(&pressed), worst, refused]);
-        if gate != GateKind::FirstCome {
+        let refused = with_aggressor.refused_percent(1);
+        table.push(
+            name,
+            vec![max_p99(&without_aggressor), max_p99(&with_aggressor), max_change, refused],
+        );
+        if queue != QueueKind::Fifo {
             let name = format!("change of another customer's p99 ({name}), %");
-            targets.push(TargetLine::new(name, TargetBound::AtMost, 20.0, worst));
+            targets.push(TargetLine::new(name, TargetBound::AtMost, 20.0, max_change));
         }
-        runs.push((name, pressed));
+        runs.push((name, with_aggressor));
     }
     let plot = Some(latency_plot(&scenario.name, &runs));
     RunReport { tables: vec![table], targets, plot, ..RunReport::default() }
@@ -114,9 +117,9 @@
 fn overload(scenario: &TrafficScenario, seed: u64) -> RunReport {
     let picker = UpstreamPicker::default();
     let runs = [
-        ("none", play(scenario, &picker, GateKind::Open, 1.0, seed)),
-        ("first come", play(scenario, &picker, GateKind::FirstCome, 1.0, seed)),
-        ("fair", play(scenario, &picker, GateKind::Fair, 1.0, seed)),
+        ("none", simulate(scenario, &picker, QueueKind::None, 1.0, seed)),
+        ("first come", simulate(scenario, &picker, QueueKind::Fifo, 1.0, seed)),
+        ("fair", simulate(scenario, &picker, QueueKind::Fair, 1.0, seed)),
     ];
     let mut table = ReportTable::new("queue", &["goodput %", "p99 ms", "refused %"]);
     for (name, run) in &runs {
@@ -131,8 +134,9 @@
 }
 
 fn crash(scenario: &TrafficScenario, seed: u64) -> RunReport {
-    let runs = [("none", CrashGuard::None), ("suspect table", CrashGuard::Suspects)];
-    let runs = runs.map(|(name, guard)| (name, CrashWorld::new(scenario, guard, seed).run()));
+    let runs = [("none", CrashProtection::None), ("suspect table", CrashProtection::SuspectTable)];
+    let runs =
+        runs.map(|(name, protection)| (name, CrashWorld::new(scenario, protection, seed).run()));
     let columns = ["lost", "completed", "others refused", "interrupted", "of those refused"];
     let mut table = ReportTable::new("guard", &columns);
     for (name, run) in &runs {
@@ -140,9 +144,9 @@
         let counts = counts.into_iter().chain([run.interrupted_refused]);
         table.push(*name, counts.map(|count| count as f64).collect());
     }
-    let guarded = &runs[1].1;
-    let lost = guarded.lost as f64 / f64::from(scenario.crashing_requests.max(1));
-    let refused = (guarded.others_refused + guarded.interrupted_refused) as f64;
+    let protected = &runs[1].1;
+    let lost = protected.lost as f64 / f64::from(scenario.crashing_requests.max(1));
+    let refused = (protected.others_refused + protected.interrupted_refused) as f64;
     let targets = vec![
         TargetLine::new("upstreams lost per crashing request", TargetBound::AtMost, 2.0, lost),
         TargetLine::new("other requests refused", TargetBound::AtMost, 0.0, refused),
@@ -150,7 +154,7 @@
     RunReport { tables: vec![table], targets, ..RunReport::default() }
 }
 
-fn latency_plot(title: &str, runs: &[(&str, RunMeasure)]) -> PlotFrame {
+fn latency_plot(title: &str, runs: &[(&str, RunMeasurements)]) -> PlotFrame {
     let series = runs.iter().map(|(name, run)| {
         let points = (1..=99).map(|percent| {
             let percent = f64::from(percent);
--- a/crates/experiments/src/traffic/crash.rs
+++ b/crates/experiments/src/traffic/crash.rs
@@ -1,5 +1,5 @@
-//! Run of requests that crash every upstream they reach, in steps of 100 ms. Their callers send
-//! them again each second, and callers of interrupted requests send those again at once.
+//! Simulates requests that crash every upstream that runs them, in steps of 100 ms of virtual time.
+//! Each is sent again every second, and requests interrupted by a crash are sent again at once.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,31 +16,33 @@
 const STEP: Span = Span::from_millis(100);
 const STEPS_PER_SECOND: u64 = 10;
 
-/// A crashed upstream is replaced after this many steps.
+/// Steps from the crash of an upstream to its replacement.
 const REPLACEMENT_STEPS: u64 = 300;
 
-/// What protects the upstreams.
+/// What protects the upstreams from crashing requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CrashGuard {
-    /// Nothing; every request may run anywhere.
+pub(super) enum CrashProtection {
+    /// Nothing: every request may run on every upstream.
     None,
-    /// The suspect table.
-    Suspects,
+    /// The suspect table, which isolates and convicts requests.
+    SuspectTable,
 }
 
 #[derive(Debug, Clone, Default)]
-pub(super) struct CrashMeasure {
+pub(super) struct CrashCounts {
+    /// Upstreams that crashed.
     pub(super) lost: u64,
     pub(super) completed: u64,
-    /// Requests that had no part in a crash and were refused.
+    /// Refused requests that neither crash upstreams nor were interrupted by a crash.
     pub(super) others_refused: u64,
-    /// Requests that were interrupted by a crash.
+    /// Interruptions of other requests by a crash.
     pub(super) interrupted: u64,
-    /// Of those, the ones that were refused afterwards.
+    /// Refusals of requests that were interrupted before.
     pub(super) interrupted_refused: u64,
 }
 
-struct CrashRun {
+/// A request that runs on an upstream. Times are simulation steps.
+struct RunningRequest {
     node: usize,
     fingerprint: Fingerprint,
     arrived: u64,
@@ -48,36 +50,45 @@
 }
 
 struct UpstreamModel {
+    /// Steps that a request takes.
     run_steps: u64,
-    runs: Vec<CrashRun>,
-    counts: VecDeque<u32>,
+    runs: Vec<RunningRequest>,
+    /// Running requests of the last steps that no load report has shown yet.
+    unreported_counts: VecDeque<u32>,
 }
 
 pub(super) struct CrashWorld<'a> {
     scenario: &'a TrafficScenario,
-    guard: CrashGuard,
+    protection: CrashProtection,
     step: u64,
     rng: ChaCha8Rng,
     nodes: Vec<SuspectTable>,
     upstreams: BTreeMap<UpstreamKey, UpstreamModel>,
+    /// Step at which each replacement starts, and its `run_steps`.
     replacements: VecDeque<(u64, u64)>,
     next_upstream: u32,
     messages: Vec<(usize, SuspectEvent)>,
-    requested: BTreeMap<RequestId, (Fingerprint, u64)>,
-    killers: Vec<Fingerprint>,
+    /// Fingerprint and step of arrival of each isolation request.
+    isolation_requests: BTreeMap<RequestId, (Fingerprint, u64)>,
+    /// Fingerprints of the requests that crash upstreams.
+    crashing: Vec<Fingerprint>,
     interrupted: BTreeSet<Fingerprint>,
     sequence: u64,
-    measure: CrashMeasure,
+    counts: CrashCounts,
 }
 
 impl<'a> CrashWorld<'a> {
-    pub(super) fn new(scenario: &'a TrafficScenario, guard: CrashGuard, seed: u64) -> Self {
+    pub(super) fn new(
+        scenario: &'a TrafficScenario,
+        protection: CrashProtection,
+        seed: u64,
+    ) -> Self {
         let nodes = (0..scenario.nodes)
             .map(|node| SuspectTable::new(Incarnation(u64::from(node)), SuspectPolicy::default()));
-        let killers = (0..scenario.crashing_requests).map(|number| fingerprint(u64::from(number)));
+        let crashing = (0..scenario.crashing_requests).map(|number| fingerprint(u64::from(number)));
         let mut world = Self {
             scenario,
-            guard,
+            protection,
             step: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             nodes: nodes.collect(),
@@ -85,14 +96,15 @@
             replacements: VecDeque::new(),
             next_upstream: 0,
             messages: Vec::new(),
-            requested: BTreeMap::new(),
-            killers: killers.collect(),
+            isolation_requests: BTreeMap::new(),
+            crashing: crashing.collect(),
             interrupted: BTreeSet::new(),
+            // Fingerprints of ordinary requests start here, apart from those of crashing requests.
             sequence: 1_000_000,
-            measure: CrashMeasure::default(),
+            counts: CrashCounts::default(),
         };
         for group in &scenario.engines {
-            // Four requests share an engine.
+            // A request runs at a quarter of the engine's speed, as if four shared it.
             let seconds = f64::from(scenario.mean_tokens) * 4.0 / group.tokens_per_second as f64;
             let run_steps = (seconds * STEPS_PER_SECOND as f64).ceil().max(1.0) as u64;
             for _ in 0..group.count {
@@ -102,12 +114,12 @@
         world
     }
 
-    pub(super) fn run(mut self) -> CrashMeasure {
+    pub(super) fn run(mut self) -> CrashCounts {
         let per_second = self.scenario.load * self.scenario.capacity() as f64
             / f64::from(self.scenario.mean_tokens);
         let per_step = per_second / STEPS_PER_SECOND as f64;
         let mut due = 0.0;
-        let killers = self.killers.clone();
+        let crashing = self.crashing.clone();
         for _ in 0..self.scenario.seconds * STEPS_PER_SECOND {
             self.advance();
             due += per_step;
@@ -116,14 +128,14 @@
                 self.sequence += 1;
                 self.send(fingerprint(self.sequence), self.step);
             }
-            let warm = self.step >= self.scenario.warmup_seconds * STEPS_PER_SECOND;
-            if warm && self.step.is_multiple_of(STEPS_PER_SECOND) {
-                for killer in &killers {
-                    self.send(*killer, self.step);
+            let is_warmed_up = self.step >= self.scenario.warmup_seconds * STEPS_PER_SECOND;
+            if is_warmed_up && self.step.is_multiple_of(STEPS_PER_SECOND) {
+                for fingerprint in &crashing {
+                    self.send(*fingerprint, self.step);
                 }
             }
         }
-        self.measure
+        self.counts
     }
 
     fn now(&self) -> Moment {
@@ -135,13 +147,14 @@
     }
 
     fn add_upstream(&mut self, run_steps: u64) {
-        let model = UpstreamModel { run_steps, runs: Vec::new(), counts: VecDeque::new() };
+        let model =
+            UpstreamModel { run_steps, runs: Vec::new(), unreported_counts: VecDeque::new() };
         self.upstreams.insert(UpstreamKey(self.next_upstream), model);
         self.next_upstream += 1;
     }
 
     fn apply(&mut self, node: usize, event: SuspectEvent) {
-        if self.guard == CrashGuard::None {
+        if self.protection == CrashProtection::None {
             return;
         }
         let (now, wall) = (self.now(), self.wall());
@@ -154,13 +167,13 @@
                 SuspectAction::Reserve(notice) => SuspectEvent::IsolationReceived(notice),
                 SuspectAction::Release(notice) => SuspectEvent::IsolationEnded(notice),
                 SuspectAction::RunIsolated { request, upstream } => {
-                    let (fingerprint, arrived) = self.requested[&request];
+                    let (fingerprint, arrived) = self.isolation_requests[&request];
                     self.start(node, upstream, fingerprint, arrived);
                     continue;
                 }
                 SuspectAction::Refuse { request, .. } => {
-                    let (fingerprint, _) = self.requested[&request];
-                    self.refused(fingerprint);
+                    let (fingerprint, _) = self.isolation_requests[&request];
+                    self.count_refusal(fingerprint);
                     continue;
                 }
             };
@@ -169,14 +182,14 @@
         }
     }
 
-    fn refused(&mut self, fingerprint: Fingerprint) {
-        if self.killers.contains(&fingerprint) {
+    fn count_refusal(&mut self, fingerprint: Fingerprint) {
+        if self.crashing.contains(&fingerprint) {
             return;
         }
         if self.interrupted.contains(&fingerprint) {
-            self.measure.interrupted_refused += 1;
+            self.counts.interrupted_refused += 1;
         } else {
-            self.measure.others_refused += 1;
+            self.counts.others_refused += 1;
         }
     }
 
@@ -189,11 +202,12 @@
     ) {
         let Some(model) = self.upstreams.get_mut(&upstream) else { return };
         let ends_at = self.step + model.run_steps;
-        model.runs.push(CrashRun { node, fingerprint, arrived, ends_at });
+        model.runs.push(RunningRequest { node, fingerprint, arrived, ends_at });
         self.apply(node, SuspectEvent::Started { upstream, fingerprint });
     }
 
-    /// Sends a request through any node to the free upstream with the fewest requests of two.
+    /// Sends a request through a random node: to the less loaded of two random upstreams that are
+    /// not reserved, or for isolation if the node does not count its fingerprint as clear.
     fn send(&mut self, fingerprint: Fingerprint, arrived: u64) {
         let node = self.rng.random_range(0..self.nodes.len());
         if self.nodes[node].fingerprint_status(self.wall(), fingerprint) != FingerprintStatus::Clear
@@ -205,7 +219,7 @@
         let free = self.upstreams.keys().copied().filter(|key| !table.is_reserved(*key));
         let free = free.collect::<Vec<_>>();
         if free.is_empty() {
-            self.refused(fingerprint);
+            self.count_refusal(fingerprint);
             return;
         }
         let drawn = [(); 2].map(|()| free[self.rng.random_range(0..free.len())]);
@@ -216,7 +230,7 @@
     fn request_isolation(&mut self, node: usize, fingerprint: Fingerprint, arrived: u64) {
         self.sequence += 1;
         let request = RequestId { node: Incarnation(node as u64), sequence: self.sequence };
-        self.requested.insert(request, (fingerprint, arrived));
+        self.isolation_requests.insert(request, (fingerprint, arrived));
         let mut upstreams = self.upstreams.iter().collect::<Vec<_>>();
         upstreams.sort_by_key(|(_, model)| model.runs.len());
         let deadline = Moment(arrived * STEP.0) + Span::from_millis(self.scenario.deadline_ms);
@@ -255,36 +269,38 @@
         let step = self.step;
         let Some(model) = self.upstreams.get_mut(&upstream) else { return };
         let ended = model.runs.extract_if(.., |run| run.ends_at <= step).collect::<Vec<_>>();
-        if ended.iter().any(|run| self.killers.contains(&run.fingerprint)) {
+        if ended.iter().any(|run| self.crashing.contains(&run.fingerprint)) {
             self.crash(upstream, ended);
             return;
         }
-        model.counts.push_back(model.runs.len() as u32);
-        let lag = self.scenario.report_lag_ms / STEP.as_millis();
-        let seen = (model.counts.len() as u64 > lag).then(|| model.counts.pop_front()).flatten();
-        for CrashRun { node, fingerprint, .. } in ended {
-            self.measure.completed += 1;
+        model.unreported_counts.push_back(model.runs.len() as u32);
+        let lag_steps = self.scenario.report_lag_ms / STEP.as_millis();
+        let reported = (model.unreported_counts.len() as u64 > lag_steps)
+            .then(|| model.unreported_counts.pop_front())
+            .flatten();
+        for RunningRequest { node, fingerprint, .. } in ended {
+            self.counts.completed += 1;
             self.apply(node, SuspectEvent::Finished { upstream, fingerprint });
         }
-        let Some(requests) = seen else { return };
+        let Some(requests) = reported else { return };
         let measured_at = self.now() - Span::from_millis(self.scenario.report_lag_ms);
         for node in 0..self.nodes.len() {
             self.apply(node, SuspectEvent::LoadReported { upstream, requests, measured_at });
         }
     }
 
-    fn crash(&mut self, upstream: UpstreamKey, ended: Vec<CrashRun>) {
+    fn crash(&mut self, upstream: UpstreamKey, ended: Vec<RunningRequest>) {
         let Some(model) = self.upstreams.remove(&upstream) else { return };
-        self.measure.lost += 1;
+        self.counts.lost += 1;
         self.replacements.push_back((self.step + REPLACEMENT_STEPS, model.run_steps));
         for node in 0..self.nodes.len() {
             self.apply(node, SuspectEvent::Crashed(upstream));
         }
         for run in ended.into_iter().chain(model.runs) {
-            if self.killers.contains(&run.fingerprint) {
+            if self.crashing.contains(&run.fingerprint) {
                 continue;
             }
-            self.measure.interrupted += 1;
+            self.counts.interrupted += 1;
             self.interrupted.insert(run.fingerprint);
             self.send(run.fingerprint, run.arrived);
         }
--- a/crates/experiments/src/traffic/engine.rs
+++ b/crates/experiments/src/traffic/engine.rs
@@ -1,5 +1,5 @@
-//! Model of an engine that batches continuously: the requests of the batch share its speed
-//! equally, and the others wait in order of arrival.
+//! Simulated engine with continuous batching: the requests of the batch share its speed equally,
+//! and the others wait in order of arrival.
 
 use std::{
     cmp::Reverse,
@@ -8,29 +8,33 @@
 
 use base::{Moment, Span, ZoneKey};
 
-/// One stream gets at most this part of an engine's speed, as a batch of one leaves it idle.
-const MAX_STREAM_SHARE: u64 = 4;
+/// The speed of an engine is divided by at least this number: one stream gets at most a quarter of
+/// it, since a small batch does not use the whole engine.
+const MIN_SPEED_DIVISOR: u64 = 4;
 
 #[derive(Debug, Clone)]
 pub(super) struct EngineModel {
     pub(super) zone: ZoneKey,
-    speed: u64,
-    batch: usize,
-    /// Millionths of a token that each stream of the batch has got since the start.
+    tokens_per_second: u64,
+    max_batch: usize,
+    /// Millionths of a token that a stream present from the start would have generated. A request
+    /// ends at the value that it had when it joined the batch plus its own length.
     progress: u64,
     progress_at: Moment,
+    /// Progress at which each request of the batch ends, and the request.
     running: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Requests that wait for the batch, with their tokens.
     queued: VecDeque<(usize, u32)>,
-    /// Counts changes of the batch, which outdate a completion that was planned before.
+    /// Counts changes of the batch. Each makes the completion time scheduled before it invalid.
     pub(super) generation: u64,
 }
 
 impl EngineModel {
-    pub(super) fn new(zone: ZoneKey, speed: u64, batch: usize) -> Self {
+    pub(super) fn new(zone: ZoneKey, tokens_per_second: u64, max_batch: usize) -> Self {
         Self {
             zone,
-            speed,
-            batch,
+            tokens_per_second,
+            max_batch,
             progress: 0,
             progress_at: Moment(0),
             running: BinaryHeap::new(),
@@ -45,7 +49,8 @@
         self.fill_batch();
     }
 
-    /// Returns the request whose generation ends at `now`, if there is one.
+    /// Removes and returns a request that has ended at `now`, if there is one, and fills the batch
+    /// up.
     pub(super) fn pop_done(&mut self, now: Moment) -> Option<usize> {
         self.advance(now);
         let Reverse((ends_at, request)) = *self.running.peek()?;
@@ -57,32 +62,35 @@
         Some(request)
     }
 
+    /// Returns when the next request of the batch ends, if the batch does not change before.
     pub(super) fn next_done(&self) -> Option<Moment> {
         let Reverse((ends_at, _)) = self.running.peek()?;
         let left = ends_at.saturating_sub(self.progress);
         Some(self.progress_at + Span(left.div_ceil(self.stream_speed())))
     }
 
+    /// Returns the numbers of running and queued requests.
     pub(super) fn counts(&self) -> (u32, u32) {
         (self.running.len() as u32, self.queued.len() as u32)
     }
 
+    /// Tokens per second of each stream, or millionths of a token per microsecond.
     fn stream_speed(&self) -> u64 {
-        let share = (self.running.len() as u64).max(MAX_STREAM_SHARE);
-        (self.speed / share).max(1)
+        let divisor = (self.running.len() as u64).max(MIN_SPEED_DIVISOR);
+        (self.tokens_per_second / divisor).max(1)
     }
 
     fn advance(&mut self, now: Moment) {
-        let passed = now.since(self.progress_at).0;
+        let elapsed = now.since(self.progress_at).0;
         if !self.running.is_empty() {
-            self.progress += passed * self.stream_speed();
+            self.progress += elapsed * self.stream_speed();
         }
         self.progress_at = now;
     }
 
     fn fill_batch(&mut self) {
         self.generation += 1;
-        while self.running.len() < self.batch {
+        while self.running.len() < self.max_batch {
             let Some((request, tokens)) = self.queued.pop_front() else { return };
             let ends_at = self.progress + u64::from(tokens) * 1_000_000;
             self.running.push(Reverse((ends_at, request)));
--- a/crates/experiments/src/traffic/measure.rs
+++ b/crates/experiments/src/traffic/measure.rs
@@ -1,20 +1,23 @@
-//! Figures of one run.
+//! Latency, refusals and goodput of one run.
 
 use base::{Moment, Span};
 
-/// Figures after the warm-up.
+/// Measurements after the warm-up. Latencies and refusals count requests that arrived after it.
 #[derive(Debug, Clone)]
-pub(super) struct RunMeasure {
+pub(super) struct RunMeasurements {
     warmup: Moment,
+    /// Time from the warm-up to the end of the run.
     length: Span,
     /// Latencies in microseconds per customer, sorted once the run has ended.
     latencies: Vec<Vec<u64>>,
+    /// Arrived requests per customer.
     offered: Vec<u64>,
     refused: Vec<u64>,
+    /// Tokens of requests that ended after the warm-up and within their deadline.
     good_tokens: u64,
 }
 
-impl RunMeasure {
+impl RunMeasurements {
     pub(super) fn new(warmup: Moment, customers: usize) -> Self {
         Self {
             warmup,
@@ -40,9 +43,9 @@
         ended_at: Moment,
         customer: u32,
         tokens: u32,
-        in_time: bool,
+        within_deadline: bool,
     ) {
-        if in_time && ended_at >= self.warmup {
+        if within_deadline && ended_at >= self.warmup {
             self.good_tokens += u64::from(tokens);
         }
         if arrived_at >= self.warmup {
@@ -50,6 +53,7 @@
         }
     }
 
+    /// Ends the run and sorts the latencies. Must come before the percentiles are read.
     pub(super) fn finish(&mut self, end: Moment) {
         self.length = end.since(self.warmup);
         for latencies in &mut self.latencies {
@@ -57,7 +61,8 @@
         }
     }
 
-    /// Latency in milliseconds below which `percent` of the answers to all customers lie.
+    /// Latency in milliseconds below which `percent` of the completed requests of all customers
+    /// lie.
     pub(super) fn percentile(&self, percent: f64) -> f64 {
         let mut all = self.latencies.concat();
         all.sort_unstable();
@@ -68,12 +73,13 @@
         percentile(&self.latencies[customer], percent)
     }
 
-    /// Tokens of answers in time, against the capacity, in percent.
+    /// Returns the tokens generated within the deadlines, in percent of `capacity` (tokens per
+    /// second).
     pub(super) fn goodput(&self, capacity: u64) -> f64 {
         self.good_tokens as f64 * 100.0 / (capacity as f64 * self.length.as_secs_f64())
     }
 
-    /// Refused requests of the customers from `first` on, in percent of the offered ones.
+    /// Refused requests of the customers from index `first` on, in percent of those that arrived.
     pub(super) fn refused_percent(&self, first: usize) -> f64 {
         let refused = self.refused[first..].iter().sum::<u64>();
         let offered = self.offered[first..].iter().sum::<u64>();
@@ -81,6 +87,7 @@
     }
 }
 
+/// Returns a percentile of sorted microseconds in milliseconds, or NaN if there are none.
 fn percentile(sorted: &[u64], percent: f64) -> f64 {
     let position = (sorted.len() as f64 * percent / 100.0) as usize;
     let value = sorted.get(position.min(sorted.len().saturating_sub(1)));
--- a/crates/experiments/src/traffic/tests.rs
+++ b/crates/experiments/src/traffic/tests.rs
@@ -1,19 +1,22 @@
-//! Guards the model itself: work is neither lost nor made, and a run depends on its seed only.
+//! Checks the simulation itself: an engine generates exactly the tokens of its requests, a run
+//! depends on its seed only, and the scenario files are valid.
 
 use base::{Moment, ZoneKey};
 use routing::UpstreamPicker;
 
 use super::{
-    engine::EngineModel, measure::RunMeasure, play, scenario::TrafficScenario, world::GateKind,
+    engine::EngineModel, measure::RunMeasurements, scenario::TrafficScenario, simulate,
+    world::QueueKind,
 };
 
 #[test]
-fn batch_shares_the_speed_and_the_rest_waits() {
+fn batch_shares_the_speed_and_further_requests_wait() {
     let mut engine = EngineModel::new(ZoneKey(0), 1_000, 4);
     for request in 0..5 {
         engine.push(Moment(0), request, 100);
     }
-    // Four streams at 250 tokens a second, then the fifth alone at a quarter of the speed.
+    // Four streams at 250 tokens/s each. Then the fifth runs alone, at a quarter of the engine's
+    // speed.
     let first = engine.next_done();
     assert_eq!(first, Some(Moment(400_000)));
     let now = Moment(400_000);
@@ -31,10 +34,10 @@
 fn equal_seeds_give_equal_runs() {
     let scenario = scenario("derwent-today.toml");
     let scenario = TrafficScenario { warmup_seconds: 5, seconds: 60, ..scenario };
-    let run = |seed| play(&scenario, &UpstreamPicker::default(), GateKind::Fair, 1.0, seed);
-    let figures = |run: &RunMeasure| (run.percentile(50.0), run.goodput(scenario.capacity()));
-    assert_eq!(figures(&run(1)), figures(&run(1)));
-    assert_ne!(figures(&run(1)), figures(&run(2)));
+    let run = |seed| simulate(&scenario, &UpstreamPicker::default(), QueueKind::Fair, 1.0, seed);
+    let results = |run: &RunMeasurements| (run.percentile(50.0), run.goodput(scenario.capacity()));
+    assert_eq!(results(&run(1)), results(&run(1)));
+    assert_ne!(results(&run(1)), results(&run(2)));
 }
 
 #[test]
--- a/crates/experiments/src/traffic/world.rs
+++ b/crates/experiments/src/traffic/world.rs
@@ -1,4 +1,5 @@
-//! Discrete-event run of nodes that choose at once in front of modelled engines.
+//! Discrete-event simulation of nodes that queue requests and pick among simulated engines, each
+//! with its own view of their load.
 
 use std::{
     cmp::Reverse,
@@ -18,24 +19,25 @@
     RouteUpstreams, TableSettings, UpstreamProperties, UpstreamTable,
 };
 
-use super::{engine::EngineModel, measure::RunMeasure, scenario::TrafficScenario};
+use super::{engine::EngineModel, measure::RunMeasurements, scenario::TrafficScenario};
 
-/// What holds requests back before they are placed.
+/// Queue in front of the pick policy of each node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum GateKind {
-    /// Nothing.
-    Open,
-    /// A queue in order of arrival, which drops what is past its deadline.
-    FirstCome,
+pub(super) enum QueueKind {
+    /// No queue: every request is sent at once.
+    None,
+    /// A queue in order of arrival, which refuses requests past their deadline.
+    Fifo,
     /// The fair queue.
     Fair,
-    /// The fair queue behind limits that give each customer an equal share of the capacity.
+    /// The fair queue behind rate limits that give each customer an equal share of the capacity.
     LimitedFair,
 }
 
-enum Gate {
-    Open,
-    FirstCome { waiting: VecDeque<usize>, in_service: u64 },
+/// The queue of one node. `in_service` counts the estimated tokens of the requests sent to engines.
+enum RequestQueue {
+    None,
+    Fifo { waiting: VecDeque<usize>, in_service: u64 },
     Fair(Box<FairQueue>),
 }
 
@@ -44,8 +46,8 @@
     table: UpstreamTable,
     upstreams: RouteUpstreams,
     policy: P,
-    gate: Gate,
-    limits: Option<RateLimiter>,
+    queue: RequestQueue,
+    rate_limiter: Option<RateLimiter>,
 }
 
 struct Request {
@@ -60,35 +62,37 @@
     enum Event {
         Arrival,
         EngineDone { engine: usize, generation: u64 },
-        Measure,
-        Reported { engine: usize, running: u32, queued: u32, measured_at: Moment },
-        GateTick { node: usize },
-        Refresh,
+        MeasureLoad,
+        LoadReported { engine: usize, running: u32, queued: u32, measured_at: Moment },
+        QueueTick { node: usize },
+        RefreshMaxSpeed,
     }
 }
 
 pub(super) struct World<'a, P> {
     scenario: &'a TrafficScenario,
     customer_weights: Vec<f64>,
-    arrival_gap: f64,
+    /// Mean time between two arrivals, in microseconds.
+    mean_arrival_gap: f64,
     now: Moment,
     sequence: u64,
     events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     engines: Vec<EngineModel>,
     nodes: Vec<Node<P>>,
-    /// The delegate's desk of each zone.
+    /// The limit allocator of the delegate of each zone.
     allocators: Vec<LimitAllocator>,
     requests: Vec<Request>,
+    /// Capacity that each node may use.
     capacity: ServiceCapacity,
     rng: ChaCha8Rng,
-    measure: RunMeasure,
+    measurements: RunMeasurements,
 }
 
 impl<'a, P: PickPolicy + Clone> World<'a, P> {
     pub(super) fn new(
         scenario: &'a TrafficScenario,
         policy: &P,
-        gate: GateKind,
+        queue_kind: QueueKind,
         aggressor_factor: f64,
         seed: u64,
     ) -> Self {
@@ -121,43 +125,51 @@
             let upstreams =
                 RouteUpstreams::new(&table, zone, (0..engines.len() as u32).map(UpstreamKey));
             let me = Incarnation(u64::from(number));
-            let is_limited = gate == GateKind::LimitedFair;
-            let limits = is_limited.then(|| {
-                let mut limits = RateLimiter::new(me, LimiterSettings::default());
+            let is_limited = queue_kind == QueueKind::LimitedFair;
+            let rate_limiter = is_limited.then(|| {
+                let mut rate_limiter = RateLimiter::new(me, LimiterSettings::default());
                 let limit = zone_limit(scenario, zone.0, zones);
                 for customer in 0..scenario.customers {
-                    limits.set_guaranteed_rate(
+                    rate_limiter.set_guaranteed_rate(
                         Moment(0),
                         CustomerKey(customer),
                         limit.guaranteed_rate,
                     );
                 }
-                limits
+                rate_limiter
             });
-            let gate = match gate {
-                GateKind::Open => Gate::Open,
-                GateKind::FirstCome => Gate::FirstCome { waiting: VecDeque::new(), in_service: 0 },
-                GateKind::Fair | GateKind::LimitedFair => {
+            let queue = match queue_kind {
+                QueueKind::None => RequestQueue::None,
+                QueueKind::Fifo => RequestQueue::Fifo { waiting: VecDeque::new(), in_service: 0 },
+                QueueKind::Fair | QueueKind::LimitedFair => {
                     let rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(number) << 32);
-                    Gate::Fair(Box::new(FairQueue::new(
+                    RequestQueue::Fair(Box::new(FairQueue::new(
                         QueueSettings::default(),
                         service_capacity,
                         rng,
                     )))
                 }
             };
-            nodes.push(Node { zone, table, upstreams, policy: policy.clone(), gate, limits });
+            nodes.push(Node {
+                zone,
+                table,
+                upstreams,
+                policy: policy.clone(),
+                queue,
+                rate_limiter,
+            });
         }
         let allocators = (0..zones).map(|zone| allocator(scenario, zone, zones)).collect();
         let mut customer_weights = vec![1.0; scenario.customers as usize];
         customer_weights[0] = aggressor_factor;
-        let excess = customer_weights.iter().sum::<f64>() / f64::from(scenario.customers);
-        let per_second = scenario.load * excess * capacity as f64 / f64::from(scenario.mean_tokens);
+        let load_factor = customer_weights.iter().sum::<f64>() / f64::from(scenario.customers);
+        let per_second =
+            scenario.load * load_factor * capacity as f64 / f64::from(scenario.mean_tokens);
         let warmup = Moment(0) + Span::from_secs(scenario.warmup_seconds);
         Self {
             scenario,
             customer_weights,
-            arrival_gap: 1e6 / per_second,
+            mean_arrival_gap: 1e6 / per_second,
             now: Moment(0),
             sequence: 0,
             events: BinaryHeap::new(),
@@ -167,72 +179,75 @@
             requests: Vec::new(),
             capacity: service_capacity,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            measure: RunMeasure::new(warmup, scenario.customers as usize),
+            measurements: RunMeasurements::new(warmup, scenario.customers as usize),
         }
     }
 
-    pub(super) fn run(mut self) -> RunMeasure {
+    pub(super) fn run(mut self) -> RunMeasurements {
         let end = Moment(0) + Span::from_secs(self.scenario.seconds);
-        self.plan(Span::ZERO, Event::Arrival);
-        self.plan(Span::ZERO, Event::Measure);
-        self.plan(Span::from_secs(1), Event::Refresh);
+        self.schedule(Span::ZERO, Event::Arrival);
+        self.schedule(Span::ZERO, Event::MeasureLoad);
+        self.schedule(Span::from_secs(1), Event::RefreshMaxSpeed);
         for node in 0..self.nodes.len() {
-            self.plan(Span::from_millis(100), Event::GateTick { node });
+            self.schedule(Span::from_millis(100), Event::QueueTick { node });
         }
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.apply(event);
+            self.handle_event(event);
         }
-        self.measure.finish(end);
-        self.measure
+        self.measurements.finish(end);
+        self.measurements
     }
 
-    fn plan(&mut self, after: Span, event: Event) {
+    fn schedule(&mut self, after: Span, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn apply(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrival => self.arrival(),
             Event::EngineDone { engine, generation } => self.engine_done(engine, generation),
-            Event::Measure => {
+            Event::MeasureLoad => {
                 for engine in 0..self.engines.len() {
                     let (running, queued) = self.engines[engine].counts();
                     let measured_at = self.now;
-                    let event = Event::Reported { engine, running, queued, measured_at };
-                    self.plan(Span::from_millis(self.scenario.report_lag_ms), event);
+                    let event = Event::LoadReported { engine, running, queued, measured_at };
+                    self.schedule(Span::from_millis(self.scenario.report_lag_ms), event);
                 }
-                self.plan(Span::from_millis(self.scenario.report_period_ms), Event::Measure);
+                self.schedule(
+                    Span::from_millis(self.scenario.report_period_ms),
+                    Event::MeasureLoad,
+                );
             }
-            Event::Reported { engine, running, queued, measured_at } => {
+            Event::LoadReported { engine, running, queued, measured_at } => {
                 let load = LoadMeasurement { running, queued, version: None, measured_at };
                 for node in &mut self.nodes {
                     node.table.record_load(self.now, UpstreamKey(engine as u32), load);
                 }
             }
-            Event::GateTick { node } => {
-                if let Gate::Fair(queue) = &mut self.nodes[node].gate {
+            Event::QueueTick { node } => {
+                if let RequestQueue::Fair(queue) = &mut self.nodes[node].queue {
                     let actions = queue.handle(self.now, QueueEvent::Tick);
-                    self.follow(&actions);
+                    self.apply_actions(&actions);
                 }
-                self.plan(Span::from_millis(100), Event::GateTick { node });
+                self.schedule(Span::from_millis(100), Event::QueueTick { node });
             }
-            Event::Refresh => {
+            Event::RefreshMaxSpeed => {
                 for node in &mut self.nodes {
                     node.table.refresh_max_speed();
                 }
-                self.plan(Span::from_secs(1), Event::Refresh);
+                self.schedule(Span::from_secs(1), Event::RefreshMaxSpeed);
             }
         }
     }
 
     fn arrival(&mut self) {
-        let gap = -(1.0 - self.rng.random::<f64>()).ln() * self.arrival_gap;
-        self.plan(Span::from_micros(gap as u64), Event::Arrival);
+        let gap = -(1.0 - self.rng.random::<f64>()).ln() * self.mean_arrival_gap;
+        self.schedule(Span::from_micros(gap as u64), Event::Arrival);
         let mean = f64::from(self.scenario.mean_tokens);
         let tokens = (-(1.0 - self.rng.random::<f64>()).ln() * mean).max(1.0) as u32;
         let total = self.customer_weights.iter().sum::<f64>();
@@ -249,19 +264,19 @@
         let (request, arrived_at) = (self.requests.len(), self.now);
         let customer = customer as u32;
         self.requests.push(Request { customer, node, tokens, arrived_at, in_flight: None });
-        self.measure.offered(arrived_at, customer);
+        self.measurements.offered(arrived_at, customer);
         let deadline = self.deadline(request);
         if !self.admit(node, customer) {
-            self.refused(request);
+            self.count_refusal(request);
             return;
         }
-        match &mut self.nodes[node].gate {
-            Gate::Open => self.send(request),
-            Gate::FirstCome { waiting, .. } => {
+        match &mut self.nodes[node].queue {
+            RequestQueue::None => self.send(request),
+            RequestQueue::Fifo { waiting, .. } => {
                 waiting.push_back(request);
-                self.pass_first_come(node);
+                self.dispatch_fifo(node);
             }
-            Gate::Fair(queue) => {
+            RequestQueue::Fair(queue) => {
                 let queued = QueuedRequest {
                     ticket: TicketNumber(request as u64),
                     customer: CustomerKey(customer),
@@ -270,21 +285,22 @@
                     deadline,
                 };
                 let actions = queue.handle(self.now, QueueEvent::Offered(queued));
-                self.follow(&actions);
+                self.apply_actions(&actions);
             }
         }
     }
 
-    /// Takes the estimated cost from the customer's bucket, if the node has limits. Asks and grants
-    /// arrive at once, since a zone is small against the period of the asks.
+    /// Takes the estimated cost from the customer's token bucket, if the node has rate limits.
+    /// Grant requests and grants arrive without delay, since the network latency within a zone is
+    /// short against the period of the grant requests.
     fn admit(&mut self, node: usize, customer: u32) -> bool {
-        let Node { limits, zone, .. } = &mut self.nodes[node];
-        let Some(limits) = limits else { return true };
+        let Node { rate_limiter, zone, .. } = &mut self.nodes[node];
+        let Some(rate_limiter) = rate_limiter else { return true };
         let (customer, tokens) = (CustomerKey(customer), self.scenario.mean_tokens);
-        let decision = limits.admit(self.now, customer, tokens);
-        for request in limits.due_requests(self.now) {
+        let decision = rate_limiter.admit(self.now, customer, tokens);
+        for request in rate_limiter.due_requests(self.now) {
             if let Some(grant) = self.allocators[zone.0 as usize].grant(self.now, request) {
-                limits.apply_grant(self.now, grant);
+                rate_limiter.apply_grant(self.now, grant);
             }
         }
         decision == LimitDecision::Admitted
@@ -294,23 +310,23 @@
         self.requests[request].arrived_at + Span::from_millis(self.scenario.deadline_ms)
     }
 
-    fn follow(&mut self, actions: &[QueueAction]) {
+    fn apply_actions(&mut self, actions: &[QueueAction]) {
         for action in actions {
             match action {
                 QueueAction::Dispatch(ticket) => self.send(ticket.0 as usize),
-                QueueAction::Refuse { ticket, .. } => self.refused(ticket.0 as usize),
+                QueueAction::Refuse { ticket, .. } => self.count_refusal(ticket.0 as usize),
             }
         }
     }
 
-    fn refused(&mut self, request: usize) {
+    fn count_refusal(&mut self, request: usize) {
         let Request { customer, arrived_at, .. } = self.requests[request];
-        self.measure.refused(arrived_at, customer);
+        self.measurements.refused(arrived_at, customer);
     }
 
-    fn pass_first_come(&mut self, node: usize) {
+    fn dispatch_fifo(&mut self, node: usize) {
         loop {
-            let Gate::FirstCome { waiting, in_service } = &mut self.nodes[node].gate else {
+            let RequestQueue::Fifo { waiting, in_service } = &mut self.nodes[node].queue else {
                 return;
             };
             if *in_service >= u64::from(self.capacity.max_in_service_tokens) {
@@ -318,10 +334,10 @@
             }
             let Some(request) = waiting.pop_front() else { return };
             if self.deadline(request) <= self.now {
-                self.refused(request);
+                self.count_refusal(request);
                 continue;
             }
-            if let Gate::FirstCome { in_service, .. } = &mut self.nodes[node].gate {
+            if let RequestQueue::Fifo { in_service, .. } = &mut self.nodes[node].queue {
                 *in_service += u64::from(self.scenario.mean_tokens);
             }
             self.send(request);
@@ -330,25 +346,26 @@
 
     fn send(&mut self, request: usize) {
         let tokens = self.scenario.mean_tokens;
-        let pick =
+        let pick_request =
             PickRequest { tokens, prompt_tokens: 0, prefix: None, min_version: None, avoid: &[] };
         let node = &mut self.nodes[self.requests[request].node];
         let Node { table, upstreams, policy, .. } = node;
-        let Some(choice) = policy.pick(self.now, table, upstreams, &pick, &mut self.rng) else {
-            self.refused(request);
+        let Some(choice) = policy.pick(self.now, table, upstreams, &pick_request, &mut self.rng)
+        else {
+            self.count_refusal(request);
             return;
         };
         self.requests[request].in_flight = Some(table.start(self.now, choice.upstream, tokens));
         let engine = choice.upstream.0 as usize;
         self.engines[engine].push(self.now, request, self.requests[request].tokens);
-        self.plan_done(engine);
+        self.schedule_done(engine);
     }
 
-    fn plan_done(&mut self, engine: usize) {
+    fn schedule_done(&mut self, engine: usize) {
         let model = &self.engines[engine];
         let generation = model.generation;
         let Some(at) = model.next_done() else { return };
-        self.plan(at.since(self.now), Event::EngineDone { engine, generation });
+        self.schedule(at.since(self.now), Event::EngineDone { engine, generation });
     }
 
     fn engine_done(&mut self, engine: usize, generation: u64) {
@@ -358,31 +375,35 @@
         while let Some(request) = self.engines[engine].pop_done(self.now) {
             self.completed(engine, request);
         }
-        self.plan_done(engine);
+        self.schedule_done(engine);
     }
 
     fn completed(&mut self, engine: usize, request: usize) {
         let deadline = self.deadline(request);
         let Request { customer, node, tokens, arrived_at, in_flight } = self.requests[request];
         let outcome = RequestOutcome::Completed { tokens };
-        let in_flight = in_flight.expect("a request on an engine was started");
-        let Node { zone, table, gate, .. } = &mut self.nodes[node];
+        let in_flight = in_flight
+            .expect("a request that an engine completed was started in the upstream table");
+        let Node { zone, table, queue, .. } = &mut self.nodes[node];
         table.finish(self.now, in_flight, outcome);
-        let distance = table.zone_latency(self.engines[engine].zone);
-        let network =
-            if *zone == self.engines[engine].zone { Span::ZERO } else { distance + distance };
+        let zone_latency = table.zone_latency(self.engines[engine].zone);
+        let network = if *zone == self.engines[engine].zone {
+            Span::ZERO
+        } else {
+            zone_latency + zone_latency
+        };
         let ended_at = self.now + network;
-        self.measure.completed(arrived_at, ended_at, customer, tokens, ended_at <= deadline);
-        match gate {
-            Gate::Open => (),
-            Gate::FirstCome { in_service, .. } => {
+        self.measurements.completed(arrived_at, ended_at, customer, tokens, ended_at <= deadline);
+        match queue {
+            RequestQueue::None => (),
+            RequestQueue::Fifo { in_service, .. } => {
                 *in_service -= u64::from(self.scenario.mean_tokens);
-                self.pass_first_come(node);
+                self.dispatch_fifo(node);
             }
-            Gate::Fair(queue) => {
+            RequestQueue::Fair(queue) => {
                 let done = QueueEvent::Done { ticket: TicketNumber(request as u64), tokens };
                 let actions = queue.handle(self.now, done);
-                self.follow(&actions);
+                self.apply_actions(&actions);
             }
         }
     }
