--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -26,7 +26,7 @@
         pub class: RequestClass,
         /// Estimated cost in tokens.
         pub tokens: u32,
-        /// When its answer must be complete.
+        /// When its response must be complete.
         pub deadline: Moment,
     }
 
--- a/crates/clients/src/error.rs
+++ b/crates/clients/src/error.rs
@@ -58,7 +58,7 @@
         Self::maybe_run(CallFailure::Malformed, reason.to_string())
     }
 
-    /// Tells whether the request may have taken effect.
+    /// Returns whether the request may have taken effect.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.execution == Execution::MayHaveRun
--- a/crates/delivery/src/attempt.rs
+++ b/crates/delivery/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, from its acceptance to its final answer.
+//! The attempts of one request, from its acceptance to its final response.
 
 use base::{Execution, Moment, Refusal, RefusalCode, Span, UpstreamKey, derive_copy, derive_value};
 use smallvec::SmallVec;
@@ -20,9 +20,9 @@
         Connecting(UpstreamKey),
         /// Bytes may have reached the upstream.
         Sent(UpstreamKey),
-        /// The complete answer was received.
+        /// The complete response was received.
         Answered,
-        /// The request ended without a complete answer.
+        /// The request ended without a complete response.
         Abandoned,
     }
 
@@ -30,9 +30,9 @@
     pub enum FailureCause {
         /// The connection could not be established.
         ConnectFailed,
-        /// The connection broke, or the answer was malformed.
+        /// The connection broke, or the response was malformed.
         ConnectionBroken,
-        /// The answer ended before its declared length or its end marker.
+        /// The response ended before its declared length or its end marker.
         AnswerTruncated,
         /// The upstream responded that it cannot serve the request now (status 503).
         UpstreamBusy,
@@ -59,7 +59,7 @@
         /// write, so that the request counts as possibly run even if the write fails. If the
         /// deadline has passed, the tracker refuses the request instead.
         Sending,
-        /// The complete answer was received and its length checked.
+        /// The complete response was received and its length checked.
         Answered,
         /// The current attempt failed.
         Failed(FailureCause),
@@ -87,7 +87,7 @@
         Cancel(UpstreamKey),
         /// Close the connection to the upstream, which must not be reused.
         CloseConnection(UpstreamKey),
-        /// Send the caller this refusal as the final answer.
+        /// Send the caller this refusal as the final response.
         Refuse(Refusal),
     }
 }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Applies one event. Events after the final answer are ignored.
+    /// Applies one event. Events after the request has ended are ignored.
     pub fn handle(&mut self, now: Moment, event: AttemptEvent) -> AttemptActions {
         if self.is_final() {
             return AttemptActions::new();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns when [`AttemptEvent::Tick`] is due, or `None` after the final answer.
+    /// Returns when [`AttemptEvent::Tick`] is due, or `None` once the request has ended.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Moment> {
         (!self.is_final()).then_some(self.deadline)
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -40,7 +40,7 @@
     pub struct ClaimPolicy {
         /// Time from a claim to its expiry.
         pub lifetime: Span,
-        /// Maximum body length in bytes of an answer that is stored and replayed to a resend.
+        /// Maximum body length in bytes of a response that is stored and replayed to a resend.
         pub max_answer_bytes: usize,
         /// Retry-After of the refusal while another request holds the claim or the log is
         /// unavailable.
@@ -51,14 +51,14 @@
 derive_value! {
     /// How the request that holds a claim ended.
     pub enum ClaimOutcome {
-        /// It was answered, and this answer is replayed to a resend.
+        /// It was answered, and this response is replayed to a resend.
         Answered {
             /// HTTP status.
             status: u16,
-            /// Body of the answer.
+            /// Body of the response.
             body: Vec<u8>,
         },
-        /// It was answered, and the answer was too long to store. A resend is refused.
+        /// It was answered, and the response was too long to store. A resend is refused.
         AnswerNotKept,
         /// It may have run and its outcome is unknown. A resend is refused.
         Unknown,
@@ -116,16 +116,16 @@
         AppendDone(ClaimDone),
         /// The request holds its claim and may be sent to an upstream.
         Run(RequestId),
-        /// Send the caller the stored answer of the request that ran.
+        /// Send the caller the stored response of the request that ran.
         Replay {
             /// The request to answer.
             request: RequestId,
-            /// HTTP status of the stored answer.
+            /// HTTP status of the stored response.
             status: u16,
-            /// Body of the stored answer.
+            /// Body of the stored response.
             body: Vec<u8>,
         },
-        /// Send the caller this refusal as the final answer.
+        /// Send the caller this refusal as the final response.
         Refuse {
             /// The request to answer.
             request: RequestId,
--- a/crates/delivery/src/id.rs
+++ b/crates/delivery/src/id.rs
@@ -4,8 +4,8 @@
 use sha2::{Digest, Sha256};
 
 derive_copy! {
-    /// Identifier that the accepting node assigns to a request. Answers are matched to requests by
-    /// it.
+    /// Identifier that the accepting node assigns to a request. Responses are matched to requests
+    /// by it.
     pub struct RequestId {
         /// The node that accepted the request.
         pub node: Incarnation,
--- a/crates/delivery/src/stream.rs
+++ b/crates/delivery/src/stream.rs
@@ -110,7 +110,7 @@
     /// Result of [`check_body`].
     pub enum BodyLength {
         /// The body has the declared length.
-        Whole,
+        Complete,
         /// Bytes are missing, or no length was declared.
         Truncated,
         /// The body is longer than declared.
@@ -282,7 +282,7 @@
 #[must_use]
 pub fn check_body(declared: Option<u64>, received: u64) -> BodyLength {
     match declared {
-        Some(length) if received == length => BodyLength::Whole,
+        Some(length) if received == length => BodyLength::Complete,
         Some(length) if received > length => BodyLength::TooLong,
         _ => BodyLength::Truncated,
     }
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -153,7 +153,7 @@
             /// The upstream reserved for it.
             upstream: UpstreamKey,
         },
-        /// Send the caller this refusal as the final answer.
+        /// Send the caller this refusal as the final response.
         Refuse {
             /// The request.
             request: RequestId,
--- a/crates/delivery/tests/stream.rs
+++ b/crates/delivery/tests/stream.rs
@@ -121,7 +121,7 @@
 
 #[test]
 fn body_length_is_checked() {
-    assert_eq!(check_body(Some(3), 3), BodyLength::Whole);
+    assert_eq!(check_body(Some(3), 3), BodyLength::Complete);
     assert_eq!(check_body(Some(3), 2), BodyLength::Truncated);
     assert_eq!(check_body(Some(3), 4), BodyLength::TooLong);
     assert_eq!(check_body(None, 3), BodyLength::Truncated);
--- a/crates/dispatch/src/balancer.rs
+++ b/crates/dispatch/src/balancer.rs
@@ -97,7 +97,7 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Tells whether an upstream may be given requests: its last entry is ready, and is still in
+    /// Returns whether an upstream may be given requests: its last entry is ready, and is still in
     /// the store or lapsed only a short time ago.
     #[must_use]
     pub fn is_usable(&self, now: Moment, upstream: UpstreamKey) -> bool {
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -29,7 +29,8 @@
         pub slots: u32,
         /// Whether it accepts requests.
         pub state: EntryState,
-        /// Time left of its warm-up, during which it is slower.
+        /// Time left of its warm-up, during which it is slower. The value is decoded and not yet
+        /// used.
         pub warmup: Span,
         /// Loaded weight version of each model. Empty for a plain service.
         pub versions: Vec<(String, WeightVersion)>,
@@ -38,7 +39,8 @@
         pub started_at_ms: Option<u64>,
         /// Whether it is of the cheap price class, which the platform can reclaim.
         pub cheap: bool,
-        /// Time left until it is reclaimed, if the platform has announced that.
+        /// Time left until it is reclaimed, if the platform has announced that. The value is
+        /// decoded and not yet used.
         pub time_to_reclaim: Option<Span>,
     }
 }
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -73,13 +73,14 @@
 const MAX_JITTER: f64 = 0.15;
 
 /// Factor on the cost of an upstream to which an idle connection is open. Opening a new one costs a
-/// round trip, and connections are priced.
+/// round trip, and an open connection is a resource with a cost of its own: the number of
+/// connections opened to upstreams counts against the service.
 const CONNECTED_FACTOR: f64 = 0.8;
 
 /// A running generation is migrated when the other engine's time between events is below this part
 /// of the current one's. A migration costs some milliseconds for reading the prompt and text again,
-/// and the connection, which is priced. Engines of the slower kinds stay above this bound, so their
-/// runs are not migrated.
+/// and a new connection, which has a cost of its own (see [`CONNECTED_FACTOR`]). Engines of the
+/// slower kinds stay above this bound, so their runs are not migrated.
 const MAX_MIGRATION_INTERVAL_RATIO: f64 = 0.4;
 
 /// An engine that has the shared prompt in its cache is preferred while its cost is at most that of
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Tells whether an engine is usable and has new enough weights for a generation, regardless of
-    /// its load.
+    /// Returns whether an engine is usable and has new enough weights for a generation, regardless
+    /// of its load.
     #[must_use]
     pub fn accepts(
         &self,
@@ -170,7 +171,7 @@
             && version.is_some_and(|version| version >= requirement.min_version)
     }
 
-    /// Tells whether a generation that runs on the engine `from` should be migrated to the engine
+    /// Returns whether a generation that runs on the engine `from` should be migrated to the engine
     /// `to`, because measurements show it to be much faster.
     #[must_use]
     pub fn should_migrate(&self, now: Moment, from: UpstreamKey, to: UpstreamKey) -> bool {
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -237,7 +237,7 @@
 }
 
 impl DemandSnapshot {
-    /// Tells whether any slot has an observation.
+    /// Returns whether any slot has an observation.
     #[must_use]
     pub fn is_learned(&self) -> bool {
         self.means.iter().any(|mean| *mean != NO_OBSERVATION)
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -1,8 +1,8 @@
 //! Generation of samples: placement of open slots, attempts on engines and reruns of stragglers.
 //!
 //! Each open slot is owned by one live node. When two nodes both take a slot for theirs, because
-//! their views of the membership differ, both generate a sample and the first fill record in log
-//! order wins.
+//! their views of the membership differ, both generate a sample and the first `Filled` record in
+//! log order wins.
 
 mod attempt;
 
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt at a sample slot: it picks an engine, reads its token stream, resumes on another
-//! engine after a failure, stores the sample and appends the fill record.
+//! engine after a failure, stores the sample and appends the `Filled` record.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -66,8 +66,8 @@
 }
 
 impl Control {
-    /// Runs an attempt until its fill record is appended or it fails or is cancelled. `avoid` is
-    /// the engine of a straggling attempt at the same slot.
+    /// Runs an attempt until its `Filled` record is appended or it fails or is cancelled. `avoid`
+    /// is the engine of a straggling attempt at the same slot.
     pub(super) async fn run_attempt(
         self: Rc<Self>,
         attempt: Rc<SampleAttempt>,
@@ -89,7 +89,7 @@
             Some(progress) => self.fill_slot(&attempt, progress).await,
             None => false,
         };
-        // After an append the slot stays in `running` until the fill record is read back.
+        // After an append the slot stays in `running` until the `Filled` record is read back.
         if !filled {
             if !attempt.cancelled.get() {
                 actix_rt::time::sleep(FAILED_ATTEMPT_DELAY).await;
@@ -347,8 +347,8 @@
         keys.take(MAX_COPY_REQUESTS).filter_map(|key| state.peers.address(key)).collect()
     }
 
-    /// Stores the sample on this node and one peer, and appends the fill record. Returns whether it
-    /// was appended.
+    /// Stores the sample on this node and one peer, and appends the `Filled` record. Returns
+    /// whether it was appended.
     async fn fill_slot(self: &Rc<Self>, attempt: &SampleAttempt, progress: Progress) -> bool {
         let Progress { text, tracker } = progress;
         let sample = self.state().writer.next_id(SAMPLE_STREAM);
--- a/crates/hibiscushinged/src/control/peers.rs
+++ b/crates/hibiscushinged/src/control/peers.rs
@@ -152,7 +152,7 @@
                 PeerAction::SendSummary { to, message } => self.send_summary(now, to, message),
                 PeerAction::Changed { vm, state } => self.peer_changed(now, vm, state),
                 PeerAction::Replaced { incarnation, .. } => {
-                    self.usage_peer_gone(now, incarnation);
+                    self.usage_process_ended(now, incarnation);
                 }
             }
         }
@@ -171,7 +171,7 @@
             PeerState::Suspect => log_event!(warn, PeerSuspected, vm = identity.name),
             PeerState::Gone => {
                 log_event!(warn, PeerSuspected, vm = identity.name, gone = true);
-                self.usage_peer_gone(now, identity.incarnation);
+                self.usage_process_ended(now, identity.incarnation);
             }
         }
     }
--- a/crates/hibiscushinged/src/control/sample_store.rs
+++ b/crates/hibiscushinged/src/control/sample_store.rs
@@ -5,8 +5,8 @@
 use base::{Moment, RecordId, Span};
 use rollout::{DeliveryNumber, SlotKey, TrainerId};
 
-/// Time after which a sample without a fill record is dropped. Its node may have died before the
-/// append. If the append is merely slower, the sample is fetched from its other holder.
+/// Time after which a sample without a `Filled` record is dropped. Its node may have died before
+/// the append. If the append is merely slower, the sample is fetched from its other holder.
 const ORPHAN_TIMEOUT: Span = Span::from_secs(120);
 
 /// Store of sample texts, limited to `bounds.sample_bytes` of the settings.
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Sets the slot of a sample whose fill record was read.
+    /// Sets the slot of a sample whose `Filled` record was read.
     pub(crate) fn set_slot(&mut self, sample: RecordId, slot: SlotKey) {
         if let Some(stored) = self.samples.get_mut(&sample) {
             stored.slot = Some(slot);
@@ -114,7 +114,7 @@
         self.recount();
     }
 
-    /// Removes samples whose fill record was not read within [`ORPHAN_TIMEOUT`].
+    /// Removes samples whose `Filled` record was not read within [`ORPHAN_TIMEOUT`].
     pub(crate) fn drop_orphans(&mut self, now: Moment) {
         let is_expired = |stored: &StoredSample| now.since(stored.inserted_at) > ORPHAN_TIMEOUT;
         self.samples.retain(|_, stored| stored.slot.is_some() || !is_expired(stored));
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -177,8 +177,8 @@
         let id = batch.id;
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
         if self.append_with_id(USAGE_STREAM, id, &entry).is_err() {
-            // Kept as a replica of a process that is gone, which the store appends until the buffer
-            // has space.
+            // Kept as a replica of a process that has ended, which the store appends until the
+            // buffer has space.
             self.state().usage.replicas.hold(now, batch, OriginState::Ended);
         }
     }
@@ -221,7 +221,7 @@
 
     /// Handles the end of a process: its replicated batches become due for append, and own batches
     /// that it held are sent to another holder.
-    pub(crate) fn usage_peer_gone(&self, now: Moment, incarnation: Incarnation) {
+    pub(crate) fn usage_process_ended(&self, now: Moment, incarnation: Incarnation) {
         let mut state = self.state();
         state.usage.replicas.origin_ended(now, incarnation);
         state.usage.pending.holder_lost(now, incarnation);
--- a/crates/hibiscushinged/src/gateway/attempt.rs
+++ b/crates/hibiscushinged/src/gateway/attempt.rs
@@ -214,8 +214,8 @@
     let mut body = BytesMut::from(first);
     while let Some(chunk) = exchange.chunk().await? {
         if body.len() + chunk.len() > MAX_RESPONSE_BYTES {
-            return Err(ChannelError::Malformed(String::from(
-                "the body of the response exceeds 32 MiB",
+            return Err(ChannelError::Malformed(format!(
+                "the body of the response exceeds {MAX_RESPONSE_BYTES} bytes",
             )));
         }
         body.extend_from_slice(&chunk);
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -76,7 +76,7 @@
         Ok(Self { stream, config, buffer: BytesMut::new(), unsent: Bytes::new() })
     }
 
-    /// Tells whether the idle connection is still open and has no unread bytes.
+    /// Returns whether the idle connection is still open and has no unread bytes.
     pub(crate) fn is_reusable(&self) -> bool {
         let mut byte = [0];
         let read = self.stream.try_read(&mut byte);
@@ -136,8 +136,8 @@
                 Some(head) if head.status.is_informational() => {}
                 Some(head) => return Ok(head),
                 None if self.buffer.len() > MAX_HEAD_BYTES => {
-                    return Err(ChannelError::Malformed(String::from(
-                        "the head of the response is longer than 64 KiB",
+                    return Err(ChannelError::Malformed(format!(
+                        "the head of the response is longer than {MAX_HEAD_BYTES} bytes",
                     )));
                 }
                 None => {
@@ -180,7 +180,7 @@
         &self.metadata
     }
 
-    /// Tells whether the response belongs to request `id`. A response may omit the id when the
+    /// Returns whether the response belongs to request `id`. A response may omit the id when the
     /// request did not run or failed.
     fn matches_request(&self, id: &str) -> bool {
         match &self.metadata.id {
--- a/crates/hibiscushinged/src/gateway/control.rs
+++ b/crates/hibiscushinged/src/gateway/control.rs
@@ -152,8 +152,8 @@
 
     fn apply(&self, change: KeyChange) {
         let Some(value) = change.value else {
-            let commit_refusal = self.control.node.is_store_settling();
-            let cause = if commit_refusal { RemovalCause::Lapsed } else { RemovalCause::Left };
+            let store_settling = self.control.node.is_store_settling();
+            let cause = if store_settling { RemovalCause::Lapsed } else { RemovalCause::Left };
             self.remove(change.key, cause);
             return;
         };
--- a/crates/hibiscushinged/src/gateway/generation.rs
+++ b/crates/hibiscushinged/src/gateway/generation.rs
@@ -139,7 +139,9 @@
         }
         Err(_) => {
             return (
-                RunOutcome::Interrupted(String::from("the engine sent no response within 1.8 s")),
+                RunOutcome::Interrupted(format!(
+                    "the engine sent no response within {EVENT_TIMEOUT:?}"
+                )),
                 ExchangeOutcome::TimedOut,
             );
         }
--- a/crates/hibiscushinged/src/gateway/items.rs
+++ b/crates/hibiscushinged/src/gateway/items.rs
@@ -177,7 +177,7 @@
         self.wake();
     }
 
-    /// Tells whether the item still has a job on this node.
+    /// Returns whether the item still has a job on this node.
     pub(crate) fn is_wanted(&self, job: &ItemJob) -> bool {
         self.state.borrow().jobs.contains_job(job)
     }
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -181,12 +181,12 @@
         self.now().since(Moment(self.store_response_at.load(Ordering::Acquire)))
     }
 
-    /// Tells whether the store has responded within [`STORE_LOST_AFTER`].
+    /// Returns whether the store has responded within [`STORE_LOST_AFTER`].
     pub(crate) fn is_store_reachable(&self) -> bool {
         self.time_since_store_response() < STORE_LOST_AFTER
     }
 
-    /// Tells whether calls to the store failed within [`STORE_SETTLE_TIME`], so that entries may
+    /// Returns whether calls to the store failed within [`STORE_SETTLE_TIME`], so that entries may
     /// have expired by mistake and come back.
     pub(crate) fn is_store_settling(&self) -> bool {
         let failure_at = self.store_failure_at.load(Ordering::Acquire);
--- a/crates/hibiscushinged/src/gateway/partition_follower.rs
+++ b/crates/hibiscushinged/src/gateway/partition_follower.rs
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Reads a batch of new records, and tells whether the cache is complete. A response of the
+    /// Reads a batch of new records, and returns whether the cache is complete. A response of the
     /// store holds a bounded number of bytes.
     async fn poll(&self, store: &StoreSession, wait: Span) -> Result<bool, CallError> {
         let Some(from) = self.cache.borrow().next_offset() else { return Ok(true) };
--- a/crates/hibiscushinged/src/gateway/partitions.rs
+++ b/crates/hibiscushinged/src/gateway/partitions.rs
@@ -49,7 +49,7 @@
         owned.map(|follower| follower.name.partition).collect()
     }
 
-    /// Sets which partitions this node owns, and tells whether that changed. The consumer group
+    /// Sets which partitions this node owns, and returns whether that changed. The consumer group
     /// assigns more partitions than a small site uses; the unused ones are ignored.
     pub(crate) fn set_owned(&self, owned: &BTreeSet<u32>) -> bool {
         let before = self.owned();
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -321,6 +321,8 @@
     if matches!(tokio::time::timeout(CATCH_UP_TIMEOUT, work).await, Ok(Ok(()))) {
         return Ok(());
     }
-    let message = "this node could not read the newest records of the store within 1.2 s";
+    let message = format!(
+        "this node could not read the newest records of the store within {CATCH_UP_TIMEOUT:?}"
+    );
     Err(Refusal::not_run(RefusalCode::LogUnavailable, message).with_retry_after(STORE_RETRY_AFTER))
 }
--- a/crates/hibiscushinged/src/gateway/usage_reports.rs
+++ b/crates/hibiscushinged/src/gateway/usage_reports.rs
@@ -112,7 +112,7 @@
     windows.filter(|window| !state.confirmed.contains(window)).collect()
 }
 
-/// Tells whether the window is reported without the nodes that have not closed it.
+/// Returns whether the window is reported without the nodes that have not closed it.
 fn is_overdue(control: &ControlState, window: WindowNumber) -> bool {
     let promises = &control.node.settings.promises;
     let delay = (promises.usage_due.as_millis() as f64 * CLOSE_WAIT_FRACTION) as i64;
--- a/crates/hibiscushinged/src/traffic/choice.rs
+++ b/crates/hibiscushinged/src/traffic/choice.rs
@@ -171,9 +171,9 @@
     hash
 }
 
-/// Returns the error for a streamed answer that ended before its end marker or does not agree with
-/// it.
-pub(crate) fn truncated_answer_error() -> CallError {
+/// Returns the error for a streamed response that ended before its end marker or does not agree
+/// with it.
+pub(crate) fn truncated_response_error() -> CallError {
     CallError {
         failure: CallFailure::Malformed,
         execution: base::Execution::MayHaveRun,
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -103,7 +103,7 @@
         choice::pick(shared, &self.request, &size)
     }
 
-    /// Sends the request to an upstream and reads the whole response.
+    /// Sends the request to an upstream and reads the complete response.
     async fn exchange(&self, chosen: &ChosenUpstream) -> Result<HttpResponse, CallError> {
         let path = format!("/{}", self.request.route.entry.path);
         let mut request = HttpRequest::post(chosen.address, path, self.request.body.clone());
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers of model engines: attempts, resumption on another engine, and the end of the
+//! Streamed responses of model engines: attempts, resumption on another engine, and the end of the
 //! stream.
 
 use std::rc::Rc;
@@ -69,10 +69,10 @@
 
 /// How an exchange with an engine ended.
 enum ExchangeOutcome {
-    /// The end marker arrived and the answer is complete.
-    Whole,
+    /// The end marker arrived and the response is complete.
+    Completed,
     /// The exchange failed. The error says whether the engine may have run the request.
-    Broken(CallError),
+    Failed(CallError),
     CallerDisconnected,
     DeadlinePassed,
     KeyWithdrawn,
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Runs exchanges until the answer is complete. Returns the refusal if it cannot be completed.
+    /// Runs exchanges until the response is complete. Returns the refusal if it cannot be
+    /// completed.
     async fn run_attempts(&mut self) -> Option<Refusal> {
         loop {
             let chosen = match self.choose().await {
@@ -181,7 +182,7 @@
             let offset_before = self.offset();
             let exchange_outcome = self.exchange(&chosen).await;
             let outcome = match exchange_outcome {
-                ExchangeOutcome::Whole => {
+                ExchangeOutcome::Completed => {
                     RequestOutcome::Completed { tokens: self.offset() - offset_before }
                 }
                 _ => RequestOutcome::Failed,
@@ -231,7 +232,7 @@
         };
         let mut tokens = match opened {
             Ok(tokens) => tokens,
-            Err(error) => return ExchangeOutcome::Broken(error),
+            Err(error) => return ExchangeOutcome::Failed(error),
         };
         self.handle_attempt(AttemptEvent::Sending);
         loop {
@@ -251,8 +252,8 @@
                 Ok(Some(TokenEvent::End { tokens, prompt_tokens })) => {
                     self.apply_end_marker(tokens, prompt_tokens)
                 }
-                Ok(None) => return ExchangeOutcome::Whole,
-                Err(error) => return ExchangeOutcome::Broken(error),
+                Ok(None) => return ExchangeOutcome::Completed,
+                Err(error) => return ExchangeOutcome::Failed(error),
             };
             match result {
                 EventResult::Line { text, last } => {
@@ -260,12 +261,12 @@
                         return ExchangeOutcome::CallerDisconnected;
                     }
                     if last {
-                        return ExchangeOutcome::Whole;
+                        return ExchangeOutcome::Completed;
                     }
                 }
                 EventResult::Dropped => {}
-                EventResult::Broken => {
-                    return ExchangeOutcome::Broken(choice::truncated_answer_error());
+                EventResult::Failed => {
+                    return ExchangeOutcome::Failed(choice::truncated_response_error());
                 }
             }
         }
@@ -311,7 +312,7 @@
                     result = EventResult::Line { text: value.to_string(), last: true };
                 }
                 StreamAction::Resume { .. } | StreamAction::Fail(_) => {
-                    return EventResult::Broken;
+                    return EventResult::Failed;
                 }
                 // The connection closes when the exchange's token stream is dropped.
                 StreamAction::CloseExchange { .. } => {}
@@ -346,7 +347,7 @@
         exchange_outcome: ExchangeOutcome,
     ) -> AfterExchange {
         let shared = &self.worker.shared;
-        if let ExchangeOutcome::Broken(error) = &exchange_outcome
+        if let ExchangeOutcome::Failed(error) = &exchange_outcome
             && error.may_have_run()
         {
             // The request stays in flight in the suspect table until the control thread knows
@@ -360,11 +361,11 @@
             admitted::forward_suspect_actions(shared, actions);
         }
         match exchange_outcome {
-            ExchangeOutcome::Whole => {
+            ExchangeOutcome::Completed => {
                 self.handle_attempt(AttemptEvent::Answered);
                 AfterExchange::Done
             }
-            ExchangeOutcome::Broken(error) => self.handle_broken_exchange(upstream, &error),
+            ExchangeOutcome::Failed(error) => self.handle_failed_exchange(upstream, &error),
             ExchangeOutcome::CallerDisconnected => {
                 self.cancel_exchange(upstream, AttemptEvent::CallerDisconnected);
                 let message = "the caller disconnected before the answer was complete";
@@ -387,7 +388,7 @@
     }
 
     /// Decides whether a generation whose exchange failed is retried or refused.
-    fn handle_broken_exchange(
+    fn handle_failed_exchange(
         &mut self,
         upstream: UpstreamKey,
         error: &CallError,
@@ -502,12 +503,12 @@
 
 /// What follows from one event of an engine's stream.
 enum EventResult {
-    /// A line for the caller. The last one completes the answer.
+    /// A line for the caller. The last one completes the response.
     Line { text: String, last: bool },
     /// Nothing, for example for a token that the caller has already.
     Dropped,
     /// The stream is truncated or inconsistent, so the exchange failed.
-    Broken,
+    Failed,
 }
 
 /// What follows from the end of an exchange.
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -111,7 +111,7 @@
         Serving,
         /// The upstream completes its running work and takes no more.
         Leaving(LeavingCause),
-        /// The upstream does not answer its watcher.
+        /// The upstream does not respond to its watcher.
         Unreachable,
     }
 
--- a/crates/routebook/src/index.rs
+++ b/crates/routebook/src/index.rs
@@ -89,7 +89,7 @@
         self.services.values()
     }
 
-    /// Tells whether requests need a key on routes that are not public.
+    /// Returns whether requests need a key on routes that are not public.
     #[must_use]
     pub const fn needs_keys(&self) -> bool {
         self.customers.is_some()
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -235,8 +235,8 @@
     }
 }
 
-/// Tells whether an upstream may serve the request when no other accepts it. Suspect upstreams and
-/// those already tried are allowed, since trying them is better than refusing the request.
+/// Returns whether an upstream may serve the request when no other accepts it. Suspect upstreams
+/// and those already tried are allowed, since trying them is better than refusing the request.
 fn is_last_resort(request: &PickRequest<'_>, row: &UpstreamRow) -> bool {
     matches!(row.state, UpstreamState::Up | UpstreamState::Suspect)
         && !row.reserved
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -69,13 +69,13 @@
 }
 
 impl PickRequest<'_> {
-    /// Tells whether the request may be sent to an upstream: it takes work, has the weights and was
-    /// not tried before.
+    /// Returns whether the request may be sent to an upstream: it takes work, has the weights and
+    /// was not tried before.
     pub(crate) fn accepts(&self, upstream: UpstreamKey, row: &UpstreamRow) -> bool {
         row.takes_work() && self.accepts_version(row) && !self.avoid.contains(&upstream)
     }
 
-    /// Tells whether the upstream's last reported weights are new enough for the request.
+    /// Returns whether the upstream's last reported weights are new enough for the request.
     pub(crate) fn accepts_version(&self, row: &UpstreamRow) -> bool {
         self.min_version
             .is_none_or(|min_version| row.version.is_some_and(|version| version >= min_version))
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -174,7 +174,7 @@
         self.rows.len()
     }
 
-    /// Tells whether the table is empty.
+    /// Returns whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -11,7 +11,7 @@
         Suspect,
         /// It is about to stop and gets no new work.
         Leaving,
-        /// It does not answer and is never chosen.
+        /// It does not respond and is never chosen.
         Down,
     }
 
--- a/crates/submissions/src/cache.rs
+++ b/crates/submissions/src/cache.rs
@@ -75,7 +75,7 @@
         self.complete_at.map(|at| now.since(at))
     }
 
-    /// Tells whether the cache has all records of a submission below
+    /// Returns whether the cache has all records of a submission below
     /// [`PartitionCache::next_offset`].
     #[must_use]
     pub fn is_loaded(&self, submission: &str) -> bool {
@@ -163,8 +163,8 @@
         self.table = SubmissionTable::default();
     }
 
-    /// Tells whether all open submissions are loaded and the ends of the others are known, so that
-    /// this node may run items.
+    /// Returns whether all open submissions are loaded and the ends of the others are known, so
+    /// that this node may run items.
     #[must_use]
     pub const fn is_scanned(&self) -> bool {
         self.scanned
--- a/crates/submissions/src/queue.rs
+++ b/crates/submissions/src/queue.rs
@@ -68,7 +68,7 @@
         self.waiting.len()
     }
 
-    /// Tells whether the queue is empty.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
--- a/crates/submissions/src/table.rs
+++ b/crates/submissions/src/table.rs
@@ -166,7 +166,7 @@
         true
     }
 
-    /// Tells whether the metadata and all items are known.
+    /// Returns whether the metadata and all items are known.
     fn is_complete(&self) -> bool {
         self.metadata.is_some() && self.items.iter().all(Option::is_some)
     }
@@ -195,7 +195,7 @@
         self.items.get(*self.index.get(id)? as usize)?.as_ref()
     }
 
-    /// Tells whether an item has its final result.
+    /// Returns whether an item has its final result.
     #[must_use]
     pub fn is_resolved(&self, item: &str) -> bool {
         self.resolved.contains_key(item)
@@ -214,13 +214,13 @@
         self.results[from..result_count].iter().flatten()
     }
 
-    /// Tells whether the sender has ended the submission.
+    /// Returns whether the sender has ended the submission.
     #[must_use]
     pub const fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// Tells whether items are left to run: the submission has not ended, and some item has no
+    /// Returns whether items are left to run: the submission has not ended, and some item has no
     /// result.
     #[must_use]
     pub fn is_open(&self) -> bool {
--- a/crates/usage/src/amount.rs
+++ b/crates/usage/src/amount.rs
@@ -76,7 +76,7 @@
         self.0.get(customer).copied().unwrap_or_default()
     }
 
-    /// Tells whether there is no entry for any customer.
+    /// Returns whether there is no entry for any customer.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/usage/src/ledger.rs
+++ b/crates/usage/src/ledger.rs
@@ -194,7 +194,7 @@
         self.awaiting_snapshot_from.is_none().then(|| self.state.clone())
     }
 
-    /// Tells whether the holder of the `usage` lease must append a snapshot, which is once after
+    /// Returns whether the holder of the `usage` lease must append a snapshot, which is once after
     /// each close of a window. The retention time of the log must therefore exceed two windows.
     #[must_use]
     pub fn snapshot_due(&self) -> bool {
--- a/crates/usage/src/pending.rs
+++ b/crates/usage/src/pending.rs
@@ -87,7 +87,7 @@
         self.pending.len()
     }
 
-    /// Tells whether every batch is committed.
+    /// Returns whether every batch is committed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -111,7 +111,7 @@
         self.held.len()
     }
 
-    /// Tells whether no batch is held.
+    /// Returns whether no batch is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
--- a/crates/usage/src/seen.rs
+++ b/crates/usage/src/seen.rs
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Tells whether `id` was inserted.
+    /// Returns whether `id` was inserted.
     #[must_use]
     pub fn contains(&self, id: RecordId) -> bool {
         let Some(records) = self.writers.get(&id.writer) else { return false };
--- a/crates/usage/src/totals.rs
+++ b/crates/usage/src/totals.rs
@@ -135,7 +135,7 @@
         self.totals.entry(window).or_default().insert(process, totals);
     }
 
-    /// Tells whether every process that is known to have run in a window has closed it. These are
+    /// Returns whether every process that is known to have run in a window has closed it. These are
     /// the processes that closed the previous window and went on, and those that stored totals for
     /// this one. Returns `false` when no process is known to have gone on from the previous window.
     #[must_use]
