--- a/crates/experiments/src/control_cost.rs
+++ b/crates/experiments/src/control_cost.rs
@@ -80,7 +80,8 @@
         || !(1..=MAX_SECONDS).contains(&seconds)
     {
         let bounds = format!(
-            "each number of --daemons must be 1 to {MAX_DAEMONS}, and --seconds 1 to {MAX_SECONDS}"
+            "each number of --daemons must be 1 to {MAX_DAEMONS}, and --seconds 1 to \
+             {MAX_SECONDS}; got {counts:?} and {seconds}"
         );
         return Err(RunFailed(bounds).into());
     }
@@ -242,7 +243,7 @@
     (number("reads"), number("appends"))
 }
 
-/// Returns the milliseconds of each edit, from its begin until the last daemon shows the new
+/// Returns the milliseconds of each edit, from its start until the last daemon shows the new
 /// version.
 async fn time_edits(fleet: &TestFleet) -> RunResult<Vec<f64>> {
     let mut operator = fleet.operator(2);
--- a/crates/experiments/src/control_cost/takeover.rs
+++ b/crates/experiments/src/control_cost/takeover.rs
@@ -15,7 +15,7 @@
 /// after it.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Kills the lease holder `kills` times. Returns the milliseconds of each takeover, until another
+/// Kills the lease holder `kills` times. Returns the milliseconds from each kill until another
 /// daemon holds the lease.
 ///
 /// Before the next kill, the killed daemon is started again and has loaded document `version`.
--- a/crates/experiments/src/flags.rs
+++ b/crates/experiments/src/flags.rs
@@ -20,7 +20,7 @@
             /// Seed of every random draw.
             required --seed seed: u64
         }
-        /// Compares rules that re-run stragglers, and counts wrong samples under faults.
+        /// Compares rerun rules, and counts stale, double and lost samples under faults.
         cmd rollout {
             /// Scenario in TOML.
             required --scenario file: PathBuf
@@ -42,7 +42,7 @@
             optional --seconds count: u64
             /// Seconds from the start of a fleet to its measurement, 40 by default, 600 at most.
             optional --settle count: u64
-            /// Requests per second sent to each daemon during the measurement, 1 by default.
+            /// Requests per second sent to each daemon, also while it settles, 1 by default.
             optional --rate count: u64
             /// Number of times that a lease holder of the last fleet is killed, 5 by default.
             optional --takeovers count: usize
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -101,8 +101,8 @@
         0.75,
         plan.spending / static_fleet.spending,
     ));
-    // Counts as the same service as a static fleet: at most 0.01 percentage points more of the live
-    // demand unserved.
+    // The planner gives the same service as a static fleet if the unserved part of the live demand
+    // is less than 0.01 percentage points larger.
     let unserved = plan.unserved_percent() - static_fleet.unserved_percent();
     report.targets.push(target("unserved live % above static", 0.01, unserved));
     report.targets.push(target("live harmed by reclaims %", 0.01, plan.harmed_percent()));
--- a/crates/experiments/src/fleet/week.rs
+++ b/crates/experiments/src/fleet/week.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FleetKind {
-    /// Enough regular upstreams for the peak of the mean demand, at all times.
+    /// Enough regular upstreams for the largest demand (without noise), at all times.
     Static,
     /// The planner with the present demand in place of a forecast.
     Reactive,
@@ -68,7 +68,7 @@
     pools: Vec<[Pool; 2]>,
     /// Per zone: until when orders for cheap upstreams are refused.
     cheap_unavailable_until: Vec<Moment>,
-    /// Until when the replacements of the last reclaimed upstreams start.
+    /// When the replacements of the last reclaimed upstreams will run.
     replacing_until: Moment,
     outcome: WeekOutcome,
 }
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Takes all cheap upstreams of a random zone away at `reclaims_per_week`, and refuses new ones
-    /// for a while.
+    /// Takes all cheap upstreams of a random zone away, on average `reclaims_per_week` times a
+    /// week, and refuses new ones there for `unavailable_minutes`.
     fn reclaim(&mut self, now: Moment, planner: &mut FleetPlanner) {
         let per_minute = self.scenario.reclaims_per_week / (7 * DAY_MINUTES) as f64;
         let (is_reclaim, zone) = (
--- a/crates/experiments/src/kills/world.rs
+++ b/crates/experiments/src/kills/world.rs
@@ -215,7 +215,7 @@
         for (_, message) in due {
             self.deliver(message);
         }
-        // This experiment simulates no leases: one writer closes all windows.
+        // Leases are tested elsewhere and not simulated here, so one writer closes all windows.
         if now.0.is_multiple_of(WINDOW_LENGTH.0) && self.log_is_up() {
             let closed = self.log.iter().rev().find_map(|record| match record {
                 UsageRecord::Close(close) => Some(close.window.next()),
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,7 +1,7 @@
 //! Open-loop load on a daemon or a service of this machine.
 //!
 //! The send times are drawn before the run, and latency is measured from the intended send time. A
-//! slow response therefore delays no later request, and its effect on later ones is not hidden (no
+//! slow response therefore delays no later request, and the wait for it is not hidden (no
 //! coordinated omission).
 
 #[cfg(test)]
@@ -40,7 +40,7 @@
 /// One scheduled request.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Arrival {
-    /// Intended send time since the begin of the run.
+    /// Intended send time since the start of the run.
     pub(crate) due: Duration,
     pub(crate) session: u64,
     /// Time after sending at which the caller disconnects without waiting for the response.
@@ -58,7 +58,7 @@
 }
 
 struct LoadResults {
-    /// Microseconds from the intended send time to the end of the response.
+    /// Microseconds from the intended send time to the end of the response, of answered requests.
     latency: Histogram<u64>,
     in_flight: usize,
     answered: u64,
@@ -79,7 +79,8 @@
     let requests = plan.rate.saturating_mul(plan.seconds);
     if !(1..=MAX_REQUESTS).contains(&requests) || plan.seconds > MAX_SECONDS {
         let bounds = format!(
-            "--rate times --seconds must be 1 to {MAX_REQUESTS} requests in at most {MAX_SECONDS} s"
+            "--rate times --seconds must be 1 to {MAX_REQUESTS} requests in at most \
+             {MAX_SECONDS} s; got {plan:?}"
         );
         return Err(RunFailed(bounds).into());
     }
--- a/crates/experiments/src/load/tests.rs
+++ b/crates/experiments/src/load/tests.rs
@@ -16,7 +16,7 @@
     assert!((0..4).all(|session| arrivals.iter().any(|arrival| arrival.session == session)));
 }
 
-/// Guards against sessions whose requests do not share a prefix, which would hide cache affinity.
+/// Guards against sessions whose requests do not share a prefix, which would hide prefix affinity.
 #[test]
 fn requests_of_a_session_share_a_prompt_prefix() {
     let common_prefix = |left: &str, right: &str| {
--- a/crates/experiments/src/rollout/faults.rs
+++ b/crates/experiments/src/rollout/faults.rs
@@ -92,8 +92,8 @@
         self.scoring_failures += other.scoring_failures;
     }
 
-    /// Returns the rows of the report: deliveries and injected faults. The other violations are
-    /// reported as targets.
+    /// Returns the rows of the report: schedules with a violation, deliveries and injected faults.
+    /// The counts of each violation are reported as targets.
     pub(crate) fn rows(&self) -> Vec<(&'static str, u64)> {
         vec![
             ("schedules with a wrong count", self.dirty_schedules),
--- a/crates/experiments/src/rollout/faults/world.rs
+++ b/crates/experiments/src/rollout/faults/world.rs
@@ -22,7 +22,8 @@
 const TICK: Span = Span::from_millis(50);
 const SERVICE: &str = "draft-models";
 
-/// Time without a heartbeat after which peers count a node as gone.
+/// Time after which peers count a killed node as gone. In membership, three missed heartbeats,
+/// about as long, make a peer suspect.
 const GONE_AFTER: Span = Span::from_secs(3);
 
 /// One attempt of a slot on an engine.
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Returns a random time from now, within the given milliseconds.
+    /// Returns a time that is a random number of milliseconds, drawn from `millis`, from now.
     fn random_time(&mut self, millis: std::ops::Range<u64>) -> Moment {
         self.now + Span::from_millis(self.rng.random_range(millis))
     }
@@ -327,7 +328,7 @@
         self.drop_repeats();
     }
 
-    /// Removes records with a repeated id from the unread end of the log. In the product each
+    /// Removes records with a repeated id from the unread end of the log. In the daemon each
     /// reader drops repeats; since all drop the same ones, it is done once here.
     fn drop_repeats(&mut self) {
         let read = self.nodes.iter().map(|node| node.next_offset).max().unwrap_or(0);
@@ -460,6 +461,7 @@
     fn void_lost(&mut self) {
         let now = self.now;
         let mut silent = self.killed_at.clone();
+        // An isolated node counts as gone at once.
         for node in self.nodes.iter().filter(|node| node.is_isolated(now)) {
             silent.insert(node.incarnation, now - GONE_AFTER);
         }
--- a/crates/experiments/src/traffic/engine.rs
+++ b/crates/experiments/src/traffic/engine.rs
@@ -18,7 +18,7 @@
     tokens_per_second: u64,
     max_batch: usize,
     /// Millionths of a token that a stream present from the start would have generated. A request
-    /// ends at the value that it had when it joined the batch plus its own length.
+    /// ends once this has grown by the request's tokens since the request joined the batch.
     progress: u64,
     progress_at: Moment,
     /// Progress at which each request of the batch ends, and the request.
--- a/crates/experiments/src/traffic/measure.rs
+++ b/crates/experiments/src/traffic/measure.rs
@@ -73,8 +73,8 @@
         percentile(&self.latencies[customer], percent)
     }
 
-    /// Returns the tokens generated within the deadlines, in percent of `capacity` (tokens per
-    /// second).
+    /// Returns the tokens of requests that ended within their deadline, in percent of `capacity`
+    /// (tokens per second).
     pub(super) fn goodput(&self, capacity: u64) -> f64 {
         self.good_tokens as f64 * 100.0 / (capacity as f64 * self.length.as_secs_f64())
     }
--- a/crates/experiments/src/traffic/scenario.rs
+++ b/crates/experiments/src/traffic/scenario.rs
@@ -38,7 +38,8 @@
     pub(crate) load: f64,
     pub(crate) mean_tokens: u32,
     pub(crate) deadline_ms: u64,
-    /// A node's queue holds requests back once those in service have this much work.
+    /// A node's queue holds requests back once the node's share of the capacity needs this long for
+    /// those in service.
     pub(crate) target_service_ms: u64,
     pub(crate) report_period_ms: u64,
     pub(crate) report_lag_ms: u64,
