--- a/crates/hibiscushinge/src/commands/explain.rs
+++ b/crates/hibiscushinge/src/commands/explain.rs
@@ -32,9 +32,10 @@
         }
         OutputFormat::Text => {
             println!(
-                "this daemon has no decisions about {}. It keeps those of its last 2,000 requests. \
-                 The part of a request id before the hyphen is the incarnation of the daemon that \
-                 took it; `hibiscushinge status --json` shows the incarnation of each daemon.",
+                "this daemon has no decisions about {}. It keeps those of the last 2,000 requests, \
+                 samples and orders. The part of a request id before the hyphen is the \
+                 incarnation of the daemon that took it; `hibiscushinge status --json` shows the \
+                 incarnation of each daemon.",
                 flags.id
             );
         }
--- a/crates/hibiscushinge/src/health.rs
+++ b/crates/hibiscushinge/src/health.rs
@@ -230,8 +230,8 @@
             self.problem(
                 vm(),
                 String::from("the node is isolated and refuses all keys"),
-                "Restore its network. The setting `keys_when_isolated` bounds how long keys are \
-                 accepted without it.",
+                "Restore its network. `keys_when_isolated` in the document bounds how long keys \
+                 are accepted without it.",
             );
         }
         let counters = [
--- a/crates/hibiscushinge/tests/check.rs
+++ b/crates/hibiscushinge/tests/check.rs
@@ -34,7 +34,8 @@
     assert!(text.contains(expected), "{text}");
 }
 
-/// Guards against JSON output without the line or the allowed values of a problem.
+/// Guards against JSON output that lacks the result or the kind of the file, or the line, value or
+/// allowed keys of a problem.
 #[test]
 fn json_output_has_every_field() {
     let output = run(&["check", "--json", "examples/daemon.toml"]);
--- a/crates/model-check/src/configuration/process.rs
+++ b/crates/model-check/src/configuration/process.rs
@@ -82,8 +82,9 @@
     }
 }
 
-/// Computes the documents in force after `log` by the rule of design section 5.4, independently of
-/// [`ConfigRegistry`]: an edit or promotion is accepted if the versions that it names are current.
+/// Computes the documents in force after `log` by the rule of `docs/design.md`, section 5.4,
+/// independently of [`ConfigRegistry`]: an edit or promotion is accepted if the versions that it
+/// names are current.
 pub(crate) fn expected_documents(log: &[Rc<ConfigEntry>]) -> Vec<VersionedDocument> {
     let mut documents: Vec<VersionedDocument> = Vec::new();
     let find = |documents: &[VersionedDocument], name: &EnvironmentName| {
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -122,14 +122,14 @@
 }
 
 /// Checks that the search finds a violation of `invariant` in a specification in which a guard of
-/// it is replaced by a faulty one.
+/// it is missing or replaced by a faulty one.
 ///
 /// # Panics
 ///
 /// Panics when no reachable state violates `invariant`.
 pub fn check_violation_found<T: Specification>(specification: &T, invariant: &'static str) {
     let found = print_counterexample(specification, invariant);
-    assert!(found, "no reachable state violates `{invariant}`, although its guard is disabled");
+    assert!(found, "no reachable state violates `{invariant}`, although a guard of it is missing");
 }
 
 fn print_counterexample<T: Specification>(specification: &T, invariant: &'static str) -> bool {
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -39,7 +39,8 @@
 pub const BATCH_COUNTED_ONCE: &str = "a batch in the log is counted in exactly one window";
 /// Violated when two ledgers that have read the log up to the same offset differ.
 pub const EQUAL_LEDGERS: &str = "two ledgers at the same offset are equal";
-/// Violated when a report is accepted after one with a higher fencing token.
+/// Violated when a platform that checks fencing tokens accepts a report after one with a higher
+/// token.
 pub const FENCED_REPORTS: &str = "no report is accepted after one with a higher fencing token";
 
 derive_copy! {
--- a/crates/process-tests/tests/authority.rs
+++ b/crates/process-tests/tests/authority.rs
@@ -80,12 +80,12 @@
 #[track_caller]
 fn check_orders(state: &Value, count: usize) {
     let orders = state["orders"].as_array().expect("the platform's state lists its orders");
-    assert_eq!(orders.len(), count, "{orders:#?}");
+    assert_eq!(orders.len(), count, "number of orders: {orders:#?}");
     for order in orders {
-        assert_eq!(order["received"], 1, "{order:#?}");
+        assert_eq!(order["received"], 1, "an order arrived more than once: {order:#?}");
     }
     let fencing = orders.iter().map(|order| order["order"]["fencing"].as_u64().unwrap());
-    assert!(fencing.is_sorted(), "{orders:#?}");
+    assert!(fencing.is_sorted(), "a fencing token decreased: {orders:#?}");
 }
 
 /// Guards against an order that is lost or sent twice when the lease holder is killed before the
@@ -279,7 +279,7 @@
             earlier.is_none_or(|earlier| earlier == figures),
             "an earlier report of the same window differs from {report:#}"
         );
-        assert_eq!(entry["accepted"], true, "{entry:#}");
+        assert_eq!(entry["accepted"], true, "the platform refused a report: {entry:#}");
     }
     let requests =
         |figures: Value| figures["cordial"]["requests"].as_u64().expect("a report counts requests");
--- a/crates/process-tests/tests/edge.rs
+++ b/crates/process-tests/tests/edge.rs
@@ -52,7 +52,7 @@
     // A connection reset after a refusal is an end as well, so an error is no failure.
     let first = timeout(RESPONSE_TIMEOUT, stream.read_buf(&mut response))
         .await
-        .expect("the gateway neither responds nor closes the connection within 40 s");
+        .expect("the gateway responds or closes the connection within 40 s");
     if first.is_ok_and(|read| read > 0) {
         let _ = timeout(FOLLOW_UP_WAIT, stream.read_to_end(&mut response)).await;
     }
--- a/crates/process-tests/tests/gateway.rs
+++ b/crates/process-tests/tests/gateway.rs
@@ -52,7 +52,7 @@
     assert_eq!(response.status, status, "{response:?}");
 }
 
-/// Reads all results of a submission from any gateway that answers.
+/// Reads all results of a submission, and polls all gateways until one returns this many.
 async fn read_all(fleet: &SiteFleet, id: &str, items: usize) -> Vec<Value> {
     wait_for("all results of the submission", || async {
         for gateway in &fleet.gateways {
@@ -191,7 +191,8 @@
 /// ended. The store does not respond, so writing the last usage totals takes as long as it may.
 ///
 /// Guards against a request that the node reads but does not answer, because it arrives while the
-/// last usage totals are written. Found with the scenario `pairs.toml --vary --seed 931014434654`.
+/// last usage totals are written. Found with the scenario `deploy/days/pairs.toml`, varied by
+/// `--vary --seed 931014434654`.
 #[actix_rt::test]
 async fn requests_that_arrive_during_a_planned_stop_are_answered() {
     let mut options = SiteOptions { gateways: 1, ..Default::default() };
--- a/crates/process-tests/tests/samples.rs
+++ b/crates/process-tests/tests/samples.rs
@@ -42,7 +42,7 @@
             assert_eq!(
                 number,
                 self.last_number() + 1,
-                "delivery numbers have no gap or repetition: {response}"
+                "a delivery number is missing or repeated: {response}"
             );
             self.entries.insert(number, entry.clone());
         }
@@ -54,13 +54,17 @@
         let slot = |entry: &Value| (entry["group"].as_u64(), entry["index"].as_u64());
         let samples = self.samples();
         let slots = samples.iter().map(|entry| slot(entry)).collect::<BTreeSet<_>>();
-        assert_eq!((slots.len(), samples.len()), (SAMPLES, SAMPLES), "{samples:#?}");
+        assert_eq!(
+            (slots.len(), samples.len()),
+            (SAMPLES, SAMPLES),
+            "slots, samples: {samples:#?}"
+        );
         let texts = samples.iter().map(|entry| entry["text"].as_str()).collect::<BTreeSet<_>>();
-        assert_eq!(texts.len(), SAMPLES, "all samples have different texts");
+        assert_eq!(texts.len(), SAMPLES, "two samples have the same text");
         for entry in samples {
             assert_eq!(entry["tokens"].as_u64(), Some(TOKENS_PER_SAMPLE as u64));
             let words = entry["text"].as_str().unwrap().split_whitespace().count();
-            assert_eq!(words, TOKENS_PER_SAMPLE, "the text has all its tokens");
+            assert_eq!(words, TOKENS_PER_SAMPLE, "words in the text of {entry}");
             let spans = entry["versions"].as_array().unwrap();
             assert_eq!(spans[0]["from"], 0);
             assert_eq!(spans.last().unwrap()["to"].as_u64(), Some(TOKENS_PER_SAMPLE as u64));
@@ -179,7 +183,7 @@
     let mut received = ReceivedEntries::default();
     fetch_all(&fleet, &[1, 2], trainer, 1, &mut received).await;
     received.check_complete();
-    assert_eq!(received.last_number(), SAMPLES as u64, "no sample became void");
+    assert_eq!(received.last_number(), SAMPLES as u64, "a sample became void");
     for sample in received.samples() {
         assert_eq!(
             sample["versions"],
@@ -211,7 +215,7 @@
     assert_eq!(
         received.last_number(),
         SAMPLES as u64,
-        "replicas served all samples, no sample became void"
+        "a sample of the killed daemon became void instead of being served by a replica"
     );
 }
 
@@ -344,11 +348,11 @@
     let mut received = ReceivedEntries::default();
     fetch_all(&fleet, &[1, 2], "layouts", 1, &mut received).await;
     received.check_complete();
-    assert_eq!(received.last_number(), SAMPLES as u64, "no sample became void");
+    assert_eq!(received.last_number(), SAMPLES as u64, "a sample became void");
 }
 
-/// Guards against a step that waits for an engine which has become slow, and against the slower one
-/// of two attempts (speculative re-execution) that is not cancelled.
+/// Guards against a step that waits for an engine which has become slow instead of running its
+/// samples a second time elsewhere, and against the slower of two attempts that is not cancelled.
 #[actix_rt::test]
 async fn stragglers_run_again_and_the_slower_attempt_is_cancelled() {
     let slow_engine = vec![String::from("--speed"), String::from("20")];
--- a/crates/process-tests/tests/traffic.rs
+++ b/crates/process-tests/tests/traffic.rs
@@ -18,7 +18,7 @@
     (0..count).map(|_| arguments()).collect()
 }
 
-/// Returns the JSON lines of a streamed answer.
+/// Returns the lines of a streamed response as JSON.
 fn json_lines(response: &CallResponse) -> Vec<Value> {
     response
         .body
@@ -38,7 +38,7 @@
     .await;
 }
 
-/// Starts a request and returns a task that yields its answer.
+/// Starts a request and returns a task that yields its response.
 fn spawn_call(
     fleet: &TestFleet,
     daemon: usize,
@@ -69,11 +69,11 @@
     .await
 }
 
-/// Checks that a streamed answer has this number of tokens in order, and an end line.
+/// Checks that a streamed response has this number of tokens in order, and an end line.
 fn assert_complete(response: &CallResponse, tokens: usize) {
     let lines = json_lines(response);
     assert_eq!(response.status, 200);
-    assert_eq!(lines.len(), tokens + 1, "last line: {:?}", lines.last());
+    assert_eq!(lines.len(), tokens + 1, "number of lines; the last one is {:?}", lines.last());
     for (index, line) in lines[..tokens].iter().enumerate() {
         assert_eq!(line["index"].as_u64(), Some(index as u64));
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -33,17 +33,17 @@
     Terminate(usize),
     /// Delayed or blocked traffic between a gateway and the store.
     StorePath(usize, RelayFlow),
-    /// Reset of the connections between a gateway and the store.
+    /// Closed connections between a gateway and the store. New ones pass.
     StoreReset(usize),
     /// A fault of the store itself, for all gateways.
     StoreAway(StoreFault),
-    /// Compaction of all partitions down to the newest record of each key.
+    /// Dropped history of all partitions. The newest value of each key stays.
     StoreForgets,
-    /// A rebalance of the partitions of all consumer groups.
+    /// New assignment of the submissions' partitions in all consumer groups.
     PartitionsDealt,
     /// Delayed or blocked traffic between the gateways and an engine.
     EnginePath(usize, RelayFlow),
-    /// Reset of the connections to an engine.
+    /// Closed connections to an engine. New ones pass.
     EngineReset(usize),
     /// An engine that takes 80 ms instead of 20 ms for each event.
     EngineSlow(usize),
--- a/crates/soak/src/testbed.rs
+++ b/crates/soak/src/testbed.rs
@@ -62,12 +62,13 @@
     pub(crate) async fn start(options: SoakOptions) -> Rc<Self> {
         let site_options = SiteOptions::default();
         let store = SiteStore::start(site_options.store.clone())
-            .expect("the store stand-in does not start");
+            .expect("the store stand-in can listen on loopback");
         let mut engines = Vec::new();
         for index in 0..options.engines {
             let engine =
                 EngineOptions { id: format!("engine-{index}"), ..site_options.engine.clone() };
-            let upstream = SiteEngine::start(engine).expect("an engine stand-in does not start");
+            let upstream =
+                SiteEngine::start(engine).expect("an engine stand-in can listen on loopback");
             let relay = TcpRelay::start().await;
             relay.set_target(upstream.address());
             engines.push(SoakUpstream { upstream, relay });
@@ -79,7 +80,8 @@
                 lose_response_every: 23,
                 ..site_options.service.clone()
             };
-            let upstream = SiteService::start(service).expect("a service stand-in does not start");
+            let upstream = SiteService::start(service)
+                .expect("a plain service stand-in can listen on loopback");
             let relay = TcpRelay::start().await;
             relay.set_target(upstream.address());
             services.push(SoakUpstream { upstream, relay });
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -75,7 +75,7 @@
     pub(crate) options: Arc<EngineOptions>,
     pub(crate) control: ServerControl,
     /// Wakes the queued generations when a slot may be free or one of them was cancelled. Running
-    /// ones check for cancellation at each token.
+    /// ones check for cancellation before each chunk of lines.
     pub(crate) queue_changed: Arc<Notify>,
     state: Arc<Mutex<EngineState>>,
 }
