--- a/crates/clients/src/platform.rs
+++ b/crates/clients/src/platform.rs
@@ -156,7 +156,7 @@
     }
 }
 
-/// Serializes the JSON body of a request. The error tells that nothing was sent.
+/// Serializes the JSON body of a request. An error is marked as a call that was not sent.
 pub(crate) fn encode<T: Serialize>(body: &T) -> Result<Bytes, CallError> {
     let bytes = serde_json::to_vec(body);
     bytes
@@ -164,7 +164,7 @@
         .map_err(|error| CallError::not_sent(CallFailure::Malformed, error.to_string()))
 }
 
-/// Deserializes a JSON response. The error tells that the request may have run.
+/// Deserializes a JSON response. An error is marked as a call that may have run.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
     serde_json::from_slice(body)
         .map_err(|error| CallError::maybe_run(CallFailure::Malformed, error.to_string()))
--- a/crates/clients/src/token_stream.rs
+++ b/crates/clients/src/token_stream.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    fn accept(&mut self, line: &[u8]) -> Result<TokenEvent, CallError> {
+    fn decode_line(&mut self, line: &[u8]) -> Result<TokenEvent, CallError> {
         let line = serde_json::from_slice::<wire::TokenLine>(line)
             .map_err(|error| malformed(error.to_string()))?;
         if line.id() != self.id {
@@ -115,7 +115,7 @@
             return Ok(None);
         }
         let line = bounded(self.idle_timeout, self.read_line()).await;
-        let event = line.and_then(|line| self.accept(&line));
+        let event = line.and_then(|line| self.decode_line(&line));
         // After an error the position in the stream is unknown, so nothing more is read.
         self.ended |= event.is_err();
         event.map(Some)
--- a/crates/clients/src/types.rs
+++ b/crates/clients/src/types.rs
@@ -122,7 +122,7 @@
     pub struct GenerateRequest {
         /// Id assigned by the daemon. Every line of the response repeats it.
         pub id: String,
-        /// Prompt.
+        /// Text that the engine continues.
         pub prompt: String,
         /// Largest number of tokens of the whole generation, including those before `offset`.
         pub max_tokens: u32,
@@ -140,7 +140,7 @@
         Token {
             /// Index in the whole generation, starting at 0.
             index: u32,
-            /// Text.
+            /// Text of the token.
             text: String,
             /// Weight version that generated the token.
             version: WeightVersion,
--- a/crates/clients/src/wire/mod.rs
+++ b/crates/clients/src/wire/mod.rs
@@ -196,7 +196,7 @@
     pub struct Generate {
         /// Id that every line of the response repeats.
         pub id: String,
-        /// Prompt.
+        /// Text that the engine continues.
         pub prompt: String,
         /// Largest number of tokens of the whole generation, including those before `offset`.
         pub max_tokens: u32,
@@ -229,7 +229,7 @@
             id: String,
             /// Index in the whole generation, starting at 0.
             index: u32,
-            /// Text.
+            /// Text of the token.
             token: String,
             /// Weight version that generated the token.
             version: u64,
--- a/crates/delivery/src/suspect.rs
+++ b/crates/delivery/src/suspect.rs
@@ -115,7 +115,7 @@
         CallerDisconnected(RequestId),
         /// The load of an upstream was measured.
         LoadReported {
-            /// The upstream.
+            /// The measured upstream.
             upstream: UpstreamKey,
             /// Running and queued requests of all nodes on the upstream.
             requests: u32,
@@ -155,9 +155,9 @@
         },
         /// Send the caller this refusal as the final response.
         Refuse {
-            /// The request.
+            /// The refused request.
             request: RequestId,
-            /// The refusal.
+            /// Code and message for the caller.
             refusal: Refusal,
         },
     }
--- a/crates/document/src/environment.rs
+++ b/crates/document/src/environment.rs
@@ -147,7 +147,7 @@
         pub priority: RoutePriority,
     }
 
-    /// A customer.
+    /// A customer, with its API keys and limits.
     pub struct CustomerEntry {
         /// Name, unique in the document.
         pub name: String,
--- a/crates/document/src/gateway.rs
+++ b/crates/document/src/gateway.rs
@@ -56,8 +56,8 @@
         pub drain: Span,
         /// Grace period from SIGTERM until the process is killed.
         pub grace: Span,
-        /// Time within which the lease must not change back and forth between two nodes. A former
-        /// holder does not claim it again sooner.
+        /// Time within which the lease must not pass to another node and back. A former holder
+        /// waits at least this long before it claims the lease again.
         pub lease: Span,
         /// Length of a usage window.
         pub window: Span,
--- a/crates/experiments/src/rollout/faults/node.rs
+++ b/crates/experiments/src/rollout/faults/node.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) incarnation: Incarnation,
-    /// The node is isolated from the log and the peers until then.
+    /// The node is isolated from the log and the peers until this time.
     pub(crate) isolated_until: Moment,
     pub(crate) table: SampleTable,
     /// Offset of the next record to read from the log.
--- a/crates/experiments/src/rollout/steps.rs
+++ b/crates/experiments/src/rollout/steps.rs
@@ -77,9 +77,9 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
-    /// Waits for samples since then.
+    /// Has waited for samples since this time.
     Waiting(Moment),
-    /// Trains until then.
+    /// Trains until this time.
     Training(Moment),
 }
 
--- a/crates/experiments/src/traffic/engine.rs
+++ b/crates/experiments/src/traffic/engine.rs
@@ -21,7 +21,7 @@
     /// ends once this has grown by the request's tokens since the request joined the batch.
     progress: u64,
     progress_at: Moment,
-    /// Progress at which each request of the batch ends, and the request.
+    /// Requests of the batch, each after the progress at which it ends.
     running: BinaryHeap<Reverse<(u64, usize)>>,
     /// Requests that wait for the batch, with their tokens.
     queued: VecDeque<(usize, u32)>,
--- a/crates/fleet/src/civil.rs
+++ b/crates/fleet/src/civil.rs
@@ -24,7 +24,7 @@
 derive_value! {
     /// The time zone database has no time zone of this name.
     pub struct UnknownTimeZone {
-        /// The requested name.
+        /// Name that was looked up.
         pub name: String,
     }
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -154,7 +154,7 @@
             series.smoothed_ratio += weight * (ratio - series.smoothed_ratio);
         }
         series.last_observation = Some((at, demand));
-        series.add(at.0.div_euclid(SLOT_MILLIS), slot, demand);
+        series.add_observation(at.0.div_euclid(SLOT_MILLIS), slot, demand);
     }
 
     /// Returns the demand learned for the civil time of `at`, not corrected by recent observations.
@@ -250,7 +250,7 @@
         Self { means, current: None, last_observation: None, smoothed_ratio: 1.0 }
     }
 
-    fn add(&mut self, number: i64, slot: CivilSlot, demand: f64) {
+    fn add_observation(&mut self, number: i64, slot: CivilSlot, demand: f64) {
         match &mut self.current {
             Some((current, _, sum, count)) if *current == number => {
                 *sum += demand;
--- a/crates/hibiscushinge/src/demo/steps/documents.rs
+++ b/crates/hibiscushinge/src/demo/steps/documents.rs
@@ -66,7 +66,7 @@
     };
     let statuses = poll_until(|| deployment.statuses(), serving).await;
     if !serving(&statuses) {
-        return Err(String::from("the daemons do not see all upstreams"));
+        return Err(String::from("not every daemon reported all upstreams as serving in time"));
     }
     Ok(())
 }
--- a/crates/hibiscushinged/src/control/authority.rs
+++ b/crates/hibiscushinged/src/control/authority.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns the check that runs just before an order is sent to a receiver that needs no intent
-    /// in the log, such as an engine. It grants while this node holds the scope under `fencing`.
+    /// in the log, such as an engine. It passes while this node holds the scope under `fencing`.
     pub(crate) fn lease_check(
         self: &Rc<Self>,
         scope: &LeaseScope,
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -238,8 +238,8 @@
         true
     }
 
-    /// Returns the next names, in cyclic order, of the repetition that runs through all entries
-    /// once in `messages_per_full_update` messages.
+    /// Returns the upstreams whose load the next message repeats. They follow in cyclic order, so
+    /// that `messages_per_full_update` messages cover all entries.
     fn next_repeated_names(&mut self) -> Vec<String> {
         let count = self.entries.len().div_ceil(self.settings.messages_per_full_update.max(1));
         let after = self.last_repeated.take();
--- a/crates/process-tests/tests/path.rs
+++ b/crates/process-tests/tests/path.rs
@@ -5,8 +5,8 @@
 use process_tests::{FleetOptions, TestFleet, call, caller_key, get_json, wait_for};
 use serde_json::Value;
 
-/// Guards against a fault anywhere between the check of a caller's key, the upstream, the usage
-/// report and the metrics.
+/// Guards against a fault on the whole path of a request: the check of the caller's key, the
+/// upstream, the usage report and the metrics.
 #[actix_rt::test]
 async fn answer_is_complete_and_billed_once() {
     let metrics = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/usage/src/totals.rs
+++ b/crates/usage/src/totals.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Returns the windows whose totals changed since the last call, with their totals, and clears
-    /// their marks.
+    /// Returns the windows whose totals changed since the last call, with their totals. The next
+    /// call returns only later changes.
     pub fn take_changed(&mut self) -> Vec<(WindowNumber, CustomerCounts)> {
         let changed = std::mem::take(&mut self.changed);
         changed
