--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -177,7 +177,7 @@
         match event {
             QueueEvent::Offered(request) => {
                 let wait = self.expected_wait(request.customer, request.class);
-                if now + wait + self.estimate().run_time(request.tokens) > request.deadline {
+                if now + wait + self.wait_estimate().run_time(request.tokens) > request.deadline {
                     actions.push(self.refuse(request.ticket, wait));
                     return actions;
                 }
@@ -218,7 +218,7 @@
     pub fn expected_wait(&self, customer: CustomerKey, class: RequestClass) -> Span {
         let flow_key = FlowKey { customer, class };
         let tokens_ahead = self.ring(class).flow_tokens(flow_key);
-        self.estimate().wait(class, tokens_ahead, self.weight(customer))
+        self.wait_estimate().wait(class, tokens_ahead, self.weight(customer))
     }
 
     /// Returns the estimated tokens of all queued requests.
@@ -251,7 +251,7 @@
         }
     }
 
-    fn estimate(&self) -> WaitEstimate {
+    fn wait_estimate(&self) -> WaitEstimate {
         WaitEstimate {
             capacity: self.capacity,
             sample_share: f64::from(self.settings.sample_share_percent) / 100.0,
@@ -275,7 +275,7 @@
     fn dispatch(&mut self, now: Moment, actions: &mut QueueActions) {
         while self.in_service_tokens < u64::from(self.capacity.max_in_service_tokens) {
             let Some(request) = self.next_request() else { break };
-            if now + self.estimate().run_time(request.tokens) > request.deadline {
+            if now + self.wait_estimate().run_time(request.tokens) > request.deadline {
                 let wait = self.expected_wait(request.customer, request.class);
                 actions.push(self.refuse(request.ticket, wait));
                 continue;
@@ -313,7 +313,7 @@
     /// Refuses the queued requests that can no longer meet their deadline.
     fn refuse_late(&mut self, now: Moment, actions: &mut QueueActions) {
         self.deadlines_checked_at = now;
-        let estimate = self.estimate();
+        let estimate = self.wait_estimate();
         let mut late = Vec::new();
         for ring in [&mut self.live, &mut self.samples] {
             late.extend(ring.retain(|request, tokens_ahead, weight| {
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -23,7 +23,7 @@
         /// Maximum time from the clock check before an order until the receiver has acted on the
         /// order.
         pub order_timeout: Span,
-        /// Wait from acquisition to the first order to a receiver that ignores fencing tokens.
+        /// Delay from acquisition to the first order to a receiver that ignores fencing tokens.
         pub extra_wait: Span,
     }
 
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -15,7 +15,7 @@
     pub struct OrderSettings {
         /// Time without a response after which the outcome of a request counts as unknown.
         pub order_timeout: Span,
-        /// Wait before the next query for an order whose state the last response did not tell.
+        /// Delay before the next query for an order whose state is unknown after the last response.
         pub query_retry_delay: Span,
         /// What the platform does with fencing tokens.
         pub fencing_support: FencingSupport,
--- a/crates/authority/tests/lease.rs
+++ b/crates/authority/tests/lease.rs
@@ -172,12 +172,14 @@
 #[test]
 fn an_undecided_record_voids_the_own_claim() {
     let mut lease_manager = lease_manager(7);
-    let own = appended(&lease_manager.tick(at(15))).expect("the wait is over");
+    let own =
+        appended(&lease_manager.tick(at(15))).expect("the lease can be claimed after the wait");
     lease_manager.read(at(16), LogOffset(7), &renewal(OTHER_PROCESS, 4, 2));
     assert!(lease_manager.read(at(16), LogOffset(8), &own).is_empty());
     assert_eq!(lease_manager.held_token(at(16)), None);
 
-    let own = appended(&lease_manager.tick(at(31))).expect("the wait is over");
+    let own =
+        appended(&lease_manager.tick(at(31))).expect("the lease can be claimed after the wait");
     let actions = lease_manager.read(at(32), LogOffset(9), &own);
     assert_eq!(actions.as_slice(), [LeaseAction::Acquired(FencingToken(9))]);
 }
--- a/crates/delivery/src/claim.rs
+++ b/crates/delivery/src/claim.rs
@@ -221,7 +221,9 @@
                 self.withdraw(request);
                 ClaimActions::new()
             }
-            ClaimEvent::LogAvailabilityChanged(availability) => self.log_changed(availability),
+            ClaimEvent::LogAvailabilityChanged(availability) => {
+                self.log_availability_changed(availability)
+            }
             ClaimEvent::Tick => self.tick(now, wall),
         }
     }
@@ -360,7 +362,7 @@
         }
     }
 
-    fn log_changed(&mut self, availability: LogAvailability) -> ClaimActions {
+    fn log_availability_changed(&mut self, availability: LogAvailability) -> ClaimActions {
         self.log = availability;
         if availability == LogAvailability::Up {
             return ClaimActions::new();
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -32,7 +32,7 @@
     (balancer, keys)
 }
 
-fn generation<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
+fn generation_request<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> GenerationPickRequest<'a> {
     let requirement = ModelRequirement { model: "m", min_version: WeightVersion(2) };
     GenerationPickRequest {
         service: "s",
@@ -44,7 +44,7 @@
     }
 }
 
-fn plain<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
+fn plain_request<'a>(jitter_seed: u64, tried: &'a [UpstreamKey]) -> PlainPickRequest<'a> {
     PlainPickRequest { service: "s", zone: "a", tried, connected: &[], jitter_seed }
 }
 
@@ -61,7 +61,7 @@
     }
     let mut loads = vec![0; 9];
     for jitter_seed in 0..72 {
-        let picked = balancer.pick_generation(NOW, &generation(jitter_seed, &[])).unwrap();
+        let picked = balancer.pick_generation(NOW, &generation_request(jitter_seed, &[])).unwrap();
         balancer.begin_request(picked);
         loads[picked.0 as usize] += 1;
         if jitter_seed == 63 {
@@ -72,7 +72,7 @@
         }
     }
     assert_eq!(loads, vec![8; 9]);
-    assert_eq!(balancer.pick_generation(NOW, &generation(99, &[])), None);
+    assert_eq!(balancer.pick_generation(NOW, &generation_request(99, &[])), None);
 }
 
 /// Pattern: a zone is cut off, its connections are reset, and items are waiting.
@@ -85,7 +85,7 @@
     let mut runs = 0;
     for step in 0..400 {
         let now = NOW + Span::from_millis(step * 25);
-        if let Some(picked) = balancer.pick_generation(now, &generation(step, &[])) {
+        if let Some(picked) = balancer.pick_generation(now, &generation_request(step, &[])) {
             balancer.begin_request(picked);
             balancer.finish_request(now, picked, ExchangeOutcome::TransportError);
             runs += 1;
@@ -105,9 +105,9 @@
     let mut balancer = UpstreamBalancer::default();
     let (key, _) = balancer.update(engine);
     balancer.record_generation_refusal(NOW, key, "m");
-    assert_eq!(balancer.pick_generation(NOW, &generation(1, &[])), None);
+    assert_eq!(balancer.pick_generation(NOW, &generation_request(1, &[])), None);
     let requirement = ModelRequirement { model: "other", min_version: WeightVersion(2) };
-    let request = GenerationPickRequest { requirement, ..generation(1, &[]) };
+    let request = GenerationPickRequest { requirement, ..generation_request(1, &[]) };
     assert_eq!(balancer.pick_generation(NOW, &request), Some(key));
 }
 
@@ -132,7 +132,7 @@
         balancer.record_load_report(NOW, *key, UpstreamLoad { running: 6, queued: 6, slots: 6 });
     }
     for jitter_seed in 0..50 {
-        assert_eq!(balancer.pick_plain(NOW, &plain(jitter_seed, &[])), Some(keys[2]));
+        assert_eq!(balancer.pick_plain(NOW, &plain_request(jitter_seed, &[])), Some(keys[2]));
     }
 }
 
@@ -154,8 +154,9 @@
             );
         }
     }
-    let picked = (0..300)
-        .filter(|jitter_seed| balancer.pick_plain(NOW, &plain(*jitter_seed, &[])) == Some(keys[0]));
+    let picked = (0..300).filter(|jitter_seed| {
+        balancer.pick_plain(NOW, &plain_request(*jitter_seed, &[])) == Some(keys[0])
+    });
     assert!(picked.count() < 10);
 }
 
@@ -164,8 +165,8 @@
 #[test]
 fn tried_upstream_is_used_only_as_a_last_resort() {
     let (balancer, keys) = balancer(2, 6);
-    assert_eq!(balancer.pick_plain(NOW, &plain(1, &[keys[0]])), Some(keys[1]));
-    assert!(balancer.pick_plain(NOW, &plain(1, &keys)).is_some());
+    assert_eq!(balancer.pick_plain(NOW, &plain_request(1, &[keys[0]])), Some(keys[1]));
+    assert!(balancer.pick_plain(NOW, &plain_request(1, &keys)).is_some());
 }
 
 /// Pattern: zones are cut off from each other without connection errors, while requests run in all
@@ -182,7 +183,10 @@
     }
     balancer.record_load_report(NOW, keys[0], UpstreamLoad { running: 5, queued: 0, slots: 6 });
     for jitter_seed in 0..50 {
-        assert_eq!(balancer.pick_plain(NOW, &plain(jitter_seed, &[keys[1]])), Some(keys[0]));
+        assert_eq!(
+            balancer.pick_plain(NOW, &plain_request(jitter_seed, &[keys[1]])),
+            Some(keys[0])
+        );
     }
 }
 
@@ -196,8 +200,9 @@
     let (own, _) = balancer.update(entry("a1", 6));
     balancer.update(UpstreamEntry { zone: String::from("b"), ..entry("b1", 6) });
     balancer.record_load_report(NOW, own, UpstreamLoad { running, queued: 0, slots: 6 });
-    let picked = (0..100)
-        .filter(|jitter_seed| balancer.pick_plain(NOW, &plain(*jitter_seed, &[])) == Some(own));
+    let picked = (0..100).filter(|jitter_seed| {
+        balancer.pick_plain(NOW, &plain_request(*jitter_seed, &[])) == Some(own)
+    });
     let own_share = picked.count();
     assert!(
         if stays { own_share > 90 } else { own_share < 40 },
@@ -228,8 +233,8 @@
 fn draining_upstream_gets_no_requests() {
     let (mut balancer, _) = balancer(1, 6);
     balancer.update(UpstreamEntry { state: EntryState::Draining, ..entry("u0", 6) });
-    assert_eq!(balancer.pick_plain(NOW, &plain(1, &[])), None);
-    assert_eq!(balancer.pick_generation(NOW, &generation(1, &[])), None);
+    assert_eq!(balancer.pick_plain(NOW, &plain_request(1, &[])), None);
+    assert_eq!(balancer.pick_generation(NOW, &generation_request(1, &[])), None);
 }
 
 /// Pattern: an engine becomes three times slower during long runs.
--- a/crates/document/src/settings.rs
+++ b/crates/document/src/settings.rs
@@ -101,7 +101,7 @@
         /// Timeout of an order: the longest time from the clock check before it until the receiver
         /// has carried it out.
         pub order_timeout: Span,
-        /// Wait of a new holder before its first order to a receiver that ignores fencing tokens.
+        /// Delay of a new holder before its first order to a receiver that ignores fencing tokens.
         pub extra_wait: Span,
     }
 }
--- a/crates/experiments/src/control_cost/takeover.rs
+++ b/crates/experiments/src/control_cost/takeover.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Tells whether a daemon's status shows that it holds the lease of `scope`.
+/// Returns whether a daemon's status shows that it holds the lease of `scope`.
 pub(crate) fn holds(status: &Value, scope: &str) -> bool {
     let leases = status["leases"].as_array().map(Vec::as_slice).unwrap_or_default();
     leases.iter().any(|lease| lease["scope"] == scope && !lease["held"].is_null())
--- a/crates/experiments/src/kills/node.rs
+++ b/crates/experiments/src/kills/node.rs
@@ -84,7 +84,7 @@
         Some(batch)
     }
 
-    /// Gives a batch to the log writer. Returns false if the writer takes no more records.
+    /// Passes a batch to the log writer. Returns false if the writer takes no more records.
     pub(crate) fn append(&mut self, batch: &UsageBatch) -> bool {
         let entry = UsageEntry::Usage(UsageRecord::Batch(batch.clone()));
         self.writer.append_with_id(STREAM, batch.id, encode_record(batch.id, &entry)).is_ok()
--- a/crates/experiments/src/report/plot.rs
+++ b/crates/experiments/src/report/plot.rs
@@ -9,7 +9,7 @@
 use super::PlotFrame;
 use crate::{RunFailed, RunResult};
 
-/// Width and height.
+/// Width and height of a plot.
 const SIZE_PIXELS: (u32, u32) = (960, 540);
 
 pub(super) fn draw(frame: &PlotFrame) -> RunResult<String> {
--- a/crates/experiments/src/rollout/faults.rs
+++ b/crates/experiments/src/rollout/faults.rs
@@ -64,7 +64,7 @@
 }
 
 impl FaultOutcome {
-    /// Tells whether the trainer received every slot exactly once, within the staleness bound and
+    /// Returns whether the trainer received every slot exactly once, within the staleness bound and
     /// with the true weight versions, and all nodes agree on the sample table.
     pub(crate) const fn is_clean(&self) -> bool {
         let violations = self.stale + self.double + self.lost + self.rebound + self.wrong_spans;
--- a/crates/experiments/src/rollout/faults/trainer.rs
+++ b/crates/experiments/src/rollout/faults/trainer.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Tells whether the trainer sends a request now: none is open, or the last one has timed out.
+    /// Returns whether the trainer sends a request now: none is open, or the last one has timed
+    /// out.
     pub(crate) fn must_request(&self, now: Moment) -> bool {
         self.requested_at.is_none_or(|at| now.since(at) >= REQUEST_TIMEOUT)
     }
--- a/crates/hibiscushinge/src/demo/caller.rs
+++ b/crates/hibiscushinge/src/demo/caller.rs
@@ -17,7 +17,7 @@
 /// Bound on one exchange. It exceeds the `max_deadline` of the routes in the document.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(100);
 
-/// Most retries of a request after refusals with `retry_after_ms`.
+/// Maximum number of retries of a request after refusals with `retry_after_ms`.
 const MAX_RETRIES: u32 = 20;
 
 /// HTTP client of the callers. Clones share their connections.
@@ -208,7 +208,7 @@
             return Err(format!("status {}, {count} tokens, then {end}", response.status));
         }
         if count != u64::from(self.max_tokens) {
-            return Err(format!("{count} tokens of {}", self.max_tokens));
+            return Err(format!("received {count} of {} tokens", self.max_tokens));
         }
         Ok(())
     }
--- a/crates/hibiscushinge/src/demo/steps.rs
+++ b/crates/hibiscushinge/src/demo/steps.rs
@@ -20,7 +20,7 @@
 /// not an error.
 type StepResult = Result<(), String>;
 
-/// Runs all steps. The later ones run also after a broken promise, but not after a failed step.
+/// Runs all steps in order. A failed step ends the run; a broken promise does not.
 pub(crate) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
     checks.step("A document goes from trial to production");
     documents::run(deployment, checks).await?;
--- a/crates/hibiscushinge/src/operator.rs
+++ b/crates/hibiscushinge/src/operator.rs
@@ -19,7 +19,8 @@
 /// Records requested in one read of the log. A shorter page is the last one.
 const PAGE_RECORDS: u32 = 500;
 
-/// Most attempts of an append. Each sends the same record id, so a repetition has no second effect.
+/// Maximum number of attempts of an append. Each sends the same record id, so a repetition has no
+/// second effect.
 const APPEND_ATTEMPTS: u32 = 5;
 
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
--- a/crates/hibiscushinged/src/control/admin.rs
+++ b/crates/hibiscushinged/src/control/admin.rs
@@ -14,7 +14,7 @@
 /// Time between two checks whether the shutdown can go on.
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Wait at the start of a shutdown, in which the load balancer sees that the readiness check fails
+/// Delay at the start of a shutdown, in which the load balancer sees that the readiness check fails
 /// and stops sending requests.
 const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(500);
 
--- a/crates/hibiscushinged/src/control/config.rs
+++ b/crates/hibiscushinged/src/control/config.rs
@@ -24,7 +24,7 @@
 /// the log always holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
 
-/// Wait before a snapshot that was not read back is appended again.
+/// Delay before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
 type DocumentCheckFn = fn(&EnvironmentName, &str) -> Result<(), String>;
--- a/crates/hibiscushinged/src/control/fleet.rs
+++ b/crates/hibiscushinged/src/control/fleet.rs
@@ -32,7 +32,7 @@
     telemetry::log_event,
 };
 
-/// Wait after a refused order before the same order is submitted again.
+/// Delay after a refused order before the same order is submitted again.
 const REFUSED_ORDER_BACKOFF: Span = Span::from_secs(10);
 
 /// Age of an upstream's leaving mark from which a load report may show it as drained: up to 2 s
--- a/crates/hibiscushinged/src/control/fleet/demand.rs
+++ b/crates/hibiscushinged/src/control/fleet/demand.rs
@@ -26,7 +26,7 @@
 /// holds one.
 const SNAPSHOT_PERIOD: Span = Span::from_secs(600);
 
-/// Wait before a snapshot that was not read back is appended again.
+/// Delay before a snapshot that was not read back is appended again.
 const SNAPSHOT_RETRY: Span = Span::from_secs(30);
 
 /// Demand model of this node and the state of its observations.
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -26,7 +26,7 @@
 /// Time for which a stream counts as active after a record.
 const ACTIVE_PERIOD: Span = Span::from_secs(10);
 
-/// Most records requested in one read.
+/// Maximum number of records requested in one read.
 const MAX_PAGE_RECORDS: u32 = 500;
 
 /// Time without a response of the log after which it counts as down. New claims of idempotency keys
--- a/crates/hibiscushinged/src/control/generate.rs
+++ b/crates/hibiscushinged/src/control/generate.rs
@@ -28,11 +28,11 @@
     telemetry::log_event,
 };
 
-/// Most slots that this node runs at once. Two trainers with 2,048 samples a step need 13 on each
-/// of 320 nodes.
+/// Maximum number of slots that this node runs at once. Two trainers with 2,048 samples a step need
+/// 13 on each of 320 nodes.
 const MAX_SLOTS: usize = 64;
 
-/// Most slots that this node runs at once while live requests are queued: about 10% of
+/// Maximum number of slots that this node runs at once while live requests are queued: about 10% of
 /// [`MAX_SLOTS`], the share that is guaranteed to samples.
 const MAX_SLOTS_UNDER_LOAD: usize = 6;
 
@@ -241,7 +241,7 @@
             let Some(work) = self.sample_work(open) else { continue };
             let (name, late) = (self.state().samples.slot_name(slot), self.upstream_name(avoid));
             log_event!(StragglerRerun, slot = name, late);
-            self.trace(name, EventCode::StragglerRerun, format!("late on {late}"));
+            self.trace(name, EventCode::StragglerRerun, format!("the attempt on {late} is late"));
             let attempt = self.state().samples.generation.add_attempt(open, &work);
             actix_rt::spawn(Rc::clone(self).run_attempt(attempt, work, Some(avoid)));
         }
--- a/crates/hibiscushinged/src/control/generate/attempt.rs
+++ b/crates/hibiscushinged/src/control/generate/attempt.rs
@@ -27,18 +27,19 @@
     telemetry::log_event,
 };
 
-/// Most engines that one attempt uses before it ends and its slot is placed again.
+/// Maximum number of engines that one attempt uses before it ends and its slot is placed again.
 const MAX_ENGINES: u32 = 4;
 
-/// Most picks for one choice of an engine. An engine that may not take the sample is excluded from
-/// the next pick.
+/// Maximum number of picks for one choice of an engine. An engine that may not take the sample is
+/// excluded from the next pick.
 const MAX_PICKS: usize = 8;
 
-/// Wait before a failed attempt ends. It limits how often a slot is placed while no engine can take
-/// it.
+/// Delay before a failed attempt ends. It limits how often a slot is placed while no engine can
+/// take it.
 const FAILED_ATTEMPT_DELAY: Duration = Duration::from_millis(300);
 
-/// Most peers that are asked to hold a copy. If none does, the node holds its sample alone.
+/// Maximum number of peers that are asked to hold a copy. If none does, the node holds its sample
+/// alone.
 const MAX_COPY_REQUESTS: usize = 4;
 
 /// Longest wait of a suspect sample for an engine that runs nothing else.
--- a/crates/hibiscushinged/src/control/sample_snapshot.rs
+++ b/crates/hibiscushinged/src/control/sample_snapshot.rs
@@ -10,7 +10,7 @@
 
 use crate::control::{Control, slots::SlotOwners, streams::SAMPLE_STREAM};
 
-/// Wait before a snapshot that was not read back is appended again.
+/// Delay before a snapshot that was not read back is appended again.
 const RETRY_DELAY: Span = Span::from_secs(5);
 
 /// Bytes reserved in a message for the envelope around a snapshot record.
--- a/crates/hibiscushinged/src/control/samples.rs
+++ b/crates/hibiscushinged/src/control/samples.rs
@@ -41,10 +41,10 @@
 /// Time between two checks of the holders of all samples.
 const HOLDER_CHECK_PERIOD: Span = Span::from_secs(1);
 
-/// Wait before a record that was not read back is appended again.
+/// Delay before a record that was not read back is appended again.
 const RETRY_DELAY: Span = Span::from_secs(5);
 
-/// Most scoring calls that this node has in flight.
+/// Maximum number of scoring calls that this node has in flight.
 const MAX_SCORING_CALLS: usize = 16;
 
 /// Time after the start of reading the stream from which an unknown holder counts as gone. A live
@@ -60,8 +60,8 @@
     pub(crate) waiters: StatementWaiters,
     pub(crate) generation: GenerationDriver,
     pub(crate) scores: ScoreQueue,
-    /// Samples with a bound or voided record that was appended and not read back, with the append
-    /// time.
+    /// Samples for which a bound or void record was appended and not yet read back, with the time
+    /// of the append.
     pending_appends: HashMap<RecordId, Moment>,
     pub(crate) snapshots: SnapshotTracker,
     /// When the stream was first read.
--- a/crates/hibiscushinged/src/control/trainers.rs
+++ b/crates/hibiscushinged/src/control/trainers.rs
@@ -32,8 +32,8 @@
 /// trips.
 const STATEMENT_TIMEOUT: Span = Span::from_secs(10);
 
-/// Most retries of a refused statement. One is enough for a node whose reader lags behind the log;
-/// two nodes that serve the same trainer at the same time need a few.
+/// Maximum number of retries of a refused statement. One is enough for a node whose reader lags
+/// behind the log; two nodes that serve the same trainer at the same time need a few.
 const MAX_STATEMENT_RETRIES: u32 = 4;
 
 /// Retry-After for a trainer that got no samples or whose statement lost to another one.
@@ -81,7 +81,7 @@
 }
 
 impl StatementWaiters {
-    /// Gives the request that waits for a record its result, after the record was applied to the
+    /// Sends the result to the request that waits for a record, after the record was applied to the
     /// table.
     pub(crate) fn resolve(
         &mut self,
--- a/crates/hibiscushinged/src/control/usage.rs
+++ b/crates/hibiscushinged/src/control/usage.rs
@@ -24,19 +24,19 @@
     telemetry::log_event,
 };
 
-/// Most batches held for other nodes. With one batch every 5 s from each of a few nodes, this
-/// covers a log outage of an hour.
+/// Maximum number of batches held for other nodes. With one batch every 5 s from each of a few
+/// nodes, this covers a log outage of an hour.
 const REPLICA_CAPACITY: usize = 4_096;
 
-/// Wait before a hold request, append or report without a response is repeated.
+/// Delay before a hold request, append or report without a response is repeated.
 const RETRY_DELAY: Span = Span::from_secs(2);
 
 /// Time after which the holder of a replica appends a batch that the log does not show, in case the
 /// batch's own node cannot.
 const TAKEOVER_DELAY: Span = Span::from_secs(20);
 
-/// Wait after a gap for a snapshot of another node. After it, the lease holder continues with an
-/// empty ledger.
+/// Time after a gap in the stream within which another node may append a snapshot. After it, the
+/// lease holder continues with an empty ledger.
 const RESTORE_TIMEOUT: Span = Span::from_secs(30);
 
 /// Usage state of this node.
--- a/crates/hibiscushinged/src/gateway/channel.rs
+++ b/crates/hibiscushinged/src/gateway/channel.rs
@@ -245,8 +245,8 @@
     }
 }
 
-/// Tells how the end of the body is found. The codec takes an HTTP/1.1 response without a length as
-/// empty; by RFC 9112, section 6.3, its body ends with the connection.
+/// Returns how the end of the body is found. The codec treats an HTTP/1.1 response without a length
+/// as empty; by RFC 9112, section 6.3, its body ends with the connection.
 fn body_state(codec: ClientCodec, method: &Method, head: &ResponseHead) -> BodyState {
     let bodiless = *method == Method::HEAD
         || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
--- a/crates/hibiscushinged/src/gateway/group.rs
+++ b/crates/hibiscushinged/src/gateway/group.rs
@@ -23,7 +23,8 @@
 /// items.
 const MIN_WORKER_MILLICORES: u32 = 250;
 
-/// Interval at which a smaller node checks the members of the group.
+/// Interval at which a node below [`MIN_WORKER_MILLICORES`] checks whether the group has a larger
+/// member.
 const MEMBERS_POLL_PERIOD: Duration = Duration::from_secs(2);
 
 /// Keeps this node in the group and follows its partitions until it drains. A node below
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -151,7 +151,7 @@
         CountedRequest { window, customer: String::from(customer) }
     }
 
-    /// Takes a request that the upstream did not run out of the usage totals.
+    /// Subtracts a request that the upstream did not run from the usage totals.
     pub(crate) fn uncount_request(&self, counted: &CountedRequest) {
         self.window_totals().remove(counted.window, &counted.customer);
     }
--- a/crates/hibiscushinged/src/gateway/submit.rs
+++ b/crates/hibiscushinged/src/gateway/submit.rs
@@ -179,7 +179,8 @@
 ///
 /// # Errors
 ///
-/// Returns a refusal when this node cannot be sure of what there is.
+/// Returns a refusal when the submission does not exist, or when this node cannot bring its cache
+/// up to date.
 pub(crate) async fn results(
     traffic: &Rc<TrafficState>,
     submission_ref: &SubmissionRef<'_>,
@@ -236,7 +237,8 @@
 ///
 /// # Errors
 ///
-/// Returns a refusal when this node cannot be sure of what there is.
+/// Returns a refusal when the submission does not exist, or when this node cannot bring its cache
+/// up to date.
 pub(crate) async fn item_body(
     traffic: &Rc<TrafficState>,
     submission_ref: &SubmissionRef<'_>,
--- a/crates/hibiscushinged/src/metrics.rs
+++ b/crates/hibiscushinged/src/metrics.rs
@@ -24,6 +24,7 @@
 
 impl DaemonMetrics {
     /// Starts the sender thread, which sends metrics to `address` tagged with the name of the VM.
+    /// Without an address, metrics are discarded.
     ///
     /// # Errors
     ///
--- a/crates/hibiscushinged/src/scheduler.rs
+++ b/crates/hibiscushinged/src/scheduler.rs
@@ -251,7 +251,7 @@
         &mut self.limiter
     }
 
-    /// Gives back the admission of a queued or running request and charges the difference between
+    /// Releases the admission of a queued or running request and charges the difference between
     /// its true and its estimated cost. `tokens` is the true cost, 0 when it did not run.
     pub(crate) fn release(&mut self, now: Moment, ticket: &AdmissionTicket, tokens: u32) {
         if ticket.customer != OPEN_ROUTE_CUSTOMER {
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -450,7 +450,7 @@
         })
     }
 
-    /// Gives the request up for a reason found outside the attempt tracker. Returns the tracker's
+    /// Abandons the request for a reason found outside the attempt tracker. Returns the tracker's
     /// refusal, which also says whether an attempt may have run.
     fn give_up(&mut self, refusal: Refusal) -> Refusal {
         let event = AttemptEvent::GivenUp {
--- a/crates/membership/src/load_table.rs
+++ b/crates/membership/src/load_table.rs
@@ -9,12 +9,12 @@
 derive_copy! {
     /// Limits on the size and the rate of the updates in messages to peers.
     pub struct LoadTableSettings {
-        /// Most changed entries in one message, which bounds the size of a heartbeat.
+        /// Maximum number of changed entries in one message, which bounds the size of a heartbeat.
         pub delta_limit: usize,
         /// Time since its last transmission after which a new measurement is sent even when it
         /// hardly differs.
         pub refresh_after: Span,
-        /// Messages in which every entry is repeated once. Each message carries an equal part.
+        /// Number of messages over which every entry is repeated once. Each carries an equal part.
         pub messages_per_full_update: usize,
         /// Time by which a report of another watcher must be newer to replace the known one.
         pub watcher_margin: Span,
--- a/crates/model-check/src/authority.rs
+++ b/crates/model-check/src/authority.rs
@@ -148,12 +148,12 @@
         record
     }
 
-    /// Tells whether the receiver accepts an order with this fencing token.
+    /// Returns whether the receiver accepts an order with this fencing token.
     fn accepts(&self, receiver: &OrderReceiver, fencing: FencingToken) -> bool {
         receiver.fencing_support == FencingSupport::Ignored || fencing >= receiver.highest_token
     }
 
-    /// Tells whether the receiver recognizes the order as one that it has already carried out.
+    /// Returns whether the receiver recognizes the order as one that it has already carried out.
     fn is_duplicate(&self, receiver: &OrderReceiver, id: OrderId) -> bool {
         receiver.has_executed(id)
     }
--- a/crates/model-check/src/authority/process.rs
+++ b/crates/model-check/src/authority/process.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells whether the process has work to do before the clock advances.
+    /// Returns whether the process has work to do before the clock advances.
     pub(crate) fn has_pending_work(&self, log_length: usize) -> bool {
         if self.activity == Activity::Paused {
             return false;
--- a/crates/model-check/src/authority/receiver.rs
+++ b/crates/model-check/src/authority/receiver.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells whether the order took effect.
+    /// Returns whether the order took effect.
     #[must_use]
     pub fn has_executed(&self, id: OrderId) -> bool {
         self.accepted.iter().any(|(accepted, _)| *accepted == id)
--- a/crates/model-check/src/configuration.rs
+++ b/crates/model-check/src/configuration.rs
@@ -222,7 +222,7 @@
         })
     }
 
-    /// Tells whether processes have accepted different edits on one base, or a snapshot of a
+    /// Returns whether processes have accepted different edits on one base, or a snapshot of a
     /// process differs from the documents that the log up to its offset determines.
     fn has_wrong_acceptance(&self) -> bool {
         let accepted = self.processes.iter().flat_map(|process| &process.accepted);
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -147,7 +147,7 @@
         &self.log
     }
 
-    /// Tells whether all nodes have finished their tasks.
+    /// Returns whether all nodes have finished their tasks.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.nodes.iter().all(|node| node.work.is_empty())
--- a/crates/model-check/src/submissions/store.rs
+++ b/crates/model-check/src/submissions/store.rs
@@ -137,8 +137,8 @@
         None
     }
 
-    /// Tells whether a cache holds every record of its loaded submissions up to its offset, and at
-    /// no position a result that differs from the log.
+    /// Returns whether a cache holds every record of its loaded submissions up to its offset, and
+    /// at no position a result that differs from the log.
     pub(crate) fn matches(&self, cache: &PartitionCache) -> bool {
         let known = cache.next_offset().unwrap_or_default();
         (0..).zip(&self.records).all(|(offset, stored)| match &stored.record {
--- a/crates/model-check/src/usage.rs
+++ b/crates/model-check/src/usage.rs
@@ -164,7 +164,7 @@
         batch
     }
 
-    /// Tells whether the platform accepts a report with this fencing token.
+    /// Returns whether the platform accepts a report with this fencing token.
     fn accepts(&self, sink: &ReportSink, fencing: FencingToken) -> bool {
         sink.fencing_support == FencingSupport::Ignored || fencing >= sink.highest_token
     }
@@ -212,7 +212,7 @@
         self.faults_left
     }
 
-    /// Tells whether the log holds a snapshot.
+    /// Returns whether the log holds a snapshot.
     #[must_use]
     pub fn has_snapshot(&self) -> bool {
         let is_snapshot = |record: &Rc<UsageStreamRecord>| {
--- a/crates/process-tests/tests/authority.rs
+++ b/crates/process-tests/tests/authority.rs
@@ -256,7 +256,8 @@
         (check_reports(&fleet).await.values().sum::<u64>() >= CALLS).then_some(())
     })
     .await;
-    let last = *check_reports(&fleet).await.keys().last().expect("a reported window has the calls");
+    let last =
+        *check_reports(&fleet).await.keys().last().expect("the calls are in a reported window");
     wait_for("the report of a later window", || async {
         let state = fleet.inspect().await;
         let mut reports = state["reports"].as_array()?.iter();
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -181,7 +181,7 @@
         pub customer: String,
         /// Demand of its callers in tokens per second.
         pub demand: u32,
-        /// Number among the requests of the node for this customer, starting at 1.
+        /// Sequence number of the request among those of the node for this customer, starting at 1.
         pub sequence: u64,
         /// Delegate and number of the grant that the node uses, if it has one.
         pub held: Option<(u64, u64)>,
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -180,7 +180,7 @@
         self.rows.is_empty()
     }
 
-    /// Returns whether an upstream may be chosen.
+    /// Returns the state of an upstream, or `None` when the table does not contain it.
     #[must_use]
     pub fn state(&self, upstream: UpstreamKey) -> Option<UpstreamState> {
         self.rows.get(upstream).map(|row| row.state)
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -83,7 +83,8 @@
 /// comes from that request.
 const SPEED_DECAY: f32 = 0.95;
 
-/// Fewest requests that must share an upstream for a completed one to lower its estimated speed.
+/// Minimum number of requests that must share an upstream for a completed one to lower its
+/// estimated speed.
 const MIN_SHARERS: f32 = 4.0;
 
 /// Weight of the initial speed estimate, as the duration in seconds of a request with that speed.
--- a/crates/soak/src/trainer.rs
+++ b/crates/soak/src/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that hands in submissions, reads and checks their results, ends them, and publishes
+//! A trainer that creates submissions, reads and checks their results, ends them, and publishes
 //! new weight versions.
 
 use std::{
@@ -33,8 +33,9 @@
     results: BTreeMap<u64, Value>,
 }
 
-/// Hands in one submission after the other until the run stops. Then hands in a last one, which
-/// must be completed without faults, and reads all submissions once more from the start.
+/// Creates submissions one after another until the run stops. Then creates a last one, which must
+/// be completed because no more faults are injected, and reads all submissions once more from the
+/// start.
 pub(crate) async fn run(testbed: Rc<SoakTestbed>) {
     let mut step = 0;
     let mut seen = Vec::new();
@@ -76,7 +77,7 @@
     testbed.store.put_operator_key("version/m0", &json!({ "model": "m0", "version": *version }));
 }
 
-/// Hands in a submission, and retries on another node until one accepts it. Returns whether it was
+/// Sends a submission, and retries on another node until one accepts it. Returns whether it was
 /// accepted.
 async fn submit(testbed: &SoakTestbed, seen: &SeenSubmission) -> bool {
     let body = submission_body(&seen.id, ITEMS_PER_SUBMISSION, seen.min_version).to_string();
--- a/crates/stand-ins/src/engine/generation.rs
+++ b/crates/stand-ins/src/engine/generation.rs
@@ -15,7 +15,7 @@
 /// Bytes of a prompt that make up its prefix in the cache.
 const PREFIX_BYTES: usize = 256;
 
-/// Most lines in one chunk of a response. It bounds the memory of a fast stream.
+/// Maximum number of lines in one chunk of a response. It bounds the memory of a fast stream.
 const MAX_LINES_PER_CHUNK: usize = 512;
 
 const WORDS: [&str; 16] = [
--- a/crates/stand-ins/src/engine/mod.rs
+++ b/crates/stand-ins/src/engine/mod.rs
@@ -39,11 +39,12 @@
     /// Increase of the time per token with each further running generation, as a fraction of the
     /// time that a single one takes.
     pub batch_slowdown: f64,
-    /// Most generations that run at once. Others are queued, samples behind live requests.
+    /// Maximum number of generations that run at once. Others are queued, samples behind live
+    /// requests.
     pub max_running: usize,
     /// Time to process one prompt token that is not in the cache.
     pub prefill_per_token: Duration,
-    /// Most prefixes of prompts in the cache. The least recently used one is dropped.
+    /// Maximum number of prefixes of prompts in the cache. The least recently used one is dropped.
     pub cached_prefixes: usize,
     /// Time until a change shows in the load report.
     pub report_lag: Duration,
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -10,7 +10,7 @@
 
 use crate::{EngineOptions, lag::LaggingValue, platform::now_ms};
 
-/// Most request ids and headers that are recorded for `GET /inspect`.
+/// Maximum number of request ids and headers that are recorded for `GET /inspect`.
 const MAX_RECORDED: usize = 100_000;
 
 #[derive(Debug)]
--- a/crates/stand-ins/src/platform/mod.rs
+++ b/crates/stand-ins/src/platform/mod.rs
@@ -32,7 +32,7 @@
     pub listen: SocketAddr,
     /// Threads that serve requests.
     pub workers: usize,
-    /// Newest records that each log stream retains. Older ones are dropped.
+    /// Number of newest records that each log stream retains. Older ones are dropped.
     pub retained_records: usize,
     /// Appends accepted per second, over all streams. Others are refused with status 429.
     pub appends_per_second: u32,
--- a/crates/stand-ins/src/platform/state.rs
+++ b/crates/stand-ins/src/platform/state.rs
@@ -11,7 +11,7 @@
 
 use crate::{PlatformOptions, lag::LaggingValue, rate::TokenBucket};
 
-/// Most records in the response to one read.
+/// Maximum number of records in the response to one read.
 const MAX_READ_RECORDS: u64 = 1_000;
 
 #[derive(Debug)]
--- a/crates/stand-ins/src/platform/upstreams.rs
+++ b/crates/stand-ins/src/platform/upstreams.rs
@@ -150,8 +150,11 @@
             };
             match launched {
                 Ok(address) => upstream.address = address,
-                // It stays listed, at an address that refuses connections.
-                Err(error) => tracing::error!(%name, %error, "starting an ordered upstream failed"),
+                Err(error) => tracing::error!(
+                    %name,
+                    %error,
+                    "cannot start an ordered upstream; it stays listed and refuses connections"
+                ),
             }
             if upstream.state == UpstreamStatus::Starting {
                 upstream.state = UpstreamStatus::Running;
