--- a/crates/admission/tests/limit.rs
+++ b/crates/admission/tests/limit.rs
@@ -1,5 +1,5 @@
-//! Guards the customer limits: the rates of all nodes of a zone never add up to more than the zone
-//! limit.
+//! Tests of the customer limits: the rates of all nodes of a zone never add up to more than the
+//! zone limit.
 
 use admission::{
     AllocatorSettings, GrantRequest, LimitAllocator, LimitDecision, LimitGrant, LimiterSettings,
@@ -62,7 +62,8 @@
         zone
     }
 
-    /// Makes the lowest node of each side its delegate, which sees the side's VMs alive.
+    /// Makes the lowest node of each side of the partition its delegate, and tells the delegate how
+    /// many VMs of its side are alive.
     fn elect(&mut self) {
         for node in 0..VMS {
             let side = self.partition_sides[node];
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Guards fair queueing between customers, the guaranteed share of samples, early refusal under
+//! Tests of fair queueing between customers, the guaranteed share of samples, early refusal under
 //! overload, and the retry budget.
 
 use std::collections::BTreeMap;
--- a/crates/authority/src/order.rs
+++ b/crates/authority/src/order.rs
@@ -229,7 +229,7 @@
                     open.stage = OrderStage::Querying { deadline: now + settings.order_timeout };
                     actions.push(OrderAction::Query(*id));
                 }
-                OrderStage::OutcomePending => actions.extend(open.take_refused_outcome()),
+                OrderStage::OutcomePending => actions.extend(open.retry_outcome_append()),
                 _ => {}
             }
         }
@@ -410,7 +410,7 @@
         self.effect = EffectKnowledge::Unknown;
     }
 
-    fn take_refused_outcome(&mut self) -> Option<OrderAction> {
+    fn retry_outcome_append(&mut self) -> Option<OrderAction> {
         let outcome = self.outcome.take()?;
         Some(OrderAction::Append(AuthorityRecord::Outcome(outcome)))
     }
--- a/crates/authority/src/record.rs
+++ b/crates/authority/src/record.rs
@@ -58,8 +58,7 @@
         pub holder: Incarnation,
         /// Number of the record among the lease records of its holder.
         pub attempt: u32,
-        /// Time for which the claim gives the lease, counted by the holder from before it sent the
-        /// claim.
+        /// Duration of the lease. The holder counts it from the moment before it sends the claim.
         pub term: Span,
         /// Offset after the last lease record that the claimant knows. It has read all records
         /// before this offset, or they are no longer retained.
@@ -76,8 +75,8 @@
         pub attempt: u32,
         /// Claim that won the lease.
         pub claim: FencingToken,
-        /// Time for which the renewal gives the lease, counted by the holder from before it sent
-        /// the renewal.
+        /// Duration of the renewed lease. The holder counts it from the moment before it sends the
+        /// renewal.
         pub term: Span,
     }
 
--- a/crates/clients/src/traits.rs
+++ b/crates/clients/src/traits.rs
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the log does not respond in time.
+    /// Returns an error when the log does not send a valid response in time.
     async fn read(&self, stream: &str, from: LogOffset, max: u32) -> Result<LogPage, CallError>;
 }
 
@@ -42,21 +42,21 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform does not respond in time.
+    /// Returns an error when the platform does not send a valid response in time.
     async fn find_order(&self, id: &str) -> Result<Option<OrderInfo>, CallError>;
 
     /// Lists all upstreams with their states.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform does not respond in time.
+    /// Returns an error when the platform does not send a valid response in time.
     async fn upstreams(&self) -> Result<Vec<UpstreamInfo>, CallError>;
 
     /// Lists the notices of cheap upstreams that will be reclaimed.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform does not respond in time.
+    /// Returns an error when the platform does not send a valid response in time.
     async fn reclaims(&self) -> Result<Vec<ReclaimNotice>, CallError>;
 }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform does not respond in time.
+    /// Returns an error when the platform does not send a valid response in time.
     async fn vms(&self) -> Result<Vec<VmInfo>, CallError>;
 }
 
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the version is unknown or the store does not respond in time. Reaching
-    /// the rate limit is not an error but [`WeightFetch::RateLimited`].
+    /// Returns an error when the version is unknown or the store does not send a valid response in
+    /// time. Reaching the rate limit is not an error but [`WeightFetch::RateLimited`].
     async fn fetch_weights(
         &self,
         model: &str,
@@ -127,14 +127,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the engine does not respond in time.
+    /// Returns an error when the engine does not send a valid response in time.
     async fn cancel(&self, engine: SocketAddr, id: &str) -> Result<(), CallError>;
 
     /// Reads the engine's report of its load, weight version and cache.
     ///
     /// # Errors
     ///
-    /// Returns an error when the engine does not respond in time.
+    /// Returns an error when the engine does not send a valid response in time.
     async fn report(&self, engine: SocketAddr) -> Result<EngineReport, CallError>;
 
     /// Orders the engine to load a weight version. The call does not wait for the load;
@@ -162,6 +162,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the engine refuses the cache or does not respond in time.
+    /// Returns an error when the engine refuses the cache or does not send a valid response in
+    /// time.
     async fn import_kv(&self, engine: SocketAddr, cache: &KvCache) -> Result<(), CallError>;
 }
--- a/crates/dispatch/src/pick.rs
+++ b/crates/dispatch/src/pick.rs
@@ -34,7 +34,7 @@
     pub struct GenerationPickRequest<'a> {
         /// Service that runs the generation.
         pub service: &'a str,
-        /// Model and oldest weight version.
+        /// Model of the generation, and the oldest weight version that may generate its tokens.
         pub requirement: ModelRequirement<'a>,
         /// Engines on which the generation failed. They are used only when no other is left.
         pub tried: &'a [UpstreamKey],
--- a/crates/dispatch/src/weight_loads.rs
+++ b/crates/dispatch/src/weight_loads.rs
@@ -182,7 +182,8 @@
         loaded.map_or(u64::MAX, |(_, loaded)| version.0.saturating_sub(loaded.0))
     }
 
-    /// Returns the number of models for which a step accepts the engine's version.
+    /// Returns the number of models of which the engine has, or is loading, a version that is
+    /// recent enough for a step.
     fn usable_models(&self, newest_versions: &[(String, WeightVersion)]) -> usize {
         let usable = newest_versions
             .iter()
--- a/crates/dispatch/tests/pick.rs
+++ b/crates/dispatch/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Guards the choice of upstreams under load and failures.
+//! Tests of the choice of upstreams under load and failures.
 
 use base::{Moment, Span, UpstreamKey, WeightVersion};
 use dispatch::{
--- a/crates/dispatch/tests/weight_loads.rs
+++ b/crates/dispatch/tests/weight_loads.rs
@@ -1,4 +1,4 @@
-//! Guards the planning of weight loads.
+//! Tests of the planning of weight loads.
 
 use base::{Moment, WeightVersion};
 use dispatch::{EngineWeights, WeightLoadLimits, plan_weight_loads};
--- a/crates/experiments/src/state_spread/world.rs
+++ b/crates/experiments/src/state_spread/world.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Returns the values of a row, in the order of `COLUMNS`.
+    /// Runs the simulation for the two periods, and returns the measurements of the second one as a
+    /// row, in the order of `COLUMNS`.
     pub(super) fn measure(mut self, warm_up: Span, measured: Span) -> Vec<f64> {
         let mut now = Moment(0);
         let begin = now + warm_up;
--- a/crates/hibiscushinge/src/commands/usage.rs
+++ b/crates/hibiscushinge/src/commands/usage.rs
@@ -36,8 +36,9 @@
         print_json(&value);
         return Ok(ExitStatus::Success);
     }
-    let response = serde_json::from_value::<UsageResponse>(value)
-        .map_err(|error| CommandFailure::failed(format!("{}: {error}", flags.node)))?;
+    let response = serde_json::from_value::<UsageResponse>(value).map_err(|error| {
+        CommandFailure::failed(format!("cannot decode the usage from {}: {error}", flags.node))
+    })?;
     println!(
         "{:<12} {:<20} {:>10} {:>14} {:>16}",
         "window", "customer", "requests", "prompt tokens", "generated tokens"
--- a/crates/hibiscushinge/src/demo/caller.rs
+++ b/crates/hibiscushinge/src/demo/caller.rs
@@ -272,7 +272,7 @@
     }
 
     /// Waits for the end of the stream.
-    pub(crate) async fn end(self) -> FinishedStream {
+    pub(crate) async fn wait_for_end(self) -> FinishedStream {
         let Self { request, customer, task, .. } = self;
         let response = task.await.unwrap_or_default();
         FinishedStream { request, customer, response }
--- a/crates/hibiscushinge/src/demo/steps.rs
+++ b/crates/hibiscushinge/src/demo/steps.rs
@@ -68,13 +68,13 @@
 }
 
 /// Waits until the streams have ended, and counts their usage.
-async fn end_streams(
+async fn wait_for_streams(
     deployment: &mut DemoDeployment,
     streams: Vec<RunningStream>,
 ) -> Vec<FinishedStream> {
     let mut ended = Vec::new();
     for stream in streams {
-        let stream = stream.end().await;
+        let stream = stream.wait_for_end().await;
         deployment.counted.add(&stream.customer, stream.response.stream_usage());
         ended.push(stream);
     }
--- a/crates/hibiscushinge/src/demo/steps/crash.rs
+++ b/crates/hibiscushinge/src/demo/steps/crash.rs
@@ -4,7 +4,7 @@
 
 use hibiscushinge::AdminClient;
 
-use super::{StepResult, end_streams, start_stream, summarize_streams, wait_for_lines};
+use super::{StepResult, start_stream, summarize_streams, wait_for_lines, wait_for_streams};
 use crate::demo::{checks::PromiseChecks, deployment::DemoDeployment};
 
 /// Tokens of each stream, which take 2 s at the engine's speed. The streams of the crashed engine
@@ -29,7 +29,7 @@
     let interrupted = running(busiest).unwrap_or_default();
     println!("    engine {} crashes with {interrupted} streams", engine.address());
     engine.crash(DOWNTIME);
-    let streams = end_streams(deployment, streams).await;
+    let streams = wait_for_streams(deployment, streams).await;
 
     let mut resumed = Vec::new();
     for daemon in &deployment.daemons {
--- a/crates/hibiscushinge/src/demo/steps/drain.rs
+++ b/crates/hibiscushinge/src/demo/steps/drain.rs
@@ -1,6 +1,6 @@
 //! A daemon is drained while a stream runs through it.
 
-use super::{StepResult, end_streams, start_stream, summarize_streams, wait_for_lines};
+use super::{StepResult, start_stream, summarize_streams, wait_for_lines, wait_for_streams};
 use crate::demo::{
     checks::PromiseChecks,
     deployment::{DemoDeployment, poll_until},
@@ -33,7 +33,7 @@
         format!("phase {phase:?}, refused with {refusal} while the stream had {received} lines"),
     );
 
-    let streams = end_streams(deployment, streams).await;
+    let streams = wait_for_streams(deployment, streams).await;
     let (complete, evidence) = summarize_streams(&streams);
     let stopped = drain.await.is_ok();
     let unreachable = deployment.admin.status(admin).await.is_err();
--- a/crates/hibiscushinge/src/demo/steps/responses.rs
+++ b/crates/hibiscushinge/src/demo/steps/responses.rs
@@ -2,7 +2,7 @@
 
 use stand_ins::plain_body;
 
-use super::{StepResult, end_streams, start_stream, summarize_streams};
+use super::{StepResult, start_stream, summarize_streams, wait_for_streams};
 use crate::demo::{checks::PromiseChecks, deployment::DemoDeployment};
 
 pub(super) async fn run(deployment: &mut DemoDeployment, checks: &mut PromiseChecks) -> StepResult {
@@ -13,7 +13,7 @@
             streams.push(start_stream(deployment, daemon, customer, tokens));
         }
     }
-    let streams = end_streams(deployment, streams).await;
+    let streams = wait_for_streams(deployment, streams).await;
     let (complete, evidence) = summarize_streams(&streams);
     let retries = streams.iter().map(|stream| stream.response.retries).sum::<u32>();
     checks.record(
--- a/crates/hibiscushinge/src/demo/steps/withdrawal.rs
+++ b/crates/hibiscushinge/src/demo/steps/withdrawal.rs
@@ -5,7 +5,7 @@
 use configuration::ConfigVersion;
 use hibiscushinge::EditOutcome;
 
-use super::{StepResult, end_streams, start_stream, summarize_streams, wait_for_lines};
+use super::{StepResult, start_stream, summarize_streams, wait_for_lines, wait_for_streams};
 use crate::demo::{checks::PromiseChecks, deployment::DemoDeployment};
 
 /// Tokens of the stream, which take 20 s at the engine's speed. It must outlast the withdrawal.
@@ -27,7 +27,7 @@
         return Err(format!("the withdrawal was not accepted: {outcome:?}"));
     };
     let accepted = Instant::now();
-    let streams = end_streams(deployment, streams).await;
+    let streams = wait_for_streams(deployment, streams).await;
     let time = accepted.elapsed().as_millis();
     let stream = &streams[0];
     let refusal = stream.response.refusal();
@@ -66,7 +66,7 @@
         format!("{refused} of {} daemons refused it; upstreams ran {ran}", statuses.len()),
     );
 
-    let others = end_streams(deployment, others).await;
+    let others = wait_for_streams(deployment, others).await;
     let (complete, evidence) = summarize_streams(&others);
     checks.record("A stream of another customer goes on meanwhile", complete, evidence);
     Ok(())
--- a/crates/hibiscushinged/src/control/follow.rs
+++ b/crates/hibiscushinged/src/control/follow.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Sends the batches of records that the log writer has due.
+    /// Sends the batches of records that are due in the log writer.
     pub(crate) fn tick_writer(self: &Rc<Self>) {
         let now = self.now();
         let actions = self.state().writer.tick(now);
--- a/crates/hibiscushinged/src/gateway/node.rs
+++ b/crates/hibiscushinged/src/gateway/node.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// A request that was counted for usage, for taking it back with [`NodeState::uncount_request`].
+/// Window and customer for which a request was counted. [`NodeState::uncount_request`] needs them
+/// to undo the count.
 pub(crate) struct CountedRequest {
     window: WindowNumber,
     customer: String,
--- a/crates/hibiscushinged/src/traffic/plain.rs
+++ b/crates/hibiscushinged/src/traffic/plain.rs
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Applies an event to the attempt tracker that needs no action here.
+    /// Passes an event to the attempt tracker and ignores the actions that it returns.
     fn handle(&mut self, event: AttemptEvent) {
         let now = self.worker.shared.clock.now();
         self.request.tracker.handle(now, event);
--- a/crates/hibiscushinged/src/traffic/stream.rs
+++ b/crates/hibiscushinged/src/traffic/stream.rs
@@ -78,7 +78,7 @@
     KeyWithdrawn,
 }
 
-/// Starts a generation and returns the response once its first line or a refusal is there.
+/// Starts a generation and returns the response once its first line or a refusal is available.
 pub(crate) async fn run(
     worker: Rc<TrafficWorker>,
     request: CallerRequest,
--- a/crates/membership/tests/cluster/main.rs
+++ b/crates/membership/tests/cluster/main.rs
@@ -202,7 +202,7 @@
             network.resume(index);
         }
     }
-    // A zone without a running VM has nobody that could report to the other zones.
+    // A zone without a running VM has no node that reports to the other zones.
     for index in [0, 7, 12] {
         if !network.nodes[index].up {
             network.restart(index, 5_000);
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -121,15 +121,18 @@
     assert_eq!(result.broken, None);
 }
 
-/// Checks that the search finds a violation of `invariant` in a specification in which a guard of
-/// it is missing or replaced by a faulty one.
+/// Checks that the search finds a violation of `invariant` in a specification that lacks a guard on
+/// which the invariant depends, or has a faulty one in its place.
 ///
 /// # Panics
 ///
 /// Panics when no reachable state violates `invariant`.
 pub fn check_violation_found<T: Specification>(specification: &T, invariant: &'static str) {
     let found = print_counterexample(specification, invariant);
-    assert!(found, "no reachable state violates `{invariant}`, although a guard of it is missing");
+    assert!(
+        found,
+        "no reachable state violates `{invariant}`, although a guard for it is missing or faulty"
+    );
 }
 
 fn print_counterexample<T: Specification>(specification: &T, invariant: &'static str) -> bool {
--- a/crates/routebook/tests/index.rs
+++ b/crates/routebook/tests/index.rs
@@ -1,5 +1,5 @@
-//! Guards the lookups of routes and keys, and that the version of the active configuration only
-//! rises.
+//! Tests of the lookups of routes and keys, and of the rule that the version of the active
+//! configuration only rises.
 
 use base::{KeyDigest, Span};
 use routebook::{
--- a/crates/routing/tests/picker.rs
+++ b/crates/routing/tests/picker.rs
@@ -1,5 +1,5 @@
-//! Guards the choice of an upstream: leaving ones are never chosen, the own zone is preferred, and
-//! speed and outstanding work are taken into account.
+//! Tests of the choice of an upstream: leaving ones are never chosen, the own zone is preferred,
+//! and speed and outstanding work are taken into account.
 
 use base::{Moment, Span, UpstreamKey, WeightVersion, ZoneKey};
 use rand::SeedableRng as _;
--- a/crates/stand-ins/src/engine/state.rs
+++ b/crates/stand-ins/src/engine/state.rs
@@ -219,7 +219,7 @@
         self.entries.values().filter(|entry| entry.running).count()
     }
 
-    /// Computes the load report, which readers see after its lag.
+    /// Computes the load report. Readers see it after the time set by `report_lag`.
     fn update_load(&mut self, now: Instant) {
         let running = self.running_count();
         let speed = running as f64 / self.token_time().as_secs_f64();
--- a/crates/stand-ins/src/platform/state.rs
+++ b/crates/stand-ins/src/platform/state.rs
@@ -162,7 +162,7 @@
 
     pub(crate) fn inspect(&self) -> Value {
         let streams = self.streams.iter();
-        let streams = streams.map(|(name, stream)| (name.clone(), stream.next()));
+        let streams = streams.map(|(name, stream)| (name.clone(), stream.next_offset()));
         json!({
             "appends": self.appends,
             "reads": self.reads,
@@ -181,7 +181,7 @@
     /// Appends records, drops the oldest beyond `retained`, and returns the offset of the first one
     /// appended.
     pub(crate) fn append(&mut self, records: Vec<wire::AppendRecord>, retained: usize) -> u64 {
-        let first = self.next();
+        let first = self.next_offset();
         self.records.extend(records.into_iter().map(|record| record.data));
         while self.records.len() > retained {
             self.records.pop_front();
@@ -191,15 +191,15 @@
     }
 
     pub(crate) fn read(&self, from: u64, max: u64) -> wire::Page {
-        let start = from.clamp(self.first, self.next());
+        let start = from.clamp(self.first, self.next_offset());
         let records = self.records.iter().skip((start - self.first) as usize);
         let records = (start..).zip(records).take(max.min(MAX_READ_RECORDS) as usize);
         let records =
             records.map(|(offset, data)| wire::PageRecord { offset, data: data.clone() }).collect();
-        wire::Page { first: self.first, next: self.next(), records }
+        wire::Page { first: self.first, next: self.next_offset(), records }
     }
 
-    fn next(&self) -> u64 {
+    fn next_offset(&self) -> u64 {
         self.first + self.records.len() as u64
     }
 }
--- a/crates/submissions/tests/cache.rs
+++ b/crates/submissions/tests/cache.rs
@@ -1,4 +1,4 @@
-//! Guards a node's cache of a partition.
+//! Tests of a node's cache of a partition.
 
 mod common;
 
--- a/crates/submissions/tests/check.rs
+++ b/crates/submissions/tests/check.rs
@@ -1,4 +1,4 @@
-//! Guards the validation of submissions before they are accepted.
+//! Tests of the validation of submissions before they are accepted.
 
 mod common;
 
--- a/crates/submissions/tests/table.rs
+++ b/crates/submissions/tests/table.rs
@@ -1,5 +1,5 @@
-//! Guards the state of submissions as materialized from their records, the texts of items, and the
-//! item queue.
+//! Tests of the state of submissions as materialized from their records, the texts of items, and
+//! the item queue.
 
 mod common;
 
--- a/crates/usage/src/replica.rs
+++ b/crates/usage/src/replica.rs
@@ -76,7 +76,7 @@
         self.held.remove(&id);
     }
 
-    /// Makes the batches of a process that has ended due for append.
+    /// Marks the batches of a process that has ended as due for append.
     pub fn origin_ended(&mut self, now: Moment, origin: Incarnation) {
         for held in self.held.values_mut() {
             if held.batch.id.writer == origin {
