--- a/crates/hibiscushinge/src/demo/steps/withdrawal.rs
+++ b/crates/hibiscushinge/src/demo/steps/withdrawal.rs
@@ -38,8 +38,8 @@
         "A running stream stops when its key is withdrawn",
         stopped_early && refusal["code"] == "key-refused",
         format!(
-            "version {} accepted, the stream ended {time} ms later with {refusal} after {received:?} \
-             of {STREAM_TOKENS} tokens",
+            "version {} accepted, the stream ended {time} ms later with {refusal} after \
+             {received:?} of {STREAM_TOKENS} tokens",
             version.0
         ),
     );
--- a/crates/model-check/src/submissions.rs
+++ b/crates/model-check/src/submissions.rs
@@ -2,9 +2,9 @@
 //! concurrently accept submissions, store their results, end them and read them.
 //!
 //! Every node runs the daemon's [`PartitionCache`] and appends the records that
-//! [`opening_records`], [`result_records`] and [`ending_records`] return. The store only checks that
-//! an append names the end of the log. A node reads the keys of a submission in two pages, which
-//! are not read atomically, and follows the log meanwhile.
+//! [`opening_records`], [`result_records`] and [`ending_records`] return. The store only checks
+//! that an append names the end of the log. A node reads the keys of a submission in two pages,
+//! which are not read atomically, and follows the log meanwhile.
 //!
 //! [`opening_records`]: submissions::opening_records
 //! [`result_records`]: submissions::result_records
