--- a/crates/stand-ins/tests/engine.rs
+++ b/crates/stand-ins/tests/engine.rs
@@ -178,7 +178,7 @@
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     let Value::Array(headers) = engine.inspect()["headers"].clone() else {
-        panic!("headers are a list");
+        panic!("expected a list of headers");
     };
     assert!(headers.iter().any(|pair| pair[0] == "host"));
 }
