--- a/crates/hibiscushinge/src/demo/caller.rs
+++ b/crates/hibiscushinge/src/demo/caller.rs
@@ -208,7 +208,7 @@
             return Err(format!("status {}, {count} tokens, then {end}", response.status));
         }
         if count != u64::from(self.max_tokens) {
-            return Err(format!("received {count} of {} tokens", self.max_tokens));
+            return Err(format!("{count} tokens of {}", self.max_tokens));
         }
         Ok(())
     }
